--- a/src/chat_face/callers.rs
+++ b/src/api/callers.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     answer::{Answer, Header},
-    chat_face::{
+    api::{
         dispatch::{ServiceTarget, is_passed_on},
         request::{Arrived, CallHeaders, Request},
         template::VersionState,
--- a/src/chat_face/chat.rs
+++ b/src/api/chat.rs
@@ -3,7 +3,7 @@
 use serde_json::{Map, Value};
 
 use crate::{
-    chat_face::template::{Priority, VersionEntry},
+    api::template::{Priority, VersionEntry},
     error::{Error, ErrorKind},
     id::ModelId,
     rendezvous,
--- a/src/chat_face/choose.rs
+++ b/src/api/choose.rs
@@ -10,8 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::{
-    chains::configuration::Configuration,
-    chat_face::{
+    api::{
         decision::{
             Candidate, Dropped, Preferred, SessionUse, UpstreamChoice,
         },
@@ -19,6 +18,7 @@
         tally::Tallies,
         template::{Template, VersionEntry, VersionState},
     },
+    chains::configuration::Configuration,
     clock::BootInstant,
     error::{Error, ErrorKind},
     id::{ModelId, UpstreamId, VersionId},
--- a/src/chat_face/decision.rs
+++ b/src/api/decision.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    chat_face::template::Priority,
+    api::template::Priority,
     error::{ErrorKind, Run},
     id::{
         ModelId, OrganisationId, RequestId, Revision, ServiceId, UpstreamId,
--- a/src/chat_face/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -13,13 +13,7 @@
 
 use crate::{
     answer::{Answer, Header},
-    chains::{
-        claim::{
-            BodyHash, ClaimKey, ClaimOutcome, ClaimRequest, ClaimVerdict,
-        },
-        claims::{Claims, GRANT_LIFETIME, verdict_label},
-    },
-    chat_face::{
+    api::{
         chat::{TokenUse, answer_text},
         choose::{Step, UpstreamWish, pick_upstream},
         decision::{Attempt, AttemptEnd, UpstreamChoice, Verdict},
@@ -31,6 +25,12 @@
         template::VersionEntry,
         vm::Vm,
     },
+    chains::{
+        claim::{
+            BodyHash, ClaimKey, ClaimOutcome, ClaimRequest, ClaimVerdict,
+        },
+        claims::{Claims, GRANT_LIFETIME, verdict_label},
+    },
     clock::BootInstant,
     error::{Error, ErrorKind},
     event::Event,
@@ -204,15 +204,12 @@
         let chat = &self.state.admitted.call.chat;
         let output = chat
             .output_tokens
-            .unwrap_or(crate::chat_face::estimate::USUAL_OUTPUT_TOKENS);
+            .unwrap_or(crate::api::estimate::USUAL_OUTPUT_TOKENS);
         entry.price(chat.input_tokens, output)
     }
 
     /// Asks the planned versions in order until an answer is good enough.
-    async fn cascade(
-        &mut self,
-        pass: crate::chat_face::queue::Pass,
-    ) -> Outcome {
+    async fn cascade(&mut self, pass: crate::api::queue::Pass) -> Outcome {
         let steps = self.state.plan.steps.clone();
         let mut pass = Some(pass);
         let mut best = None;
@@ -248,7 +245,7 @@
     async fn ask_step(
         &mut self,
         step: &Step,
-        pass: &mut Option<crate::chat_face::queue::Pass>,
+        pass: &mut Option<crate::api::queue::Pass>,
     ) -> Result<WholeAnswer, Error> {
         let repeatable = self.state.repeatable;
         let mut tried: Vec<UpstreamId> = Vec::new();
@@ -408,7 +405,7 @@
     ) {
         let is_rolling = matches!(
             entry.state,
-            crate::chat_face::template::VersionState::RollingOut { .. }
+            crate::api::template::VersionState::RollingOut { .. }
         );
         if !is_rolling && rand::random::<f64>() >= LEARN_SHARE {
             return;
--- a/src/chat_face/estimate.rs
+++ b/src/api/estimate.rs
@@ -6,7 +6,7 @@
 //! start from nothing.
 
 use crate::{
-    chat_face::{
+    api::{
         tally::{Tallies, Tally, TallyKey, evidence},
         template::VersionEntry,
     },
--- a/src/chat_face/gossip.rs
+++ b/src/api/gossip.rs
@@ -15,7 +15,7 @@
 use smol::net::UdpSocket;
 
 use crate::{
-    chat_face::{
+    api::{
         view::{Peer, log_life_changes},
         vm::Vm,
     },
--- a/src/chat_face/guard.rs
+++ b/src/api/guard.rs
@@ -13,17 +13,17 @@
 };
 
 use crate::{
-    chains::{
-        configuration::{Configuration, Edit, Expected},
-        configuration_sync,
-        store::Backoff,
-    },
-    chat_face::{
+    api::{
         estimate::version_hash,
         tally::{Tallies, Tally, TallyKey, evidence},
         template::{VersionEntry, VersionState},
         vm::Vm,
     },
+    chains::{
+        configuration::{Configuration, Edit, Expected},
+        configuration_sync,
+        store::Backoff,
+    },
     error::ErrorKind,
     event::Event,
     id::{ModelId, Revision},
--- a/src/chat_face/limit.rs
+++ b/src/api/limit.rs
@@ -15,11 +15,11 @@
 };
 
 use crate::{
-    bucket::Bucket,
-    chat_face::{
+    api::{
         tally::{Tallies, Tally, TallyKey, usage},
         template::Template,
     },
+    bucket::Bucket,
     clock::BootInstant,
     error::{Error, ErrorKind},
     id::OrganisationId,
--- a/src/chat_face/load.rs
+++ b/src/api/load.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    chat_face::{
+    api::{
         gossip::{Gossiper, log_leaving},
         vm::Vm,
     },
--- a/src/chat_face/operators.rs
+++ b/src/api/operators.rs
@@ -7,19 +7,19 @@
 use trillium::{Conn, Handler, KnownHeaderName, Method, async_trait};
 
 use crate::{
-    chains::{
-        bill::Bill,
-        configuration::{Configuration, Edit, Expected, Versioned},
-        configuration_sync,
-        ledger::{self, BillQuery},
-    },
-    chat_face::{
+    api::{
         callers::{bearer, ready, send_error, send_json},
         decision::Decision,
         guard,
         template::{Template, VersionEntry, VersionState},
         vm::{Vm, slot_state},
     },
+    chains::{
+        bill::Bill,
+        configuration::{Configuration, Edit, Expected, Versioned},
+        configuration_sync,
+        ledger::{self, BillQuery},
+    },
     error::{Error, ErrorKind},
     id::{ModelId, OrganisationId, RequestId, Revision, VersionId},
     secret::KeyHash,
--- a/src/chat_face/queue.rs
+++ b/src/api/queue.rs
@@ -14,7 +14,7 @@
 use smol::channel::{Receiver, Sender, bounded};
 
 use crate::{
-    chat_face::{choose::Room, template::Priority},
+    api::{choose::Room, template::Priority},
     clock::{BootInstant, SharedClock},
     error::{Error, ErrorKind},
     id::{ModelId, OrganisationId},
--- a/src/chat_face/relay.rs
+++ b/src/api/relay.rs
@@ -15,8 +15,7 @@
     answer::{
         Answer, BrokenOff, Header, StreamBody, StreamPart, refusal_json,
     },
-    chains::claim::ClaimOutcome,
-    chat_face::{
+    api::{
         chat::TokenUse,
         decision::AttemptEnd,
         dispatch::{AttemptFault, Chosen, fault_of},
@@ -24,6 +23,7 @@
         request::{Planned, Request},
         template::VersionEntry,
     },
+    chains::claim::ClaimOutcome,
     error::{Error, ErrorKind},
     event::Event,
     http_client::Exchange,
--- a/src/chat_face/request.rs
+++ b/src/api/request.rs
@@ -10,12 +10,7 @@
 
 use crate::{
     answer::{Answer, Header},
-    chains::{
-        bill::{Bill, BillPart, BillState},
-        claim::{ClaimOutcome, ClaimRequest},
-        claims::Claims,
-    },
-    chat_face::{
+    api::{
         chat::ChatRequest,
         choose::{
             self, Knowledge, NoPlan, Plan, RequestFacts, Room, any_usable,
@@ -30,6 +25,11 @@
         template::{Priority, ServiceRule, Template, VersionEntry},
         vm::{InFlightRequest, Vm},
     },
+    chains::{
+        bill::{Bill, BillPart, BillState},
+        claim::{ClaimOutcome, ClaimRequest},
+        claims::Claims,
+    },
     clock::BootInstant,
     error::{Error, ErrorKind, Run},
     id::OrganisationId,
--- a/src/chat_face/server.rs
+++ b/src/api/server.rs
@@ -12,8 +12,7 @@
 use trillium_server_common::ServerHandle;
 
 use crate::{
-    chains::{configuration_sync, ledger::Ledger},
-    chat_face::{
+    api::{
         callers::Callers,
         gossip::{Gossiper, log_leaving},
         guard, load,
@@ -22,6 +21,7 @@
         steward::Steward,
         vm::{Parts, Vm},
     },
+    chains::{configuration_sync, ledger::Ledger},
     clock::{SharedClock, SystemClock},
     error::{Error, ErrorKind},
     event::Event,
--- a/src/chat_face/statement.rs
+++ b/src/api/statement.rs
@@ -3,7 +3,7 @@
 use hyper::HeaderMap;
 
 use crate::{
-    chat_face::{
+    api::{
         dispatch::{Chosen, STATUS_NOT_LOADED, STATUS_UNAVAILABLE},
         gossip::{Gossiper, log_leaving},
         request::Core,
--- a/src/chat_face/steward.rs
+++ b/src/api/steward.rs
@@ -14,11 +14,11 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
+    api::{estimate::version_hash, template::VersionState, vm::Vm},
     chains::{
         claim::VmLife,
         lease::{Epoch, Lease, LeaseChange},
     },
-    chat_face::{estimate::version_hash, template::VersionState, vm::Vm},
     clock::BootInstant,
     event::Event,
     http_client::{Call, SendError},
--- a/src/chat_face/view.rs
+++ b/src/api/view.rs
@@ -14,7 +14,7 @@
 use rand::seq::IndexedRandom;
 
 use crate::{
-    chat_face::{
+    api::{
         membership::{Life, LifeChange, Membership},
         platform_list::{ListedRole, ListedState, ListedVm},
     },
--- a/src/chat_face/vm.rs
+++ b/src/api/vm.rs
@@ -13,17 +13,7 @@
 use smol::channel::{Receiver, Sender};
 
 use crate::{
-    chains::{
-        bill::Bill,
-        claim::VmLife,
-        claims::{self, Claims},
-        configuration::{Change, ConfigurationCell},
-        configuration_sync::{RECENT_LIMIT, changes_after},
-        ledger::Ledger,
-        slot::HoldRequest,
-        store::{HttpStore, SharedStore, StoreCounts},
-    },
-    chat_face::{
+    api::{
         choose::Room,
         decision::{Decision, DecisionLog},
         gossip::Gossiper,
@@ -36,6 +26,16 @@
         tally::Tallies,
         view::View,
     },
+    chains::{
+        bill::Bill,
+        claim::VmLife,
+        claims::{self, Claims},
+        configuration::{Change, ConfigurationCell},
+        configuration_sync::{RECENT_LIMIT, changes_after},
+        ledger::Ledger,
+        slot::HoldRequest,
+        store::{HttpStore, SharedStore, StoreCounts},
+    },
     clock::{BootInstant, SharedClock},
     event::Event,
     frame::FrameCodec,
--- a/src/chains/claims.rs
+++ b/src/chains/claims.rs
@@ -12,11 +12,11 @@
 use smol::channel::{Receiver, Sender, bounded, unbounded};
 
 use crate::{
+    api::{membership::Life, silent::Silent, view::Peer, vm::Vm},
     chains::{
         claim::{ClaimOutcome, ClaimRequest, ClaimVerdict, VmLife},
         slot::{HoldRequest, Slot, SlotPeers, redirect},
     },
-    chat_face::{membership::Life, silent::Silent, view::Peer, vm::Vm},
     id::{DataHallId, VmId},
     message::{PeerReply, PeerRequest},
     peer::PeerError,
--- a/src/chains/configuration.rs
+++ b/src/chains/configuration.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    chat_face::template::{Template, VersionEntry},
+    api::template::{Template, VersionEntry},
     clock::BootInstant,
     error::{Error, ErrorKind},
     id::{ModelId, OrganisationId, Revision, VersionId, VmId},
@@ -343,7 +343,7 @@
     use proptest::prelude::*;
 
     use super::*;
-    use crate::chat_face::template::VersionState;
+    use crate::api::template::VersionState;
     use crate::unit::{MicroCost, Share};
 
     fn template(name: &str, key: &str) -> Edit {
--- a/src/chains/configuration_sync.rs
+++ b/src/chains/configuration_sync.rs
@@ -7,12 +7,12 @@
 use std::{sync::Arc, time::Duration};
 
 use crate::{
+    api::{view::Peer, vm::Vm},
     chains::{
         chain::{self, Appended, Batch, WriteId},
         configuration::{Change, Configuration, Edit, Expected},
         store::{Backoff, Condition, StoreError},
     },
-    chat_face::{view::Peer, vm::Vm},
     error::{Error, ErrorKind},
     event::Event,
     id::Revision,
@@ -167,7 +167,7 @@
     let vm = vm.clone();
     // The rest of the hall should not wait for its watch or a round.
     task::spawn(async move {
-        crate::chat_face::gossip::Gossiper::tell_hall(&vm).await;
+        crate::api::gossip::Gossiper::tell_hall(&vm).await;
     })
     .detach();
 }
--- a/src/chains/ledger.rs
+++ b/src/chains/ledger.rs
@@ -17,12 +17,12 @@
 use smol::channel::{Receiver, Sender, bounded};
 
 use crate::{
+    api::{membership::Life, silent::Silent, vm::Vm},
     chains::{
         bill::{Bill, BillState, merge_all},
         chain::{self, Appended, Batch, WriteId},
         store::{StoreError, list_all},
     },
-    chat_face::{membership::Life, silent::Silent, vm::Vm},
     clock::BootInstant,
     error::{Error, ErrorKind},
     event::Event,
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -12,7 +12,7 @@
 use serde_json::{Value, json};
 
 use crate::{
-    chat_face::{
+    api::{
         server::{Addresses, Server},
         template::VersionState,
     },
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,7 +7,7 @@
 //! # Finding your way
 //!
 //! The router has two faces. One is its own interface, of chat completions
-//! and templates, in [`chat_face`]; the other stands before a platform, whose
+//! and templates, in [`api`]; the other stands before a platform, whose
 //! names and formats [`platform`] translates, in [`gateway`]. Both stand on
 //! the same folders, one for each thing that has a way through the VMs:
 //!
@@ -30,7 +30,7 @@
 //! A template is checked when it is read:
 //!
 //! ```
-//! use lupinseam::{chat_face::template::Template, secret::KeyHash};
+//! use lupinseam::{api::template::Template, secret::KeyHash};
 //!
 //! let text = format!(
 //!     r#"{{"organisation": "petitions", "key_hashes": ["{}"],
@@ -45,9 +45,9 @@
 #![warn(missing_docs)]
 
 mod answer;
+pub mod api;
 mod bucket;
 pub mod chains;
-pub mod chat_face;
 pub mod cli;
 pub mod clock;
 pub mod crashes;
--- a/src/message.rs
+++ b/src/message.rs
@@ -9,15 +9,15 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
+    api::{
+        decision::Decision,
+        tally::{Tally, TallyKey},
+    },
     chains::{
         bill::Bill,
         claim::{ClaimOutcome, ClaimRequest, ClaimVerdict, OfflineClaim},
         configuration::Change,
     },
-    chat_face::{
-        decision::Decision,
-        tally::{Tally, TallyKey},
-    },
     crashes::sighting::Sighting,
     facts::knowledge::ChangedItem,
     id::{DataHallId, Incarnation, RequestId, Revision, VmId},
--- a/src/sse.rs
+++ b/src/sse.rs
@@ -3,7 +3,7 @@
 use bytes::{Bytes, BytesMut};
 use serde_json::Value;
 
-use crate::chat_face::chat::TokenUse;
+use crate::api::chat::TokenUse;
 
 /// The largest event that is relayed.
 const EVENT_LIMIT_BYTES: usize = 1 << 20;
--- a/standins/src/measure.rs
+++ b/standins/src/measure.rs
@@ -13,7 +13,7 @@
 use hdrhistogram::Histogram;
 use hyper::Method;
 use lupinseam::{
-    chat_face::choose::{UpstreamWish, pick_upstream},
+    api::choose::{UpstreamWish, pick_upstream},
     http_client::{Call, HttpClient, Reuse},
     message::ShortHash,
     placing::upstream::UpstreamFacts,
