--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,9 +1,9 @@
 //! The product's own interface: chats and service calls by templates.
 //!
-//! A request goes `callers → request → choose → dispatch → relay`; the rest
+//! A request goes `caller_api → request → choose → dispatch → relay`; the rest
 //! is what those steps know and keep.
 
-pub(crate) mod callers;
+pub(crate) mod caller_api;
 pub(crate) mod chat;
 pub mod choose;
 pub mod decision;
--- a/src/api/operators.rs
+++ b/src/api/operators.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     api::{
-        callers::{bearer, ready, send_error, send_json},
+        caller_api::{bearer, ready, send_error, send_json},
         decision::Decision,
         guard,
         template::{Template, VersionEntry, VersionState},
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     api::{
-        callers::Callers,
+        caller_api::Callers,
         gossip::{Gossiper, log_leaving},
         guard, load,
         operators::Operators,
