--- a/src/api/caller_api.rs
+++ b/src/api/caller_api.rs
@@ -44,12 +44,12 @@
 ];
 
 /// Handles the requests of callers.
-pub(crate) struct Callers {
+pub(crate) struct CallerApi {
     pub(crate) vm: Arc<Vm>,
 }
 
 #[async_trait]
-impl Handler for Callers {
+impl Handler for CallerApi {
     async fn run(&self, conn: Conn) -> Conn {
         let path = conn.path().to_owned();
         let method = conn.method();
@@ -73,7 +73,7 @@
     }
 }
 
-impl Callers {
+impl CallerApi {
     async fn chat(&self, mut conn: Conn) -> Conn {
         let (gone, cancel) = bounded(1);
         let request = Request::arrive(&self.vm, cancel);
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     api::{
-        caller_api::Callers,
+        caller_api::CallerApi,
         gossip::{Gossiper, log_leaving},
         guard, load,
         operators::Operators,
@@ -147,7 +147,7 @@
             bound.addresses.peers
         ));
         let limit = vm.settings.requests.body_limit_bytes + 1;
-        let callers = Callers { vm: vm.clone() };
+        let callers = CallerApi { vm: vm.clone() };
         let callers = serve_http(bound.callers, callers, limit)?;
         let operators = Operators { vm: vm.clone() };
         let operators = serve_http(bound.operators, operators, limit)?;
