--- a/src/api/caller_api.rs
+++ b/src/api/caller_api.rs
@@ -176,7 +176,7 @@
     }
 
     fn models(&self, conn: Conn) -> Conn {
-        let bearer = bearer(conn.request_headers());
+        let bearer = bearer_key(conn.request_headers());
         let configuration = self.vm.configuration.current();
         let template = bearer.and_then(|key| {
             configuration.template_by_key(&KeyHash::of(&key)).cloned()
@@ -287,7 +287,7 @@
 }
 
 /// The bearer key of a request.
-pub(crate) fn bearer(headers: &Headers) -> Option<String> {
+pub(crate) fn bearer_key(headers: &Headers) -> Option<String> {
     let value = headers.get_str(KnownHeaderName::Authorization)?;
     let key = value.strip_prefix("Bearer ")?.trim();
     (!key.is_empty()).then(|| key.to_owned())
@@ -298,7 +298,7 @@
         headers.get_str(name).map(|value| value.trim().to_owned())
     };
     CallHeaders {
-        bearer: bearer(headers),
+        bearer: bearer_key(headers),
         idempotency_key: text("idempotency-key"),
         session: text("lupinseam-session"),
         task: text("lupinseam-task"),
--- a/src/api/operators.rs
+++ b/src/api/operators.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     api::{
-        caller_api::{bearer, ready, send_error, send_json},
+        caller_api::{bearer_key, ready, send_error, send_json},
         decision::Decision,
         guard,
         template::{Template, VersionEntry, VersionState},
@@ -147,7 +147,7 @@
         let Some(expected) = self.vm.settings.operators_key_hash else {
             return true;
         };
-        let key = bearer(conn.request_headers());
+        let key = bearer_key(conn.request_headers());
         key.is_some_and(|key| KeyHash::of(&key) == expected)
     }
 
