--- a/src/api/caller_api.rs
+++ b/src/api/caller_api.rs
@@ -55,7 +55,7 @@
         let method = conn.method();
         match (method, path.as_str()) {
             (Method::Get, "/healthz") => conn.ok("alive\n"),
-            (Method::Get, "/readyz") => ready(&self.vm, conn),
+            (Method::Get, "/readyz") => send_readiness(&self.vm, conn),
             (Method::Get, MODELS_PATH) => self.models(conn),
             (Method::Post, CHAT_PATH) => self.chat(conn).await,
             (_, path) if path.starts_with(SERVICES_PREFIX) => {
@@ -279,7 +279,7 @@
 }
 
 /// Says whether the VM takes requests.
-pub(crate) fn ready(vm: &Vm, conn: Conn) -> Conn {
+pub(crate) fn send_readiness(vm: &Vm, conn: Conn) -> Conn {
     if vm.is_ready() {
         return conn.ok("ready\n");
     }
--- a/src/api/operators.rs
+++ b/src/api/operators.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     api::{
-        caller_api::{bearer_key, ready, send_error, send_json},
+        caller_api::{bearer_key, send_error, send_json, send_readiness},
         decision::Decision,
         guard,
         template::{Template, VersionEntry, VersionState},
@@ -80,7 +80,7 @@
         let path = conn.path().to_owned();
         match path.as_str() {
             "/healthz" => return conn.ok("alive\n"),
-            "/readyz" => return ready(&self.vm, conn),
+            "/readyz" => return send_readiness(&self.vm, conn),
             "/metrics" => return self.metrics(conn),
             _ => {}
         }
