--- a/src/api/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -15,12 +15,12 @@
     answer::{Answer, Header},
     api::{
         chat::{TokenUse, answer_text},
-        choose::{Step, UpstreamWish, pick_upstream},
         decision::{Attempt, AttemptEnd, UpstreamChoice, Verdict},
         estimate::{evidence_key, version_hash},
         rating::{self, RatingRequest},
         relay,
         request::{Admitted, Core, Outcome, Planned, Request, ServiceCall},
+        selection::{Step, UpstreamWish, pick_upstream},
         tally::{Tally, evidence},
         template::VersionEntry,
         vm::Vm,
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,11 +1,10 @@
 //! The product's own interface: chats and service calls by templates.
 //!
-//! A request goes `caller_api → request → choose → dispatch → relay`; the rest
+//! A request goes `caller_api → request → selection → dispatch → relay`; the rest
 //! is what those steps know and keep.
 
 pub(crate) mod caller_api;
 pub(crate) mod chat;
-pub mod choose;
 pub mod decision;
 pub(crate) mod dispatch;
 pub mod estimate;
@@ -20,6 +19,7 @@
 pub(crate) mod rating;
 pub(crate) mod relay;
 pub(crate) mod request;
+pub mod selection;
 pub mod server;
 pub mod session;
 pub(crate) mod silent;
--- a/src/api/queue.rs
+++ b/src/api/queue.rs
@@ -14,7 +14,7 @@
 use smol::channel::{Receiver, Sender, bounded};
 
 use crate::{
-    api::{choose::Room, template::Priority},
+    api::{selection::Room, template::Priority},
     clock::{BootInstant, SharedClock},
     error::{Error, ErrorKind},
     id::{ModelId, OrganisationId},
--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -12,15 +12,15 @@
     answer::{Answer, Header},
     api::{
         chat::ChatRequest,
-        choose::{
-            self, Knowledge, NoPlan, Plan, RequestFacts, Room, any_usable,
-        },
         decision::{
             Asked, Attempt, AttemptEnd, Decision, SessionUse, Verdict,
         },
         estimate::version_hash,
         limit::InUse,
         queue::{Entry, Pass},
+        selection::{
+            self, Knowledge, NoPlan, Plan, RequestFacts, Room, any_usable,
+        },
         session::Session,
         template::{Priority, ServiceRule, Template, VersionEntry},
         vm::{InFlightRequest, Vm},
@@ -122,7 +122,7 @@
     /// Takes in a request.
     pub(crate) fn arrive(vm: &Arc<Vm>, cancel: Cancel) -> Request<Arrived> {
         let now = vm.clock.now();
-        let as_ms = |age: Option<Duration>| choose::age_ms(age);
+        let as_ms = |age: Option<Duration>| selection::age_ms(age);
         let listed_at = vm.view.listed_at();
         let decision = Decision {
             id: vm.next_request_id(),
@@ -534,7 +534,7 @@
             has_upstream: &has_upstream,
             now,
         };
-        let plan = choose::plan(&facts, &knowledge, rand::random())?;
+        let plan = selection::plan(&facts, &knowledge, rand::random())?;
         let repeatable = plan.steps.iter().all(|step| {
             let rule = template.model_rule(&step.entry.model);
             rule.is_some_and(|rule| rule.repeatable)
--- a/src/api/vm.rs
+++ b/src/api/vm.rs
@@ -14,13 +14,13 @@
 
 use crate::{
     api::{
-        choose::Room,
         decision::{Decision, DecisionLog},
         gossip::Gossiper,
         guard::Guard,
         limit::Limits,
         membership::Life,
         queue::Gate,
+        selection::Room,
         session::SessionKeys,
         steward::Steward,
         tally::Tallies,
--- a/standins/src/measure.rs
+++ b/standins/src/measure.rs
@@ -13,7 +13,7 @@
 use hdrhistogram::Histogram;
 use hyper::Method;
 use lupinseam::{
-    api::choose::{UpstreamWish, pick_upstream},
+    api::selection::{UpstreamWish, pick_upstream},
     http_client::{Call, HttpClient, Reuse},
     message::ShortHash,
     placing::upstream::UpstreamFacts,
