--- a/src/api/queue.rs
+++ b/src/api/queue.rs
@@ -14,7 +14,7 @@
 use smol::channel::{Receiver, Sender, bounded};
 
 use crate::{
-    api::{selection::Room, template::Priority},
+    api::{selection::ModelLoad, template::Priority},
     clock::{BootInstant, SharedClock},
     error::{Error, ErrorKind},
     id::{ModelId, OrganisationId},
@@ -198,7 +198,7 @@
     pub async fn enter(
         self: &Arc<Gate>,
         entry: &Entry,
-        room: Room,
+        room: ModelLoad,
     ) -> Result<Pass, Error> {
         let receiver = match self.try_enter(entry, room)? {
             Entered::Now => return Ok(self.pass(&entry.model)),
@@ -220,7 +220,7 @@
     /// To be called when a request ends or the view changes.
     pub fn wake(
         &self,
-        room_of: impl Fn(&ModelId) -> Room,
+        room_of: impl Fn(&ModelId) -> ModelLoad,
         weight: impl Fn(&OrganisationId) -> u32,
     ) {
         let models: Vec<ModelId> = {
@@ -244,7 +244,7 @@
     fn try_enter(
         self: &Arc<Gate>,
         entry: &Entry,
-        room: Room,
+        room: ModelLoad,
     ) -> Result<Entered, Error> {
         let mut lanes = self.lanes.lock().expect("gate lock");
         let ahead = lanes.ahead(&entry.model, entry.priority);
@@ -280,7 +280,7 @@
         &self,
         model: &ModelId,
         priority: Priority,
-        room: Room,
+        room: ModelLoad,
     ) -> bool {
         let passes = self.passes.lock().expect("gate lock");
         let passing = passes.get(model).copied().unwrap_or(0);
@@ -294,7 +294,7 @@
     fn wake_one(
         &self,
         model: &ModelId,
-        room: Room,
+        room: ModelLoad,
         weight: &impl Fn(&OrganisationId) -> u32,
     ) -> bool {
         let mut lanes = self.lanes.lock().expect("gate lock");
@@ -466,9 +466,9 @@
         }
     }
 
-    const EMPTY: Room = Room { requests: 0.0, slots: 10.0 };
-    const HALF: Room = Room { requests: 7.5, slots: 10.0 };
-    const FULL: Room = Room { requests: 11.0, slots: 10.0 };
+    const EMPTY: ModelLoad = ModelLoad { requests: 0.0, slots: 10.0 };
+    const HALF: ModelLoad = ModelLoad { requests: 7.5, slots: 10.0 };
+    const FULL: ModelLoad = ModelLoad { requests: 11.0, slots: 10.0 };
 
     #[test]
     fn batch_work_leaves_room_and_waits() {
--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -19,7 +19,7 @@
         limit::InUse,
         queue::{Entry, Pass},
         selection::{
-            self, Knowledge, NoPlan, Plan, RequestFacts, Room, any_usable,
+            self, Knowledge, ModelLoad, NoPlan, Plan, RequestFacts, any_usable,
         },
         session::Session,
         template::{Priority, ServiceRule, Template, VersionEntry},
@@ -578,7 +578,7 @@
         let vm = core.vm.clone();
         let model = self.state.plan.steps[0].entry.model.clone();
         let now = vm.clock.now();
-        let room = Room::of(&vm.upstream_facts(&model, now));
+        let room = ModelLoad::of(&vm.upstream_facts(&model, now));
         let template = &self.state.admitted.template;
         let entry = Entry {
             model,
--- a/src/api/selection.rs
+++ b/src/api/selection.rs
@@ -617,20 +617,20 @@
     value ^ (value >> 31)
 }
 
-/// Room left for new requests at replicas of one model, and their slots.
+/// ModelLoad left for new requests at replicas of one model, and their slots.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Room {
+pub struct ModelLoad {
     /// Requests believed to be held.
     pub requests: f64,
     /// Slots of usable replicas.
     pub slots: f64,
 }
 
-impl Room {
+impl ModelLoad {
     /// Adds up the usable replicas of a model.
-    pub fn of(facts: &[UpstreamFacts]) -> Room {
+    pub fn of(facts: &[UpstreamFacts]) -> ModelLoad {
         let usable = facts.iter().filter(|one| one.is_open());
-        usable.fold(Room::default(), |room, one| Room {
+        usable.fold(ModelLoad::default(), |room, one| ModelLoad {
             requests: room.requests + one.requests,
             slots: room.slots + one.slots,
         })
--- a/src/api/vm.rs
+++ b/src/api/vm.rs
@@ -20,7 +20,7 @@
         limit::Limits,
         membership::Life,
         queue::Gate,
-        selection::Room,
+        selection::ModelLoad,
         session::SessionKeys,
         steward::Steward,
         tally::Tallies,
@@ -277,7 +277,7 @@
             template.map_or(1, |part| part.value.weight)
         };
         let room =
-            |model: &ModelId| Room::of(&self.upstream_facts(model, now));
+            |model: &ModelId| ModelLoad::of(&self.upstream_facts(model, now));
         self.gate.wake(room, weight);
     }
 
