--- a/src/api/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -20,7 +20,7 @@
         rating::{self, RatingRequest},
         relay,
         request::{Admitted, Core, Outcome, Planned, Request, ServiceCall},
-        selection::{Step, UpstreamWish, pick_upstream},
+        selection::{Step, UpstreamCriteria, pick_upstream},
         tally::{Tally, evidence},
         template::VersionEntry,
         vm::Vm,
@@ -136,8 +136,11 @@
             let now = vm.clock.now();
             let left = self.state.deadline.saturating_duration_since(now);
             let upstreams = vm.view.service_upstreams(&service);
-            let wish =
-                UpstreamWish { version: None, prefix: None, tried: &tried };
+            let wish = UpstreamCriteria {
+                version: None,
+                prefix: None,
+                tried: &tried,
+            };
             let chosen = self.core.choose(&upstreams, wish)?;
             let limit = match repeatable {
                 true => left.min(SERVICE_ATTEMPT_LIMIT),
@@ -291,7 +294,7 @@
         tried: &[UpstreamId],
     ) -> Result<Chosen, Error> {
         let upstreams = self.core.vm.view.model_upstreams(&entry.model);
-        let wish = UpstreamWish {
+        let wish = UpstreamCriteria {
             version: Some(version_hash(entry)),
             prefix: Some(self.state.admitted.call.chat.prefix),
             tried,
@@ -611,7 +614,7 @@
     pub(crate) fn choose(
         &mut self,
         upstreams: &[Arc<Upstream>],
-        wish: UpstreamWish<'_>,
+        wish: UpstreamCriteria<'_>,
     ) -> Result<Chosen, Error> {
         let vm = &self.vm;
         let now = vm.clock.now();
--- a/src/api/selection.rs
+++ b/src/api/selection.rs
@@ -455,7 +455,7 @@
 
 /// What of a request matters to the choice of an upstream.
 #[derive(Clone, Copy, Debug)]
-pub struct UpstreamWish<'a> {
+pub struct UpstreamCriteria<'a> {
     /// The version that must be loaded, for model requests.
     pub version: Option<ShortHash>,
     /// The hash of the request's prefix, where affinity helps.
@@ -471,7 +471,7 @@
 /// [`ErrorKind::NoUpstream`] with the numbers of those left out.
 pub fn pick_upstream(
     facts: &[UpstreamFacts],
-    wish: UpstreamWish<'_>,
+    wish: UpstreamCriteria<'_>,
     seed: u64,
 ) -> Result<UpstreamChoice, Error> {
     let sorted = Sorted::new(facts, wish);
@@ -507,7 +507,10 @@
 }
 
 impl<'a> Sorted<'a> {
-    fn new(facts: &'a [UpstreamFacts], wish: UpstreamWish<'_>) -> Sorted<'a> {
+    fn new(
+        facts: &'a [UpstreamFacts],
+        wish: UpstreamCriteria<'_>,
+    ) -> Sorted<'a> {
         let mut sorted = Sorted {
             local: Vec::new(),
             remote: Vec::new(),
--- a/standins/src/measure.rs
+++ b/standins/src/measure.rs
@@ -13,7 +13,7 @@
 use hdrhistogram::Histogram;
 use hyper::Method;
 use lupinseam::{
-    api::selection::{UpstreamWish, pick_upstream},
+    api::selection::{UpstreamCriteria, pick_upstream},
     http_client::{Call, HttpClient, Reuse},
     message::ShortHash,
     placing::upstream::UpstreamFacts,
@@ -457,7 +457,7 @@
         .collect();
     let begun = Instant::now();
     for round in 0..ROUNDS {
-        let wish = UpstreamWish {
+        let wish = UpstreamCriteria {
             version: Some(version),
             prefix: Some(u64::from(round) << 20),
             tried: &[],
