--- a/src/api/operators.rs
+++ b/src/api/operators.rs
@@ -10,7 +10,7 @@
     api::{
         caller_api::{bearer_key, send_error, send_json, send_readiness},
         decision::Decision,
-        guard,
+        rollout_guard,
         template::{Template, VersionEntry, VersionState},
         vm::{Vm, slot_state},
     },
@@ -328,7 +328,7 @@
         let life = vm.life();
         let configuration = vm.configuration.current();
         let stopped =
-            guard::stopped_models(&configuration, &vm.guard.stopped());
+            rollout_guard::stopped_models(&configuration, &vm.guard.stopped());
         let age = |age: Option<std::time::Duration>| {
             age.map(|age| age.as_millis() as u64)
         };
--- a/src/api/vm.rs
+++ b/src/api/vm.rs
@@ -16,10 +16,10 @@
     api::{
         decision::{Decision, DecisionLog},
         gossip::Gossiper,
-        guard::Guard,
         limit::Limits,
         membership::Life,
         queue::Gate,
+        rollout_guard::Guard,
         selection::ModelLoad,
         session::SessionKeys,
         steward::Steward,
