--- a/src/api/rollout_guard.rs
+++ b/src/api/rollout_guard.rs
@@ -221,12 +221,12 @@
 
 /// The versions that this VM has stopped on its own judgement.
 #[derive(Default)]
-pub struct Guard {
+pub struct RolloutGuard {
     stopped: Mutex<HashSet<ShortHash>>,
     rolling: Mutex<HashSet<ShortHash>>,
 }
 
-impl Guard {
+impl RolloutGuard {
     /// The versions stopped here.
     pub fn stopped(&self) -> HashSet<ShortHash> {
         self.stopped.lock().expect("guard lock").clone()
