--- a/src/api/operators.rs
+++ b/src/api/operators.rs
@@ -327,8 +327,10 @@
         let now = vm.clock.now();
         let life = vm.life();
         let configuration = vm.configuration.current();
-        let stopped =
-            rollout_guard::stopped_models(&configuration, &vm.guard.stopped());
+        let stopped = rollout_guard::stopped_versions(
+            &configuration,
+            &vm.guard.stopped(),
+        );
         let age = |age: Option<std::time::Duration>| {
             age.map(|age| age.as_millis() as u64)
         };
--- a/src/api/rollout_guard.rs
+++ b/src/api/rollout_guard.rs
@@ -335,7 +335,7 @@
 }
 
 /// The model of a version, for reports.
-pub(crate) fn stopped_models(
+pub(crate) fn stopped_versions(
     configuration: &Configuration,
     stopped: &HashSet<ShortHash>,
 ) -> Vec<(ModelId, String)> {
