--- a/src/api/rollout_guard.rs
+++ b/src/api/rollout_guard.rs
@@ -238,7 +238,7 @@
     }
 
     /// Forgets stops that the configuration has taken over.
-    pub(crate) fn forget_settled(&self, configuration: &Configuration) {
+    pub(crate) fn clear_withdrawn(&self, configuration: &Configuration) {
         let withdrawn: HashSet<ShortHash> = configuration
             .all_versions()
             .filter(|part| part.value.state == VersionState::Withdrawn)
