--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -16,7 +16,7 @@
             Asked, Attempt, AttemptEnd, Decision, SessionUse, Verdict,
         },
         estimate::version_hash,
-        limit::InUse,
+        organisation_limits::InUse,
         queue::{Entry, Pass},
         selection::{
             self, Knowledge, ModelLoad, NoPlan, Plan, RequestFacts, any_usable,
--- a/src/api/vm.rs
+++ b/src/api/vm.rs
@@ -16,8 +16,8 @@
     api::{
         decision::{Decision, DecisionLog},
         gossip::Gossiper,
-        limit::Limits,
         membership::Life,
+        organisation_limits::Limits,
         queue::Gate,
         rollout_guard::RolloutGuard,
         selection::ModelLoad,
