--- a/src/api/organisation_limits.rs
+++ b/src/api/organisation_limits.rs
@@ -1,4 +1,4 @@
-//! Limits of an organisation over the whole fleet, kept by each VM alone.
+//! OrganisationLimits of an organisation over the whole fleet, kept by each VM alone.
 //!
 //! Every VM reports its demand; each lets through the share of the limit
 //! that its demand has in the demand of all. Between two reports the fleet
@@ -51,15 +51,18 @@
 }
 
 /// The limits of all organisations at this VM.
-pub struct Limits {
+pub struct OrganisationLimits {
     uses: Mutex<HashMap<OrganisationId, Use>>,
     updated_at: Mutex<BootInstant>,
 }
 
-impl Limits {
+impl OrganisationLimits {
     /// Creates limits with no use yet.
-    pub fn new(now: BootInstant) -> Limits {
-        Limits { uses: Mutex::default(), updated_at: Mutex::new(now) }
+    pub fn new(now: BootInstant) -> OrganisationLimits {
+        OrganisationLimits {
+            uses: Mutex::default(),
+            updated_at: Mutex::new(now),
+        }
     }
 
     /// Admits a request, or says why not.
@@ -257,7 +260,7 @@
     fn concurrency_counts_the_other_vms() {
         let now = BootInstant::now();
         let template = template(1000.0, 3);
-        let limits = Limits::new(now);
+        let limits = OrganisationLimits::new(now);
         let mut tallies = Tallies::new(ShortHash(1));
         let first = limits.admit(&template, &tallies, now).unwrap();
         let mut others = Tally::default();
@@ -279,7 +282,7 @@
     fn the_rate_is_shared_by_demand() {
         let start = BootInstant::now();
         let template = template(100.0, 1_000_000);
-        let limits = Limits::new(start);
+        let limits = OrganisationLimits::new(start);
         let mut tallies = Tallies::new(ShortHash(1));
         let mut others = Tally::default();
         others.0[usage::DEMAND_PER_S] = 300.0;
@@ -312,7 +315,7 @@
     fn the_hour_has_a_price_limit() {
         let now = BootInstant::now();
         let template = template(1000.0, 10);
-        let limits = Limits::new(now);
+        let limits = OrganisationLimits::new(now);
         let tallies = Tallies::new(ShortHash(1));
         drop(limits.admit(&template, &tallies, now).unwrap());
         limits.charge(&template.organisation, MicroCost(1000), 1);
