--- a/src/api/queue.rs
+++ b/src/api/queue.rs
@@ -1,7 +1,7 @@
 //! Waiting for room at the model replicas: fair between organisations.
 //!
 //! [`FairQueue`] is the pure order: interactive work first, and within one
-//! priority weighted fair queueing by start tags. [`Gate`] lets waiting
+//! priority weighted fair queueing by start tags. [`DispatchQueue`] lets waiting
 //! requests through as room appears and refuses early, not run, those whose
 //! deadline cannot be met.
 
@@ -147,7 +147,7 @@
 }
 
 /// Lets requests through as there is room.
-pub struct Gate {
+pub struct DispatchQueue {
     lanes: Mutex<Lanes>,
     clock: SharedClock,
     queue_limit: usize,
@@ -160,7 +160,7 @@
 /// While it is held, the request counts as taking room that the view does
 /// not show yet.
 pub struct Pass {
-    gate: Arc<Gate>,
+    gate: Arc<DispatchQueue>,
     model: ModelId,
 }
 
@@ -173,14 +173,14 @@
     }
 }
 
-impl Gate {
+impl DispatchQueue {
     /// Creates a gate with nothing waiting.
     pub fn new(
         clock: SharedClock,
         queue_limit: usize,
         batch_share: f64,
-    ) -> Arc<Gate> {
-        Arc::new(Gate {
+    ) -> Arc<DispatchQueue> {
+        Arc::new(DispatchQueue {
             lanes: Mutex::default(),
             clock,
             queue_limit,
@@ -196,7 +196,7 @@
     /// [`ErrorKind::Overloaded`], not run, when the queue is full or the
     /// deadline cannot be met, with the time after which to come back.
     pub async fn enter(
-        self: &Arc<Gate>,
+        self: &Arc<DispatchQueue>,
         entry: &Entry,
         room: ModelLoad,
     ) -> Result<Pass, Error> {
@@ -242,7 +242,7 @@
     }
 
     fn try_enter(
-        self: &Arc<Gate>,
+        self: &Arc<DispatchQueue>,
         entry: &Entry,
         room: ModelLoad,
     ) -> Result<Entered, Error> {
@@ -317,7 +317,7 @@
         false
     }
 
-    fn pass(self: &Arc<Gate>, model: &ModelId) -> Pass {
+    fn pass(self: &Arc<DispatchQueue>, model: &ModelId) -> Pass {
         self.count_pass(model);
         Pass { gate: self.clone(), model: model.clone() }
     }
@@ -373,7 +373,7 @@
 
 /// A place in the queue, left when it is dropped.
 struct Waiting {
-    gate: Arc<Gate>,
+    gate: Arc<DispatchQueue>,
     model: ModelId,
     priority: Priority,
     number: u64,
@@ -472,7 +472,7 @@
 
     #[test]
     fn batch_work_leaves_room_and_waits() {
-        let gate = Gate::new(Arc::new(SystemClock), 10, 0.7);
+        let gate = DispatchQueue::new(Arc::new(SystemClock), 10, 0.7);
         let minute = Duration::from_secs(60);
         smol::block_on(async {
             let now = entry(Priority::Interactive, minute);
@@ -493,7 +493,7 @@
 
     #[test]
     fn a_full_queue_and_a_passed_deadline_refuse_not_run() {
-        let gate = Gate::new(Arc::new(SystemClock), 1, 0.7);
+        let gate = DispatchQueue::new(Arc::new(SystemClock), 1, 0.7);
         smol::block_on(async {
             let short =
                 entry(Priority::Interactive, Duration::from_millis(20));
--- a/src/api/vm.rs
+++ b/src/api/vm.rs
@@ -18,7 +18,7 @@
         gossip::Gossiper,
         membership::Life,
         organisation_limits::OrganisationLimits,
-        queue::Gate,
+        queue::DispatchQueue,
         rollout_guard::RolloutGuard,
         selection::ModelLoad,
         session::SessionKeys,
@@ -77,7 +77,7 @@
     pub(crate) view: View,
     pub(crate) tallies: Mutex<Tallies>,
     pub(crate) limits: OrganisationLimits,
-    pub(crate) gate: Arc<Gate>,
+    pub(crate) gate: Arc<DispatchQueue>,
     pub(crate) retry: RetryBudget,
     pub(crate) guard: RolloutGuard,
     pub(crate) decisions: DecisionLog,
@@ -140,7 +140,7 @@
             ),
             tallies: Mutex::new(Tallies::new(ShortHash::of(hall.as_str()))),
             limits: OrganisationLimits::new(now),
-            gate: Gate::new(
+            gate: DispatchQueue::new(
                 clock.clone(),
                 requests.queue_limit,
                 requests.batch_share,
