--- a/src/api/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -19,7 +19,9 @@
         estimate::{evidence_key, version_hash},
         rating::{self, RatingRequest},
         relay,
-        request::{Admitted, Core, Outcome, Planned, Request, ServiceCall},
+        request::{
+            Admitted, Outcome, Planned, Request, RequestContext, ServiceCall,
+        },
         selection::{Step, UpstreamCriteria, pick_upstream},
         tally::{Tally, evidence},
         template::VersionEntry,
@@ -485,7 +487,7 @@
     }
 }
 
-impl Core {
+impl RequestContext {
     /// Claims the key of a request that may not be repeated.
     ///
     /// An error is how the request ends without being run.
--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -63,7 +63,7 @@
 pub(crate) type Cancel = Receiver<()>;
 
 /// What all states of a request share.
-pub(crate) struct Core {
+pub(crate) struct RequestContext {
     pub(crate) vm: Arc<Vm>,
     pub(crate) decision: Decision,
     pub(crate) started: BootInstant,
@@ -111,7 +111,7 @@
 
 /// A request in one state of its life.
 pub(crate) struct Request<S> {
-    pub(crate) core: Core,
+    pub(crate) core: RequestContext,
     pub(crate) state: S,
 }
 
@@ -142,7 +142,7 @@
             verdict: Verdict::Running,
         };
         Request {
-            core: Core {
+            core: RequestContext {
                 vm: vm.clone(),
                 decision,
                 started: now,
@@ -196,7 +196,7 @@
     }
 }
 
-impl Core {
+impl RequestContext {
     fn authorize(
         &mut self,
         headers: &CallHeaders,
--- a/src/api/statement.rs
+++ b/src/api/statement.rs
@@ -6,7 +6,7 @@
     api::{
         dispatch::{Chosen, STATUS_NOT_LOADED, STATUS_UNAVAILABLE},
         gossip::{Gossiper, log_leaving},
-        request::Core,
+        request::RequestContext,
     },
     message::{Notice, ShortHash, ToldLimit},
     placing::statement::{OwnNews, RateLimit, Rest, Statement},
@@ -21,7 +21,7 @@
 /// second from all VMs together, a decimal number.
 const RATE_LIMIT: &str = "lupinseam-rate-limit";
 
-impl Core {
+impl RequestContext {
     /// Takes in what an upstream says of itself in an answer.
     pub(super) fn hear(
         &self,
