--- a/src/api/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -79,7 +79,7 @@
 }
 
 /// An upstream chosen for an attempt.
-pub(crate) struct Chosen {
+pub(crate) struct SelectedUpstream {
     pub(crate) upstream: Arc<Upstream>,
     pub(crate) choice: UpstreamChoice,
     pub(super) chosen_at: BootInstant,
@@ -294,7 +294,7 @@
         &mut self,
         entry: &VersionEntry,
         tried: &[UpstreamId],
-    ) -> Result<Chosen, Error> {
+    ) -> Result<SelectedUpstream, Error> {
         let upstreams = self.core.vm.view.model_upstreams(&entry.model);
         let wish = UpstreamCriteria {
             version: Some(version_hash(entry)),
@@ -617,7 +617,7 @@
         &mut self,
         upstreams: &[Arc<Upstream>],
         wish: UpstreamCriteria<'_>,
-    ) -> Result<Chosen, Error> {
+    ) -> Result<SelectedUpstream, Error> {
         let vm = &self.vm;
         let now = vm.clock.now();
         let facts: Vec<_> =
@@ -642,13 +642,18 @@
         upstream.try_enter(now);
         upstream.own_word.note_sent(now);
         let in_flight = upstream.begin();
-        Ok(Chosen { upstream, choice, chosen_at: now, _in_flight: in_flight })
+        Ok(SelectedUpstream {
+            upstream,
+            choice,
+            chosen_at: now,
+            _in_flight: in_flight,
+        })
     }
 
     /// Notes the attempt that begins.
     pub(crate) fn begin_attempt(
         &mut self,
-        chosen: &Chosen,
+        chosen: &SelectedUpstream,
         entry: Option<&VersionEntry>,
         price: MicroCost,
     ) {
@@ -675,7 +680,7 @@
     /// Sends an attempt and waits for the head of its answer.
     pub(crate) async fn ask(
         &self,
-        chosen: &Chosen,
+        chosen: &SelectedUpstream,
         sending: Sending,
     ) -> Result<Exchange, AttemptFault> {
         let limit = sending.limit;
@@ -699,7 +704,7 @@
     /// Sends an attempt and waits for the whole answer.
     pub(crate) async fn ask_whole(
         &self,
-        chosen: &Chosen,
+        chosen: &SelectedUpstream,
         sending: Sending,
     ) -> Result<WholeAnswer, AttemptFault> {
         let limit = sending.limit;
@@ -744,7 +749,7 @@
         done.unwrap_or(Err(AttemptFault::TimedOut))
     }
 
-    fn call(&self, chosen: &Chosen, sending: Sending) -> Call {
+    fn call(&self, chosen: &SelectedUpstream, sending: Sending) -> Call {
         let id = &self.decision.id;
         let attempt = self.decision.attempts.len();
         let address = chosen.upstream.record.address;
@@ -763,7 +768,11 @@
     }
 
     /// Tells the breaker of an upstream how an attempt went.
-    fn judge_upstream(&self, chosen: &Chosen, fault: Option<AttemptFault>) {
+    fn judge_upstream(
+        &self,
+        chosen: &SelectedUpstream,
+        fault: Option<AttemptFault>,
+    ) {
         let upstream = &chosen.upstream;
         let change = match fault {
             None | Some(AttemptFault::Cancelled | AttemptFault::TooLarge) => {
--- a/src/api/relay.rs
+++ b/src/api/relay.rs
@@ -18,7 +18,7 @@
     api::{
         chat::TokenUse,
         decision::AttemptEnd,
-        dispatch::{AttemptFault, Chosen, fault_of},
+        dispatch::{AttemptFault, SelectedUpstream, fault_of},
         queue::Pass,
         request::{Planned, Request},
         template::VersionEntry,
@@ -46,7 +46,7 @@
 struct Source {
     exchange: Exchange,
     splitter: Splitter,
-    _chosen: Chosen,
+    _chosen: SelectedUpstream,
 }
 
 impl Source {
@@ -340,7 +340,7 @@
 
     async fn reopen(
         &mut self,
-        chosen: Chosen,
+        chosen: SelectedUpstream,
         last_id: u64,
     ) -> Result<(Source, sse::Event), AttemptFault> {
         let mut sending = self.request.sending(&self.entry, self.tried.len());
--- a/src/api/statement.rs
+++ b/src/api/statement.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     api::{
-        dispatch::{Chosen, STATUS_NOT_LOADED, STATUS_UNAVAILABLE},
+        dispatch::{STATUS_NOT_LOADED, STATUS_UNAVAILABLE, SelectedUpstream},
         gossip::{Gossiper, log_leaving},
         request::RequestContext,
     },
@@ -25,7 +25,7 @@
     /// Takes in what an upstream says of itself in an answer.
     pub(super) fn hear(
         &self,
-        chosen: &Chosen,
+        chosen: &SelectedUpstream,
         status: u16,
         headers: &HeaderMap,
     ) {
