--- a/src/api/chat.rs
+++ b/src/api/chat.rs
@@ -159,18 +159,18 @@
 
 /// What an engine says that it used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct TokenUse {
+pub struct TokenUsage {
     /// Tokens read.
     pub input: u64,
     /// Tokens written.
     pub output: u64,
 }
 
-impl TokenUse {
+impl TokenUsage {
     /// Reads the `usage` of an answer or of an event, if it has one.
-    pub fn from_json(value: &Value) -> Option<TokenUse> {
+    pub fn from_json(value: &Value) -> Option<TokenUsage> {
         let usage = value.get("usage")?;
-        Some(TokenUse {
+        Some(TokenUsage {
             input: usage.get("prompt_tokens")?.as_u64()?,
             output: usage.get("completion_tokens")?.as_u64()?,
         })
--- a/src/api/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -14,7 +14,7 @@
 use crate::{
     answer::{Answer, Header},
     api::{
-        chat::{TokenUse, answer_text},
+        chat::{TokenUsage, answer_text},
         decision::{Attempt, AttemptEnd, UpstreamChoice, Verdict},
         estimate::{evidence_key, version_hash},
         rating::{self, RatingRequest},
@@ -339,7 +339,7 @@
         self.core.end_attempt(AttemptEnd::Answered { status });
         let used = serde_json::from_slice::<Value>(&answer.body)
             .ok()
-            .and_then(|value| TokenUse::from_json(&value));
+            .and_then(|value| TokenUsage::from_json(&value));
         if let Some(used) = used {
             self.core.note_use(entry, used);
         }
@@ -669,7 +669,7 @@
     }
 
     /// Notes the tokens that the last attempt used.
-    pub(crate) fn note_use(&mut self, entry: &VersionEntry, used: TokenUse) {
+    pub(crate) fn note_use(&mut self, entry: &VersionEntry, used: TokenUsage) {
         if let Some(last) = self.decision.attempts.last_mut() {
             last.input_tokens = used.input;
             last.output_tokens = used.output;
--- a/src/api/relay.rs
+++ b/src/api/relay.rs
@@ -16,7 +16,7 @@
         Answer, BrokenOff, Header, StreamBody, StreamPart, refusal_json,
     },
     api::{
-        chat::TokenUse,
+        chat::TokenUsage,
         decision::AttemptEnd,
         dispatch::{AttemptFault, SelectedUpstream, fault_of},
         queue::Pass,
@@ -73,7 +73,7 @@
 struct Progress {
     last_id: Option<u64>,
     events: u64,
-    used: Option<TokenUse>,
+    used: Option<TokenUsage>,
     text: String,
 }
 
@@ -365,7 +365,7 @@
 
     fn note_use(&mut self, progress: &Progress) {
         let chat = &self.request.state.admitted.call.chat;
-        let used = progress.used.unwrap_or(TokenUse {
+        let used = progress.used.unwrap_or(TokenUsage {
             input: chat.input_tokens,
             output: progress.events,
         });
--- a/src/sse.rs
+++ b/src/sse.rs
@@ -3,7 +3,7 @@
 use bytes::{Bytes, BytesMut};
 use serde_json::Value;
 
-use crate::api::chat::TokenUse;
+use crate::api::chat::TokenUsage;
 
 /// The largest event that is relayed.
 const EVENT_LIMIT_BYTES: usize = 1 << 20;
@@ -29,12 +29,12 @@
     }
 
     /// The tokens used, where the event says so.
-    pub(crate) fn token_use(&self) -> Option<TokenUse> {
+    pub(crate) fn token_use(&self) -> Option<TokenUsage> {
         if !self.data.contains("\"usage\"") {
             return None;
         }
         let value: Value = serde_json::from_str(&self.data).ok()?;
-        TokenUse::from_json(&value)
+        TokenUsage::from_json(&value)
     }
 
     /// The text that the event adds to the answer.
@@ -144,7 +144,7 @@
         let data = "{\"usage\":{\"prompt_tokens\":3,\
                     \"completion_tokens\":5}}";
         let event = parse(Bytes::from(format!("data: {data}\n\n")));
-        let expected = TokenUse { input: 3, output: 5 };
+        let expected = TokenUsage { input: 3, output: 5 };
         assert_eq!(event.token_use(), Some(expected));
     }
 }
