--- a/src/api/decision.rs
+++ b/src/api/decision.rs
@@ -280,30 +280,30 @@
     }
 
     /// The record in sentences, one a line.
-    pub fn in_words(&self) -> String {
-        let mut lines = vec![self.asked_in_words()];
+    pub fn to_text(&self) -> String {
+        let mut lines = vec![self.asked_text()];
         lines.push(format!(
             "It was decided on configuration revision {} ({}), with the \
              platform's list {}.",
             self.revision,
-            age_in_words("proven current", self.configuration_age_ms),
-            age_in_words("read", self.list_age_ms),
+            age_text("proven current", self.configuration_age_ms),
+            age_text("read", self.list_age_ms),
         ));
         if let SessionUse::Bound { model, version } = &self.session {
             lines.push(format!(
                 "Its session is bound to version {version} of {model}."
             ));
         }
-        lines.extend(self.candidates.iter().map(Candidate::in_words));
+        lines.extend(self.candidates.iter().map(Candidate::to_text));
         if self.queued_ms > 0 {
             lines.push(format!("It waited {} ms.", self.queued_ms));
         }
-        lines.extend(self.attempts.iter().map(Attempt::in_words));
-        lines.push(self.verdict_in_words());
+        lines.extend(self.attempts.iter().map(Attempt::to_text));
+        lines.push(self.verdict_text());
         lines.join("\n")
     }
 
-    fn asked_in_words(&self) -> String {
+    fn asked_text(&self) -> String {
         let who = self
             .organisation
             .as_ref()
@@ -334,7 +334,7 @@
         }
     }
 
-    fn verdict_in_words(&self) -> String {
+    fn verdict_text(&self) -> String {
         match &self.verdict {
             Verdict::Running => "It is still running.".to_owned(),
             Verdict::Answered => {
@@ -357,7 +357,7 @@
 }
 
 impl Candidate {
-    fn in_words(&self) -> String {
+    fn to_text(&self) -> String {
         let name = format!("{} {}", self.model, self.version);
         match self.dropped {
             Some(dropped) => format!("{name} was not taken: {dropped}."),
@@ -371,7 +371,7 @@
 }
 
 impl Attempt {
-    fn in_words(&self) -> String {
+    fn to_text(&self) -> String {
         let what = match (&self.model, &self.version) {
             (Some(model), Some(version)) => format!("{model} {version} at "),
             _ => String::new(),
@@ -383,7 +383,7 @@
             Preferred::Only => "it was the only one usable",
         };
         let place = if choice.local { "" } else { ", in another data hall" };
-        let load = age_in_words("load reported", choice.load_age_ms);
+        let load = age_text("load reported", choice.load_age_ms);
         let end = match &self.end {
             AttemptEnd::Running => "it still runs".to_owned(),
             AttemptEnd::Answered { status } => format!("answered {status}"),
@@ -410,7 +410,7 @@
     }
 }
 
-fn age_in_words(what: &str, age_ms: Option<u64>) -> String {
+fn age_text(what: &str, age_ms: Option<u64>) -> String {
     match age_ms {
         Some(age_ms) => format!("{what} {age_ms} ms before"),
         None => format!("never {what}"),
--- a/src/api/operators.rs
+++ b/src/api/operators.rs
@@ -509,7 +509,7 @@
 }
 
 fn decision_text(decision: &Decision) -> String {
-    format!("{}\n", decision.in_words())
+    format!("{}\n", decision.to_text())
 }
 
 fn bill_text(bill: &Bill) -> String {
