--- a/src/chains/claims.rs
+++ b/src/chains/claims.rs
@@ -16,7 +16,7 @@
         claim::{ClaimOutcome, ClaimRequest, ClaimVerdict, VmLife},
         slot::{HoldRequest, Slot, SlotPeers, redirect},
     },
-    chat_face::{membership::Life, silent::Silent, view::Peer, vm::Vm},
+    chat_face::{membership::Life, unresponsive::Silent, view::Peer, vm::Vm},
     id::{DataHallId, VmId},
     message::{PeerReply, PeerRequest},
     peer::PeerError,
--- a/src/chains/ledger.rs
+++ b/src/chains/ledger.rs
@@ -22,7 +22,7 @@
         chain::{self, Appended, Batch, WriteId},
         store::{StoreError, list_all},
     },
-    chat_face::{membership::Life, silent::Silent, vm::Vm},
+    chat_face::{membership::Life, unresponsive::Silent, vm::Vm},
     clock::BootInstant,
     error::{Error, ErrorKind},
     event::Event,
