--- a/src/chains/claims.rs
+++ b/src/chains/claims.rs
@@ -16,7 +16,9 @@
         claim::{ClaimOutcome, ClaimRequest, ClaimVerdict, VmLife},
         slot::{HoldRequest, Slot, SlotPeers, redirect},
     },
-    chat_face::{membership::Life, unresponsive::Silent, view::Peer, vm::Vm},
+    chat_face::{
+        membership::Life, unresponsive::UnresponsiveVms, view::Peer, vm::Vm,
+    },
     id::{DataHallId, VmId},
     message::{PeerReply, PeerRequest},
     peer::PeerError,
@@ -76,7 +78,7 @@
     slots: Mutex<HashMap<u32, SlotHandle>>,
     /// The VM that last gave a verdict for a slot.
     owners: Mutex<HashMap<u32, VmId>>,
-    silent: Silent,
+    unresponsive: UnresponsiveVms,
 }
 
 impl Claims {
@@ -264,7 +266,7 @@
             seen.push(vm.clone());
             new
         });
-        self.silent.put_last(&mut candidates, vm.clock.now());
+        self.unresponsive.put_last(&mut candidates, vm.clock.now());
         candidates
     }
 
@@ -291,7 +293,7 @@
             }
             Err(PeerError::Broken(_)) => {
                 self.forget(slot, candidate);
-                self.silent.note(candidate, vm.clock.now());
+                self.unresponsive.note(candidate, vm.clock.now());
                 Asked::Broken
             }
         }
--- a/src/chains/ledger.rs
+++ b/src/chains/ledger.rs
@@ -22,7 +22,7 @@
         chain::{self, Appended, Batch, WriteId},
         store::{StoreError, list_all},
     },
-    chat_face::{membership::Life, unresponsive::Silent, vm::Vm},
+    chat_face::{membership::Life, unresponsive::UnresponsiveVms, vm::Vm},
     clock::BootInstant,
     error::{Error, ErrorKind},
     event::Event,
@@ -113,7 +113,7 @@
 /// The bills at this VM.
 pub(crate) struct Ledger {
     books: Mutex<Books>,
-    silent: Silent,
+    unresponsive: UnresponsiveVms,
     /// Whether no second VM could be reached when one was last asked.
     is_alone: AtomicBool,
     news: Sender<()>,
@@ -142,7 +142,7 @@
         let books = Mutex::default();
         Ledger {
             books,
-            silent: Silent::default(),
+            unresponsive: UnresponsiveVms::default(),
             is_alone: AtomicBool::new(false),
             news,
             has_news,
@@ -281,7 +281,7 @@
                 Ok(_) => "another reply".to_owned(),
                 Err(error) => error.to_string(),
             };
-            vm.ledger.silent.note(&holder, vm.clock.now());
+            vm.ledger.unresponsive.note(&holder, vm.clock.now());
             asked.push(format!("{holder}: {why}"));
         }
         vm.ledger.note_alone(Some(&asked));
@@ -504,7 +504,7 @@
     holders.extend(spread(rest));
     holders.extend(spread(&unheard));
     holders.extend(spread(&away));
-    vm.ledger.silent.put_last(&mut holders, vm.clock.now());
+    vm.ledger.unresponsive.put_last(&mut holders, vm.clock.now());
     holders
 }
 
--- a/src/chat_face/unresponsive.rs
+++ b/src/chat_face/unresponsive.rs
@@ -9,11 +9,11 @@
 
 /// The VMs that lately gave no reply.
 #[derive(Debug, Default)]
-pub(crate) struct Silent {
+pub(crate) struct UnresponsiveVms {
     since: Mutex<HashMap<VmId, BootInstant>>,
 }
 
-impl Silent {
+impl UnresponsiveVms {
     /// Notes that a VM gave no reply.
     pub(crate) fn note(&self, vm: &VmId, now: BootInstant) {
         let mut since = self.since.lock().expect("silent lock");
@@ -35,7 +35,7 @@
     #[test]
     fn the_silent_are_asked_last_for_a_while() {
         let now = BootInstant::now();
-        let silent = Silent::default();
+        let silent = UnresponsiveVms::default();
         let names = ["vm-1", "vm-2", "vm-3"];
         let all: Vec<VmId> =
             names.iter().map(|name| name.parse().unwrap()).collect();
