--- a/src/chains/claims.rs
+++ b/src/chains/claims.rs
@@ -266,7 +266,7 @@
             seen.push(vm.clone());
             new
         });
-        self.unresponsive.put_last(&mut candidates, vm.clock.now());
+        self.unresponsive.deprioritize(&mut candidates, vm.clock.now());
         candidates
     }
 
@@ -293,7 +293,7 @@
             }
             Err(PeerError::Broken(_)) => {
                 self.forget(slot, candidate);
-                self.unresponsive.note(candidate, vm.clock.now());
+                self.unresponsive.mark(candidate, vm.clock.now());
                 Asked::Broken
             }
         }
--- a/src/chains/ledger.rs
+++ b/src/chains/ledger.rs
@@ -281,7 +281,7 @@
                 Ok(_) => "another reply".to_owned(),
                 Err(error) => error.to_string(),
             };
-            vm.ledger.unresponsive.note(&holder, vm.clock.now());
+            vm.ledger.unresponsive.mark(&holder, vm.clock.now());
             asked.push(format!("{holder}: {why}"));
         }
         vm.ledger.note_alone(Some(&asked));
@@ -504,7 +504,7 @@
     holders.extend(spread(rest));
     holders.extend(spread(&unheard));
     holders.extend(spread(&away));
-    vm.ledger.unresponsive.put_last(&mut holders, vm.clock.now());
+    vm.ledger.unresponsive.deprioritize(&mut holders, vm.clock.now());
     holders
 }
 
--- a/src/chat_face/unresponsive.rs
+++ b/src/chat_face/unresponsive.rs
@@ -15,13 +15,13 @@
 
 impl UnresponsiveVms {
     /// Notes that a VM gave no reply.
-    pub(crate) fn note(&self, vm: &VmId, now: BootInstant) {
+    pub(crate) fn mark(&self, vm: &VmId, now: BootInstant) {
         let mut since = self.since.lock().expect("silent lock");
         since.insert(vm.clone(), now);
     }
 
     /// Moves those that lately gave no reply to the end.
-    pub(crate) fn put_last(&self, vms: &mut [VmId], now: BootInstant) {
+    pub(crate) fn deprioritize(&self, vms: &mut [VmId], now: BootInstant) {
         let mut since = self.since.lock().expect("silent lock");
         since.retain(|_, at| now - *at < SILENT_TIME);
         vms.sort_by_key(|vm| since.contains_key(vm));
@@ -35,16 +35,16 @@
     #[test]
     fn the_silent_are_asked_last_for_a_while() {
         let now = BootInstant::now();
-        let silent = UnresponsiveVms::default();
+        let unresponsive = UnresponsiveVms::default();
         let names = ["vm-1", "vm-2", "vm-3"];
         let all: Vec<VmId> =
             names.iter().map(|name| name.parse().unwrap()).collect();
-        silent.note(&all[0], now);
+        unresponsive.mark(&all[0], now);
         let mut asked = all.clone();
-        silent.put_last(&mut asked, now);
+        unresponsive.deprioritize(&mut asked, now);
         assert_eq!(asked[2], all[0]);
         let mut later = all.clone();
-        silent.put_last(&mut later, now + SILENT_TIME);
+        unresponsive.deprioritize(&mut later, now + SILENT_TIME);
         assert_eq!(later, all);
     }
 }
