--- a/src/chains/claims.rs
+++ b/src/chains/claims.rs
@@ -17,7 +17,8 @@
         slot::{HoldRequest, Slot, SlotPeers, redirect},
     },
     chat_face::{
-        membership::Life, unresponsive::UnresponsiveVms, view::Peer, vm::Vm,
+        membership::Liveness, unresponsive::UnresponsiveVms, view::Peer,
+        vm::Vm,
     },
     id::{DataHallId, VmId},
     message::{PeerReply, PeerRequest},
@@ -472,9 +473,9 @@
         }
         match vm.view.life(&life.vm) {
             Some((incarnation, _)) if incarnation > life.incarnation => true,
-            Some((_, Life::Dead | Life::Leaving)) => true,
-            Some((_, Life::Alive)) => false,
-            Some((_, Life::Suspected)) | None => {
+            Some((_, Liveness::Dead | Liveness::Leaving)) => true,
+            Some((_, Liveness::Alive)) => false,
+            Some((_, Liveness::Suspected)) | None => {
                 !is_reached(&vm, &life.vm).await
             }
         }
--- a/src/chains/ledger.rs
+++ b/src/chains/ledger.rs
@@ -22,7 +22,7 @@
         chain::{self, Appended, Batch, WriteId},
         store::{StoreError, list_all},
     },
-    chat_face::{membership::Life, unresponsive::UnresponsiveVms, vm::Vm},
+    chat_face::{membership::Liveness, unresponsive::UnresponsiveVms, vm::Vm},
     clock::BootInstant,
     error::{Error, ErrorKind},
     event::Event,
@@ -513,7 +513,8 @@
     match vm.view.life(&request.vm) {
         Some((incarnation, life)) => {
             incarnation > request.incarnation
-                || (incarnation == request.incarnation && life == Life::Dead)
+                || (incarnation == request.incarnation
+                    && life == Liveness::Dead)
         }
         // Long forgotten, or of another hall, which holds its own bills.
         None => true,
--- a/src/chat_face/membership.rs
+++ b/src/chat_face/membership.rs
@@ -14,7 +14,7 @@
 
 /// What is believed about a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum Liveness {
     /// It lives.
     Alive,
     /// It has been silent for a while.
@@ -25,14 +25,14 @@
     Leaving,
 }
 
-impl Life {
+impl Liveness {
     /// The word used in reports.
     pub fn as_str(self) -> &'static str {
         match self {
-            Life::Alive => "alive",
-            Life::Suspected => "suspected",
-            Life::Dead => "dead",
-            Life::Leaving => "leaving",
+            Liveness::Alive => "alive",
+            Liveness::Suspected => "suspected",
+            Liveness::Dead => "dead",
+            Liveness::Leaving => "leaving",
         }
     }
 }
@@ -43,7 +43,7 @@
     /// Its life.
     pub incarnation: Incarnation,
     /// What is believed about it.
-    pub life: Life,
+    pub life: Liveness,
     counter: u32,
     grown_at: BootInstant,
 }
@@ -56,7 +56,7 @@
     /// The life that the belief is about.
     pub incarnation: Incarnation,
     /// The new belief.
-    pub life: Life,
+    pub life: Liveness,
 }
 
 /// The VMs of one data hall, without this one.
@@ -101,7 +101,8 @@
         if !news {
             return None;
         }
-        let life = if beat.leaving { Life::Leaving } else { Life::Alive };
+        let life =
+            if beat.leaving { Liveness::Leaving } else { Liveness::Alive };
         let same = known.is_some_and(|member| {
             member.life == life && member.incarnation == beat.incarnation
         });
@@ -124,9 +125,9 @@
         for (vm, member) in &mut self.members {
             let silence = now.saturating_duration_since(member.grown_at);
             let life = match member.life {
-                _ if silence > dead_after => Life::Dead,
-                Life::Leaving => Life::Leaving,
-                _ if silence > suspect_after => Life::Suspected,
+                _ if silence > dead_after => Liveness::Dead,
+                Liveness::Leaving => Liveness::Leaving,
+                _ if silence > suspect_after => Liveness::Suspected,
                 life => life,
             };
             if life != member.life {
@@ -149,7 +150,8 @@
 
     /// Whether work may be given to a VM: it lives and is not suspected.
     pub fn is_alive(&self, vm: ShortHash) -> bool {
-        vm == self.me || self.get(vm).is_some_and(|m| m.life == Life::Alive)
+        vm == self.me
+            || self.get(vm).is_some_and(|m| m.life == Liveness::Alive)
     }
 
     /// The latest signs of life, for passing on.
@@ -157,7 +159,7 @@
         let mut newest: Vec<_> = self
             .members
             .iter()
-            .filter(|(_, member)| member.life != Life::Dead)
+            .filter(|(_, member)| member.life != Liveness::Dead)
             .collect();
         newest.sort_by_key(|(_, member)| std::cmp::Reverse(member.grown_at));
         newest
@@ -167,13 +169,13 @@
                 vm: *vm,
                 incarnation: member.incarnation,
                 counter: member.counter,
-                leaving: member.life == Life::Leaving,
+                leaving: member.life == Liveness::Leaving,
             })
             .collect()
     }
 
     /// The number of VMs known, by belief.
-    pub fn count(&self, life: Life) -> usize {
+    pub fn count(&self, life: Liveness) -> usize {
         self.members.values().filter(|m| m.life == life).count()
     }
 }
@@ -203,14 +205,14 @@
         let start = BootInstant::now();
         let mut members = membership();
         let first = members.observe(&beat(1, 1), start).unwrap();
-        assert_eq!(first.life, Life::Alive);
+        assert_eq!(first.life, Liveness::Alive);
         let at = |s: u64| start + Duration::from_secs(s);
         assert!(members.tick(at(2)).is_empty());
-        assert_eq!(members.tick(at(3))[0].life, Life::Suspected);
+        assert_eq!(members.tick(at(3))[0].life, Liveness::Suspected);
         assert!(!members.is_alive(VM));
-        assert_eq!(members.tick(at(5))[0].life, Life::Dead);
+        assert_eq!(members.tick(at(5))[0].life, Liveness::Dead);
         let again = members.observe(&beat(1, 2), at(6)).unwrap();
-        assert_eq!(again.life, Life::Alive);
+        assert_eq!(again.life, Liveness::Alive);
     }
 
     #[test]
@@ -242,6 +244,6 @@
         last.leaving = true;
         members.observe(&last, start);
         assert!(!members.is_alive(VM));
-        assert_eq!(members.count(Life::Leaving), 1);
+        assert_eq!(members.count(Liveness::Leaving), 1);
     }
 }
--- a/src/chat_face/view.rs
+++ b/src/chat_face/view.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     chat_face::{
-        membership::{Life, LifeChange, Membership},
+        membership::{LifeChange, Liveness, Membership},
         platform_list::{ListedRole, ListedState, ListedVm},
     },
     clock::BootInstant,
@@ -304,14 +304,14 @@
     }
 
     /// The life that is believed of a VM of this hall.
-    pub fn life(&self, vm: &VmId) -> Option<(Incarnation, Life)> {
+    pub fn life(&self, vm: &VmId) -> Option<(Incarnation, Liveness)> {
         let members = self.members.lock().expect("members lock");
         let member = members.get(ShortHash::of(vm.as_str()))?;
         Some((member.incarnation, member.life))
     }
 
     /// The number of other VMs of this hall, by belief.
-    pub fn count(&self, life: Life) -> usize {
+    pub fn count(&self, life: Liveness) -> usize {
         self.members.lock().expect("members lock").count(life)
     }
 
@@ -432,10 +432,10 @@
             .find(|peer| ShortHash::of(peer.vm.as_str()) == change.vm)
             .map_or("(not listed)", |peer| peer.vm.as_str());
         let event = match change.life {
-            Life::Alive => Event::PeerAlive,
-            Life::Suspected => Event::PeerSuspected,
-            Life::Dead => Event::PeerDead,
-            Life::Leaving => Event::PeerLeaving,
+            Liveness::Alive => Event::PeerAlive,
+            Liveness::Suspected => Event::PeerSuspected,
+            Liveness::Dead => Event::PeerDead,
+            Liveness::Leaving => Event::PeerLeaving,
         };
         event.log(format_args!(
             "vm {name}, incarnation {}",
--- a/src/chat_face/vm.rs
+++ b/src/chat_face/vm.rs
@@ -29,7 +29,7 @@
         gossip::Gossiper,
         guard::Guard,
         limit::Limits,
-        membership::Life,
+        membership::Liveness,
         queue::Gate,
         session::SessionKeys,
         steward::Steward,
@@ -345,7 +345,12 @@
     }
 
     fn update_peer_gauges(&self) {
-        let lives = [Life::Alive, Life::Suspected, Life::Dead, Life::Leaving];
+        let lives = [
+            Liveness::Alive,
+            Liveness::Suspected,
+            Liveness::Dead,
+            Liveness::Leaving,
+        ];
         for life in lives {
             let count = self.view.count(life) as i64;
             let labels = &[life.as_str()];
