--- a/src/chains/claims.rs
+++ b/src/chains/claims.rs
@@ -471,7 +471,7 @@
             // An earlier life of this VM.
             return true;
         }
-        match vm.view.life(&life.vm) {
+        match vm.view.liveness(&life.vm) {
             Some((incarnation, _)) if incarnation > life.incarnation => true,
             Some((_, Liveness::Dead | Liveness::Leaving)) => true,
             Some((_, Liveness::Alive)) => false,
@@ -489,7 +489,7 @@
         let me = vm.view.vm().clone();
         let after = peers.iter().position(|peer| peer.vm > me).unwrap_or(0);
         let deputy = peers.get(after)?;
-        let (incarnation, _) = vm.view.life(&deputy.vm)?;
+        let (incarnation, _) = vm.view.liveness(&deputy.vm)?;
         Some(VmLife { vm: deputy.vm.clone(), incarnation })
     }
 
--- a/src/chains/ledger.rs
+++ b/src/chains/ledger.rs
@@ -491,7 +491,7 @@
     let unheard: Vec<&str> = peers
         .iter()
         .filter(|peer| peer.data_hall == *hall && !peer.leaving)
-        .filter(|peer| vm.view.life(&peer.vm).is_none())
+        .filter(|peer| vm.view.liveness(&peer.vm).is_none())
         .map(|peer| peer.vm.as_str())
         .collect();
     // VMs spread over the writers, each staying with its own.
@@ -510,7 +510,7 @@
 
 /// Whether the life of the VM that admitted a request is over.
 fn is_dead(vm: &Vm, request: &RequestId) -> bool {
-    match vm.view.life(&request.vm) {
+    match vm.view.liveness(&request.vm) {
         Some((incarnation, life)) => {
             incarnation > request.incarnation
                 || (incarnation == request.incarnation
--- a/src/chat_face/operators.rs
+++ b/src/chat_face/operators.rs
@@ -359,7 +359,7 @@
         view.peers()
             .iter()
             .map(|peer| {
-                let life = view.life(&peer.vm);
+                let life = view.liveness(&peer.vm);
                 json!({
                     "vm": peer.vm,
                     "data_hall": peer.data_hall,
--- a/src/chat_face/view.rs
+++ b/src/chat_face/view.rs
@@ -304,7 +304,7 @@
     }
 
     /// The life that is believed of a VM of this hall.
-    pub fn life(&self, vm: &VmId) -> Option<(Incarnation, Liveness)> {
+    pub fn liveness(&self, vm: &VmId) -> Option<(Incarnation, Liveness)> {
         let members = self.members.lock().expect("members lock");
         let member = members.get(ShortHash::of(vm.as_str()))?;
         Some((member.incarnation, member.life))
