--- a/src/chains/claims.rs
+++ b/src/chains/claims.rs
@@ -362,7 +362,7 @@
     let report: Arc<Mutex<SlotReport>> = Arc::default();
     let slot = Slot::new(
         number,
-        vm.life(),
+        vm.identity(),
         vm.settings.claims.clone(),
         vm.settings.requests.deadline * 2,
         vm.store.clone(),
@@ -464,7 +464,7 @@
 impl SlotPeers for VmPeers {
     async fn is_gone(&self, life: &VmLife) -> bool {
         let Some(vm) = self.0.upgrade() else { return false };
-        if *life == vm.life() {
+        if *life == vm.identity() {
             return false;
         }
         if life.vm == *vm.view.vm() {
--- a/src/chains/ledger.rs
+++ b/src/chains/ledger.rs
@@ -523,7 +523,7 @@
 
 fn own_prefix(vm: &Vm, hour: u64) -> String {
     let hall = vm.view.data_hall();
-    let life = vm.life();
+    let life = vm.identity();
     let writer = format!("{}-{}", life.vm, life.incarnation);
     format!("{}/{hall}/{writer}", hour_prefix(hour))
 }
--- a/src/chat_face/gossip.rs
+++ b/src/chat_face/gossip.rs
@@ -262,7 +262,7 @@
 /// What this VM tells in one round.
 pub(crate) fn message(vm: &Vm, counter: u32) -> Gossip {
     let now = vm.clock.now();
-    let me = vm.life();
+    let me = vm.identity();
     let own = Beat {
         vm: ShortHash::of(me.vm.as_str()),
         incarnation: me.incarnation,
--- a/src/chat_face/operators.rs
+++ b/src/chat_face/operators.rs
@@ -325,7 +325,7 @@
     fn status(&self) -> Value {
         let vm = &self.vm;
         let now = vm.clock.now();
-        let life = vm.life();
+        let life = vm.identity();
         let configuration = vm.configuration.current();
         let stopped =
             guard::stopped_models(&configuration, &vm.guard.stopped());
--- a/src/chat_face/steward.rs
+++ b/src/chat_face/steward.rs
@@ -142,7 +142,7 @@
             return;
         };
         let Some(epoch) = self.epoch() else { return };
-        let order = Order { epoch, steward: vm.life(), action, version };
+        let order = Order { epoch, steward: vm.identity(), action, version };
         let sent = self.send(vm, &upstream, &order).await;
         let detail = format!(
             "{:?} {} at {}, epoch {}",
--- a/src/chat_face/vm.rs
+++ b/src/chat_face/vm.rs
@@ -173,7 +173,7 @@
     }
 
     /// This life of this VM.
-    pub(crate) fn life(&self) -> VmLife {
+    pub(crate) fn identity(&self) -> VmLife {
         VmLife { vm: self.settings.vm.clone(), incarnation: self.incarnation }
     }
 
