--- a/src/chains/claims.rs
+++ b/src/chains/claims.rs
@@ -126,7 +126,7 @@
         outcome: ClaimOutcome,
     ) {
         let vm = vm.clone();
-        vm.unsettled.begin();
+        vm.pending_outcomes.begin();
         task::spawn(async move {
             let mut pause = Duration::from_millis(100);
             for _ in 0..SETTLE_TRIES {
@@ -136,7 +136,7 @@
                 task::sleep(pause).await;
                 pause = (pause * 2).min(SETTLE_PAUSE_MOST);
             }
-            vm.unsettled.end();
+            vm.pending_outcomes.end();
         })
         .detach();
     }
--- a/src/chat_face/server.rs
+++ b/src/chat_face/server.rs
@@ -215,7 +215,7 @@
         while vm.in_flight() > 0 {
             task::sleep(LOOK).await;
         }
-        while vm.unsettled.count() > 0 {
+        while vm.pending_outcomes.count() > 0 {
             task::sleep(LOOK).await;
         }
     };
