--- a/src/chains/configuration_sync.rs
+++ b/src/chains/configuration_sync.rs
@@ -78,7 +78,7 @@
 
 /// Fetches changes from VMs that have told of a newer revision.
 pub(crate) async fn fetch_loop(vm: Arc<Vm>) {
-    while let Ok(from) = vm.newer_at.1.recv().await {
+    while let Ok(from) = vm.configuration_sources.1.recv().await {
         if let Some(peer) = vm.view.peer(&from) {
             let _ = fetch_from(&vm, &peer).await;
         }
--- a/src/chat_face/vm.rs
+++ b/src/chat_face/vm.rs
@@ -73,7 +73,7 @@
     pub(crate) clock: SharedClock,
     pub(crate) configuration: ConfigurationCell,
     pub(crate) recent_changes: Mutex<VecDeque<Change>>,
-    pub(crate) newer_at: (Sender<VmId>, Receiver<VmId>),
+    pub(crate) configuration_sources: (Sender<VmId>, Receiver<VmId>),
     pub(crate) view: View,
     pub(crate) tallies: Mutex<Tallies>,
     pub(crate) limits: Limits,
@@ -132,7 +132,7 @@
         Arc::new(Vm {
             configuration: ConfigurationCell::new(),
             recent_changes: Mutex::default(),
-            newer_at: smol::channel::bounded(1),
+            configuration_sources: smol::channel::bounded(1),
             view: View::new(
                 settings.vm.clone(),
                 hall.clone(),
@@ -237,7 +237,7 @@
     /// Has the changes beyond this revision fetched from a VM.
     pub(crate) fn wake_configuration(&self, from: VmId) {
         // One fetch at a time is enough; gossip will tell again.
-        let _ = self.newer_at.0.try_send(from);
+        let _ = self.configuration_sources.0.try_send(from);
     }
 
     /// Keeps changes to hand on to other VMs.
