--- a/src/chains/configuration_sync.rs
+++ b/src/chains/configuration_sync.rs
@@ -117,7 +117,7 @@
     }
     apply(vm, &changes);
     vm.configuration.prove(sent_at);
-    vm.note_ready();
+    vm.mark_ready();
     Ok(())
 }
 
@@ -162,7 +162,7 @@
 fn in_force(vm: &Arc<Vm>, revision: Revision) {
     Event::ConfigurationInForce.log(format_args!("revision {revision}"));
     // Whichever way it came, there is a configuration to work by.
-    vm.note_ready();
+    vm.mark_ready();
     vm.guard.forget_settled(&vm.configuration.current());
     let vm = vm.clone();
     // The rest of the hall should not wait for its watch or a round.
--- a/src/chat_face/vm.rs
+++ b/src/chat_face/vm.rs
@@ -191,7 +191,7 @@
     }
 
     /// Notes that it has a configuration to work by.
-    pub(crate) fn note_ready(&self) {
+    pub(crate) fn mark_ready(&self) {
         if !self.has_started.swap(true, Ordering::Relaxed) {
             let revision = self.configuration.current().revision();
             Event::Ready.log(format_args!("revision {revision}"));
