--- a/src/chat_face/operators.rs
+++ b/src/chat_face/operators.rs
@@ -344,7 +344,7 @@
             "list_age_ms":
                 age(listed.map(|at| now.saturating_duration_since(at))),
             "in_flight": vm.in_flight(),
-            "queued": vm.gate.waiting(),
+            "queued": vm.queue.waiting(),
             "bills_waiting": vm.ledger.waiting(),
             "steward_epoch": vm.steward.epoch(),
             "stopped_versions": stopped,
--- a/src/chat_face/vm.rs
+++ b/src/chat_face/vm.rs
@@ -77,7 +77,7 @@
     pub(crate) view: View,
     pub(crate) tallies: Mutex<Tallies>,
     pub(crate) limits: Limits,
-    pub(crate) gate: Arc<Gate>,
+    pub(crate) queue: Arc<Gate>,
     pub(crate) retry: RetryBudget,
     pub(crate) guard: Guard,
     pub(crate) decisions: DecisionLog,
@@ -140,7 +140,7 @@
             ),
             tallies: Mutex::new(Tallies::new(ShortHash::of(hall.as_str()))),
             limits: Limits::new(now),
-            gate: Gate::new(
+            queue: Gate::new(
                 clock.clone(),
                 requests.queue_limit,
                 requests.batch_share,
@@ -278,7 +278,7 @@
         };
         let room =
             |model: &ModelId| Room::of(&self.upstream_facts(model, now));
-        self.gate.wake(room, weight);
+        self.queue.wake(room, weight);
     }
 
     /// Asks another VM, by name.
@@ -336,7 +336,7 @@
         let listed = listed.map(|at| now.saturating_duration_since(at));
         metrics.list_age_ms.set(as_ms(listed));
         metrics.in_flight.set(self.in_flight() as i64);
-        metrics.queued.set(self.gate.waiting() as i64);
+        metrics.queued.set(self.queue.waiting() as i64);
         metrics.bills_waiting.set(self.ledger.waiting() as i64);
         let stopped = self.guard.stopped().len();
         metrics.versions_stopped.set(stopped as i64);
@@ -440,7 +440,7 @@
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
         self.0.in_flight.end();
-        if self.0.gate.waiting() > 0 {
+        if self.0.queue.waiting() > 0 {
             self.0.wake_queue();
         }
     }
