--- a/src/chains/configuration_sync.rs
+++ b/src/chains/configuration_sync.rs
@@ -189,7 +189,7 @@
 async fn fetch_from(vm: &Arc<Vm>, peer: &Peer) -> bool {
     let after = vm.configuration.current().revision();
     let request = PeerRequest::Changes { after };
-    let asked = vm.peers.call(peer.address, request, ASK_LIMIT).await;
+    let asked = vm.peer_client.call(peer.address, request, ASK_LIMIT).await;
     match asked {
         Ok(PeerReply::Changes(changes)) => apply(vm, &changes),
         Ok(PeerReply::Snapshot(text)) => {
--- a/src/chat_face/vm.rs
+++ b/src/chat_face/vm.rs
@@ -86,7 +86,7 @@
     pub(crate) store: SharedStore,
     pub(crate) store_counts: Arc<StoreCounts>,
     pub(crate) codec: FrameCodec,
-    pub(crate) peers: PeerClient,
+    pub(crate) peer_client: PeerClient,
     pub(crate) peer_address: SocketAddr,
     pub(crate) gossiper: Gossiper,
     pub(crate) claims: Claims,
@@ -152,7 +152,7 @@
             http: HttpClient::new(requests.connect_timeout, clock.clone()),
             store_counts: store.counts(),
             store: Arc::new(store),
-            peers: PeerClient::new(codec.clone(), metrics.clone()),
+            peer_client: PeerClient::new(codec.clone(), metrics.clone()),
             codec,
             peer_address,
             gossiper,
@@ -291,7 +291,7 @@
         let Some(peer) = self.view.peer(vm) else {
             return Err(PeerError::NotSent(format!("{vm} is not listed")));
         };
-        self.peers.call(peer.address, request, limit).await
+        self.peer_client.call(peer.address, request, limit).await
     }
 
     /// Finds a decision, here or at the VM that made it.
