--- a/src/chat_face/dispatch.rs
+++ b/src/chat_face/dispatch.rs
@@ -131,7 +131,7 @@
         let price = self.state.call.rule.call_price_micro;
         let service = self.state.call.rule.service.clone();
         let mut tried = Vec::new();
-        vm.retry.count_request();
+        vm.retry_budget.count_request();
         loop {
             let now = vm.clock.now();
             let left = self.state.deadline.saturating_duration_since(now);
@@ -186,7 +186,7 @@
             Err(error) => return self.core.settle(Err(error)),
         };
         self.core.open_bill(self.estimate()).await;
-        self.core.vm.retry.count_request();
+        self.core.vm.retry_budget.count_request();
         let is_stream = self.state.admitted.call.chat.stream;
         if is_stream {
             return relay::run(self, pass).await;
@@ -783,7 +783,7 @@
         if tried >= most {
             return false;
         }
-        let allowed = self.vm.retry.try_retry();
+        let allowed = self.vm.retry_budget.try_retry();
         if !allowed {
             self.vm.metrics.retries_refused.inc();
         }
