--- a/src/chains/claims.rs
+++ b/src/chains/claims.rs
@@ -231,7 +231,7 @@
                 self.settle_here(vm, claim, outcome).await
             } else {
                 let request = PeerRequest::Settle { claim, outcome };
-                let reply = vm.ask_peer(&candidate, request, ASK_LIMIT).await;
+                let reply = vm.call_peer(&candidate, request, ASK_LIMIT).await;
                 matches!(reply, Ok(PeerReply::Done))
             };
             if done {
@@ -286,7 +286,7 @@
             };
         }
         let message = PeerRequest::Claim(request.clone());
-        match vm.ask_peer(candidate, message, ASK_LIMIT).await {
+        match vm.call_peer(candidate, message, ASK_LIMIT).await {
             Ok(PeerReply::Verdict(verdict)) => Asked::Verdict(verdict),
             Ok(_) | Err(PeerError::NotSent(_)) => {
                 self.forget(slot, candidate);
@@ -503,7 +503,7 @@
             first: request.first as u64,
             claims: request.claims,
         };
-        let reply = vm.ask_peer(&deputy.vm, message, HOLD_LIMIT).await;
+        let reply = vm.call_peer(&deputy.vm, message, HOLD_LIMIT).await;
         matches!(reply, Ok(PeerReply::Done))
     }
 }
@@ -511,7 +511,7 @@
 async fn is_reached(vm: &Arc<Vm>, other: &VmId) -> bool {
     let revision = vm.configuration.current().revision();
     let question = PeerRequest::Changes { after: revision };
-    vm.ask_peer(other, question, REACH_LIMIT).await.is_ok()
+    vm.call_peer(other, question, REACH_LIMIT).await.is_ok()
 }
 
 fn unavailable(reason: &str) -> ClaimVerdict {
--- a/src/chains/ledger.rs
+++ b/src/chains/ledger.rs
@@ -271,7 +271,7 @@
         let mut asked = Vec::new();
         for holder in holders(vm).into_iter().take(HOLDERS_ASKED) {
             let message = PeerRequest::Bills(due.clone());
-            let reply = vm.ask_peer(&holder, message, HOLD_LIMIT).await;
+            let reply = vm.call_peer(&holder, message, HOLD_LIMIT).await;
             let why = match reply {
                 Ok(PeerReply::BillsHeld { committed }) => {
                     vm.ledger.note_alone(None);
--- a/src/chat_face/vm.rs
+++ b/src/chat_face/vm.rs
@@ -282,7 +282,7 @@
     }
 
     /// Asks another VM, by name.
-    pub(crate) async fn ask_peer(
+    pub(crate) async fn call_peer(
         &self,
         vm: &VmId,
         request: PeerRequest,
@@ -307,7 +307,7 @@
             return None;
         }
         let request = PeerRequest::Decision(id.clone());
-        match self.ask_peer(&id.vm, request, ASK_LIMIT).await {
+        match self.call_peer(&id.vm, request, ASK_LIMIT).await {
             Ok(PeerReply::Decision(found)) => found.map(|found| *found),
             _ => None,
         }
