--- a/src/chains/configuration_sync.rs
+++ b/src/chains/configuration_sync.rs
@@ -167,7 +167,7 @@
     let vm = vm.clone();
     // The rest of the hall should not wait for its watch or a round.
     task::spawn(async move {
-        crate::chat_face::gossip::Gossiper::tell_hall(&vm).await;
+        crate::chat_face::gossip::Gossiper::gossip_to_hall(&vm).await;
     })
     .detach();
 }
--- a/src/chat_face/gossip.rs
+++ b/src/chat_face/gossip.rs
@@ -109,7 +109,7 @@
     }
 
     /// Tells some VMs at once that this one is leaving, or has news.
-    pub(crate) async fn tell_hall(vm: &Arc<Vm>) {
+    pub(crate) async fn gossip_to_hall(vm: &Arc<Vm>) {
         let counter = vm.next_beat();
         for peer in vm.view.live_hall_peers() {
             let gossip = Datagram::Gossip(message(vm, counter));
--- a/src/chat_face/server.rs
+++ b/src/chat_face/server.rs
@@ -186,7 +186,7 @@
         let grace = vm.settings.stop_grace;
         vm.begin_stop();
         Event::Stopping.log(format_args!("{} in flight", vm.in_flight()));
-        Gossiper::tell_hall(&vm).await;
+        Gossiper::gossip_to_hall(&vm).await;
         task::sleep(NOTICE_TIME.min(grace)).await;
         callers.stopper().stop();
         let drain = grace.mul_f64(DRAIN_SHARE);
