--- a/src/chat_face/operators.rs
+++ b/src/chat_face/operators.rs
@@ -332,7 +332,7 @@
         let age = |age: Option<std::time::Duration>| {
             age.map(|age| age.as_millis() as u64)
         };
-        let listed = vm.view.listed_at();
+        let listed = vm.view.list_read_at();
         json!({
             "vm": life.vm,
             "incarnation": life.incarnation.to_string(),
--- a/src/chat_face/request.rs
+++ b/src/chat_face/request.rs
@@ -123,7 +123,7 @@
     pub(crate) fn arrive(vm: &Arc<Vm>, cancel: Cancel) -> Request<Arrived> {
         let now = vm.clock.now();
         let as_ms = |age: Option<Duration>| choose::age_ms(age);
-        let listed_at = vm.view.listed_at();
+        let list_read_at = vm.view.list_read_at();
         let decision = Decision {
             id: vm.next_request_id(),
             at_unix_ms: vm.clock.unix_ms(),
@@ -134,7 +134,7 @@
             revision: vm.configuration.current().revision(),
             configuration_age_ms: as_ms(vm.configuration.proof_age(now)),
             list_age_ms: as_ms(
-                listed_at.map(|at| now.saturating_duration_since(at)),
+                list_read_at.map(|at| now.saturating_duration_since(at)),
             ),
             candidates: Vec::new(),
             queued_ms: 0,
--- a/src/chat_face/view.rs
+++ b/src/chat_face/view.rs
@@ -91,7 +91,7 @@
     /// The entry VMs that may own a rate limit, this one included.
     roster: RwLock<Roster>,
     members: Mutex<Membership>,
-    listed_at: Mutex<Option<BootInstant>>,
+    list_read_at: Mutex<Option<BootInstant>>,
 }
 
 impl View {
@@ -113,7 +113,7 @@
             peers: RwLock::default(),
             roster: RwLock::default(),
             members: Mutex::new(members),
-            listed_at: Mutex::new(None),
+            list_read_at: Mutex::new(None),
         }
     }
 
@@ -136,7 +136,7 @@
         now: BootInstant,
     ) -> Vec<Arc<Upstream>> {
         let known = self.upstreams();
-        let first = self.listed_at().is_none();
+        let first = self.list_read_at().is_none();
         let mut newly_leaving = Vec::new();
         let mut all = Vec::new();
         for listed in list {
@@ -162,7 +162,7 @@
         *self.peers.write().expect("view lock") =
             Arc::new(self.listed_peers(list));
         *self.roster.write().expect("view lock") = listed_roster(list);
-        *self.listed_at.lock().expect("view lock") = Some(now);
+        *self.list_read_at.lock().expect("view lock") = Some(now);
         newly_leaving
     }
 
@@ -182,12 +182,12 @@
 
     /// Notes that the list was read and had not changed.
     pub fn list_unchanged(&self, now: BootInstant) {
-        *self.listed_at.lock().expect("view lock") = Some(now);
+        *self.list_read_at.lock().expect("view lock") = Some(now);
     }
 
     /// When the list was last read.
-    pub fn listed_at(&self) -> Option<BootInstant> {
-        *self.listed_at.lock().expect("view lock")
+    pub fn list_read_at(&self) -> Option<BootInstant> {
+        *self.list_read_at.lock().expect("view lock")
     }
 
     /// The replicas of a model.
--- a/src/chat_face/vm.rs
+++ b/src/chat_face/vm.rs
@@ -181,7 +181,7 @@
     /// knows upstreams and the VMs that hold its bills with it.
     pub(crate) fn is_ready(&self) -> bool {
         self.has_started.load(Ordering::Relaxed)
-            && self.view.listed_at().is_some()
+            && self.view.list_read_at().is_some()
             && !self.is_stopping()
     }
 
@@ -332,7 +332,7 @@
         metrics.configuration_revision.set(revision.0 as i64);
         let proof = self.configuration.proof_age(now);
         metrics.configuration_age_ms.set(as_ms(proof));
-        let listed = self.view.listed_at();
+        let listed = self.view.list_read_at();
         let listed = listed.map(|at| now.saturating_duration_since(at));
         metrics.list_age_ms.set(as_ms(listed));
         metrics.in_flight.set(self.in_flight() as i64);
