--- a/src/chat_face/statement.rs
+++ b/src/chat_face/statement.rs
@@ -23,7 +23,7 @@
 
 impl Core {
     /// Takes in what an upstream says of itself in an answer.
-    pub(super) fn hear(
+    pub(super) fn apply_upstream_statement(
         &self,
         chosen: &Chosen,
         status: u16,
