--- a/src/chat_face/choose.rs
+++ b/src/chat_face/choose.rs
@@ -187,7 +187,7 @@
         return Some((ErrorKind::NotFound, reason));
     };
     let stopped = knowledge.stopped.contains(&version_hash(&part.value));
-    if stopped || !part.value.state.takes_sessions_on_it() {
+    if stopped || !part.value.state.serves_existing_sessions() {
         let reason = format!("{model} {version} has been withdrawn");
         return Some((ErrorKind::VersionWithdrawn, reason));
     }
--- a/src/chat_face/template.rs
+++ b/src/chat_face/template.rs
@@ -289,7 +289,7 @@
 
 impl VersionState {
     /// Whether a request of a session on this version may run.
-    pub fn takes_sessions_on_it(self) -> bool {
+    pub fn serves_existing_sessions(self) -> bool {
         self != VersionState::Withdrawn
     }
 }
