--- a/src/chains/configuration.rs
+++ b/src/chains/configuration.rs
@@ -221,7 +221,7 @@
     }
 
     fn check_keys(&self, template: &Template) -> Result<(), Error> {
-        template.check()?;
+        template.validate()?;
         for hash in &template.key_hashes {
             match self.organisations_by_key.get(hash) {
                 Some(other) if *other != template.organisation => {
--- a/src/chat_face/template.rs
+++ b/src/chat_face/template.rs
@@ -186,7 +186,7 @@
     pub fn from_json(bytes: &[u8]) -> Result<Template, Error> {
         let template: Template = serde_json::from_slice(bytes)
             .map_err(|error| invalid(error.to_string()))?;
-        template.check()?;
+        template.validate()?;
         Ok(template)
     }
 
@@ -195,7 +195,7 @@
     /// # Errors
     ///
     /// [`ErrorKind::InvalidInput`] naming the first field that is wrong.
-    pub fn check(&self) -> Result<(), Error> {
+    pub fn validate(&self) -> Result<(), Error> {
         if self.key_hashes.is_empty() || self.key_hashes.len() > KEY_LIMIT {
             return Err(invalid(format!(
                 "key_hashes must hold 1 to {KEY_LIMIT} hashes"
@@ -372,13 +372,13 @@
     fn wrong_templates_are_refused() {
         let mut doubled = template();
         doubled.models.push(doubled.models[0].clone());
-        assert!(doubled.check().is_err());
+        assert!(doubled.validate().is_err());
         let mut falling = template();
         falling.rollout_stages.reverse();
-        assert!(falling.check().is_err());
+        assert!(falling.validate().is_err());
         let mut rateless = template();
         rateless.rate_per_s = f64::NAN;
-        assert!(rateless.check().is_err());
+        assert!(rateless.validate().is_err());
         let unknown = br#"{"organisation":"desk","colour":1}"#;
         assert!(Template::from_json(unknown).is_err());
     }
