--- a/src/chat_face/dispatch.rs
+++ b/src/chat_face/dispatch.rs
@@ -371,7 +371,7 @@
         first_token: Option<Duration>,
     ) {
         let mut tally = Tally::default();
-        tally.0[evidence::ANSWERS] = 1.0;
+        tally.0[evidence::ATTEMPTS] = 1.0;
         tally.0[evidence::ERRORS] = f32::from(u8::from(failed));
         if let Some(first_token) = first_token {
             tally.0[evidence::FIRST_TOKEN_S] = first_token.as_secs_f32();
--- a/src/chat_face/guard.rs
+++ b/src/chat_face/guard.rs
@@ -75,7 +75,7 @@
 impl Baseline {
     /// The baseline of the serving versions' evidence and a prior chance.
     pub fn new(serving: Tally, prior_quality: f64) -> Baseline {
-        let answers = f64::from(serving.0[evidence::ANSWERS]);
+        let answers = f64::from(serving.0[evidence::ATTEMPTS]);
         let errors = f64::from(serving.0[evidence::ERRORS]);
         let rated = f64::from(serving.0[evidence::RATED]);
         let missed = rated - f64::from(serving.0[evidence::MET]);
@@ -92,7 +92,7 @@
 
 /// Judges the evidence of one version against a baseline.
 pub fn judge(tally: Tally, baseline: Baseline, odds: f64) -> Judgement {
-    let answers = f64::from(tally.0[evidence::ANSWERS]);
+    let answers = f64::from(tally.0[evidence::ATTEMPTS]);
     let errors = f64::from(tally.0[evidence::ERRORS]);
     let rated = f64::from(tally.0[evidence::RATED]);
     let missed = rated - f64::from(tally.0[evidence::MET]);
@@ -358,7 +358,7 @@
 
     fn tally(answers: f32, errors: f32) -> Tally {
         let mut tally = Tally::default();
-        tally.0[evidence::ANSWERS] = answers;
+        tally.0[evidence::ATTEMPTS] = answers;
         tally.0[evidence::ERRORS] = errors;
         tally
     }
--- a/src/chat_face/tally.rs
+++ b/src/chat_face/tally.rs
@@ -71,7 +71,7 @@
 /// The fields of an evidence tally.
 pub mod evidence {
     /// Answers and failures.
-    pub const ANSWERS: usize = 0;
+    pub const ATTEMPTS: usize = 0;
     /// Failures among them.
     pub const ERRORS: usize = 1;
     /// Answers that were rated.
