--- a/src/chat_face/dispatch.rs
+++ b/src/chat_face/dispatch.rs
@@ -466,7 +466,7 @@
         let mut tally = Tally::default();
         tally.0[evidence::RATED] = 1.0;
         let met = score >= self.target;
-        tally.0[evidence::MET] = f32::from(u8::from(met));
+        tally.0[evidence::MET_TARGET] = f32::from(u8::from(met));
         self.add(tally);
         let version = format!("{}@{}", self.entry.model, self.entry.version);
         let labels = &[self.organisation.as_str(), version.as_str()];
--- a/src/chat_face/estimate.rs
+++ b/src/chat_face/estimate.rs
@@ -58,7 +58,7 @@
 /// The chance from one sum and a prior.
 pub fn from_tally(tally: Tally, prior: f64) -> Chance {
     let rated = f64::from(tally.0[evidence::RATED]);
-    let met = f64::from(tally.0[evidence::MET]).min(rated);
+    let met = f64::from(tally.0[evidence::MET_TARGET]).min(rated);
     let value = (PRIOR_RATINGS * prior + met) / (PRIOR_RATINGS + rated);
     Chance { value, rated }
 }
@@ -70,7 +70,7 @@
     fn tally(rated: f32, met: f32) -> Tally {
         let mut tally = Tally::default();
         tally.0[evidence::RATED] = rated;
-        tally.0[evidence::MET] = met;
+        tally.0[evidence::MET_TARGET] = met;
         tally
     }
 
--- a/src/chat_face/guard.rs
+++ b/src/chat_face/guard.rs
@@ -78,7 +78,7 @@
         let answers = f64::from(serving.0[evidence::ATTEMPTS]);
         let errors = f64::from(serving.0[evidence::ERRORS]);
         let rated = f64::from(serving.0[evidence::RATED]);
-        let missed = rated - f64::from(serving.0[evidence::MET]);
+        let missed = rated - f64::from(serving.0[evidence::MET_TARGET]);
         let errors =
             (errors + ERROR_FLOOR * PRIOR_ANSWERS) / (answers + PRIOR_ANSWERS);
         let prior_misses = (1.0 - prior_quality) * PRIOR_ANSWERS;
@@ -95,7 +95,7 @@
     let answers = f64::from(tally.0[evidence::ATTEMPTS]);
     let errors = f64::from(tally.0[evidence::ERRORS]);
     let rated = f64::from(tally.0[evidence::RATED]);
-    let missed = rated - f64::from(tally.0[evidence::MET]);
+    let missed = rated - f64::from(tally.0[evidence::MET_TARGET]);
     let bound = odds.ln();
     if log_odds(answers, errors, baseline.errors, ERROR_MARGIN) > bound {
         return Judgement::Bad(format!(
--- a/src/chat_face/tally.rs
+++ b/src/chat_face/tally.rs
@@ -77,7 +77,7 @@
     /// Answers that were rated.
     pub const RATED: usize = 2;
     /// Rated answers that met the quality target.
-    pub const MET: usize = 3;
+    pub const MET_TARGET: usize = 3;
     /// Sum of the time to the first token, in seconds.
     pub const FIRST_TOKEN_S: usize = 4;
 }
