--- a/src/chat_face/request.rs
+++ b/src/chat_face/request.rs
@@ -288,7 +288,7 @@
                 let now = self.vm.clock.unix_ms();
                 let organisation = &template.organisation;
                 let session =
-                    self.vm.sessions.read(token, organisation, now)?;
+                    self.vm.sessions.verify(token, organisation, now)?;
                 Ok(SessionUse::Bound {
                     model: session.model,
                     version: session.version,
--- a/src/chat_face/session.rs
+++ b/src/chat_face/session.rs
@@ -61,7 +61,7 @@
     ///
     /// [`ErrorKind::SessionInvalid`] when it is forged, expired or another
     /// organisation's.
-    pub fn read(
+    pub fn verify(
         &self,
         token: &str,
         organisation: &OrganisationId,
@@ -124,26 +124,26 @@
     fn a_token_is_read_by_its_organisation_in_time() {
         let token = keys("1").issue(&session());
         let desk = "desk".parse().unwrap();
-        let read = keys("1").read(&token, &desk, 999).unwrap();
+        let read = keys("1").verify(&token, &desk, 999).unwrap();
         assert_eq!(read, session());
-        assert!(keys("1").read(&token, &desk, 1000).is_err());
+        assert!(keys("1").verify(&token, &desk, 1000).is_err());
         let other = "other".parse().unwrap();
-        assert!(keys("1").read(&token, &other, 999).is_err());
+        assert!(keys("1").verify(&token, &other, 999).is_err());
     }
 
     #[test]
     fn a_forged_token_is_refused() {
         let token = keys("1").issue(&session());
         let desk = "desk".parse().unwrap();
-        assert!(keys("2").read(&token, &desk, 0).is_err());
+        assert!(keys("2").verify(&token, &desk, 0).is_err());
         for at in 0..token.len() {
             let mut forged = token.clone().into_bytes();
             forged[at] = if forged[at] == b'A' { b'B' } else { b'A' };
             let forged = String::from_utf8(forged).unwrap();
-            assert!(keys("1").read(&forged, &desk, 0).is_err());
+            assert!(keys("1").verify(&forged, &desk, 0).is_err());
         }
         for garbage in ["", "A", "!!", &"A".repeat(2000)] {
-            assert!(keys("1").read(garbage, &desk, 0).is_err());
+            assert!(keys("1").verify(garbage, &desk, 0).is_err());
         }
     }
 }
