--- a/src/api/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -133,7 +133,7 @@
         let price = self.state.call.rule.call_price_micro;
         let service = self.state.call.rule.service.clone();
         let mut tried = Vec::new();
-        vm.retry.count_request();
+        vm.retry_budget.count_request();
         loop {
             let now = vm.clock.now();
             let left = self.state.deadline.saturating_duration_since(now);
@@ -191,7 +191,7 @@
             Err(error) => return self.core.settle(Err(error)),
         };
         self.core.open_bill(self.estimate()).await;
-        self.core.vm.retry.count_request();
+        self.core.vm.retry_budget.count_request();
         let is_stream = self.state.admitted.call.chat.stream;
         if is_stream {
             return relay::run(self, pass).await;
@@ -373,7 +373,7 @@
         first_token: Option<Duration>,
     ) {
         let mut tally = Tally::default();
-        tally.0[evidence::ANSWERS] = 1.0;
+        tally.0[evidence::ATTEMPTS] = 1.0;
         tally.0[evidence::ERRORS] = f32::from(u8::from(failed));
         if let Some(first_token) = first_token {
             tally.0[evidence::FIRST_TOKEN_S] = first_token.as_secs_f32();
@@ -468,7 +468,7 @@
         let mut tally = Tally::default();
         tally.0[evidence::RATED] = 1.0;
         let met = score >= self.target;
-        tally.0[evidence::MET] = f32::from(u8::from(met));
+        tally.0[evidence::MET_TARGET] = f32::from(u8::from(met));
         self.add(tally);
         let version = format!("{}@{}", self.entry.model, self.entry.version);
         let labels = &[self.organisation.as_str(), version.as_str()];
@@ -695,7 +695,11 @@
         };
         let result = self.bounded(limit, work).await;
         if let Ok(exchange) = &result {
-            self.hear(chosen, exchange.status, &exchange.headers);
+            self.apply_upstream_statement(
+                chosen,
+                exchange.status,
+                &exchange.headers,
+            );
         }
         self.judge_upstream(chosen, result.as_ref().err().copied());
         result
@@ -720,7 +724,11 @@
         let work = async {
             let sent = self.vm.http.send(call, reuse).await;
             let exchange = sent.map_err(fault_of)?;
-            self.hear(chosen, exchange.status, &exchange.headers);
+            self.apply_upstream_statement(
+                chosen,
+                exchange.status,
+                &exchange.headers,
+            );
             exchange.read_whole(most).await.map_err(fault_of)
         };
         let result = match can_cancel {
@@ -794,7 +802,7 @@
         if tried >= most {
             return false;
         }
-        let allowed = self.vm.retry.try_retry();
+        let allowed = self.vm.retry_budget.try_retry();
         if !allowed {
             self.vm.metrics.retries_refused.inc();
         }
--- a/src/api/gossip.rs
+++ b/src/api/gossip.rs
@@ -109,7 +109,7 @@
     }
 
     /// Tells some VMs at once that this one is leaving, or has news.
-    pub(crate) async fn tell_hall(vm: &Arc<Vm>) {
+    pub(crate) async fn gossip_to_hall(vm: &Arc<Vm>) {
         let counter = vm.next_beat();
         for peer in vm.view.live_hall_peers() {
             let gossip = Datagram::Gossip(message(vm, counter));
@@ -262,7 +262,7 @@
 /// What this VM tells in one round.
 pub(crate) fn message(vm: &Vm, counter: u32) -> Gossip {
     let now = vm.clock.now();
-    let me = vm.life();
+    let me = vm.identity();
     let own = Beat {
         vm: ShortHash::of(me.vm.as_str()),
         incarnation: me.incarnation,
--- a/src/api/operators.rs
+++ b/src/api/operators.rs
@@ -325,7 +325,7 @@
     fn status(&self) -> Value {
         let vm = &self.vm;
         let now = vm.clock.now();
-        let life = vm.life();
+        let life = vm.identity();
         let configuration = vm.configuration.current();
         let stopped = rollout_guard::stopped_versions(
             &configuration,
@@ -334,7 +334,7 @@
         let age = |age: Option<std::time::Duration>| {
             age.map(|age| age.as_millis() as u64)
         };
-        let listed = vm.view.listed_at();
+        let listed = vm.view.list_read_at();
         json!({
             "vm": life.vm,
             "incarnation": life.incarnation.to_string(),
@@ -346,7 +346,7 @@
             "list_age_ms":
                 age(listed.map(|at| now.saturating_duration_since(at))),
             "in_flight": vm.in_flight(),
-            "queued": vm.gate.waiting(),
+            "queued": vm.queue.waiting(),
             "bills_waiting": vm.ledger.waiting(),
             "steward_epoch": vm.steward.epoch(),
             "stopped_versions": stopped,
@@ -361,7 +361,7 @@
         view.peers()
             .iter()
             .map(|peer| {
-                let life = view.life(&peer.vm);
+                let life = view.liveness(&peer.vm);
                 json!({
                     "vm": peer.vm,
                     "data_hall": peer.data_hall,
--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -123,7 +123,7 @@
     pub(crate) fn arrive(vm: &Arc<Vm>, cancel: Cancel) -> Request<Arrived> {
         let now = vm.clock.now();
         let as_ms = |age: Option<Duration>| selection::age_ms(age);
-        let listed_at = vm.view.listed_at();
+        let list_read_at = vm.view.list_read_at();
         let decision = Decision {
             id: vm.next_request_id(),
             at_unix_ms: vm.clock.unix_ms(),
@@ -134,7 +134,7 @@
             revision: vm.configuration.current().revision(),
             configuration_age_ms: as_ms(vm.configuration.proof_age(now)),
             list_age_ms: as_ms(
-                listed_at.map(|at| now.saturating_duration_since(at)),
+                list_read_at.map(|at| now.saturating_duration_since(at)),
             ),
             candidates: Vec::new(),
             queued_ms: 0,
@@ -288,7 +288,7 @@
                 let now = self.vm.clock.unix_ms();
                 let organisation = &template.organisation;
                 let session =
-                    self.vm.sessions.read(token, organisation, now)?;
+                    self.vm.sessions.verify(token, organisation, now)?;
                 Ok(SessionUse::Bound {
                     model: session.model,
                     version: session.version,
@@ -586,7 +586,7 @@
             priority: core.decision.priority,
             deadline: self.state.admitted.deadline,
         };
-        let pass = vm.gate.enter(&entry, room).await;
+        let pass = vm.queue.enter(&entry, room).await;
         let waited = vm.clock.now().saturating_duration_since(now);
         core.decision.queued_ms = waited.as_millis() as u64;
         pass
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -187,7 +187,7 @@
         let grace = vm.settings.stop_grace;
         vm.begin_stop();
         Event::Stopping.log(format_args!("{} in flight", vm.in_flight()));
-        Gossiper::tell_hall(&vm).await;
+        Gossiper::gossip_to_hall(&vm).await;
         task::sleep(NOTICE_TIME.min(grace)).await;
         callers.stopper().stop();
         let drain = grace.mul_f64(DRAIN_SHARE);
@@ -216,7 +216,7 @@
         while vm.in_flight() > 0 {
             task::sleep(LOOK).await;
         }
-        while vm.unsettled.count() > 0 {
+        while vm.pending_outcomes.count() > 0 {
             task::sleep(LOOK).await;
         }
     };
--- a/src/chains/claims.rs
+++ b/src/chains/claims.rs
@@ -12,7 +12,10 @@
 use smol::channel::{Receiver, Sender, bounded, unbounded};
 
 use crate::{
-    api::{membership::Life, silent::Silent, view::Peer, vm::Vm},
+    api::{
+        membership::Liveness, unresponsive::UnresponsiveVms, view::Peer,
+        vm::Vm,
+    },
     chains::{
         claim::{ClaimOutcome, ClaimRequest, ClaimVerdict, VmLife},
         slot::{HoldRequest, Slot, SlotPeers, redirect},
@@ -76,7 +79,7 @@
     slots: Mutex<HashMap<u32, SlotHandle>>,
     /// The VM that last gave a verdict for a slot.
     owners: Mutex<HashMap<u32, VmId>>,
-    silent: Silent,
+    unresponsive: UnresponsiveVms,
 }
 
 impl Claims {
@@ -123,7 +126,7 @@
         outcome: ClaimOutcome,
     ) {
         let vm = vm.clone();
-        vm.unsettled.begin();
+        vm.pending_outcomes.begin();
         task::spawn(async move {
             let mut pause = Duration::from_millis(100);
             for _ in 0..SETTLE_TRIES {
@@ -133,7 +136,7 @@
                 task::sleep(pause).await;
                 pause = (pause * 2).min(SETTLE_PAUSE_MOST);
             }
-            vm.unsettled.end();
+            vm.pending_outcomes.end();
         })
         .detach();
     }
@@ -228,7 +231,7 @@
                 self.settle_here(vm, claim, outcome).await
             } else {
                 let request = PeerRequest::Settle { claim, outcome };
-                let reply = vm.ask_peer(&candidate, request, ASK_LIMIT).await;
+                let reply = vm.call_peer(&candidate, request, ASK_LIMIT).await;
                 matches!(reply, Ok(PeerReply::Done))
             };
             if done {
@@ -264,7 +267,7 @@
             seen.push(vm.clone());
             new
         });
-        self.silent.put_last(&mut candidates, vm.clock.now());
+        self.unresponsive.deprioritize(&mut candidates, vm.clock.now());
         candidates
     }
 
@@ -283,7 +286,7 @@
             };
         }
         let message = PeerRequest::Claim(request.clone());
-        match vm.ask_peer(candidate, message, ASK_LIMIT).await {
+        match vm.call_peer(candidate, message, ASK_LIMIT).await {
             Ok(PeerReply::Verdict(verdict)) => Asked::Verdict(verdict),
             Ok(_) | Err(PeerError::NotSent(_)) => {
                 self.forget(slot, candidate);
@@ -291,7 +294,7 @@
             }
             Err(PeerError::Broken(_)) => {
                 self.forget(slot, candidate);
-                self.silent.note(candidate, vm.clock.now());
+                self.unresponsive.mark(candidate, vm.clock.now());
                 Asked::Broken
             }
         }
@@ -359,7 +362,7 @@
     let report: Arc<Mutex<SlotReport>> = Arc::default();
     let slot = Slot::new(
         number,
-        vm.life(),
+        vm.identity(),
         vm.settings.claims.clone(),
         vm.settings.requests.deadline * 2,
         vm.store.clone(),
@@ -461,18 +464,18 @@
 impl SlotPeers for VmPeers {
     async fn is_gone(&self, life: &VmLife) -> bool {
         let Some(vm) = self.0.upgrade() else { return false };
-        if *life == vm.life() {
+        if *life == vm.identity() {
             return false;
         }
         if life.vm == *vm.view.vm() {
             // An earlier life of this VM.
             return true;
         }
-        match vm.view.life(&life.vm) {
+        match vm.view.liveness(&life.vm) {
             Some((incarnation, _)) if incarnation > life.incarnation => true,
-            Some((_, Life::Dead | Life::Leaving)) => true,
-            Some((_, Life::Alive)) => false,
-            Some((_, Life::Suspected)) | None => {
+            Some((_, Liveness::Dead | Liveness::Leaving)) => true,
+            Some((_, Liveness::Alive)) => false,
+            Some((_, Liveness::Suspected)) | None => {
                 !is_reached(&vm, &life.vm).await
             }
         }
@@ -486,7 +489,7 @@
         let me = vm.view.vm().clone();
         let after = peers.iter().position(|peer| peer.vm > me).unwrap_or(0);
         let deputy = peers.get(after)?;
-        let (incarnation, _) = vm.view.life(&deputy.vm)?;
+        let (incarnation, _) = vm.view.liveness(&deputy.vm)?;
         Some(VmLife { vm: deputy.vm.clone(), incarnation })
     }
 
@@ -500,7 +503,7 @@
             first: request.first as u64,
             claims: request.claims,
         };
-        let reply = vm.ask_peer(&deputy.vm, message, HOLD_LIMIT).await;
+        let reply = vm.call_peer(&deputy.vm, message, HOLD_LIMIT).await;
         matches!(reply, Ok(PeerReply::Done))
     }
 }
@@ -508,7 +511,7 @@
 async fn is_reached(vm: &Arc<Vm>, other: &VmId) -> bool {
     let revision = vm.configuration.current().revision();
     let question = PeerRequest::Changes { after: revision };
-    vm.ask_peer(other, question, REACH_LIMIT).await.is_ok()
+    vm.call_peer(other, question, REACH_LIMIT).await.is_ok()
 }
 
 fn unavailable(reason: &str) -> ClaimVerdict {
--- a/src/chains/configuration_sync.rs
+++ b/src/chains/configuration_sync.rs
@@ -78,7 +78,7 @@
 
 /// Fetches changes from VMs that have told of a newer revision.
 pub(crate) async fn fetch_loop(vm: Arc<Vm>) {
-    while let Ok(from) = vm.newer_at.1.recv().await {
+    while let Ok(from) = vm.configuration_sources.1.recv().await {
         if let Some(peer) = vm.view.peer(&from) {
             let _ = fetch_from(&vm, &peer).await;
         }
@@ -117,7 +117,7 @@
     }
     apply(vm, &changes);
     vm.configuration.prove(sent_at);
-    vm.note_ready();
+    vm.mark_ready();
     Ok(())
 }
 
@@ -162,12 +162,12 @@
 fn in_force(vm: &Arc<Vm>, revision: Revision) {
     Event::ConfigurationInForce.log(format_args!("revision {revision}"));
     // Whichever way it came, there is a configuration to work by.
-    vm.note_ready();
+    vm.mark_ready();
     vm.guard.clear_withdrawn(&vm.configuration.current());
     let vm = vm.clone();
     // The rest of the hall should not wait for its watch or a round.
     task::spawn(async move {
-        crate::api::gossip::Gossiper::tell_hall(&vm).await;
+        crate::api::gossip::Gossiper::gossip_to_hall(&vm).await;
     })
     .detach();
 }
@@ -189,7 +189,7 @@
 async fn fetch_from(vm: &Arc<Vm>, peer: &Peer) -> bool {
     let after = vm.configuration.current().revision();
     let request = PeerRequest::Changes { after };
-    let asked = vm.peers.call(peer.address, request, ASK_LIMIT).await;
+    let asked = vm.peer_client.call(peer.address, request, ASK_LIMIT).await;
     match asked {
         Ok(PeerReply::Changes(changes)) => apply(vm, &changes),
         Ok(PeerReply::Snapshot(text)) => {
