--- a/src/crashes/end_check.rs
+++ b/src/crashes/end_check.rs
@@ -41,7 +41,7 @@
         gateway.crashes.note_lost(request, life, began_at, now);
     gateway.note_crash_changes(&changes);
     match next {
-        NextStep::Nothing => gateway.early_beat.wake(),
+        NextStep::Nothing => gateway.early_heartbeat.wake(),
         NextStep::Check if has_crashed => settle(gateway, member, request),
         NextStep::Check => {
             let (gateway, member) = (gateway.clone(), member.clone());
@@ -82,5 +82,5 @@
     let life = member.upstream.short;
     let changes = gateway.crashes.settle(life, Listening::No, now);
     gateway.note_crash_changes(&changes);
-    gateway.early_beat.wake();
+    gateway.early_heartbeat.wake();
 }
--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -81,7 +81,7 @@
         let regular = task::sleep(gateway.settings.beat.mul_f64(jitter));
         let early = async {
             task::sleep(BEAT_GAP).await;
-            gateway.early_beat.woken().await;
+            gateway.early_heartbeat.woken().await;
         };
         future::or(regular, early).await;
         send_beats(&gateway, &socket).await;
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -315,7 +315,7 @@
             self.gateway.pool.note_reading(expected);
         }
         if reading.is_some() && expected >= TOLD_READING {
-            self.gateway.early_beat.wake();
+            self.gateway.early_heartbeat.wake();
         }
         Ok(Attempt {
             _in_flight: member.upstream.begin(),
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -125,7 +125,7 @@
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) in_flight: InFlightCount,
     /// Has the next beat sent early.
-    pub(crate) early_beat: Wake,
+    pub(crate) early_heartbeat: Wake,
     pub(crate) incarnation: Incarnation,
     retries: Mutex<HashMap<ServiceId, Arc<RetryWindow>>>,
     store_ill_at: Mutex<Option<BootInstant>>,
@@ -162,7 +162,7 @@
             ),
             metrics,
             in_flight: InFlightCount::default(),
-            early_beat: Wake::default(),
+            early_heartbeat: Wake::default(),
             incarnation,
             retries: Mutex::default(),
             store_ill_at: Mutex::new(None),
@@ -398,7 +398,7 @@
         let changes = self.crashes.hear(told, source, now);
         self.note_crash_changes(&changes);
         if !changes.is_empty() {
-            self.early_beat.wake();
+            self.early_heartbeat.wake();
         }
     }
 
@@ -434,7 +434,7 @@
             member.note_unreachable(now);
         }
         if self.pool.note_verdict(member, verdict, now) {
-            self.early_beat.wake();
+            self.early_heartbeat.wake();
         }
         let change = member.health.record(verdict, now);
         let event = match change {
--- a/src/gateway/own_words.rs
+++ b/src/gateway/own_words.rs
@@ -65,7 +65,7 @@
                 details["per_s"] = rate.per_s().into();
                 // The own data hall is to hear it from this VM.
                 if !is_near {
-                    self.early_beat.wake();
+                    self.early_heartbeat.wake();
                 }
             }
             news.event().record(fields(details));
@@ -79,14 +79,14 @@
         let mut details = json!({ "upstream": life });
         match news {
             OwnNews::Leaving => {
-                self.early_beat.wake();
+                self.early_heartbeat.wake();
                 details["by"] = "answer".into();
             }
             OwnNews::Resting(time) => {
                 details["rest_ms"] = (time.as_millis() as u64).into();
             }
             OwnNews::Limited(rate) => {
-                self.early_beat.wake();
+                self.early_heartbeat.wake();
                 details["by"] = "answer".into();
                 details["per_s"] = rate.per_s().into();
             }
