--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -377,7 +377,7 @@
     });
     let all = Items { items: items.collect(), as_of: StoreVersion(as_of) };
     let news = gateway.knowledge.take_all(all);
-    gateway.take_news(news);
+    gateway.apply_news(news);
     let age = Duration::from_millis(proof_age_ms.into());
     if let Some(proven_at) = asked_at.checked_sub(age) {
         gateway.knowledge.prove(proven_at);
@@ -420,7 +420,7 @@
                 let changes = Items { items: items.collect(), as_of };
                 // Whether anything is missing shows in the next beat.
                 let news = self.knowledge.take_told(digest_before, changes);
-                self.take_news(news);
+                self.apply_news(news);
                 PeerReply::Done
             }
             PeerRequest::Look { from } => {
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -282,7 +282,7 @@
     }
 
     /// Takes in what the store says.
-    pub(crate) fn take_news(&self, news: News) {
+    pub(crate) fn apply_news(&self, news: News) {
         self.note_unreadable(&news.unreadable);
         for fact in news.facts {
             self.take_fact(fact);
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -108,7 +108,7 @@
         // A store that does not answer is met again when everything is read.
         let Ok(recorded) = recorded else { return false };
         for item in recorded.items {
-            gateway.take_news(gateway.knowledge.take_item(item));
+            gateway.apply_news(gateway.knowledge.take_item(item));
         }
         let readers = gateway.peers.readers();
         mesh::take_from_either(gateway, &readers).await
@@ -119,7 +119,7 @@
         let asked_at = gateway.clock.now();
         let all = gateway.store.read_all(EVERYTHING, recency).await?;
         let news = gateway.knowledge.take_all(all);
-        gateway.take_news(news);
+        gateway.apply_news(news);
         match recency {
             Recency::Current => {
                 gateway.knowledge.prove(asked_at);
@@ -298,7 +298,7 @@
 /// were asked for.
 fn take_in(gateway: &Gateway, changes: Items, asked_at: BootInstant) {
     let news = gateway.knowledge.take_changes(changes);
-    gateway.take_news(news);
+    gateway.apply_news(news);
     gateway.knowledge.prove(asked_at);
 }
 
@@ -308,7 +308,7 @@
     match gateway.store.read(document::CONFIGURATION_KEY).await? {
         Some(item) => {
             let news = gateway.knowledge.take_item(item);
-            gateway.take_news(news);
+            gateway.apply_news(news);
             gateway.knowledge.prove(asked_at);
         }
         None => task::sleep(RETRY_MOST).await,
