--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -233,7 +233,7 @@
     }
     hear_evidence(gateway, beat, is_near);
     let source = if is_near { Source::OwnHall } else { Source::OtherHall };
-    gateway.hear_sightings(&beat.sightings, source);
+    gateway.merge_sightings(&beat.sightings, source);
     if !knows_more {
         return;
     }
@@ -363,7 +363,7 @@
     else {
         return false;
     };
-    gateway.hear_sightings(&sightings, Source::Kept);
+    gateway.merge_sightings(&sightings, Source::Kept);
     if StoreVersion(as_of) <= gateway.knowledge.as_of() {
         return true;
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -379,7 +379,7 @@
             Fact::CrashingRequest(request, crashes) => {
                 let told: Vec<Sighting> =
                     Sighting::of_crashes(request, crashes).collect();
-                self.hear_sightings(&told, Source::Kept);
+                self.merge_sightings(&told, Source::Kept);
             }
             Fact::Peer(vm, record) => {
                 self.pool.add_vm(&vm, &record.data_hall);
@@ -393,7 +393,7 @@
     }
 
     /// Takes in what was seen elsewhere of requests and crashes.
-    pub(crate) fn hear_sightings(&self, told: &[Sighting], source: Source) {
+    pub(crate) fn merge_sightings(&self, told: &[Sighting], source: Source) {
         let now = self.clock.now();
         let changes = self.crashes.hear(told, source, now);
         self.note_crash_changes(&changes);
