--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -221,7 +221,7 @@
     gateway.pool.set_peer_work(&beat.vm, &beat.work, now);
     gateway.pool.hear_stated(&beat.stated, now);
     let is_near = beat.data_hall == gateway.settings.data_hall;
-    gateway.hear_leaving(&beat.vm, &beat.leaving_upstreams);
+    gateway.merge_leaving_upstreams(&beat.vm, &beat.leaving_upstreams);
     gateway.hear_limits(&beat.vm, &beat.rate_limits, is_near);
     if is_near {
         for unfit in gateway.pool.hear_failures(&beat.failures, now) {
