--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -222,7 +222,7 @@
     gateway.pool.hear_stated(&beat.stated, now);
     let is_near = beat.data_hall == gateway.settings.data_hall;
     gateway.merge_leaving_upstreams(&beat.vm, &beat.leaving_upstreams);
-    gateway.hear_limits(&beat.vm, &beat.rate_limits, is_near);
+    gateway.merge_rate_limits(&beat.vm, &beat.rate_limits, is_near);
     if is_near {
         for unfit in gateway.pool.hear_failures(&beat.failures, now) {
             Event::UpstreamUnfit.record(fields(json!({
--- a/src/gateway/own_words.rs
+++ b/src/gateway/own_words.rs
@@ -52,7 +52,7 @@
     }
 
     /// Takes in which rate limits another VM has told of.
-    pub(crate) fn hear_limits(
+    pub(crate) fn merge_rate_limits(
         &self,
         from: &str,
         told: &[ToldLimit],
