--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -160,8 +160,9 @@
     let peers = &gateway.peers;
     let now = gateway.clock.now();
     let number = peers.next_number(now);
-    let old =
-        |service: &_, target: &_| gateway.in_flight_at_old(service, target);
+    let old = |service: &_, target: &_| {
+        gateway.in_flight_at_other_versions(service, target)
+    };
     let age = gateway.knowledge.proof_age(now);
     VmBeat {
         vm: peers.vm().to_owned(),
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -446,7 +446,7 @@
     }
 
     /// This VM's requests at a service's upstreams of other versions.
-    pub(crate) fn in_flight_at_old(
+    pub(crate) fn in_flight_at_other_versions(
         &self,
         service: &ServiceId,
         target: &VersionId,
--- a/src/gateway/steward.rs
+++ b/src/gateway/steward.rs
@@ -78,8 +78,9 @@
 pub(crate) fn due(gateway: &Gateway, now: BootInstant) -> Vec<Due> {
     let own_proof = gateway.knowledge.proof_age(now);
     let is_steward = gateway.peers.is_steward(own_proof, now);
-    let old =
-        |service: &_, target: &_| gateway.in_flight_at_old(service, target);
+    let old = |service: &_, target: &_| {
+        gateway.in_flight_at_other_versions(service, target)
+    };
     let halls = gateway.peers.other_halls();
     let halls: Vec<ShortHash> =
         halls.iter().map(|hall| ShortHash::of(hall.as_str())).collect();
