--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -78,7 +78,8 @@
 pub(crate) async fn beat_loop(gateway: Arc<Gateway>, socket: UdpSocket) {
     loop {
         let jitter = 0.9 + 0.2 * rand::random::<f64>();
-        let regular = task::sleep(gateway.settings.beat.mul_f64(jitter));
+        let regular =
+            task::sleep(gateway.settings.heartbeat_interval.mul_f64(jitter));
         let early = async {
             task::sleep(BEAT_GAP).await;
             gateway.early_heartbeat.woken().await;
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -154,7 +154,7 @@
     /// Other VMs to begin with.
     pub seeds: Vec<SocketAddr>,
     /// Time between two beats.
-    pub beat: Duration,
+    pub heartbeat_interval: Duration,
     /// Time after which a key that was taken away must be refused.
     pub revoke: Duration,
     /// Whether every key is refused once it cannot be known any more which
@@ -207,7 +207,7 @@
     let store = r.value("platform", "store");
     let watch_wait = r.millis("platform", "watch_ms");
     let seeds = read_seeds(r, peers);
-    let beat = r.millis("peers", "beat_ms");
+    let heartbeat_interval = r.millis("peers", "beat_ms");
     let revoke = r.millis("keys", "revoke_ms");
     let fail_closed = r.value("keys", "fail_closed");
     let retries = read_retries(r);
@@ -227,7 +227,7 @@
         store: store?,
         watch_wait: watch_wait?,
         seeds: seeds?,
-        beat: beat?,
+        heartbeat_interval: heartbeat_interval?,
         revoke: revoke?,
         fail_closed: fail_closed?,
         retries: retries?,
