--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -208,12 +208,16 @@
         }
         let now = self.clock.now();
         let proof_age = self.knowledge.proof_age(now);
-        self.peers.watch_role(proof_age, self.settings.revoke, now)
+        self.peers.watch_role(
+            proof_age,
+            self.settings.key_revocation_limit,
+            now,
+        )
     }
 
     /// Whether what is known is recent enough to accept keys by.
     pub(crate) fn is_fresh(&self, now: BootInstant) -> bool {
-        let limit = self.settings.revoke.mul_f64(KEY_PROOF_PART);
+        let limit = self.settings.key_revocation_limit.mul_f64(KEY_PROOF_PART);
         let age = self.knowledge.proof_age(now);
         age.is_some_and(|age| age <= limit)
     }
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -156,7 +156,7 @@
     /// Time between two beats.
     pub heartbeat_interval: Duration,
     /// Time after which a key that was taken away must be refused.
-    pub revoke: Duration,
+    pub key_revocation_limit: Duration,
     /// Whether every key is refused once it cannot be known any more which
     /// ones were taken away.
     pub fail_closed: bool,
@@ -208,7 +208,7 @@
     let watch_wait = r.millis("platform", "watch_ms");
     let seeds = read_seeds(r, peers);
     let heartbeat_interval = r.millis("peers", "beat_ms");
-    let revoke = r.millis("keys", "revoke_ms");
+    let key_revocation_limit = r.millis("keys", "revoke_ms");
     let fail_closed = r.value("keys", "fail_closed");
     let retries = read_retries(r);
     let warm_up_slack = read_warm_up_slack(r);
@@ -228,7 +228,7 @@
         watch_wait: watch_wait?,
         seeds: seeds?,
         heartbeat_interval: heartbeat_interval?,
-        revoke: revoke?,
+        key_revocation_limit: key_revocation_limit?,
         fail_closed: fail_closed?,
         retries: retries?,
         warm_up_slack: warm_up_slack?,
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -243,7 +243,7 @@
             false => PROVE_PART_OTHERS,
         };
         let part = least + PROVE_SPREAD * rand::random::<f64>();
-        let patience = gateway.settings.revoke.mul_f64(part);
+        let patience = gateway.settings.key_revocation_limit.mul_f64(part);
         let age = gateway.knowledge.proof_age(now);
         match age {
             // The first proof comes with the first read of everything.
