--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -168,7 +168,7 @@
     VmBeat {
         vm: peers.vm().to_owned(),
         data_hall: gateway.settings.data_hall.clone(),
-        link_mbps: gateway.settings.link,
+        link_mbps: gateway.settings.link_rate,
         peers: gateway.settings.peers,
         incarnation: gateway.incarnation,
         number,
--- a/src/facts/peers.rs
+++ b/src/facts/peers.rs
@@ -242,7 +242,7 @@
         let seeds = settings.seeds.iter().copied();
         Peers {
             vm: settings.vm.to_string(),
-            place: Place::of(settings.vm.as_str(), settings.link),
+            place: Place::of(settings.vm.as_str(), settings.link_rate),
             data_hall: settings.data_hall.clone(),
             seed_place: settings.seeds.iter().position(|seed| *seed == own),
             seeds: seeds.filter(|seed| *seed != own).collect(),
--- a/src/gateway/record.rs
+++ b/src/gateway/record.rs
@@ -180,7 +180,7 @@
     let record = PeerRecord {
         peers: settings.peers,
         data_hall: settings.data_hall.clone(),
-        link_mbps: settings.link,
+        link_mbps: settings.link_rate,
     };
     new_value(gateway, settings.vm.as_str(), &record)
 }
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -136,7 +136,7 @@
     /// Its data hall.
     pub data_hall: DataHallId,
     /// The rate of its network link.
-    pub link: Mbps,
+    pub link_rate: Mbps,
     /// Where callers connect.
     pub callers: SocketAddr,
     /// Where the platform asks whether it is ready.
@@ -198,7 +198,7 @@
     // hide the next.
     let vm = r.value("vm", "id");
     let data_hall = r.value("vm", "data_hall");
-    let link = r.value("vm", "link_mbps");
+    let link_rate = r.value("vm", "link_mbps");
     let callers = r.value("listen", "callers");
     let readiness = r.value("listen", "readiness");
     let peers: Option<SocketAddr> = r.value("listen", "peers");
@@ -218,7 +218,7 @@
     Some(GatewaySettings {
         vm: vm?,
         data_hall: data_hall?,
-        link: link?,
+        link_rate: link_rate?,
         callers: callers?,
         readiness: readiness?,
         peers: peers?,
--- a/src/gateway/tests.rs
+++ b/src/gateway/tests.rs
@@ -41,7 +41,7 @@
 fn the_rate_of_the_link_is_read_and_may_be_unknown() {
     let link = |text: &str| {
         let settings = SETTINGS.replace("data_hall", text);
-        GatewaySettings::from_ini(&settings).map(|settings| settings.link)
+        GatewaySettings::from_ini(&settings).map(|settings| settings.link_rate)
     };
     assert_eq!(link("data_hall"), Ok(Mbps(0)));
     assert_eq!(link("link_mbps = 20.0\ndata_hall"), Ok(Mbps(20)));
