--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -169,7 +169,7 @@
         vm: peers.vm().to_owned(),
         data_hall: gateway.settings.data_hall.clone(),
         link_mbps: gateway.settings.link_rate,
-        peers: gateway.settings.peers,
+        peers: gateway.settings.peer_address,
         incarnation: gateway.incarnation,
         number,
         echo: None,
@@ -277,7 +277,7 @@
     if changes.items.is_empty() {
         return;
     }
-    let own = gateway.settings.peers;
+    let own = gateway.settings.peer_address;
     let request = news(digest_before, changes, own);
     for address in gateway.peers.told(gateway.clock.now()) {
         let request = request.clone();
--- a/src/facts/peers.rs
+++ b/src/facts/peers.rs
@@ -238,7 +238,7 @@
         now: BootInstant,
     ) -> Peers {
         let codec = FrameCodec::new(&settings.cluster_key);
-        let own = settings.peers;
+        let own = settings.peer_address;
         let seeds = settings.seeds.iter().copied();
         Peers {
             vm: settings.vm.to_string(),
--- a/src/gateway/record.rs
+++ b/src/gateway/record.rs
@@ -178,7 +178,7 @@
 fn own_record(gateway: &Gateway) -> NewValue {
     let settings = &gateway.settings;
     let record = PeerRecord {
-        peers: settings.peers,
+        peers: settings.peer_address,
         data_hall: settings.data_hall.clone(),
         link_mbps: settings.link_rate,
     };
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -63,8 +63,8 @@
     let callers = bind(settings.callers).await?;
     let readiness = bind(settings.readiness).await?;
     let metrics = bind(settings.metrics).await?;
-    let streams = bind(settings.peers).await?;
-    let datagrams = UdpSocket::bind(settings.peers).await?;
+    let streams = bind(settings.peer_address).await?;
+    let datagrams = UdpSocket::bind(settings.peer_address).await?;
     let gateway = Gateway::new(settings, Arc::new(SystemClock));
     let (close, closing) = smol::channel::bounded::<()>(1);
     let tasks = [
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -142,7 +142,7 @@
     /// Where the platform asks whether it is ready.
     pub readiness: SocketAddr,
     /// Where other VMs connect and send.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Where metrics are served.
     pub metrics: SocketAddr,
     /// The secret of the fleet.
@@ -201,12 +201,12 @@
     let link_rate = r.value("vm", "link_mbps");
     let callers = r.value("listen", "callers");
     let readiness = r.value("listen", "readiness");
-    let peers: Option<SocketAddr> = r.value("listen", "peers");
+    let peer_address: Option<SocketAddr> = r.value("listen", "peers");
     let metrics = r.value("listen", "metrics");
     let cluster_key = r.value("cluster", "key");
     let store = r.value("platform", "store");
     let watch_wait = r.millis("platform", "watch_ms");
-    let seeds = read_seeds(r, peers);
+    let seeds = read_seeds(r, peer_address);
     let heartbeat_interval = r.millis("peers", "beat_ms");
     let key_revocation_limit = r.millis("keys", "revoke_ms");
     let fail_closed = r.value("keys", "fail_closed");
@@ -221,7 +221,7 @@
         link_rate: link_rate?,
         callers: callers?,
         readiness: readiness?,
-        peers: peers?,
+        peer_address: peer_address?,
         metrics: metrics?,
         cluster_key: cluster_key?,
         store: store?,
--- a/src/gateway/wake_tests.rs
+++ b/src/gateway/wake_tests.rs
@@ -102,7 +102,7 @@
         Act::Hear => {
             let mut round = Round::new(&fleet.vms[OTHER]);
             while let Some((address, beat)) = round.next_beat() {
-                if address == gateway.settings.peers {
+                if address == gateway.settings.peer_address {
                     mesh::hear(gateway, beat);
                 }
             }
--- a/tests/deploy.rs
+++ b/tests/deploy.rs
@@ -49,7 +49,7 @@
     let text = rendered("10.1.0.40:8229,10.2.0.29:8229");
     let settings = GatewaySettings::from_ini(&text).expect("no fault");
     assert_eq!(settings.vm.as_str(), "edge-plateau-1");
-    assert_eq!(settings.peers.to_string(), "10.1.0.40:7340");
+    assert_eq!(settings.peer_address.to_string(), "10.1.0.40:7340");
     assert_eq!(settings.link_rate, Mbps(20));
     let seeds: Vec<String> =
         settings.seeds.iter().map(ToString::to_string).collect();
