--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -150,7 +150,7 @@
                 settings.data_hall.clone(),
                 settings.warm_up_slack,
             ),
-            rollouts: Rollouts::new(settings.session_time),
+            rollouts: Rollouts::new(settings.session_timeout),
             crashes: CrashRecord::default(),
             read_times: ReadTimes::default(),
             service_times: ServiceTimes::default(),
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -166,7 +166,7 @@
     pub warm_up_slack: WarmUpSlack,
     /// Time after the end of a request in which the next one belongs to the
     /// same session.
-    pub session_time: Duration,
+    pub session_timeout: Duration,
     /// Longest planned stop.
     pub grace: Duration,
     /// The least severe level that is logged.
--- a/tests/deploy.rs
+++ b/tests/deploy.rs
@@ -72,7 +72,7 @@
     let text = rendered("");
     let session_time = |text: &str| {
         let settings = GatewaySettings::from_ini(text).expect("no fault");
-        settings.session_time
+        settings.session_timeout
     };
     assert_eq!(session_time(&text), Duration::from_millis(8_500));
     let unsaid = text.replace("session_s = 8.5", "session_s = ");
