--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -123,7 +123,8 @@
     close: smol::channel::Sender<()>,
 ) {
     let began_at = gateway.clock.now();
-    let ends_at = began_at + gateway.settings.grace.saturating_sub(END_TIME);
+    let ends_at =
+        began_at + gateway.settings.stop_grace.saturating_sub(END_TIME);
     gateway.begin_stop();
     let in_flight = gateway.in_flight.count();
     Event::Stopping.record(fields(json!({ "in_flight": in_flight })));
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -168,7 +168,7 @@
     /// same session.
     pub session_timeout: Duration,
     /// Longest planned stop.
-    pub grace: Duration,
+    pub stop_grace: Duration,
     /// The least severe level that is logged.
     pub log_level: log::LevelFilter,
 }
@@ -213,7 +213,7 @@
     let retries = read_retries(r);
     let warm_up_slack = read_warm_up_slack(r);
     let session_s = r.number("rollouts", "session_s", 0.1, 3600.0);
-    let grace = r.seconds("stop", "grace_s");
+    let stop_grace = r.seconds("stop", "grace_s");
     let log_level = r.value("log", "level");
     Some(GatewaySettings {
         vm: vm?,
@@ -233,7 +233,7 @@
         retries: retries?,
         warm_up_slack: warm_up_slack?,
         session_time: Duration::from_secs_f64(session_s?),
-        grace: grace?,
+        stop_grace: stop_grace?,
         log_level: log_level?,
     })
 }
