--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -150,7 +150,7 @@
     /// The platform's store.
     pub store: SocketAddr,
     /// Longest wait of one watch.
-    pub watch_wait: Duration,
+    pub watch_timeout: Duration,
     /// Other VMs to begin with.
     pub seeds: Vec<SocketAddr>,
     /// Time between two beats.
@@ -225,7 +225,7 @@
         metrics: metrics?,
         cluster_key: cluster_key?,
         store: store?,
-        watch_wait: watch_wait?,
+        watch_timeout: watch_timeout?,
         seeds: seeds?,
         heartbeat_interval: heartbeat_interval?,
         key_revocation_limit: key_revocation_limit?,
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -162,7 +162,7 @@
             }
             let asked_at = gateway.clock.now();
             let since = gateway.knowledge.as_of();
-            let wait = gateway.settings.watch_wait;
+            let wait = gateway.settings.watch_timeout;
             match gateway.store.watch(EVERYTHING, since, wait).await {
                 Ok(Watched::Changes(changes)) => {
                     let digest = gateway.knowledge.digest();
