--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -244,7 +244,7 @@
     /// The retry budget of a service.
     fn retries(&self, service: &ServiceId) -> Arc<RetryWindow> {
         let now = self.clock.now();
-        let bound = self.settings.retries;
+        let bound = self.settings.retry_bound;
         let mut retries = self.retries.lock().expect("retries lock");
         let window = retries
             .entry(service.clone())
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -161,7 +161,7 @@
     /// ones were taken away.
     pub fail_closed: bool,
     /// How many attempts beyond the first are allowed.
-    pub retries: RetryBound,
+    pub retry_bound: RetryBound,
     /// What upstreams that are cold may have beyond what they bear.
     pub warm_up_slack: WarmUpSlack,
     /// Time after the end of a request in which the next one belongs to the
@@ -205,12 +205,12 @@
     let metrics = r.value("listen", "metrics");
     let cluster_key = r.value("cluster", "key");
     let store = r.value("platform", "store");
-    let watch_wait = r.millis("platform", "watch_ms");
+    let watch_timeout = r.millis("platform", "watch_ms");
     let seeds = read_seeds(r, peer_address);
     let heartbeat_interval = r.millis("peers", "beat_ms");
     let key_revocation_limit = r.millis("keys", "revoke_ms");
     let fail_closed = r.value("keys", "fail_closed");
-    let retries = read_retries(r);
+    let retry_bound = read_retries(r);
     let warm_up_slack = read_warm_up_slack(r);
     let session_s = r.number("rollouts", "session_s", 0.1, 3600.0);
     let stop_grace = r.seconds("stop", "grace_s");
@@ -230,9 +230,9 @@
         heartbeat_interval: heartbeat_interval?,
         key_revocation_limit: key_revocation_limit?,
         fail_closed: fail_closed?,
-        retries: retries?,
+        retry_bound: retry_bound?,
         warm_up_slack: warm_up_slack?,
-        session_time: Duration::from_secs_f64(session_s?),
+        session_timeout: Duration::from_secs_f64(session_s?),
         stop_grace: stop_grace?,
         log_level: log_level?,
     })
