--- a/src/facts/knowledge.rs
+++ b/src/facts/knowledge.rs
@@ -29,7 +29,7 @@
     placing::member::UpstreamEntry,
     platform::{
         document,
-        store::{Item, Items},
+        store::{Items, StoreItem},
     },
     rendezvous,
     rollouts::rollout::{Order, Status},
@@ -225,7 +225,7 @@
     }
 
     /// Takes in one value that was read.
-    pub fn take_item(&self, item: Item) -> News {
+    pub fn take_item(&self, item: StoreItem) -> News {
         let mut mirror = self.mirror.lock().expect("mirror lock");
         let mut news = News::default();
         mirror.take(item, &mut news);
@@ -276,7 +276,7 @@
             .collect();
         for key in gone {
             let version = all.as_of;
-            mirror.take(Item { key, value: None, version }, &mut news);
+            mirror.take(StoreItem { key, value: None, version }, &mut news);
         }
         for item in all.items {
             mirror.take(item, &mut news);
@@ -307,7 +307,7 @@
     }
 
     /// Whether an item changes what is known.
-    fn is_new(&self, item: &Item) -> bool {
+    fn is_new(&self, item: &StoreItem) -> bool {
         let held = self.items.get(&item.key);
         match (&item.value, held) {
             (_, Some((_, version))) => item.version > *version,
@@ -319,7 +319,7 @@
         }
     }
 
-    fn take(&mut self, item: Item, news: &mut News) {
+    fn take(&mut self, item: StoreItem, news: &mut News) {
         if !self.is_new(&item) {
             return;
         }
--- a/src/facts/knowledge/tests.rs
+++ b/src/facts/knowledge/tests.rs
@@ -14,11 +14,11 @@
     .into_bytes()
 }
 
-fn item(key: &str, value: Option<Vec<u8>>, version: u64) -> Item {
-    Item { key: key.to_owned(), value, version: StoreVersion(version) }
+fn item(key: &str, value: Option<Vec<u8>>, version: u64) -> StoreItem {
+    StoreItem { key: key.to_owned(), value, version: StoreVersion(version) }
 }
 
-fn items(items: Vec<Item>, as_of: u64) -> Items {
+fn items(items: Vec<StoreItem>, as_of: u64) -> Items {
     Items { items, as_of: StoreVersion(as_of) }
 }
 
--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -24,7 +24,7 @@
     message::{PeerReply, PeerRequest, ShortHash, ToldLimit, VmBeat},
     metrics::Metrics,
     peer::PeerService,
-    platform::store::{Item, Items},
+    platform::store::{Items, StoreItem},
     rollouts::{evidence::HallEvidence, told::Way},
     task,
 };
@@ -293,7 +293,7 @@
 }
 
 fn news(digest_before: u64, changes: &Items, own: SocketAddr) -> PeerRequest {
-    let bytes = |item: &Item| item.value.as_ref().map_or(0, Vec::len);
+    let bytes = |item: &StoreItem| item.value.as_ref().map_or(0, Vec::len);
     if changes.items.iter().any(|item| bytes(item) > TOLD_BYTES) {
         return PeerRequest::Look { from: own };
     }
@@ -372,7 +372,7 @@
     let Some(items) = knowledge_pack::unpack(&packed) else {
         return false;
     };
-    let items = items.into_iter().map(|item| Item {
+    let items = items.into_iter().map(|item| StoreItem {
         key: item.key,
         value: Some(item.value),
         version: StoreVersion(item.version),
@@ -413,7 +413,7 @@
                 }
             }
             PeerRequest::News { digest_before, as_of, items } => {
-                let items = items.into_iter().map(|item| Item {
+                let items = items.into_iter().map(|item| StoreItem {
                     key: item.key,
                     value: item.value,
                     version: StoreVersion(item.version),
