--- a/src/facts/knowledge.rs
+++ b/src/facts/knowledge.rs
@@ -29,7 +29,7 @@
     placing::member::UpstreamEntry,
     platform::{
         document,
-        store::{Items, StoreItem},
+        store::{StoreItem, StoreItems},
     },
     rendezvous,
     rollouts::rollout::{Order, Status},
@@ -233,13 +233,13 @@
     }
 
     /// Whether any of these changes is new.
-    pub fn lacks_any(&self, changes: &Items) -> bool {
+    pub fn lacks_any(&self, changes: &StoreItems) -> bool {
         let mirror = self.mirror.lock().expect("mirror lock");
         changes.items.iter().any(|item| mirror.is_new(item))
     }
 
     /// Takes in changes that a watch brought.
-    pub fn take_changes(&self, changes: Items) -> News {
+    pub fn take_changes(&self, changes: StoreItems) -> News {
         self.mirror.lock().expect("mirror lock").take_changes(changes)
     }
 
@@ -248,19 +248,19 @@
     /// They may be known already in part, and something may be missing
     /// between them and what is known; only if neither is so does this VM
     /// know everything up to their version of the store afterwards.
-    pub fn take_told(&self, digest_before: u64, changes: Items) -> News {
+    pub fn take_told(&self, digest_before: u64, changes: StoreItems) -> News {
         let mut mirror = self.mirror.lock().expect("mirror lock");
         let as_of = match mirror.digest == digest_before {
             true => changes.as_of,
             false => mirror.as_of,
         };
-        mirror.take_changes(Items { items: changes.items, as_of })
+        mirror.take_changes(StoreItems { items: changes.items, as_of })
     }
 
     /// Takes in everything there is; what is not among it is gone.
     ///
     /// Nothing happens when it is older than what is known.
-    pub fn take_all(&self, all: Items) -> News {
+    pub fn take_all(&self, all: StoreItems) -> News {
         let mut mirror = self.mirror.lock().expect("mirror lock");
         let mut news = News::default();
         if all.as_of < mirror.as_of {
@@ -297,7 +297,7 @@
         items.collect()
     }
 
-    fn take_changes(&mut self, changes: Items) -> News {
+    fn take_changes(&mut self, changes: StoreItems) -> News {
         let mut news = News::default();
         for item in changes.items {
             self.take(item, &mut news);
--- a/src/facts/knowledge/tests.rs
+++ b/src/facts/knowledge/tests.rs
@@ -18,8 +18,8 @@
     StoreItem { key: key.to_owned(), value, version: StoreVersion(version) }
 }
 
-fn items(items: Vec<StoreItem>, as_of: u64) -> Items {
-    Items { items, as_of: StoreVersion(as_of) }
+fn items(items: Vec<StoreItem>, as_of: u64) -> StoreItems {
+    StoreItems { items, as_of: StoreVersion(as_of) }
 }
 
 fn install(knowledge: &Knowledge, news: News) -> usize {
@@ -96,14 +96,14 @@
         .expect("it was packed here")
         .into_iter()
         .map(|held| item(&held.key, Some(held.value), held.version));
-    other.take_all(Items { items: all.collect(), as_of });
+    other.take_all(StoreItems { items: all.collect(), as_of });
     assert_eq!(one.digest(), other.digest());
 }
 
 #[test]
 fn changes_told_twice_or_with_a_gap_are_taken_in_by_their_versions() {
     let knowledge = Knowledge::default();
-    let tell = |digest, items: Items| {
+    let tell = |digest, items: StoreItems| {
         knowledge.take_told(digest, items);
     };
     let one = items(vec![item("x", Some(vec![1]), 1)], 10);
--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -24,7 +24,7 @@
     message::{PeerReply, PeerRequest, ShortHash, ToldLimit, VmBeat},
     metrics::Metrics,
     peer::PeerService,
-    platform::store::{Items, StoreItem},
+    platform::store::{StoreItem, StoreItems},
     rollouts::{evidence::HallEvidence, told::Way},
     task,
 };
@@ -272,7 +272,7 @@
 pub(crate) fn tell_news(
     gateway: &Arc<Gateway>,
     digest_before: u64,
-    changes: &Items,
+    changes: &StoreItems,
 ) {
     if changes.items.is_empty() {
         return;
@@ -292,7 +292,11 @@
     }
 }
 
-fn news(digest_before: u64, changes: &Items, own: SocketAddr) -> PeerRequest {
+fn news(
+    digest_before: u64,
+    changes: &StoreItems,
+    own: SocketAddr,
+) -> PeerRequest {
     let bytes = |item: &StoreItem| item.value.as_ref().map_or(0, Vec::len);
     if changes.items.iter().any(|item| bytes(item) > TOLD_BYTES) {
         return PeerRequest::Look { from: own };
@@ -377,7 +381,8 @@
         value: Some(item.value),
         version: StoreVersion(item.version),
     });
-    let all = Items { items: items.collect(), as_of: StoreVersion(as_of) };
+    let all =
+        StoreItems { items: items.collect(), as_of: StoreVersion(as_of) };
     let news = gateway.knowledge.take_all(all);
     gateway.apply_news(news);
     let age = Duration::from_millis(proof_age_ms.into());
@@ -419,7 +424,7 @@
                     version: StoreVersion(item.version),
                 });
                 let as_of = StoreVersion(as_of);
-                let changes = Items { items: items.collect(), as_of };
+                let changes = StoreItems { items: items.collect(), as_of };
                 // Whether anything is missing shows in the next beat.
                 let news = self.knowledge.take_told(digest_before, changes);
                 self.apply_news(news);
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -12,7 +12,7 @@
     gateway::{Gateway, fields},
     platform::{
         document::{self, EVERYTHING},
-        store::{Items, Recency, Watched},
+        store::{Recency, StoreItems, Watched},
     },
     task,
 };
@@ -296,7 +296,7 @@
 
 /// Takes in all changes since what is known, which is current as of when they
 /// were asked for.
-fn take_in(gateway: &Gateway, changes: Items, asked_at: BootInstant) {
+fn take_in(gateway: &Gateway, changes: StoreItems, asked_at: BootInstant) {
     let news = gateway.knowledge.take_changes(changes);
     gateway.apply_news(news);
     gateway.knowledge.prove(asked_at);
