--- a/src/crashes/keeping.rs
+++ b/src/crashes/keeping.rs
@@ -16,7 +16,7 @@
     gateway::{Gateway, fields},
     platform::{
         document,
-        store::{Committed, NewValue, WRITES_MOST},
+        store::{Committed, ConditionalWrite, WRITES_MOST},
     },
     task,
 };
@@ -57,7 +57,7 @@
 }
 
 /// What this VM is to write: nothing, unless it is the steward.
-fn due(gateway: &Gateway, now: BootInstant) -> Vec<NewValue> {
+fn due(gateway: &Gateway, now: BootInstant) -> Vec<ConditionalWrite> {
     if !gateway.crashes.holds_any() {
         return Vec::new();
     }
@@ -72,14 +72,14 @@
             return None;
         }
         let value = document::write_crashes(&crashes);
-        Some(NewValue { key, value, expected: None })
+        Some(ConditionalWrite { key, value, expected: None })
     });
     missing.take(WRITES_MOST).collect()
 }
 
 async fn write(
     gateway: &Gateway,
-    values: &[NewValue],
+    values: &[ConditionalWrite],
 ) -> Result<Committed, StoreError> {
     let store = &gateway.store;
     let lease = store.take_lease(REMEMBERED).await?;
--- a/src/gateway/record.rs
+++ b/src/gateway/record.rs
@@ -18,7 +18,7 @@
     gateway::{Gateway, fields},
     platform::{
         document,
-        store::{Committed, NewValue, WRITES_MOST},
+        store::{Committed, ConditionalWrite, WRITES_MOST},
     },
     task,
 };
@@ -119,7 +119,7 @@
     }
 
     /// The records that this VM has to write.
-    fn due(&mut self, now: BootInstant) -> Vec<NewValue> {
+    fn due(&mut self, now: BootInstant) -> Vec<ConditionalWrite> {
         let gateway = &self.gateway;
         let peers = &gateway.peers;
         let age = now.saturating_duration_since(self.started_at);
@@ -145,7 +145,7 @@
 
     async fn write(
         &mut self,
-        records: &[NewValue],
+        records: &[ConditionalWrite],
         now: BootInstant,
     ) -> Result<(), StoreError> {
         let store = &self.gateway.store;
@@ -175,7 +175,7 @@
     }
 }
 
-fn own_record(gateway: &Gateway) -> NewValue {
+fn own_record(gateway: &Gateway) -> ConditionalWrite {
     let settings = &gateway.settings;
     let record = PeerRecord {
         peers: settings.peer_address,
@@ -185,9 +185,13 @@
     new_value(gateway, settings.vm.as_str(), &record)
 }
 
-fn new_value(gateway: &Gateway, vm: &str, record: &PeerRecord) -> NewValue {
+fn new_value(
+    gateway: &Gateway,
+    vm: &str,
+    record: &PeerRecord,
+) -> ConditionalWrite {
     let key = document::peer_key(&record.data_hall, vm);
-    NewValue {
+    ConditionalWrite {
         expected: gateway.knowledge.version_of(&key),
         value: document::write_peer(record),
         key,
--- a/src/gateway/steward.rs
+++ b/src/gateway/steward.rs
@@ -17,7 +17,7 @@
     message::ShortHash,
     platform::{
         document,
-        store::{Committed, NewValue},
+        store::{Committed, ConditionalWrite},
     },
     rollouts::{
         registry::Due,
@@ -101,7 +101,7 @@
         return Ok(());
     }
     let value = document::write_status(&due.service, &due.status);
-    let state = NewValue { key, value, expected };
+    let state = ConditionalWrite { key, value, expected };
     let store = &gateway.store;
     if let Committed::Done(version) = store.write_all(&[state], None).await? {
         gateway.rollouts.set_status(&due.service, &due.status);
