--- a/src/crashes/keeping.rs
+++ b/src/crashes/keeping.rs
@@ -16,7 +16,7 @@
     gateway::{Gateway, fields},
     platform::{
         document,
-        store::{Committed, ConditionalWrite, WRITES_MOST},
+        store::{ConditionalWrite, WRITES_MOST, WriteOutcome},
     },
     task,
 };
@@ -40,9 +40,9 @@
             continue;
         }
         match write(&gateway, &due).await {
-            Ok(Committed::Done(_)) => backoff.reset(),
+            Ok(WriteOutcome::Committed(_)) => backoff.reset(),
             // Another VM has written it, which this one is to hear of first.
-            Ok(Committed::Refused | Committed::LeaseOver) => {
+            Ok(WriteOutcome::Conflict | WriteOutcome::LeaseExpired) => {
                 task::sleep(backoff.wait()).await;
             }
             Err(error) => {
@@ -80,7 +80,7 @@
 async fn write(
     gateway: &Gateway,
     values: &[ConditionalWrite],
-) -> Result<Committed, StoreError> {
+) -> Result<WriteOutcome, StoreError> {
     let store = &gateway.store;
     let lease = store.take_lease(REMEMBERED).await?;
     let written = store.write_all(values, Some(lease)).await?;
--- a/src/gateway/record.rs
+++ b/src/gateway/record.rs
@@ -18,7 +18,7 @@
     gateway::{Gateway, fields},
     platform::{
         document,
-        store::{Committed, ConditionalWrite, WRITES_MOST},
+        store::{ConditionalWrite, WRITES_MOST, WriteOutcome},
     },
     task,
 };
@@ -158,16 +158,16 @@
             }
         };
         match store.write_all(records, Some(lease)).await? {
-            Committed::Done(_) => {
+            WriteOutcome::Committed(_) => {
                 self.gateway.peers.look();
                 Ok(())
             }
             // What this VM knows of a record is behind the store.
-            Committed::Refused => {
+            WriteOutcome::Conflict => {
                 self.gateway.peers.look();
                 Err(StoreError::NotDone("a record has changed".to_owned()))
             }
-            Committed::LeaseOver => {
+            WriteOutcome::LeaseExpired => {
                 self.lease = None;
                 Err(StoreError::NotDone("the lease is over".to_owned()))
             }
--- a/src/gateway/steward.rs
+++ b/src/gateway/steward.rs
@@ -17,7 +17,7 @@
     message::ShortHash,
     platform::{
         document,
-        store::{Committed, ConditionalWrite},
+        store::{ConditionalWrite, WriteOutcome},
     },
     rollouts::{
         registry::Due,
@@ -103,7 +103,9 @@
     let value = document::write_status(&due.service, &due.status);
     let state = ConditionalWrite { key, value, expected };
     let store = &gateway.store;
-    if let Committed::Done(version) = store.write_all(&[state], None).await? {
+    if let WriteOutcome::Committed(version) =
+        store.write_all(&[state], None).await?
+    {
         gateway.rollouts.set_status(&due.service, &due.status);
         Event::RolloutRecorded.record(fields(json!({
             "service": due.service,
