--- a/src/crashes/keeping.rs
+++ b/src/crashes/keeping.rs
@@ -16,7 +16,7 @@
     gateway::{Gateway, fields},
     platform::{
         document,
-        store::{ConditionalWrite, WRITES_MOST, WriteOutcome},
+        store::{ConditionalWrite, MAX_WRITES, WriteOutcome},
     },
     task,
 };
@@ -74,7 +74,7 @@
         let value = document::write_crashes(&crashes);
         Some(ConditionalWrite { key, value, expected: None })
     });
-    missing.take(WRITES_MOST).collect()
+    missing.take(MAX_WRITES).collect()
 }
 
 async fn write(
--- a/src/gateway/record.rs
+++ b/src/gateway/record.rs
@@ -18,7 +18,7 @@
     gateway::{Gateway, fields},
     platform::{
         document,
-        store::{ConditionalWrite, WRITES_MOST, WriteOutcome},
+        store::{ConditionalWrite, MAX_WRITES, WriteOutcome},
     },
     task,
 };
@@ -100,7 +100,7 @@
         let now = self.gateway.clock.now();
         self.renew(now).await?;
         let due = self.due(now);
-        for records in due.chunks(WRITES_MOST) {
+        for records in due.chunks(MAX_WRITES) {
             self.write(records, now).await?;
         }
         Ok(())
