--- a/src/facts/knowledge.rs
+++ b/src/facts/knowledge.rs
@@ -333,7 +333,7 @@
             return;
         };
         self.digest ^= digest(&item.key, item.version);
-        let held = match document::read_fact(&item.key, &value) {
+        let held = match document::decode_fact(&item.key, &value) {
             Ok(fact) => {
                 news.facts.extend(fact);
                 value
