--- a/src/facts/knowledge.rs
+++ b/src/facts/knowledge.rs
@@ -328,7 +328,7 @@
         }
         let Some(value) = item.value else {
             if self.items.remove(&item.key).is_some() {
-                news.facts.extend(document::read_removal(&item.key));
+                news.facts.extend(document::removal_fact(&item.key));
             }
             return;
         };
