--- a/src/facts/knowledge.rs
+++ b/src/facts/knowledge.rs
@@ -339,7 +339,7 @@
                 value
             }
             Err(error) => {
-                news.facts.extend(document::read_unreadable(&item.key));
+                news.facts.extend(document::unreadable_fact(&item.key));
                 news.unreadable.push(Unreadable {
                     key: item.key.clone(),
                     reason: error.to_string(),
