--- a/src/crashes/keeping.rs
+++ b/src/crashes/keeping.rs
@@ -67,7 +67,7 @@
     }
     let held = gateway.crashes.held().into_iter();
     let missing = held.filter_map(|(request, crashes)| {
-        let key = document::crashing_key(request);
+        let key = document::crashing_request_key(request);
         if gateway.knowledge.version_of(&key).is_some() {
             return None;
         }
