--- a/src/crashes/keeping.rs
+++ b/src/crashes/keeping.rs
@@ -71,7 +71,7 @@
         if gateway.knowledge.version_of(&key).is_some() {
             return None;
         }
-        let value = document::write_crashes(&crashes);
+        let value = document::encode_crashes(&crashes);
         Some(ConditionalWrite { key, value, expected: None })
     });
     missing.take(MAX_WRITES).collect()
