--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -5,7 +5,7 @@
 //! * [`record`]: keeping the VMs recorded in the store.
 //! * [`server`]: its life, from start to planned stop.
 //! * [`watch`]: following the platform's store.
-//! * [`steward`]: recording how far roll-outs are.
+//! * [`rollout_status`]: recording how far roll-outs are.
 
 use std::{
     collections::HashMap,
@@ -56,8 +56,8 @@
 pub(crate) mod trace;
 
 pub(crate) mod record;
+pub(crate) mod rollout_status;
 pub(crate) mod server;
-pub(crate) mod steward;
 pub(crate) mod watch;
 
 use settings::GatewaySettings;
--- a/src/rollouts/fleet_tests.rs
+++ b/src/rollouts/fleet_tests.rs
@@ -24,7 +24,7 @@
 use crate::{
     clock::Clock,
     gateway::{
-        steward,
+        rollout_status,
         test_fleet::{Fleet, STEP_MS},
     },
     id::{ServiceId, VersionId},
@@ -106,7 +106,7 @@
             for (number, vm) in self.vms.iter().enumerate() {
                 vm.knowledge.prove(now);
                 vm.rollouts.judge(now);
-                let due = steward::due(vm, now);
+                let due = rollout_status::due(vm, now);
                 let completes = due
                     .iter()
                     .any(|due| due.status.progress == Progress::Completed);
