--- a/src/gateway/rollout_status.rs
+++ b/src/gateway/rollout_status.rs
@@ -59,7 +59,7 @@
         if now < record_from {
             continue;
         }
-        for due in due(&gateway, now) {
+        for due in due_records(&gateway, now) {
             if let Err(error) = record(&gateway, &due).await {
                 record_from = gateway.clock.now() + backoff.wait();
                 Event::RolloutNotRecorded.record(fields(json!({
@@ -75,7 +75,7 @@
 }
 
 /// What this VM is to record in the store.
-pub(crate) fn due(gateway: &Gateway, now: BootInstant) -> Vec<Due> {
+pub(crate) fn due_records(gateway: &Gateway, now: BootInstant) -> Vec<Due> {
     let own_proof = gateway.knowledge.proof_age(now);
     let is_steward = gateway.peers.is_steward(own_proof, now);
     let old = |service: &_, target: &_| {
--- a/src/rollouts/fleet_tests.rs
+++ b/src/rollouts/fleet_tests.rs
@@ -106,7 +106,7 @@
             for (number, vm) in self.vms.iter().enumerate() {
                 vm.knowledge.prove(now);
                 vm.rollouts.judge(now);
-                let due = rollout_status::due(vm, now);
+                let due = rollout_status::due_records(vm, now);
                 let completes = due
                     .iter()
                     .any(|due| due.status.progress == Progress::Completed);
