--- a/src/crashes/replay.rs
+++ b/src/crashes/replay.rs
@@ -313,7 +313,7 @@
             if next == NextStep::Check {
                 crashes.settle(life, Listening::No, now);
             }
-            self.fleet.beat_early(run.vm);
+            self.fleet.schedule_early_heartbeat(run.vm);
         }
         for run in runs {
             self.attempt(run.vm, run.request, run.attempts_left);
--- a/src/gateway/limit_replay.rs
+++ b/src/gateway/limit_replay.rs
@@ -235,7 +235,7 @@
                 now,
             );
             if !news.is_empty() {
-                self.fleet.beat_early(work.vm);
+                self.fleet.schedule_early_heartbeat(work.vm);
             }
         }
     }
--- a/src/gateway/own_words/tests.rs
+++ b/src/gateway/own_words/tests.rs
@@ -74,7 +74,7 @@
     let member = first.pool.member(&"i-1".parse().unwrap()).unwrap();
     let leaves = Statement { is_leaving: true, ..Statement::default() };
     first.hear(&member, &leaves, now);
-    fleet.beat_early(0);
+    fleet.schedule_early_heartbeat(0);
     let told_ms = fleet.passed_ms;
     run_until(&mut fleet, told_ms + HALL_MS);
     assert_eq!(senders(&fleet, 0..VMS_OF_HALL), 0, "its own hall");
@@ -137,7 +137,7 @@
         first.hear(&member, &unlimited, fleet.clock.now());
         for statement in [&named, &unlimited] {
             first.hear(&member, statement, fleet.clock.now());
-            fleet.beat_early(0);
+            fleet.schedule_early_heartbeat(0);
             let told_ms = fleet.passed_ms;
             run_until(&mut fleet, told_ms + FLEET_MS);
             let know = limited(&fleet);
--- a/src/gateway/test_fleet.rs
+++ b/src/gateway/test_fleet.rs
@@ -143,7 +143,7 @@
 
     /// Has a VM that has news send its next beats after the least gap between
     /// two.
-    pub(crate) fn beat_early(&mut self, number: usize) {
+    pub(crate) fn schedule_early_heartbeat(&mut self, number: usize) {
         self.early.insert(number);
     }
 
