--- a/src/gateway/limit_replay.rs
+++ b/src/gateway/limit_replay.rs
@@ -161,7 +161,7 @@
             None => {}
             Some(Trouble::HallCutOff) => {
                 let is_cut = CUT_OFF_MS.contains(&passed_ms);
-                self.fleet.cut_off = is_cut.then_some(0);
+                self.fleet.partitioned_hall = is_cut.then_some(0);
             }
             Some(Trouble::Restarts) => {
                 let at = RESTARTS_MS.iter().position(|at| *at == passed_ms);
--- a/src/gateway/test_fleet.rs
+++ b/src/gateway/test_fleet.rs
@@ -58,7 +58,7 @@
     /// VMs that are to send the next ones soon.
     early: BTreeSet<usize>,
     /// A data hall whose beats reach no other, and that hears none.
-    pub(crate) cut_off: Option<usize>,
+    pub(crate) partitioned_hall: Option<usize>,
     vms_of_hall: usize,
 }
 
@@ -77,7 +77,7 @@
             by_address: HashMap::new(),
             beat_at_ms: HashMap::new(),
             early: BTreeSet::new(),
-            cut_off: None,
+            partitioned_hall: None,
             vms_of_hall,
         };
         let count = halls * vms_of_hall;
@@ -115,7 +115,7 @@
     /// Whether what one VM sends reaches another.
     fn reaches(&self, from: usize, to: usize) -> bool {
         let halls = [from, to].map(|vm| vm / self.vms_of_hall);
-        let is_cut = |hall: &usize| Some(*hall) == self.cut_off;
+        let is_cut = |hall: &usize| Some(*hall) == self.partitioned_hall;
         halls[0] == halls[1] || !halls.iter().any(is_cut)
     }
 
