--- a/src/facts/peers/tests.rs
+++ b/src/facts/peers/tests.rs
@@ -5,12 +5,13 @@
 use super::*;
 use crate::{
     clock::SystemClock,
-    gateway::{Gateway, tests::SETTINGS},
+    gateway::{Gateway, tests::MINIMAL_SETTINGS},
     message::Work,
 };
 
 fn gateway() -> Arc<Gateway> {
-    let settings = GatewaySettings::from_ini(SETTINGS).expect("settings");
+    let settings =
+        GatewaySettings::from_ini(MINIMAL_SETTINGS).expect("settings");
     Gateway::new(settings, Arc::new(SystemClock))
 }
 
@@ -181,7 +182,7 @@
 #[test]
 fn seeds_share_the_vms_that_they_record() {
     let seeds = "127.0.0.1:9, 127.0.0.7:9, 127.0.0.8:9";
-    let text = SETTINGS
+    let text = MINIMAL_SETTINGS
         .replace("[keys]", &format!("[peers]\nseeds = {seeds}\n[keys]"));
     let settings = GatewaySettings::from_ini(&text).expect("settings");
     let gateway = Gateway::new(settings, Arc::new(SystemClock));
@@ -297,8 +298,8 @@
 /// ```
 #[test]
 fn a_site_that_starts_follows_the_store_once_its_vms_hear_each_other() {
-    let text =
-        SETTINGS.replace("[keys]", "[peers]\nseeds = 127.0.0.9:1\n[keys]");
+    let text = MINIMAL_SETTINGS
+        .replace("[keys]", "[peers]\nseeds = 127.0.0.9:1\n[keys]");
     let settings = GatewaySettings::from_ini(&text).expect("settings");
     let gateway = Gateway::new(settings, Arc::new(SystemClock));
     gateway.peers.note_looked(gateway.clock.now());
@@ -312,8 +313,8 @@
 
 #[test]
 fn a_vm_that_knows_only_seeds_waits_for_them() {
-    let text =
-        SETTINGS.replace("[keys]", "[peers]\nseeds = 127.0.0.9:1\n[keys]");
+    let text = MINIMAL_SETTINGS
+        .replace("[keys]", "[peers]\nseeds = 127.0.0.9:1\n[keys]");
     let settings = GatewaySettings::from_ini(&text).expect("settings");
     let gateway = Gateway::new(settings, Arc::new(SystemClock));
     gateway.peers.note_looked(gateway.clock.now());
--- a/src/gateway/test_fleet.rs
+++ b/src/gateway/test_fleet.rs
@@ -15,7 +15,7 @@
         knowledge::PeerRecord,
         mesh::{self, Round},
     },
-    gateway::{Gateway, settings::GatewaySettings, tests::SETTINGS},
+    gateway::{Gateway, settings::GatewaySettings, tests::MINIMAL_SETTINGS},
     unit::Mbps,
 };
 
@@ -89,7 +89,7 @@
 
     /// Starts a VM that knows of all of so many.
     fn start(&self, number: usize, count: usize) -> Arc<Gateway> {
-        let settings = SETTINGS
+        let settings = MINIMAL_SETTINGS
             .replace("id = vm-0", &format!("id = vm-{number}"))
             .replace("hall-a", &self.hall_name(number))
             .replace("127.0.0.1:3", &address(number).to_string());
--- a/src/gateway/tests.rs
+++ b/src/gateway/tests.rs
@@ -8,7 +8,7 @@
 };
 
 /// The least that the settings of a VM hold.
-pub(crate) const SETTINGS: &str = "[vm]\nid = vm-0\ndata_hall = hall-a\n[listen]\n\
+pub(crate) const MINIMAL_SETTINGS: &str = "[vm]\nid = vm-0\ndata_hall = hall-a\n[listen]\n\
     callers = 127.0.0.1:1\nreadiness = 127.0.0.1:2\n\
     peers = 127.0.0.1:3\nmetrics = 127.0.0.1:4\n[cluster]\n\
     key = 000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f\n\
@@ -25,7 +25,8 @@
 /// bear, and never for longer.
 #[test]
 fn keys_hold_until_shortly_before_the_bound() {
-    let settings = GatewaySettings::from_ini(SETTINGS).expect("settings");
+    let settings =
+        GatewaySettings::from_ini(MINIMAL_SETTINGS).expect("settings");
     let gateway = Gateway::new(settings, Arc::new(SystemClock));
     gateway.knowledge.install(table());
     let proven_at = gateway.clock.now();
@@ -40,7 +41,7 @@
 #[test]
 fn the_rate_of_the_link_is_read_and_may_be_unknown() {
     let link = |text: &str| {
-        let settings = SETTINGS.replace("data_hall", text);
+        let settings = MINIMAL_SETTINGS.replace("data_hall", text);
         GatewaySettings::from_ini(&settings).map(|settings| settings.link_rate)
     };
     assert_eq!(link("data_hall"), Ok(Mbps(0)));
