--- a/src/crashes/replay.rs
+++ b/src/crashes/replay.rs
@@ -171,7 +171,7 @@
     }
 
     fn run(mut self) -> Outcome {
-        while self.fleet.passed_ms < LENGTH_MS {
+        while self.fleet.elapsed_ms < LENGTH_MS {
             self.fleet.step();
             self.arrive();
             self.end_runs();
@@ -183,7 +183,7 @@
     }
 
     fn arrive(&mut self) {
-        let now_ms = self.fleet.passed_ms;
+        let now_ms = self.fleet.elapsed_ms;
         for _ in 0..self.count_of(self.plan.usual_per_s) {
             let request = RequestDigest(self.next_usual);
             self.next_usual += 1;
@@ -226,7 +226,7 @@
     /// Sends a request to any upstream, unless the VM holds it back.
     fn attempt(&mut self, vm: usize, request: RequestDigest, left: u32) {
         let is_culprit = self.is_culprit(request);
-        let now_ms = self.fleet.passed_ms;
+        let now_ms = self.fleet.elapsed_ms;
         let now = self.fleet.clock.now();
         let is_held = self.fleet.vms[vm].crashes.is_held(request, now);
         if is_held && left > 0 {
@@ -255,7 +255,7 @@
             return;
         }
         if self.returned.insert(request) {
-            let at_ms = self.fleet.passed_ms + RETURN_AFTER_MS;
+            let at_ms = self.fleet.elapsed_ms + RETURN_AFTER_MS;
             self.returns.push((at_ms, request));
         } else {
             self.outcome.others_failed += 1;
@@ -265,13 +265,13 @@
     fn note_refused(&mut self, request: RequestDigest) {
         if !self.is_culprit(request) {
             self.outcome.others_refused += 1;
-            self.outcome.last_refused_ms = self.fleet.passed_ms;
+            self.outcome.last_refused_ms = self.fleet.elapsed_ms;
         }
     }
 
     /// Ends what has run for long enough, and the upstreams of culprits.
     fn end_runs(&mut self) {
-        let now_ms = self.fleet.passed_ms;
+        let now_ms = self.fleet.elapsed_ms;
         for at in 0..self.upstreams.len() {
             let culprit = self.upstreams[at].runs.iter().find(|run| {
                 let ran_ms = now_ms - run.began_ms;
@@ -299,7 +299,7 @@
     /// An upstream ends; each VM sees its attempts there lost, and that it
     /// takes no connections.
     fn crash(&mut self, at: usize) {
-        let now_ms = self.fleet.passed_ms;
+        let now_ms = self.fleet.elapsed_ms;
         let now = self.fleet.clock.now();
         let upstream = &mut self.upstreams[at];
         let life = ShortHash(upstream.life);
@@ -322,7 +322,7 @@
 
     fn lose_rack(&mut self) {
         if let Some((size, at_ms)) = self.plan.rack
-            && self.fleet.passed_ms == at_ms
+            && self.fleet.elapsed_ms == at_ms
         {
             (0..size).for_each(|at| self.crash(at));
         }
@@ -330,7 +330,7 @@
 
     /// Gives upstreams that are back a new life.
     fn come_back(&mut self) {
-        let now_ms = self.fleet.passed_ms;
+        let now_ms = self.fleet.elapsed_ms;
         for upstream in &mut self.upstreams {
             if upstream.down_until_ms == now_ms {
                 upstream.life = self.next_life;
--- a/src/gateway/limit_replay.rs
+++ b/src/gateway/limit_replay.rs
@@ -156,7 +156,7 @@
     }
 
     fn make_trouble(&mut self) {
-        let passed_ms = self.fleet.passed_ms;
+        let passed_ms = self.fleet.elapsed_ms;
         match self.case.trouble {
             None => {}
             Some(Trouble::HallCutOff) => {
@@ -191,13 +191,13 @@
 
     fn names_limit(&self, upstream: usize) -> bool {
         let is_time =
-            (LIMITED_FROM_MS..LIMITED_TO_MS).contains(&self.fleet.passed_ms);
+            (LIMITED_FROM_MS..LIMITED_TO_MS).contains(&self.fleet.elapsed_ms);
         is_time && self.is_limited(upstream)
     }
 
     fn run(mut self) -> Figures {
         let mut due = 0.0;
-        while self.fleet.passed_ms < LENGTH_MS {
+        while self.fleet.elapsed_ms < LENGTH_MS {
             self.fleet.step();
             self.make_trouble();
             self.answer();
@@ -221,7 +221,7 @@
                 false => RateLimit::Unlimited,
             };
             if limit != RateLimit::Unlimited {
-                let passed_ms = self.fleet.passed_ms;
+                let passed_ms = self.fleet.elapsed_ms;
                 let told = self.told_at_ms.entry((work.vm, upstream));
                 told.or_insert(passed_ms);
             }
@@ -252,7 +252,7 @@
             return;
         };
         let upstream = number(&member);
-        let passed_ms = self.fleet.passed_ms;
+        let passed_ms = self.fleet.elapsed_ms;
         let told_ms = self.told_at_ms.get(&(at, upstream));
         let was_told = told_ms.is_some_and(|told| passed_ms >= told + TOLD_MS);
         self.arrivals[upstream].push((passed_ms, was_told));
--- a/src/gateway/own_words/tests.rs
+++ b/src/gateway/own_words/tests.rs
@@ -38,7 +38,7 @@
 }
 
 fn run_until(fleet: &mut Fleet, until_ms: u64) {
-    while fleet.passed_ms < until_ms {
+    while fleet.elapsed_ms < until_ms {
         fleet.step();
     }
 }
@@ -75,7 +75,7 @@
     let leaves = Statement { is_leaving: true, ..Statement::default() };
     first.hear(&member, &leaves, now);
     fleet.schedule_early_heartbeat(0);
-    let told_ms = fleet.passed_ms;
+    let told_ms = fleet.elapsed_ms;
     run_until(&mut fleet, told_ms + HALL_MS);
     assert_eq!(senders(&fleet, 0..VMS_OF_HALL), 0, "its own hall");
     run_until(&mut fleet, told_ms + FLEET_MS);
@@ -138,7 +138,7 @@
         for statement in [&named, &unlimited] {
             first.hear(&member, statement, fleet.clock.now());
             fleet.schedule_early_heartbeat(0);
-            let told_ms = fleet.passed_ms;
+            let told_ms = fleet.elapsed_ms;
             run_until(&mut fleet, told_ms + FLEET_MS);
             let know = limited(&fleet);
             let all = fleet.vms.len();
--- a/src/gateway/test_fleet.rs
+++ b/src/gateway/test_fleet.rs
@@ -51,7 +51,7 @@
 pub(crate) struct Fleet {
     pub(crate) clock: Arc<TestClock>,
     pub(crate) vms: Vec<Arc<Gateway>>,
-    pub(crate) passed_ms: u64,
+    pub(crate) elapsed_ms: u64,
     by_address: HashMap<SocketAddr, usize>,
     /// When each VM sent its last beats.
     beat_at_ms: HashMap<usize, u64>,
@@ -73,7 +73,7 @@
         let mut fleet = Fleet {
             clock,
             vms: Vec::new(),
-            passed_ms: 0,
+            elapsed_ms: 0,
             by_address: HashMap::new(),
             beat_at_ms: HashMap::new(),
             early: BTreeSet::new(),
@@ -127,14 +127,14 @@
     /// One step of time, with the beats that are due in it.
     pub(crate) fn step(&mut self) {
         self.clock.advance(Duration::from_millis(STEP_MS));
-        self.passed_ms += STEP_MS;
+        self.elapsed_ms += STEP_MS;
         for number in 0..self.vms.len() {
             // Beats of a hall are spread over their period.
             let phase = number as u64 * 7 * STEP_MS;
-            let is_regular = (self.passed_ms + phase).is_multiple_of(BEAT_MS);
+            let is_regular = (self.elapsed_ms + phase).is_multiple_of(BEAT_MS);
             let last_ms = self.beat_at_ms.get(&number).copied().unwrap_or(0);
             let is_early = self.early.contains(&number)
-                && self.passed_ms - last_ms >= BEAT_GAP_MS;
+                && self.elapsed_ms - last_ms >= BEAT_GAP_MS;
             if is_regular || is_early {
                 self.beat(number);
             }
@@ -148,7 +148,7 @@
     }
 
     fn beat(&mut self, number: usize) {
-        self.beat_at_ms.insert(number, self.passed_ms);
+        self.beat_at_ms.insert(number, self.elapsed_ms);
         self.early.remove(&number);
         let mut round = Round::new(&self.vms[number]);
         while let Some((address, beat)) = round.next_beat() {
--- a/src/rollouts/fleet_tests.rs
+++ b/src/rollouts/fleet_tests.rs
@@ -97,9 +97,9 @@
     /// The halls whose VMs complete the roll-out up to that time.
     fn completed_by(&mut self, until_ms: u64) -> BTreeSet<String> {
         let mut halls = BTreeSet::new();
-        while self.passed_ms < until_ms {
+        while self.elapsed_ms < until_ms {
             self.step();
-            if !self.passed_ms.is_multiple_of(200) {
+            if !self.elapsed_ms.is_multiple_of(200) {
                 continue;
             }
             let now = self.clock.now();
@@ -145,15 +145,15 @@
     let mut changes = 0;
     // Sessions begin in the two seconds before the order; the first half of
     // the time allowed is left before it is over.
-    while fleet.passed_ms < 13_000 {
-        if fleet.passed_ms == 2_000 {
+    while fleet.elapsed_ms < 13_000 {
+        if fleet.elapsed_ms == 2_000 {
             fleet.order();
         }
         fleet.step();
         for session in 0..SESSIONS {
             // Each asks once a second, and has moved every third time.
             let turn = session as u64 * STEP_MS % 1000;
-            if fleet.passed_ms % 1000 != turn {
+            if fleet.elapsed_ms % 1000 != turn {
                 continue;
             }
             if random.random_ratio(1, 3) {
@@ -177,17 +177,17 @@
     let mut changes = 0;
     fleet.order();
     let mut sessions: Vec<(u64, VersionId)> = Vec::new();
-    while fleet.passed_ms < 8_000 {
+    while fleet.elapsed_ms < 8_000 {
         fleet.step();
         // A hundred begin each second, and each asks again after 400, 800 and
         // 1,200 ms, always at another VM of any hall.
-        if fleet.passed_ms < 6_000 {
+        if fleet.elapsed_ms < 6_000 {
             let vm = random.random_range(0..fleet.vms.len());
-            let name = format!("session-{}", fleet.passed_ms);
-            sessions.push((fleet.passed_ms, fleet.ask(vm, &name)));
+            let name = format!("session-{}", fleet.elapsed_ms);
+            sessions.push((fleet.elapsed_ms, fleet.ask(vm, &name)));
         }
         for (began_ms, last) in &mut sessions {
-            let passed_ms = fleet.passed_ms - *began_ms;
+            let passed_ms = fleet.elapsed_ms - *began_ms;
             if !matches!(passed_ms, 400 | 800 | 1200) {
                 continue;
             }
