--- a/src/crashes/keeping.rs
+++ b/src/crashes/keeping.rs
@@ -16,7 +16,7 @@
     gateway::{Gateway, fields},
     platform::{
         document,
-        store::{Committed, NewValue, WRITES_MOST},
+        store::{ConditionalWrite, MAX_WRITES, WriteOutcome},
     },
     task,
 };
@@ -40,9 +40,9 @@
             continue;
         }
         match write(&gateway, &due).await {
-            Ok(Committed::Done(_)) => backoff.reset(),
+            Ok(WriteOutcome::Committed(_)) => backoff.reset(),
             // Another VM has written it, which this one is to hear of first.
-            Ok(Committed::Refused | Committed::LeaseOver) => {
+            Ok(WriteOutcome::Conflict | WriteOutcome::LeaseExpired) => {
                 task::sleep(backoff.wait()).await;
             }
             Err(error) => {
@@ -57,7 +57,7 @@
 }
 
 /// What this VM is to write: nothing, unless it is the steward.
-fn due(gateway: &Gateway, now: BootInstant) -> Vec<NewValue> {
+fn due(gateway: &Gateway, now: BootInstant) -> Vec<ConditionalWrite> {
     if !gateway.crashes.holds_any() {
         return Vec::new();
     }
@@ -67,20 +67,20 @@
     }
     let held = gateway.crashes.held().into_iter();
     let missing = held.filter_map(|(request, crashes)| {
-        let key = document::crashing_key(request);
+        let key = document::crashing_request_key(request);
         if gateway.knowledge.version_of(&key).is_some() {
             return None;
         }
-        let value = document::write_crashes(&crashes);
-        Some(NewValue { key, value, expected: None })
+        let value = document::encode_crashes(&crashes);
+        Some(ConditionalWrite { key, value, expected: None })
     });
-    missing.take(WRITES_MOST).collect()
+    missing.take(MAX_WRITES).collect()
 }
 
 async fn write(
     gateway: &Gateway,
-    values: &[NewValue],
-) -> Result<Committed, StoreError> {
+    values: &[ConditionalWrite],
+) -> Result<WriteOutcome, StoreError> {
     let store = &gateway.store;
     let lease = store.take_lease(REMEMBERED).await?;
     let written = store.write_all(values, Some(lease)).await?;
--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -24,7 +24,7 @@
     message::{PeerReply, PeerRequest, ShortHash, ToldLimit, VmBeat},
     metrics::Metrics,
     peer::PeerService,
-    platform::store::{Item, Items},
+    platform::store::{StoreItem, StoreItems},
     rollouts::{evidence::HallEvidence, told::Way},
     task,
 };
@@ -78,10 +78,11 @@
 pub(crate) async fn beat_loop(gateway: Arc<Gateway>, socket: UdpSocket) {
     loop {
         let jitter = 0.9 + 0.2 * rand::random::<f64>();
-        let regular = task::sleep(gateway.settings.beat.mul_f64(jitter));
+        let regular =
+            task::sleep(gateway.settings.heartbeat_interval.mul_f64(jitter));
         let early = async {
             task::sleep(BEAT_GAP).await;
-            gateway.early_beat.woken().await;
+            gateway.early_heartbeat.woken().await;
         };
         future::or(regular, early).await;
         send_beats(&gateway, &socket).await;
@@ -160,14 +161,15 @@
     let peers = &gateway.peers;
     let now = gateway.clock.now();
     let number = peers.next_number(now);
-    let old =
-        |service: &_, target: &_| gateway.in_flight_at_old(service, target);
+    let old = |service: &_, target: &_| {
+        gateway.in_flight_at_other_versions(service, target)
+    };
     let age = gateway.knowledge.proof_age(now);
     VmBeat {
         vm: peers.vm().to_owned(),
         data_hall: gateway.settings.data_hall.clone(),
-        link_mbps: gateway.settings.link,
-        peers: gateway.settings.peers,
+        link_mbps: gateway.settings.link_rate,
+        peers: gateway.settings.peer_address,
         incarnation: gateway.incarnation,
         number,
         echo: None,
@@ -221,8 +223,8 @@
     gateway.pool.set_peer_work(&beat.vm, &beat.work, now);
     gateway.pool.hear_stated(&beat.stated, now);
     let is_near = beat.data_hall == gateway.settings.data_hall;
-    gateway.hear_leaving(&beat.vm, &beat.leaving_upstreams);
-    gateway.hear_limits(&beat.vm, &beat.rate_limits, is_near);
+    gateway.merge_leaving_upstreams(&beat.vm, &beat.leaving_upstreams);
+    gateway.merge_rate_limits(&beat.vm, &beat.rate_limits, is_near);
     if is_near {
         for unfit in gateway.pool.hear_failures(&beat.failures, now) {
             Event::UpstreamUnfit.record(fields(json!({
@@ -233,7 +235,7 @@
     }
     hear_evidence(gateway, beat, is_near);
     let source = if is_near { Source::OwnHall } else { Source::OtherHall };
-    gateway.hear_sightings(&beat.sightings, source);
+    gateway.merge_sightings(&beat.sightings, source);
     if !knows_more {
         return;
     }
@@ -270,12 +272,12 @@
 pub(crate) fn tell_news(
     gateway: &Arc<Gateway>,
     digest_before: u64,
-    changes: &Items,
+    changes: &StoreItems,
 ) {
     if changes.items.is_empty() {
         return;
     }
-    let own = gateway.settings.peers;
+    let own = gateway.settings.peer_address;
     let request = news(digest_before, changes, own);
     for address in gateway.peers.told(gateway.clock.now()) {
         let request = request.clone();
@@ -290,8 +292,12 @@
     }
 }
 
-fn news(digest_before: u64, changes: &Items, own: SocketAddr) -> PeerRequest {
-    let bytes = |item: &Item| item.value.as_ref().map_or(0, Vec::len);
+fn news(
+    digest_before: u64,
+    changes: &StoreItems,
+    own: SocketAddr,
+) -> PeerRequest {
+    let bytes = |item: &StoreItem| item.value.as_ref().map_or(0, Vec::len);
     if changes.items.iter().any(|item| bytes(item) > TOLD_BYTES) {
         return PeerRequest::Look { from: own };
     }
@@ -363,21 +369,22 @@
     else {
         return false;
     };
-    gateway.hear_sightings(&sightings, Source::Kept);
+    gateway.merge_sightings(&sightings, Source::Kept);
     if StoreVersion(as_of) <= gateway.knowledge.as_of() {
         return true;
     }
     let Some(items) = knowledge_pack::unpack(&packed) else {
         return false;
     };
-    let items = items.into_iter().map(|item| Item {
+    let items = items.into_iter().map(|item| StoreItem {
         key: item.key,
         value: Some(item.value),
         version: StoreVersion(item.version),
     });
-    let all = Items { items: items.collect(), as_of: StoreVersion(as_of) };
+    let all =
+        StoreItems { items: items.collect(), as_of: StoreVersion(as_of) };
     let news = gateway.knowledge.take_all(all);
-    gateway.take_news(news);
+    gateway.apply_news(news);
     let age = Duration::from_millis(proof_age_ms.into());
     if let Some(proven_at) = asked_at.checked_sub(age) {
         gateway.knowledge.prove(proven_at);
@@ -411,16 +418,16 @@
                 }
             }
             PeerRequest::News { digest_before, as_of, items } => {
-                let items = items.into_iter().map(|item| Item {
+                let items = items.into_iter().map(|item| StoreItem {
                     key: item.key,
                     value: item.value,
                     version: StoreVersion(item.version),
                 });
                 let as_of = StoreVersion(as_of);
-                let changes = Items { items: items.collect(), as_of };
+                let changes = StoreItems { items: items.collect(), as_of };
                 // Whether anything is missing shows in the next beat.
                 let news = self.knowledge.take_told(digest_before, changes);
-                self.take_news(news);
+                self.apply_news(news);
                 PeerReply::Done
             }
             PeerRequest::Look { from } => {
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -5,7 +5,7 @@
 //! * [`record`]: keeping the VMs recorded in the store.
 //! * [`server`]: its life, from start to planned stop.
 //! * [`watch`]: following the platform's store.
-//! * [`steward`]: recording how far roll-outs are.
+//! * [`rollout_status`]: recording how far roll-outs are.
 
 use std::{
     collections::HashMap,
@@ -56,8 +56,8 @@
 pub(crate) mod trace;
 
 pub(crate) mod record;
+pub(crate) mod rollout_status;
 pub(crate) mod server;
-pub(crate) mod steward;
 pub(crate) mod watch;
 
 use settings::GatewaySettings;
@@ -125,7 +125,7 @@
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) in_flight: InFlightCount,
     /// Has the next beat sent early.
-    pub(crate) early_beat: Wake,
+    pub(crate) early_heartbeat: Wake,
     pub(crate) incarnation: Incarnation,
     retries: Mutex<HashMap<ServiceId, Arc<RetryWindow>>>,
     store_ill_at: Mutex<Option<BootInstant>>,
@@ -150,7 +150,7 @@
                 settings.data_hall.clone(),
                 settings.warm_up_slack,
             ),
-            rollouts: Rollouts::new(settings.session_time),
+            rollouts: Rollouts::new(settings.session_timeout),
             crashes: CrashRecord::default(),
             read_times: ReadTimes::default(),
             service_times: ServiceTimes::default(),
@@ -162,7 +162,7 @@
             ),
             metrics,
             in_flight: InFlightCount::default(),
-            early_beat: Wake::default(),
+            early_heartbeat: Wake::default(),
             incarnation,
             retries: Mutex::default(),
             store_ill_at: Mutex::new(None),
@@ -208,12 +208,16 @@
         }
         let now = self.clock.now();
         let proof_age = self.knowledge.proof_age(now);
-        self.peers.watch_role(proof_age, self.settings.revoke, now)
+        self.peers.watch_role(
+            proof_age,
+            self.settings.key_revocation_limit,
+            now,
+        )
     }
 
     /// Whether what is known is recent enough to accept keys by.
     pub(crate) fn is_fresh(&self, now: BootInstant) -> bool {
-        let limit = self.settings.revoke.mul_f64(KEY_PROOF_PART);
+        let limit = self.settings.key_revocation_limit.mul_f64(KEY_PROOF_PART);
         let age = self.knowledge.proof_age(now);
         age.is_some_and(|age| age <= limit)
     }
@@ -240,7 +244,7 @@
     /// The retry budget of a service.
     fn retries(&self, service: &ServiceId) -> Arc<RetryWindow> {
         let now = self.clock.now();
-        let bound = self.settings.retries;
+        let bound = self.settings.retry_bound;
         let mut retries = self.retries.lock().expect("retries lock");
         let window = retries
             .entry(service.clone())
@@ -282,7 +286,7 @@
     }
 
     /// Takes in what the store says.
-    pub(crate) fn take_news(&self, news: News) {
+    pub(crate) fn apply_news(&self, news: News) {
         self.note_unreadable(&news.unreadable);
         for fact in news.facts {
             self.take_fact(fact);
@@ -379,7 +383,7 @@
             Fact::CrashingRequest(request, crashes) => {
                 let told: Vec<Sighting> =
                     Sighting::of_crashes(request, crashes).collect();
-                self.hear_sightings(&told, Source::Kept);
+                self.merge_sightings(&told, Source::Kept);
             }
             Fact::Peer(vm, record) => {
                 self.pool.add_vm(&vm, &record.data_hall);
@@ -393,12 +397,12 @@
     }
 
     /// Takes in what was seen elsewhere of requests and crashes.
-    pub(crate) fn hear_sightings(&self, told: &[Sighting], source: Source) {
+    pub(crate) fn merge_sightings(&self, told: &[Sighting], source: Source) {
         let now = self.clock.now();
         let changes = self.crashes.hear(told, source, now);
         self.note_crash_changes(&changes);
         if !changes.is_empty() {
-            self.early_beat.wake();
+            self.early_heartbeat.wake();
         }
     }
 
@@ -434,7 +438,7 @@
             member.note_unreachable(now);
         }
         if self.pool.note_verdict(member, verdict, now) {
-            self.early_beat.wake();
+            self.early_heartbeat.wake();
         }
         let change = member.health.record(verdict, now);
         let event = match change {
@@ -446,7 +450,7 @@
     }
 
     /// This VM's requests at a service's upstreams of other versions.
-    pub(crate) fn in_flight_at_old(
+    pub(crate) fn in_flight_at_other_versions(
         &self,
         service: &ServiceId,
         target: &VersionId,
--- a/src/gateway/own_words.rs
+++ b/src/gateway/own_words.rs
@@ -37,7 +37,11 @@
     ///
     /// A VM tells all of its data hall in a round of beats, and few of the
     /// others, so whoever hears it tells it on.
-    pub(crate) fn hear_leaving(&self, from: &str, told: &[ShortHash]) {
+    pub(crate) fn merge_leaving_upstreams(
+        &self,
+        from: &str,
+        told: &[ShortHash],
+    ) {
         for member in self.pool.hear_leaving(told, self.clock.now()) {
             Event::UpstreamLeaving.record(fields(json!({
                 "upstream": member.entry.life().to_string(),
@@ -48,7 +52,7 @@
     }
 
     /// Takes in which rate limits another VM has told of.
-    pub(crate) fn hear_limits(
+    pub(crate) fn merge_rate_limits(
         &self,
         from: &str,
         told: &[ToldLimit],
@@ -65,7 +69,7 @@
                 details["per_s"] = rate.per_s().into();
                 // The own data hall is to hear it from this VM.
                 if !is_near {
-                    self.early_beat.wake();
+                    self.early_heartbeat.wake();
                 }
             }
             news.event().record(fields(details));
@@ -79,14 +83,14 @@
         let mut details = json!({ "upstream": life });
         match news {
             OwnNews::Leaving => {
-                self.early_beat.wake();
+                self.early_heartbeat.wake();
                 details["by"] = "answer".into();
             }
             OwnNews::Resting(time) => {
                 details["rest_ms"] = (time.as_millis() as u64).into();
             }
             OwnNews::Limited(rate) => {
-                self.early_beat.wake();
+                self.early_heartbeat.wake();
                 details["by"] = "answer".into();
                 details["per_s"] = rate.per_s().into();
             }
--- a/src/gateway/own_words/tests.rs
+++ b/src/gateway/own_words/tests.rs
@@ -38,7 +38,7 @@
 }
 
 fn run_until(fleet: &mut Fleet, until_ms: u64) {
-    while fleet.passed_ms < until_ms {
+    while fleet.elapsed_ms < until_ms {
         fleet.step();
     }
 }
@@ -74,8 +74,8 @@
     let member = first.pool.member(&"i-1".parse().unwrap()).unwrap();
     let leaves = Statement { is_leaving: true, ..Statement::default() };
     first.hear(&member, &leaves, now);
-    fleet.beat_early(0);
-    let told_ms = fleet.passed_ms;
+    fleet.schedule_early_heartbeat(0);
+    let told_ms = fleet.elapsed_ms;
     run_until(&mut fleet, told_ms + HALL_MS);
     assert_eq!(senders(&fleet, 0..VMS_OF_HALL), 0, "its own hall");
     run_until(&mut fleet, told_ms + FLEET_MS);
@@ -137,8 +137,8 @@
         first.hear(&member, &unlimited, fleet.clock.now());
         for statement in [&named, &unlimited] {
             first.hear(&member, statement, fleet.clock.now());
-            fleet.beat_early(0);
-            let told_ms = fleet.passed_ms;
+            fleet.schedule_early_heartbeat(0);
+            let told_ms = fleet.elapsed_ms;
             run_until(&mut fleet, told_ms + FLEET_MS);
             let know = limited(&fleet);
             let all = fleet.vms.len();
--- a/src/gateway/steward.rs
+++ b/src/gateway/rollout_status.rs
@@ -17,7 +17,7 @@
     message::ShortHash,
     platform::{
         document,
-        store::{Committed, NewValue},
+        store::{ConditionalWrite, WriteOutcome},
     },
     rollouts::{
         registry::Due,
@@ -59,7 +59,7 @@
         if now < record_from {
             continue;
         }
-        for due in due(&gateway, now) {
+        for due in due_records(&gateway, now) {
             if let Err(error) = record(&gateway, &due).await {
                 record_from = gateway.clock.now() + backoff.wait();
                 Event::RolloutNotRecorded.record(fields(json!({
@@ -75,11 +75,12 @@
 }
 
 /// What this VM is to record in the store.
-pub(crate) fn due(gateway: &Gateway, now: BootInstant) -> Vec<Due> {
+pub(crate) fn due_records(gateway: &Gateway, now: BootInstant) -> Vec<Due> {
     let own_proof = gateway.knowledge.proof_age(now);
     let is_steward = gateway.peers.is_steward(own_proof, now);
-    let old =
-        |service: &_, target: &_| gateway.in_flight_at_old(service, target);
+    let old = |service: &_, target: &_| {
+        gateway.in_flight_at_other_versions(service, target)
+    };
     let halls = gateway.peers.other_halls();
     let halls: Vec<ShortHash> =
         halls.iter().map(|hall| ShortHash::of(hall.as_str())).collect();
@@ -100,9 +101,11 @@
         return Ok(());
     }
     let value = document::write_status(&due.service, &due.status);
-    let state = NewValue { key, value, expected };
+    let state = ConditionalWrite { key, value, expected };
     let store = &gateway.store;
-    if let Committed::Done(version) = store.write_all(&[state], None).await? {
+    if let WriteOutcome::Committed(version) =
+        store.write_all(&[state], None).await?
+    {
         gateway.rollouts.set_status(&due.service, &due.status);
         Event::RolloutRecorded.record(fields(json!({
             "service": due.service,
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -25,8 +25,8 @@
     event::Event,
     facts::mesh,
     gateway::{
-        Gateway, fields, ingress, record, settings::GatewaySettings, steward,
-        watch,
+        Gateway, fields, ingress, record, rollout_status,
+        settings::GatewaySettings, watch,
     },
     logging,
     platform::headers::READY_PATH,
@@ -63,15 +63,15 @@
     let callers = bind(settings.callers).await?;
     let readiness = bind(settings.readiness).await?;
     let metrics = bind(settings.metrics).await?;
-    let streams = bind(settings.peers).await?;
-    let datagrams = UdpSocket::bind(settings.peers).await?;
+    let streams = bind(settings.peer_address).await?;
+    let datagrams = UdpSocket::bind(settings.peer_address).await?;
     let gateway = Gateway::new(settings, Arc::new(SystemClock));
     let (close, closing) = smol::channel::bounded::<()>(1);
     let tasks = [
         task::spawn(watch::run(gateway.clone())),
         task::spawn(watch::prove_loop(gateway.clone())),
         task::spawn(record::run(gateway.clone())),
-        task::spawn(steward::run(gateway.clone())),
+        task::spawn(rollout_status::run(gateway.clone())),
         task::spawn(keeping::run(gateway.clone())),
         task::spawn(mesh::beat_loop(gateway.clone(), datagrams.clone())),
         task::spawn(mesh::hear_loop(gateway.clone(), datagrams)),
@@ -123,7 +123,8 @@
     close: smol::channel::Sender<()>,
 ) {
     let began_at = gateway.clock.now();
-    let ends_at = began_at + gateway.settings.grace.saturating_sub(END_TIME);
+    let ends_at =
+        began_at + gateway.settings.stop_grace.saturating_sub(END_TIME);
     gateway.begin_stop();
     let in_flight = gateway.in_flight.count();
     Event::Stopping.record(fields(json!({ "in_flight": in_flight })));
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -136,13 +136,13 @@
     /// Its data hall.
     pub data_hall: DataHallId,
     /// The rate of its network link.
-    pub link: Mbps,
+    pub link_rate: Mbps,
     /// Where callers connect.
     pub callers: SocketAddr,
     /// Where the platform asks whether it is ready.
     pub readiness: SocketAddr,
     /// Where other VMs connect and send.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Where metrics are served.
     pub metrics: SocketAddr,
     /// The secret of the fleet.
@@ -150,25 +150,25 @@
     /// The platform's store.
     pub store: SocketAddr,
     /// Longest wait of one watch.
-    pub watch_wait: Duration,
+    pub watch_timeout: Duration,
     /// Other VMs to begin with.
     pub seeds: Vec<SocketAddr>,
     /// Time between two beats.
-    pub beat: Duration,
+    pub heartbeat_interval: Duration,
     /// Time after which a key that was taken away must be refused.
-    pub revoke: Duration,
+    pub key_revocation_limit: Duration,
     /// Whether every key is refused once it cannot be known any more which
     /// ones were taken away.
     pub fail_closed: bool,
     /// How many attempts beyond the first are allowed.
-    pub retries: RetryBound,
+    pub retry_bound: RetryBound,
     /// What upstreams that are cold may have beyond what they bear.
     pub warm_up_slack: WarmUpSlack,
     /// Time after the end of a request in which the next one belongs to the
     /// same session.
-    pub session_time: Duration,
+    pub session_timeout: Duration,
     /// Longest planned stop.
-    pub grace: Duration,
+    pub stop_grace: Duration,
     /// The least severe level that is logged.
     pub log_level: log::LevelFilter,
 }
@@ -198,42 +198,42 @@
     // hide the next.
     let vm = r.value("vm", "id");
     let data_hall = r.value("vm", "data_hall");
-    let link = r.value("vm", "link_mbps");
+    let link_rate = r.value("vm", "link_mbps");
     let callers = r.value("listen", "callers");
     let readiness = r.value("listen", "readiness");
-    let peers: Option<SocketAddr> = r.value("listen", "peers");
+    let peer_address: Option<SocketAddr> = r.value("listen", "peers");
     let metrics = r.value("listen", "metrics");
     let cluster_key = r.value("cluster", "key");
     let store = r.value("platform", "store");
-    let watch_wait = r.millis("platform", "watch_ms");
-    let seeds = read_seeds(r, peers);
-    let beat = r.millis("peers", "beat_ms");
-    let revoke = r.millis("keys", "revoke_ms");
+    let watch_timeout = r.millis("platform", "watch_ms");
+    let seeds = read_seeds(r, peer_address);
+    let heartbeat_interval = r.millis("peers", "beat_ms");
+    let key_revocation_limit = r.millis("keys", "revoke_ms");
     let fail_closed = r.value("keys", "fail_closed");
-    let retries = read_retries(r);
+    let retry_bound = read_retries(r);
     let warm_up_slack = read_warm_up_slack(r);
     let session_s = r.number("rollouts", "session_s", 0.1, 3600.0);
-    let grace = r.seconds("stop", "grace_s");
+    let stop_grace = r.seconds("stop", "grace_s");
     let log_level = r.value("log", "level");
     Some(GatewaySettings {
         vm: vm?,
         data_hall: data_hall?,
-        link: link?,
+        link_rate: link_rate?,
         callers: callers?,
         readiness: readiness?,
-        peers: peers?,
+        peer_address: peer_address?,
         metrics: metrics?,
         cluster_key: cluster_key?,
         store: store?,
-        watch_wait: watch_wait?,
+        watch_timeout: watch_timeout?,
         seeds: seeds?,
-        beat: beat?,
-        revoke: revoke?,
+        heartbeat_interval: heartbeat_interval?,
+        key_revocation_limit: key_revocation_limit?,
         fail_closed: fail_closed?,
-        retries: retries?,
+        retry_bound: retry_bound?,
         warm_up_slack: warm_up_slack?,
-        session_time: Duration::from_secs_f64(session_s?),
-        grace: grace?,
+        session_timeout: Duration::from_secs_f64(session_s?),
+        stop_grace: stop_grace?,
         log_level: log_level?,
     })
 }
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -12,7 +12,7 @@
     gateway::{Gateway, fields},
     platform::{
         document::{self, EVERYTHING},
-        store::{Items, Recency, Watched},
+        store::{Recency, StoreItems, Watched},
     },
     task,
 };
@@ -108,7 +108,7 @@
         // A store that does not answer is met again when everything is read.
         let Ok(recorded) = recorded else { return false };
         for item in recorded.items {
-            gateway.take_news(gateway.knowledge.take_item(item));
+            gateway.apply_news(gateway.knowledge.take_item(item));
         }
         let readers = gateway.peers.readers();
         mesh::take_from_either(gateway, &readers).await
@@ -119,7 +119,7 @@
         let asked_at = gateway.clock.now();
         let all = gateway.store.read_all(EVERYTHING, recency).await?;
         let news = gateway.knowledge.take_all(all);
-        gateway.take_news(news);
+        gateway.apply_news(news);
         match recency {
             Recency::Current => {
                 gateway.knowledge.prove(asked_at);
@@ -162,7 +162,7 @@
             }
             let asked_at = gateway.clock.now();
             let since = gateway.knowledge.as_of();
-            let wait = gateway.settings.watch_wait;
+            let wait = gateway.settings.watch_timeout;
             match gateway.store.watch(EVERYTHING, since, wait).await {
                 Ok(Watched::Changes(changes)) => {
                     let digest = gateway.knowledge.digest();
@@ -243,7 +243,7 @@
             false => PROVE_PART_OTHERS,
         };
         let part = least + PROVE_SPREAD * rand::random::<f64>();
-        let patience = gateway.settings.revoke.mul_f64(part);
+        let patience = gateway.settings.key_revocation_limit.mul_f64(part);
         let age = gateway.knowledge.proof_age(now);
         match age {
             // The first proof comes with the first read of everything.
@@ -296,9 +296,9 @@
 
 /// Takes in all changes since what is known, which is current as of when they
 /// were asked for.
-fn take_in(gateway: &Gateway, changes: Items, asked_at: BootInstant) {
+fn take_in(gateway: &Gateway, changes: StoreItems, asked_at: BootInstant) {
     let news = gateway.knowledge.take_changes(changes);
-    gateway.take_news(news);
+    gateway.apply_news(news);
     gateway.knowledge.prove(asked_at);
 }
 
@@ -308,7 +308,7 @@
     match gateway.store.read(document::CONFIGURATION_KEY).await? {
         Some(item) => {
             let news = gateway.knowledge.take_item(item);
-            gateway.take_news(news);
+            gateway.apply_news(news);
             gateway.knowledge.prove(asked_at);
         }
         None => task::sleep(RETRY_MOST).await,
--- a/tests/deploy.rs
+++ b/tests/deploy.rs
@@ -49,8 +49,8 @@
     let text = rendered("10.1.0.40:8229,10.2.0.29:8229");
     let settings = GatewaySettings::from_ini(&text).expect("no fault");
     assert_eq!(settings.vm.as_str(), "edge-plateau-1");
-    assert_eq!(settings.peers.to_string(), "10.1.0.40:7340");
-    assert_eq!(settings.link, Mbps(20));
+    assert_eq!(settings.peer_address.to_string(), "10.1.0.40:7340");
+    assert_eq!(settings.link_rate, Mbps(20));
     let seeds: Vec<String> =
         settings.seeds.iter().map(ToString::to_string).collect();
     // Other VMs listen for each other on the same port as this one.
@@ -72,7 +72,7 @@
     let text = rendered("");
     let session_time = |text: &str| {
         let settings = GatewaySettings::from_ini(text).expect("no fault");
-        settings.session_time
+        settings.session_timeout
     };
     assert_eq!(session_time(&text), Duration::from_millis(8_500));
     let unsaid = text.replace("session_s = 8.5", "session_s = ");
