--- a/src/placing/member.rs
+++ b/src/placing/member.rs
@@ -20,7 +20,7 @@
     placing::{
         hall_way::HallWay,
         health::Health,
-        own_word::OwnWord,
+        own_word::ReportedState,
         upstream::{Serves, Upstream, UpstreamRecord},
         warm_up::SentLately,
     },
@@ -192,7 +192,7 @@
 impl Member {
     pub(super) fn new(
         entry: UpstreamEntry,
-        own_word: Arc<OwnWord>,
+        own_word: Arc<ReportedState>,
         way: Arc<HallWay>,
         now: BootInstant,
     ) -> Member {
--- a/src/placing/own_word.rs
+++ b/src/placing/own_word.rs
@@ -48,7 +48,7 @@
 
 /// What an upstream has said of itself.
 #[derive(Debug, Default)]
-pub struct OwnWord {
+pub struct ReportedState {
     is_leaving: AtomicBool,
     /// Whether there is a rest, so that a choice among hundreds of upstreams
     /// takes the lock of few.
@@ -77,7 +77,7 @@
     }
 }
 
-impl OwnWord {
+impl ReportedState {
     /// Takes in that it is leaving; returns whether that is news.
     pub fn note_leaving(&self) -> bool {
         !self.is_leaving.swap(true, Ordering::Relaxed)
@@ -264,7 +264,7 @@
 
 #[derive(Debug)]
 struct Unlisted {
-    word: Arc<OwnWord>,
+    word: Arc<ReportedState>,
     since: BootInstant,
 }
 
@@ -273,7 +273,7 @@
     pub(super) fn keep(
         &mut self,
         life: ShortHash,
-        word: Arc<OwnWord>,
+        word: Arc<ReportedState>,
         now: BootInstant,
     ) {
         self.0.retain(|_, kept| {
@@ -285,7 +285,7 @@
     }
 
     /// Takes the word of a life that is listed, again or at last.
-    pub(super) fn take(&mut self, life: ShortHash) -> Arc<OwnWord> {
+    pub(super) fn take(&mut self, life: ShortHash) -> Arc<ReportedState> {
         self.0.remove(&life).map(|kept| kept.word).unwrap_or_default()
     }
 
@@ -294,7 +294,7 @@
         &mut self,
         life: ShortHash,
         now: BootInstant,
-        note: impl FnOnce(&OwnWord),
+        note: impl FnOnce(&ReportedState),
     ) {
         let word = self.take(life);
         note(&word);
--- a/src/placing/own_word/tests.rs
+++ b/src/placing/own_word/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn leaving_is_news_once_and_stays() {
-    let word = OwnWord::default();
+    let word = ReportedState::default();
     assert!(!word.is_leaving());
     assert!(word.note_leaving());
     assert!(!word.note_leaving());
@@ -13,7 +13,7 @@
 
 #[test]
 fn a_rest_holds_to_its_end_and_a_shorter_one_does_not_cut_it() {
-    let word = OwnWord::default();
+    let word = ReportedState::default();
     let now = BootInstant::now();
     assert!(word.note_rest(SECOND * 3, 0.0, now));
     assert!(!word.note_rest(SECOND, 0.0, now + SECOND));
@@ -28,7 +28,7 @@
 /// turned away in another.
 #[test]
 fn after_a_rest_requests_come_one_by_one_until_one_is_taken() {
-    let word = OwnWord::default();
+    let word = ReportedState::default();
     let now = BootInstant::now();
     word.note_rest(SECOND, 0.0, now);
     let over = now + SECOND;
@@ -47,7 +47,7 @@
 /// A VM that is suspended meanwhile must not find that time before it.
 #[test]
 fn a_rest_runs_on_by_the_clock_that_counts_suspended_time() {
-    let word = OwnWord::default();
+    let word = ReportedState::default();
     let now = BootInstant::now();
     word.note_rest(SECOND * 3, 1.0, now);
     assert!(word.rest_left(now + SECOND * 3600).is_zero());
@@ -59,7 +59,7 @@
     let now = BootInstant::now();
     let mut returns: Vec<Duration> = (0..10)
         .map(|draw| {
-            let word = OwnWord::default();
+            let word = ReportedState::default();
             word.note_rest(SECOND * 3, f64::from(draw) / 10.0, now);
             word.rest_left(now)
         })
@@ -72,7 +72,7 @@
 
 #[test]
 fn an_endless_rest_ends_and_none_at_all_is_none() {
-    let word = OwnWord::default();
+    let word = ReportedState::default();
     let now = BootInstant::now();
     assert!(!word.note_rest(Duration::ZERO, 1.0, now));
     assert!(word.rest_left(now).is_zero());
@@ -85,7 +85,7 @@
     let now = BootInstant::now();
     let (leaving, silent) = (ShortHash(1), ShortHash(2));
     let mut unlisted = UnlistedWords::default();
-    let word = Arc::new(OwnWord::default());
+    let word = Arc::new(ReportedState::default());
     word.note_leaving();
     unlisted.keep(leaving, word.clone(), now);
     unlisted.keep(silent, Arc::default(), now);
--- a/src/placing/pool/rest_replay.rs
+++ b/src/placing/pool/rest_replay.rs
@@ -19,7 +19,7 @@
     *,
 };
 use crate::placing::{
-    own_word::OwnWord,
+    own_word::ReportedState,
     statement::{Rest, Statement},
     upstream::InFlight,
 };
@@ -302,13 +302,15 @@
 #[test]
 fn those_told_together_do_not_return_together() {
     let now = BootInstant::now();
-    let words: Vec<OwnWord> = (0..300).map(|_| OwnWord::default()).collect();
+    let words: Vec<ReportedState> =
+        (0..300).map(|_| ReportedState::default()).collect();
     for word in &words {
         let rest = Rest::For(REST);
         word.take_rest(Some(&rest), rand::random(), now, now);
     }
     let back = |at: Duration| {
-        let is_back = |word: &&OwnWord| word.rest_left(now + at).is_zero();
+        let is_back =
+            |word: &&ReportedState| word.rest_left(now + at).is_zero();
         words.iter().filter(is_back).count()
     };
     assert_eq!(back(REST - STEP), 0);
--- a/src/placing/upstream.rs
+++ b/src/placing/upstream.rs
@@ -15,7 +15,7 @@
     clock::BootInstant,
     id::{DataHallId, ModelId, ServiceId, UpstreamId},
     message::ShortHash,
-    placing::own_word::OwnWord,
+    placing::own_word::ReportedState,
 };
 
 /// Failures in a row after which an upstream gets only trial requests.
@@ -104,7 +104,7 @@
     /// one life where it may start again under that.
     pub short: ShortHash,
     /// What it has said of itself.
-    pub own_word: Arc<OwnWord>,
+    pub own_word: Arc<ReportedState>,
     seen_at: BootInstant,
     in_flight: AtomicU32,
     /// Whether the platform says that it is leaving, or a VM that was told.
@@ -163,7 +163,7 @@
     pub fn with_word(
         record: UpstreamRecord,
         short: ShortHash,
-        own_word: Arc<OwnWord>,
+        own_word: Arc<ReportedState>,
         is_new: bool,
         now: BootInstant,
     ) -> Upstream {
