--- a/src/chat_face/gossip.rs
+++ b/src/chat_face/gossip.rs
@@ -221,7 +221,7 @@
             else {
                 return;
             };
-            let word = &upstream.own_word;
+            let word = &upstream.reported_state;
             let draw = rand::random();
             if let Some(news) = word.note_limit(told.rate, at, draw, now) {
                 let id = &upstream.record.id;
--- a/src/chat_face/statement.rs
+++ b/src/chat_face/statement.rs
@@ -32,7 +32,7 @@
         let upstream = &chosen.upstream;
         let statement = read_statement(status, headers);
         let (draw, now) = (rand::random(), self.vm.clock.now());
-        let word = &upstream.own_word;
+        let word = &upstream.reported_state;
         for news in word.take(&statement, draw, chosen.chosen_at, now) {
             match &news {
                 OwnNews::Leaving => log_leaving(upstream, "by its own answer"),
--- a/src/chat_face/view.rs
+++ b/src/chat_face/view.rs
@@ -174,7 +174,7 @@
     ) -> UpstreamFacts {
         let facts = upstream.facts(&self.data_hall, now);
         let (vm, hall) = (self.vm.as_str(), &upstream.record.data_hall);
-        let word = &upstream.own_word;
+        let word = &upstream.reported_state;
         let limit =
             word.limit_wait(&self.roster, vm, upstream.short, hall, now);
         UpstreamFacts { backoff: facts.backoff.max(limit), ..facts }
--- a/src/gateway/own_words.rs
+++ b/src/gateway/own_words.rs
@@ -2,7 +2,7 @@
 //!
 //! Every answer of an upstream comes through [`Gateway::hear`], whatever was
 //! asked and however the attempt goes on; what is kept of it stands in
-//! [`own_word`](crate::placing::own_word).
+//! [`reported_state`](crate::placing::reported_state).
 
 use serde_json::json;
 
--- a/src/placing/member.rs
+++ b/src/placing/member.rs
@@ -20,7 +20,7 @@
     placing::{
         hall_way::HallWay,
         health::Health,
-        own_word::ReportedState,
+        reported_state::ReportedState,
         upstream::{Serves, Upstream, UpstreamRecord},
         warm_up::SentLately,
     },
@@ -192,7 +192,7 @@
 impl Member {
     pub(super) fn new(
         entry: UpstreamEntry,
-        own_word: Arc<ReportedState>,
+        reported_state: Arc<ReportedState>,
         way: Arc<HallWay>,
         now: BootInstant,
     ) -> Member {
@@ -206,7 +206,7 @@
         };
         let short = ShortHash::of(&entry.life().to_string());
         let upstream =
-            Upstream::with_word(record, short, own_word, false, now);
+            Upstream::with_word(record, short, reported_state, false, now);
         Member {
             upstream: Arc::new(upstream),
             health: Health::new(now),
@@ -241,7 +241,7 @@
 
     /// How long it is to get no request of this VM; zero if it may have one.
     pub fn rest_left(&self, now: BootInstant) -> Duration {
-        self.upstream.own_word.rest_left(now)
+        self.upstream.reported_state.rest_left(now)
     }
 
     /// Its record with the state that was recorded last. What the upstream
--- a/src/placing/mod.rs
+++ b/src/placing/mod.rs
@@ -4,7 +4,7 @@
 //!   `pool/told`: what upstreams say and VMs tell of them.
 //! * [`member`]: one of them.
 //! * [`statement`]: what an upstream says of itself in an answer;
-//!   [`own_word`]: what is kept of that for its life.
+//!   [`reported_state`]: what is kept of that for its life.
 //! * [`seen`]: what this VM tells the others of them.
 //! * [`admission`]: how long the line at an upstream may be.
 //! * [`cascade`]: which model answers.
@@ -20,10 +20,10 @@
 pub mod hall_way;
 pub mod health;
 pub mod member;
-pub mod own_word;
 pub(crate) mod owners;
 pub mod pool;
 pub(crate) mod rate_limit;
+pub mod reported_state;
 pub mod retry_window;
 pub(crate) mod seen;
 pub mod statement;
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -23,8 +23,8 @@
         member::{
             Member, Succession, UpstreamEntry, UpstreamState, VANISHED_GRACE,
         },
-        own_word::UnlistedWords,
         owners::Roster,
+        reported_state::UnlistedWords,
         seen::SeenLately,
         warm_up::{self, WarmUp, WarmUpSlack},
     },
@@ -231,8 +231,9 @@
     fn begin_life(&self, entry: UpstreamEntry, now: BootInstant) {
         let way = self.way(&entry.data_hall);
         let life = ShortHash::of(&entry.life().to_string());
-        let own_word = self.unlisted.lock().expect("words lock").take(life);
-        let member = Arc::new(Member::new(entry, own_word, way, now));
+        let reported_state =
+            self.unlisted.lock().expect("words lock").take(life);
+        let member = Arc::new(Member::new(entry, reported_state, way, now));
         if member.entry.state == UpstreamState::Leaving {
             member.upstream.mark_leaving();
         }
@@ -250,7 +251,7 @@
         if is_sure {
             member.upstream.mark_leaving();
             // Its record may only have lapsed.
-            let word = member.upstream.own_word.clone();
+            let word = member.upstream.reported_state.clone();
             let mut unlisted = self.unlisted.lock().expect("words lock");
             unlisted.keep(member.upstream.short, word, now);
             self.change(|by_id| {
@@ -356,7 +357,7 @@
 
     fn limit_wait(&self, member: &Member, now: BootInstant) -> Duration {
         let (short, hall) = (member.upstream.short, &member.entry.data_hall);
-        let word = &member.upstream.own_word;
+        let word = &member.upstream.reported_state;
         word.limit_wait(&self.roster, &self.vm, short, hall, now)
     }
 
@@ -424,7 +425,7 @@
         if chosen.is_cold(now) {
             chosen.sent_cold.lock().expect("sent lock").count(now);
         }
-        chosen.upstream.own_word.note_sent(now);
+        chosen.upstream.reported_state.note_sent(now);
         Ok(chosen.clone())
     }
 
--- a/src/placing/pool/rest_replay.rs
+++ b/src/placing/pool/rest_replay.rs
@@ -19,7 +19,7 @@
     *,
 };
 use crate::placing::{
-    own_word::ReportedState,
+    reported_state::ReportedState,
     statement::{Rest, Statement},
     upstream::InFlight,
 };
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -29,7 +29,7 @@
     ) -> Vec<OwnNews> {
         let life = member.upstream.short;
         let was_leaving = member.upstream.is_leaving();
-        let word = &member.upstream.own_word;
+        let word = &member.upstream.reported_state;
         let mut news = word.take(statement, rand::random(), sent_at, now);
         if news.contains(&OwnNews::Leaving) {
             self.tell_leaving(life, now);
@@ -89,7 +89,7 @@
                 });
                 continue;
             };
-            let word = &member.upstream.own_word;
+            let word = &member.upstream.reported_state;
             let change = word.note_limit(one.rate, at, rand::random(), now);
             // A VM of the own hall has told all of it.
             let for_own_hall = change.is_some() && !is_near;
@@ -127,7 +127,7 @@
                 continue;
             };
             let was_leaving = member.upstream.is_leaving();
-            if member.upstream.own_word.note_leaving() {
+            if member.upstream.reported_state.note_leaving() {
                 self.tell_leaving(*life, now);
             }
             if !was_leaving {
--- a/src/placing/upstream.rs
+++ b/src/placing/upstream.rs
@@ -15,7 +15,7 @@
     clock::BootInstant,
     id::{DataHallId, ModelId, ServiceId, UpstreamId},
     message::ShortHash,
-    placing::own_word::ReportedState,
+    placing::reported_state::ReportedState,
 };
 
 /// Failures in a row after which an upstream gets only trial requests.
@@ -104,7 +104,7 @@
     /// one life where it may start again under that.
     pub short: ShortHash,
     /// What it has said of itself.
-    pub own_word: Arc<ReportedState>,
+    pub reported_state: Arc<ReportedState>,
     seen_at: BootInstant,
     in_flight: AtomicU32,
     /// Whether the platform says that it is leaving, or a VM that was told.
@@ -163,7 +163,7 @@
     pub fn with_word(
         record: UpstreamRecord,
         short: ShortHash,
-        own_word: Arc<ReportedState>,
+        reported_state: Arc<ReportedState>,
         is_new: bool,
         now: BootInstant,
     ) -> Upstream {
@@ -171,7 +171,7 @@
         Upstream {
             short,
             record,
-            own_word,
+            reported_state,
             seen_at: if is_new { now } else { long_ago },
             in_flight: AtomicU32::new(0),
             leaving: AtomicBool::new(false),
@@ -194,7 +194,7 @@
     /// Marks it as leaving by another's word; returns whether that is news.
     pub fn mark_leaving(&self) -> bool {
         !self.leaving.swap(true, Ordering::Relaxed)
-            && !self.own_word.is_leaving()
+            && !self.reported_state.is_leaving()
     }
 
     /// Whether another says that it is leaving.
@@ -209,7 +209,7 @@
 
     /// Whether it is leaving, by anybody's word.
     pub fn is_leaving(&self) -> bool {
-        self.is_marked_leaving() || self.own_word.is_leaving()
+        self.is_marked_leaving() || self.reported_state.is_leaving()
     }
 
     /// Takes in a load figure unless a newer one is known.
@@ -302,7 +302,7 @@
             local: self.record.data_hall == *own_hall,
             leaving: self.is_leaving(),
             broken: self.is_broken(now),
-            backoff: self.own_word.rest_left(now),
+            backoff: self.reported_state.rest_left(now),
             requests,
             slots: f64::from(self.record.slots) * self.warmth(now),
             load_age: load.map(|load| now.saturating_duration_since(load.at)),
