--- a/src/chat_face/statement.rs
+++ b/src/chat_face/statement.rs
@@ -9,7 +9,7 @@
         request::Core,
     },
     message::{Notice, ShortHash, ToldLimit},
-    placing::statement::{OwnNews, RateLimit, Rest, Statement},
+    placing::statement::{RateLimit, ReportedChange, Rest, Statement},
     task,
     unit::RequestRate,
 };
@@ -35,7 +35,9 @@
         let word = &upstream.reported_state;
         for news in word.take(&statement, draw, chosen.chosen_at, now) {
             match &news {
-                OwnNews::Leaving => log_leaving(upstream, "by its own answer"),
+                ReportedChange::Leaving => {
+                    log_leaving(upstream, "by its own answer")
+                }
                 other => {
                     let id = &upstream.record.id;
                     other.event().log(format_args!("upstream {id}"));
@@ -63,14 +65,14 @@
 }
 
 /// What the other VMs of the data hall are to know at once.
-fn notice_of(news: &OwnNews, upstream: ShortHash) -> Option<Notice> {
+fn notice_of(news: &ReportedChange, upstream: ShortHash) -> Option<Notice> {
     let limit = |rate: Option<RequestRate>| {
         Notice::RateLimit(ToldLimit { upstream, rate, age_ms: 0 })
     };
     match news {
-        OwnNews::Leaving => Some(Notice::Leaving(upstream)),
-        OwnNews::Limited(rate) => Some(limit(Some(*rate))),
-        OwnNews::Unlimited => Some(limit(None)),
+        ReportedChange::Leaving => Some(Notice::Leaving(upstream)),
+        ReportedChange::Limited(rate) => Some(limit(Some(*rate))),
+        ReportedChange::Unlimited => Some(limit(None)),
         _ => None,
     }
 }
--- a/src/gateway/own_words.rs
+++ b/src/gateway/own_words.rs
@@ -13,7 +13,7 @@
     message::{ShortHash, ToldLimit},
     placing::{
         member::Member,
-        statement::{OwnNews, Statement},
+        statement::{ReportedChange, Statement},
     },
 };
 
@@ -61,7 +61,7 @@
                 "by": "vm",
                 "told_by": from,
             });
-            if let OwnNews::Limited(rate) = news {
+            if let ReportedChange::Limited(rate) = news {
                 details["per_s"] = rate.per_s().into();
                 // The own data hall is to hear it from this VM.
                 if !is_near {
@@ -72,29 +72,30 @@
         }
     }
 
-    fn note_own_news(&self, member: &Member, news: &OwnNews) {
+    fn note_own_news(&self, member: &Member, news: &ReportedChange) {
         let life = member.entry.life().to_string();
         let said = &self.metrics.upstreams_said;
         said.with_label_values(&[news.label()]).inc();
         let mut details = json!({ "upstream": life });
         match news {
-            OwnNews::Leaving => {
+            ReportedChange::Leaving => {
                 self.early_beat.wake();
                 details["by"] = "answer".into();
             }
-            OwnNews::Resting(time) => {
+            ReportedChange::Resting(time) => {
                 details["rest_ms"] = (time.as_millis() as u64).into();
             }
-            OwnNews::Limited(rate) => {
+            ReportedChange::Limited(rate) => {
                 self.early_beat.wake();
                 details["by"] = "answer".into();
                 details["per_s"] = rate.per_s().into();
             }
-            OwnNews::Unreadable(text) | OwnNews::LimitUnreadable(text) => {
+            ReportedChange::Unreadable(text)
+            | ReportedChange::LimitUnreadable(text) => {
                 details["text"] = json!(text);
             }
-            OwnNews::Unlimited => details["by"] = "answer".into(),
-            OwnNews::Rested => {}
+            ReportedChange::Unlimited => details["by"] = "answer".into(),
+            ReportedChange::Rested => {}
         }
         news.event().record(fields(details));
     }
--- a/src/placing/pool/statement_tests.rs
+++ b/src/placing/pool/statement_tests.rs
@@ -6,7 +6,7 @@
 };
 use crate::{
     id::StartMs,
-    placing::statement::{OwnNews, RateLimit, Rest, Statement},
+    placing::statement::{RateLimit, ReportedChange, Rest, Statement},
 };
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -30,7 +30,7 @@
     let pool = pool(&[entry("i-1", "a", "v1"), entry("i-2", "a", "v1")], now);
     let member = pool.member(&"i-1".parse().unwrap()).unwrap();
     let news = pool.take_statement(&member, &leaves(), now, now);
-    assert_eq!(news, [OwnNews::Leaving]);
+    assert_eq!(news, [ReportedChange::Leaving]);
     let news = pool.take_statement(&member, &leaves(), now, now);
     assert_eq!(news, [], "it says so in each answer");
     assert_eq!(open(&pool, now), ["i-2"]);
@@ -166,7 +166,7 @@
     let rest = Some(Rest::Unreadable("soon".into()));
     let unreadable = Statement { rest, ..Statement::default() };
     let news = pool.take_statement(&member, &unreadable, now, now);
-    assert_eq!(news, [OwnNews::Unreadable("soon".into())]);
+    assert_eq!(news, [ReportedChange::Unreadable("soon".into())]);
     assert_eq!(pool.take_statement(&member, &unreadable, now, now), []);
     assert_eq!(open(&pool, now), ["i-1", "i-2"]);
     says(&pool, "i-1", rests(Duration::MAX), now);
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -13,7 +13,7 @@
     placing::{
         health::Verdict,
         member::{LoadReport, Member},
-        statement::{OwnNews, RateLimit, Statement},
+        statement::{RateLimit, ReportedChange, Statement},
     },
 };
 
@@ -26,16 +26,16 @@
         statement: &Statement,
         sent_at: BootInstant,
         now: BootInstant,
-    ) -> Vec<OwnNews> {
+    ) -> Vec<ReportedChange> {
         let life = member.upstream.short;
         let was_leaving = member.upstream.is_leaving();
         let word = &member.upstream.reported_state;
         let mut news = word.take(statement, rand::random(), sent_at, now);
-        if news.contains(&OwnNews::Leaving) {
+        if news.contains(&ReportedChange::Leaving) {
             self.tell_leaving(life, now);
         }
         // Its record or another VM may have said so before.
-        news.retain(|one| *one != OwnNews::Leaving || !was_leaving);
+        news.retain(|one| *one != ReportedChange::Leaving || !was_leaving);
         self.tell_limit(life, statement, &news, now);
         if let Some(load) = statement.load {
             self.note_load(member, load, now);
@@ -49,11 +49,11 @@
         &self,
         life: ShortHash,
         statement: &Statement,
-        news: &[OwnNews],
+        news: &[ReportedChange],
         now: BootInstant,
     ) {
         let rate = statement.rate_limit.as_ref().and_then(RateLimit::rate);
-        if rate.is_some() || news.contains(&OwnNews::Unlimited) {
+        if rate.is_some() || news.contains(&ReportedChange::Unlimited) {
             let mut seen = self.seen.lock().expect("seen lock");
             seen.note_limit(life, rate, now, true, now);
         }
@@ -76,7 +76,7 @@
         told: &[ToldLimit],
         is_near: bool,
         now: BootInstant,
-    ) -> Vec<(Arc<Member>, OwnNews)> {
+    ) -> Vec<(Arc<Member>, ReportedChange)> {
         let members = self.read();
         let mut news = Vec::new();
         for one in told {
--- a/src/placing/reported_state.rs
+++ b/src/placing/reported_state.rs
@@ -21,7 +21,7 @@
     placing::{
         owners::Roster,
         rate_limit::{self, LimitChange, LimitState},
-        statement::{OwnNews, RateLimit, Rest, Statement},
+        statement::{RateLimit, ReportedChange, Rest, Statement},
     },
     unit::RequestRate,
 };
@@ -99,9 +99,9 @@
         draw: f64,
         sent_at: BootInstant,
         now: BootInstant,
-    ) -> Vec<OwnNews> {
+    ) -> Vec<ReportedChange> {
         let is_news = statement.is_leaving && self.note_leaving();
-        let leaving = is_news.then_some(OwnNews::Leaving);
+        let leaving = is_news.then_some(ReportedChange::Leaving);
         let rest = self.take_rest(statement.rest.as_ref(), draw, sent_at, now);
         let limit = statement.rate_limit.as_ref();
         let limit = limit.and_then(|limit| self.take_limit(limit, draw, now));
@@ -113,7 +113,7 @@
         limit: &RateLimit,
         draw: f64,
         now: BootInstant,
-    ) -> Option<OwnNews> {
+    ) -> Option<ReportedChange> {
         match limit {
             RateLimit::Unlimited => self.note_limit(None, now, draw, now),
             RateLimit::At(rate) => {
@@ -122,7 +122,7 @@
             RateLimit::Unreadable(text) => {
                 let was = &self.was_limit_unreadable;
                 let is_news = !was.swap(true, Ordering::Relaxed);
-                is_news.then(|| OwnNews::LimitUnreadable(text.clone()))
+                is_news.then(|| ReportedChange::LimitUnreadable(text.clone()))
             }
         }
     }
@@ -135,11 +135,11 @@
         stated_at: BootInstant,
         draw: f64,
         now: BootInstant,
-    ) -> Option<OwnNews> {
+    ) -> Option<ReportedChange> {
         let change = self.limit.take(rate, stated_at, draw, now)?;
         Some(match change {
-            LimitChange::Begun(rate) => OwnNews::Limited(rate),
-            LimitChange::Ended => OwnNews::Unlimited,
+            LimitChange::Begun(rate) => ReportedChange::Limited(rate),
+            LimitChange::Ended => ReportedChange::Unlimited,
         })
     }
 
@@ -174,15 +174,15 @@
         draw: f64,
         sent_at: BootInstant,
         now: BootInstant,
-    ) -> Option<OwnNews> {
+    ) -> Option<ReportedChange> {
         match rest {
             Some(Rest::For(time)) => self
                 .note_rest(*time, draw, now)
-                .then(|| OwnNews::Resting(self.rest_left(now))),
+                .then(|| ReportedChange::Resting(self.rest_left(now))),
             Some(Rest::Unreadable(text)) => self
                 .note_unreadable()
-                .then(|| OwnNews::Unreadable(text.clone())),
-            None => self.note_taken(sent_at).then_some(OwnNews::Rested),
+                .then(|| ReportedChange::Unreadable(text.clone())),
+            None => self.note_taken(sent_at).then_some(ReportedChange::Rested),
         }
     }
 
--- a/src/placing/statement.rs
+++ b/src/placing/statement.rs
@@ -120,7 +120,7 @@
 
 /// What an answer tells of its upstream that was not known.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OwnNews {
+pub enum ReportedChange {
     /// It is leaving.
     Leaving,
     /// It is at rest, for this time.
@@ -137,30 +137,30 @@
     LimitUnreadable(String),
 }
 
-impl OwnNews {
+impl ReportedChange {
     /// The event that is logged.
     pub(crate) fn event(&self) -> Event {
         match self {
-            OwnNews::Leaving => Event::UpstreamLeaving,
-            OwnNews::Resting(_) => Event::UpstreamRests,
-            OwnNews::Rested => Event::UpstreamRested,
-            OwnNews::Unreadable(_) => Event::RestUnreadable,
-            OwnNews::Limited(_) => Event::UpstreamLimited,
-            OwnNews::Unlimited => Event::UpstreamUnlimited,
-            OwnNews::LimitUnreadable(_) => Event::LimitUnreadable,
+            ReportedChange::Leaving => Event::UpstreamLeaving,
+            ReportedChange::Resting(_) => Event::UpstreamRests,
+            ReportedChange::Rested => Event::UpstreamRested,
+            ReportedChange::Unreadable(_) => Event::RestUnreadable,
+            ReportedChange::Limited(_) => Event::UpstreamLimited,
+            ReportedChange::Unlimited => Event::UpstreamUnlimited,
+            ReportedChange::LimitUnreadable(_) => Event::LimitUnreadable,
         }
     }
 
     /// Its name in metrics.
     pub fn label(&self) -> &'static str {
         match self {
-            OwnNews::Leaving => "leaving",
-            OwnNews::Resting(_) => "resting",
-            OwnNews::Rested => "rested",
-            OwnNews::Unreadable(_) => "unreadable",
-            OwnNews::Limited(_) => "limited",
-            OwnNews::Unlimited => "unlimited",
-            OwnNews::LimitUnreadable(_) => "limit_unreadable",
+            ReportedChange::Leaving => "leaving",
+            ReportedChange::Resting(_) => "resting",
+            ReportedChange::Rested => "rested",
+            ReportedChange::Unreadable(_) => "unreadable",
+            ReportedChange::Limited(_) => "limited",
+            ReportedChange::Unlimited => "unlimited",
+            ReportedChange::LimitUnreadable(_) => "limit_unreadable",
         }
     }
 }
