--- a/src/gateway/own_words.rs
+++ b/src/gateway/own_words.rs
@@ -82,7 +82,7 @@
                 self.early_beat.wake();
                 details["by"] = "answer".into();
             }
-            ReportedChange::Resting(time) => {
+            ReportedChange::BackoffStarted(time) => {
                 details["rest_ms"] = (time.as_millis() as u64).into();
             }
             ReportedChange::Limited(rate) => {
--- a/src/placing/reported_state.rs
+++ b/src/placing/reported_state.rs
@@ -178,7 +178,7 @@
         match rest {
             Some(Rest::For(time)) => self
                 .note_rest(*time, draw, now)
-                .then(|| ReportedChange::Resting(self.rest_left(now))),
+                .then(|| ReportedChange::BackoffStarted(self.rest_left(now))),
             Some(Rest::Unreadable(text)) => self
                 .note_unreadable()
                 .then(|| ReportedChange::Unreadable(text.clone())),
--- a/src/placing/statement.rs
+++ b/src/placing/statement.rs
@@ -124,7 +124,7 @@
     /// It is leaving.
     Leaving,
     /// It is at rest, for this time.
-    Resting(Duration),
+    BackoffStarted(Duration),
     /// Its rest is over, and it has taken a request.
     Rested,
     /// It asks for rest by a text that is no time.
@@ -142,7 +142,7 @@
     pub(crate) fn event(&self) -> Event {
         match self {
             ReportedChange::Leaving => Event::UpstreamLeaving,
-            ReportedChange::Resting(_) => Event::UpstreamRests,
+            ReportedChange::BackoffStarted(_) => Event::UpstreamRests,
             ReportedChange::Rested => Event::UpstreamRested,
             ReportedChange::Unreadable(_) => Event::RestUnreadable,
             ReportedChange::Limited(_) => Event::UpstreamLimited,
@@ -155,7 +155,7 @@
     pub fn label(&self) -> &'static str {
         match self {
             ReportedChange::Leaving => "leaving",
-            ReportedChange::Resting(_) => "resting",
+            ReportedChange::BackoffStarted(_) => "resting",
             ReportedChange::Rested => "rested",
             ReportedChange::Unreadable(_) => "unreadable",
             ReportedChange::Limited(_) => "limited",
