--- a/src/gateway/own_words.rs
+++ b/src/gateway/own_words.rs
@@ -95,7 +95,7 @@
                 details["text"] = json!(text);
             }
             ReportedChange::Unlimited => details["by"] = "answer".into(),
-            ReportedChange::Rested => {}
+            ReportedChange::BackoffEnded => {}
         }
         news.event().record(fields(details));
     }
--- a/src/placing/reported_state.rs
+++ b/src/placing/reported_state.rs
@@ -182,7 +182,9 @@
             Some(Rest::Unreadable(text)) => self
                 .note_unreadable()
                 .then(|| ReportedChange::Unreadable(text.clone())),
-            None => self.note_taken(sent_at).then_some(ReportedChange::Rested),
+            None => self
+                .note_taken(sent_at)
+                .then_some(ReportedChange::BackoffEnded),
         }
     }
 
--- a/src/placing/statement.rs
+++ b/src/placing/statement.rs
@@ -126,7 +126,7 @@
     /// It is at rest, for this time.
     BackoffStarted(Duration),
     /// Its rest is over, and it has taken a request.
-    Rested,
+    BackoffEnded,
     /// It asks for rest by a text that is no time.
     Unreadable(String),
     /// It takes requests at this rate from all VMs together.
@@ -143,7 +143,7 @@
         match self {
             ReportedChange::Leaving => Event::UpstreamLeaving,
             ReportedChange::BackoffStarted(_) => Event::UpstreamRests,
-            ReportedChange::Rested => Event::UpstreamRested,
+            ReportedChange::BackoffEnded => Event::UpstreamRested,
             ReportedChange::Unreadable(_) => Event::RestUnreadable,
             ReportedChange::Limited(_) => Event::UpstreamLimited,
             ReportedChange::Unlimited => Event::UpstreamUnlimited,
@@ -156,7 +156,7 @@
         match self {
             ReportedChange::Leaving => "leaving",
             ReportedChange::BackoffStarted(_) => "resting",
-            ReportedChange::Rested => "rested",
+            ReportedChange::BackoffEnded => "rested",
             ReportedChange::Unreadable(_) => "unreadable",
             ReportedChange::Limited(_) => "limited",
             ReportedChange::Unlimited => "unlimited",
