--- a/src/gateway/own_words.rs
+++ b/src/gateway/own_words.rs
@@ -90,7 +90,7 @@
                 details["by"] = "answer".into();
                 details["per_s"] = rate.per_s().into();
             }
-            ReportedChange::Unreadable(text)
+            ReportedChange::RetryAfterUnreadable(text)
             | ReportedChange::LimitUnreadable(text) => {
                 details["text"] = json!(text);
             }
--- a/src/placing/pool/statement_tests.rs
+++ b/src/placing/pool/statement_tests.rs
@@ -166,7 +166,7 @@
     let rest = Some(Rest::Unreadable("soon".into()));
     let unreadable = Statement { rest, ..Statement::default() };
     let news = pool.take_statement(&member, &unreadable, now, now);
-    assert_eq!(news, [ReportedChange::Unreadable("soon".into())]);
+    assert_eq!(news, [ReportedChange::RetryAfterUnreadable("soon".into())]);
     assert_eq!(pool.take_statement(&member, &unreadable, now, now), []);
     assert_eq!(open(&pool, now), ["i-1", "i-2"]);
     says(&pool, "i-1", rests(Duration::MAX), now);
--- a/src/placing/reported_state.rs
+++ b/src/placing/reported_state.rs
@@ -181,7 +181,7 @@
                 .then(|| ReportedChange::BackoffStarted(self.rest_left(now))),
             Some(Rest::Unreadable(text)) => self
                 .note_unreadable()
-                .then(|| ReportedChange::Unreadable(text.clone())),
+                .then(|| ReportedChange::RetryAfterUnreadable(text.clone())),
             None => self
                 .note_taken(sent_at)
                 .then_some(ReportedChange::BackoffEnded),
--- a/src/placing/statement.rs
+++ b/src/placing/statement.rs
@@ -128,7 +128,7 @@
     /// Its rest is over, and it has taken a request.
     BackoffEnded,
     /// It asks for rest by a text that is no time.
-    Unreadable(String),
+    RetryAfterUnreadable(String),
     /// It takes requests at this rate from all VMs together.
     Limited(RequestRate),
     /// It has no rate limit any more.
@@ -144,7 +144,7 @@
             ReportedChange::Leaving => Event::UpstreamLeaving,
             ReportedChange::BackoffStarted(_) => Event::UpstreamRests,
             ReportedChange::BackoffEnded => Event::UpstreamRested,
-            ReportedChange::Unreadable(_) => Event::RestUnreadable,
+            ReportedChange::RetryAfterUnreadable(_) => Event::RestUnreadable,
             ReportedChange::Limited(_) => Event::UpstreamLimited,
             ReportedChange::Unlimited => Event::UpstreamUnlimited,
             ReportedChange::LimitUnreadable(_) => Event::LimitUnreadable,
@@ -157,7 +157,7 @@
             ReportedChange::Leaving => "leaving",
             ReportedChange::BackoffStarted(_) => "resting",
             ReportedChange::BackoffEnded => "rested",
-            ReportedChange::Unreadable(_) => "unreadable",
+            ReportedChange::RetryAfterUnreadable(_) => "unreadable",
             ReportedChange::Limited(_) => "limited",
             ReportedChange::Unlimited => "unlimited",
             ReportedChange::LimitUnreadable(_) => "limit_unreadable",
