--- a/src/chat_face/statement.rs
+++ b/src/chat_face/statement.rs
@@ -71,7 +71,7 @@
     };
     match news {
         ReportedChange::Leaving => Some(Notice::Leaving(upstream)),
-        ReportedChange::Limited(rate) => Some(limit(Some(*rate))),
+        ReportedChange::RateLimited(rate) => Some(limit(Some(*rate))),
         ReportedChange::Unlimited => Some(limit(None)),
         _ => None,
     }
--- a/src/gateway/own_words.rs
+++ b/src/gateway/own_words.rs
@@ -61,7 +61,7 @@
                 "by": "vm",
                 "told_by": from,
             });
-            if let ReportedChange::Limited(rate) = news {
+            if let ReportedChange::RateLimited(rate) = news {
                 details["per_s"] = rate.per_s().into();
                 // The own data hall is to hear it from this VM.
                 if !is_near {
@@ -85,7 +85,7 @@
             ReportedChange::BackoffStarted(time) => {
                 details["rest_ms"] = (time.as_millis() as u64).into();
             }
-            ReportedChange::Limited(rate) => {
+            ReportedChange::RateLimited(rate) => {
                 self.early_beat.wake();
                 details["by"] = "answer".into();
                 details["per_s"] = rate.per_s().into();
--- a/src/placing/reported_state.rs
+++ b/src/placing/reported_state.rs
@@ -138,7 +138,7 @@
     ) -> Option<ReportedChange> {
         let change = self.limit.take(rate, stated_at, draw, now)?;
         Some(match change {
-            LimitChange::Begun(rate) => ReportedChange::Limited(rate),
+            LimitChange::Begun(rate) => ReportedChange::RateLimited(rate),
             LimitChange::Ended => ReportedChange::Unlimited,
         })
     }
--- a/src/placing/statement.rs
+++ b/src/placing/statement.rs
@@ -130,7 +130,7 @@
     /// It asks for rest by a text that is no time.
     RetryAfterUnreadable(String),
     /// It takes requests at this rate from all VMs together.
-    Limited(RequestRate),
+    RateLimited(RequestRate),
     /// It has no rate limit any more.
     Unlimited,
     /// It names a rate limit by a text that is no rate.
@@ -145,7 +145,7 @@
             ReportedChange::BackoffStarted(_) => Event::UpstreamRests,
             ReportedChange::BackoffEnded => Event::UpstreamRested,
             ReportedChange::RetryAfterUnreadable(_) => Event::RestUnreadable,
-            ReportedChange::Limited(_) => Event::UpstreamLimited,
+            ReportedChange::RateLimited(_) => Event::UpstreamLimited,
             ReportedChange::Unlimited => Event::UpstreamUnlimited,
             ReportedChange::LimitUnreadable(_) => Event::LimitUnreadable,
         }
@@ -158,7 +158,7 @@
             ReportedChange::BackoffStarted(_) => "resting",
             ReportedChange::BackoffEnded => "rested",
             ReportedChange::RetryAfterUnreadable(_) => "unreadable",
-            ReportedChange::Limited(_) => "limited",
+            ReportedChange::RateLimited(_) => "limited",
             ReportedChange::Unlimited => "unlimited",
             ReportedChange::LimitUnreadable(_) => "limit_unreadable",
         }
