--- a/src/chat_face/statement.rs
+++ b/src/chat_face/statement.rs
@@ -72,7 +72,7 @@
     match news {
         ReportedChange::Leaving => Some(Notice::Leaving(upstream)),
         ReportedChange::RateLimited(rate) => Some(limit(Some(*rate))),
-        ReportedChange::Unlimited => Some(limit(None)),
+        ReportedChange::RateLimitLifted => Some(limit(None)),
         _ => None,
     }
 }
--- a/src/gateway/own_words.rs
+++ b/src/gateway/own_words.rs
@@ -94,7 +94,7 @@
             | ReportedChange::LimitUnreadable(text) => {
                 details["text"] = json!(text);
             }
-            ReportedChange::Unlimited => details["by"] = "answer".into(),
+            ReportedChange::RateLimitLifted => details["by"] = "answer".into(),
             ReportedChange::BackoffEnded => {}
         }
         news.event().record(fields(details));
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -53,7 +53,7 @@
         now: BootInstant,
     ) {
         let rate = statement.rate_limit.as_ref().and_then(RateLimit::rate);
-        if rate.is_some() || news.contains(&ReportedChange::Unlimited) {
+        if rate.is_some() || news.contains(&ReportedChange::RateLimitLifted) {
             let mut seen = self.seen.lock().expect("seen lock");
             seen.note_limit(life, rate, now, true, now);
         }
--- a/src/placing/reported_state.rs
+++ b/src/placing/reported_state.rs
@@ -139,7 +139,7 @@
         let change = self.limit.take(rate, stated_at, draw, now)?;
         Some(match change {
             LimitChange::Begun(rate) => ReportedChange::RateLimited(rate),
-            LimitChange::Ended => ReportedChange::Unlimited,
+            LimitChange::Ended => ReportedChange::RateLimitLifted,
         })
     }
 
--- a/src/placing/statement.rs
+++ b/src/placing/statement.rs
@@ -132,7 +132,7 @@
     /// It takes requests at this rate from all VMs together.
     RateLimited(RequestRate),
     /// It has no rate limit any more.
-    Unlimited,
+    RateLimitLifted,
     /// It names a rate limit by a text that is no rate.
     LimitUnreadable(String),
 }
@@ -146,7 +146,7 @@
             ReportedChange::BackoffEnded => Event::UpstreamRested,
             ReportedChange::RetryAfterUnreadable(_) => Event::RestUnreadable,
             ReportedChange::RateLimited(_) => Event::UpstreamLimited,
-            ReportedChange::Unlimited => Event::UpstreamUnlimited,
+            ReportedChange::RateLimitLifted => Event::UpstreamUnlimited,
             ReportedChange::LimitUnreadable(_) => Event::LimitUnreadable,
         }
     }
@@ -159,7 +159,7 @@
             ReportedChange::BackoffEnded => "rested",
             ReportedChange::RetryAfterUnreadable(_) => "unreadable",
             ReportedChange::RateLimited(_) => "limited",
-            ReportedChange::Unlimited => "unlimited",
+            ReportedChange::RateLimitLifted => "unlimited",
             ReportedChange::LimitUnreadable(_) => "limit_unreadable",
         }
     }
