--- a/src/gateway/own_words.rs
+++ b/src/gateway/own_words.rs
@@ -91,7 +91,7 @@
                 details["per_s"] = rate.per_s().into();
             }
             ReportedChange::RetryAfterUnreadable(text)
-            | ReportedChange::LimitUnreadable(text) => {
+            | ReportedChange::RateLimitUnreadable(text) => {
                 details["text"] = json!(text);
             }
             ReportedChange::RateLimitLifted => details["by"] = "answer".into(),
--- a/src/placing/reported_state.rs
+++ b/src/placing/reported_state.rs
@@ -122,7 +122,8 @@
             RateLimit::Unreadable(text) => {
                 let was = &self.was_limit_unreadable;
                 let is_news = !was.swap(true, Ordering::Relaxed);
-                is_news.then(|| ReportedChange::LimitUnreadable(text.clone()))
+                is_news
+                    .then(|| ReportedChange::RateLimitUnreadable(text.clone()))
             }
         }
     }
--- a/src/placing/statement.rs
+++ b/src/placing/statement.rs
@@ -134,7 +134,7 @@
     /// It has no rate limit any more.
     RateLimitLifted,
     /// It names a rate limit by a text that is no rate.
-    LimitUnreadable(String),
+    RateLimitUnreadable(String),
 }
 
 impl ReportedChange {
@@ -147,7 +147,7 @@
             ReportedChange::RetryAfterUnreadable(_) => Event::RestUnreadable,
             ReportedChange::RateLimited(_) => Event::UpstreamLimited,
             ReportedChange::RateLimitLifted => Event::UpstreamUnlimited,
-            ReportedChange::LimitUnreadable(_) => Event::LimitUnreadable,
+            ReportedChange::RateLimitUnreadable(_) => Event::LimitUnreadable,
         }
     }
 
@@ -160,7 +160,7 @@
             ReportedChange::RetryAfterUnreadable(_) => "unreadable",
             ReportedChange::RateLimited(_) => "limited",
             ReportedChange::RateLimitLifted => "unlimited",
-            ReportedChange::LimitUnreadable(_) => "limit_unreadable",
+            ReportedChange::RateLimitUnreadable(_) => "limit_unreadable",
         }
     }
 }
