--- a/src/chat_face/statement.rs
+++ b/src/chat_face/statement.rs
@@ -9,7 +9,7 @@
         request::Core,
     },
     message::{Notice, ShortHash, ToldLimit},
-    placing::statement::{RateLimit, ReportedChange, Rest, Statement},
+    placing::statement::{RateLimit, ReportedChange, Rest, UpstreamSignals},
     task,
     unit::RequestRate,
 };
@@ -54,9 +54,9 @@
 }
 
 /// Reads what an upstream says of itself in the head of an answer.
-fn read_statement(status: u16, headers: &HeaderMap) -> Statement {
+fn read_statement(status: u16, headers: &HeaderMap) -> UpstreamSignals {
     let ran = ![STATUS_UNAVAILABLE, STATUS_NOT_LOADED].contains(&status);
-    Statement {
+    UpstreamSignals {
         is_leaving: headers.get(LEAVING).is_some_and(|v| v == "1"),
         rest: Rest::read(status, headers),
         rate_limit: RateLimit::read(headers.get_all(RATE_LIMIT), ran),
--- a/src/gateway/limit_replay.rs
+++ b/src/gateway/limit_replay.rs
@@ -18,7 +18,7 @@
     placing::{
         member::{Member, UpstreamEntry, UpstreamState},
         pool::Want,
-        statement::{RateLimit, Statement},
+        statement::{RateLimit, UpstreamSignals},
         upstream::InFlight,
     },
     unit::RequestRate,
@@ -225,8 +225,10 @@
                 let told = self.told_at_ms.entry((work.vm, upstream));
                 told.or_insert(passed_ms);
             }
-            let statement =
-                Statement { rate_limit: Some(limit), ..Statement::default() };
+            let statement = UpstreamSignals {
+                rate_limit: Some(limit),
+                ..UpstreamSignals::default()
+            };
             let vm = self.fleet.vms[work.vm].clone();
             let news = vm.pool.take_statement(
                 &work.member,
--- a/src/gateway/own_words.rs
+++ b/src/gateway/own_words.rs
@@ -13,7 +13,7 @@
     message::{ShortHash, ToldLimit},
     placing::{
         member::Member,
-        statement::{ReportedChange, Statement},
+        statement::{ReportedChange, UpstreamSignals},
     },
 };
 
@@ -23,7 +23,7 @@
     pub(crate) fn hear(
         &self,
         member: &Member,
-        statement: &Statement,
+        statement: &UpstreamSignals,
         sent_at: BootInstant,
     ) {
         let now = self.clock.now();
--- a/src/gateway/own_words/tests.rs
+++ b/src/gateway/own_words/tests.rs
@@ -9,7 +9,7 @@
     gateway::test_fleet::Fleet,
     placing::{
         member::{UpstreamEntry, UpstreamState},
-        statement::{RateLimit, Statement},
+        statement::{RateLimit, UpstreamSignals},
     },
 };
 
@@ -72,7 +72,8 @@
     let first = &fleet.vms[0];
     let now = fleet.clock.now();
     let member = first.pool.member(&"i-1".parse().unwrap()).unwrap();
-    let leaves = Statement { is_leaving: true, ..Statement::default() };
+    let leaves =
+        UpstreamSignals { is_leaving: true, ..UpstreamSignals::default() };
     first.hear(&member, &leaves, now);
     fleet.beat_early(0);
     let told_ms = fleet.passed_ms;
@@ -97,7 +98,8 @@
     }
     let first = fleet.vms[0].clone();
     let member = first.pool.member(&"i-1".parse().unwrap()).unwrap();
-    let leaves = Statement { is_leaving: true, ..Statement::default() };
+    let leaves =
+        UpstreamSignals { is_leaving: true, ..UpstreamSignals::default() };
     first.hear(&member, &leaves, fleet.clock.now());
     let told =
         |fleet: &Fleet| first.pool.take_leaving(fleet.clock.now()).len();
@@ -127,9 +129,9 @@
         run_until(&mut fleet, 2_000);
         let first = fleet.vms[0].clone();
         let member = first.pool.member(&"i-1".parse().unwrap()).unwrap();
-        let says = |limit| Statement {
+        let says = |limit| UpstreamSignals {
             rate_limit: Some(limit),
-            ..Statement::default()
+            ..UpstreamSignals::default()
         };
         let named = says(RateLimit::At("1.4".parse().unwrap()));
         let unlimited = says(RateLimit::Unlimited);
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -19,7 +19,7 @@
         cascade::Kept,
         member::Member,
         pool::VersionRule,
-        statement::{RateLimit, Rest, Statement},
+        statement::{RateLimit, Rest, UpstreamSignals},
     },
     rollouts::choice::{ChoiceReason, VersionChoice},
     unit::Percent,
@@ -177,7 +177,7 @@
     }
 
     /// Notes what the upstream says of itself in its answer.
-    pub(crate) fn note_statement(&mut self, statement: &Statement) {
+    pub(crate) fn note_statement(&mut self, statement: &UpstreamSignals) {
         if let Some(last) = self.attempts.last_mut() {
             last.says_leaving = statement.is_leaving;
             last.rest_wanted.clone_from(&statement.rest);
--- a/src/placing/pool/rest_replay.rs
+++ b/src/placing/pool/rest_replay.rs
@@ -20,7 +20,7 @@
 };
 use crate::placing::{
     reported_state::ReportedState,
-    statement::{Rest, Statement},
+    statement::{Rest, UpstreamSignals},
     upstream::InFlight,
 };
 
@@ -162,8 +162,10 @@
     fn hear_rest(&mut self, vm: usize, upstream: usize, rest: Duration) {
         let id = format!("i-{upstream}").parse().unwrap();
         let member = self.vms[vm].member(&id).unwrap();
-        let statement =
-            Statement { rest: Some(Rest::For(rest)), ..Statement::default() };
+        let statement = UpstreamSignals {
+            rest: Some(Rest::For(rest)),
+            ..UpstreamSignals::default()
+        };
         let (pool, now) = (&self.vms[vm], self.now);
         pool.take_statement(&member, &statement, now, now);
     }
@@ -196,7 +198,7 @@
             if !self.is_shedding(number) {
                 let ends_at = self.now + WORK;
                 self.working.push_back((ends_at, member.upstream.begin()));
-                let served = Statement::default();
+                let served = UpstreamSignals::default();
                 let (pool, now) = (&self.vms[vm], self.now);
                 pool.take_statement(&member, &served, now, now);
                 return;
--- a/src/placing/pool/statement_tests.rs
+++ b/src/placing/pool/statement_tests.rs
@@ -6,16 +6,16 @@
 };
 use crate::{
     id::StartMs,
-    placing::statement::{RateLimit, ReportedChange, Rest, Statement},
+    placing::statement::{RateLimit, ReportedChange, Rest, UpstreamSignals},
 };
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn leaves() -> Statement {
-    Statement { is_leaving: true, ..Statement::default() }
+fn leaves() -> UpstreamSignals {
+    UpstreamSignals { is_leaving: true, ..UpstreamSignals::default() }
 }
 
-fn says(pool: &Pool, id: &str, statement: Statement, now: BootInstant) {
+fn says(pool: &Pool, id: &str, statement: UpstreamSignals, now: BootInstant) {
     let member = pool.member(&id.parse().unwrap()).unwrap();
     pool.take_statement(&member, &statement, now, now);
 }
@@ -91,8 +91,11 @@
     assert_eq!(open(&pool, now), ["i-1"]);
 }
 
-fn rests(time: Duration) -> Statement {
-    Statement { rest: Some(Rest::For(time)), ..Statement::default() }
+fn rests(time: Duration) -> UpstreamSignals {
+    UpstreamSignals {
+        rest: Some(Rest::For(time)),
+        ..UpstreamSignals::default()
+    }
 }
 
 fn refused(pool: &Pool, want: &Want<'_>, now: BootInstant) -> NoMember {
@@ -164,7 +167,7 @@
     let pool = pool(&[entry("i-1", "a", "v1"), entry("i-2", "a", "v1")], now);
     let member = pool.member(&"i-1".parse().unwrap()).unwrap();
     let rest = Some(Rest::Unreadable("soon".into()));
-    let unreadable = Statement { rest, ..Statement::default() };
+    let unreadable = UpstreamSignals { rest, ..UpstreamSignals::default() };
     let news = pool.take_statement(&member, &unreadable, now, now);
     assert_eq!(news, [ReportedChange::RetryAfterUnreadable("soon".into())]);
     assert_eq!(pool.take_statement(&member, &unreadable, now, now), []);
@@ -179,9 +182,9 @@
 #[test]
 fn a_version_to_avoid_does_not_get_what_the_others_back_off_from() {
     let now = BootInstant::now();
-    let limited = Statement {
+    let limited = UpstreamSignals {
         rate_limit: Some(RateLimit::At("1".parse().unwrap())),
-        ..Statement::default()
+        ..UpstreamSignals::default()
     };
     for statement in [rests(SECOND * 3), limited] {
         let entries = [entry("i-1", "a", "v1"), entry("i-2", "a", "v2")];
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -13,7 +13,7 @@
     placing::{
         health::Verdict,
         member::{LoadReport, Member},
-        statement::{RateLimit, ReportedChange, Statement},
+        statement::{RateLimit, ReportedChange, UpstreamSignals},
     },
 };
 
@@ -23,7 +23,7 @@
     pub fn take_statement(
         &self,
         member: &Member,
-        statement: &Statement,
+        statement: &UpstreamSignals,
         sent_at: BootInstant,
         now: BootInstant,
     ) -> Vec<ReportedChange> {
@@ -48,7 +48,7 @@
     fn tell_limit(
         &self,
         life: ShortHash,
-        statement: &Statement,
+        statement: &UpstreamSignals,
         news: &[ReportedChange],
         now: BootInstant,
     ) {
--- a/src/placing/reported_state.rs
+++ b/src/placing/reported_state.rs
@@ -21,7 +21,7 @@
     placing::{
         owners::Roster,
         rate_limit::{self, LimitChange, LimitState},
-        statement::{RateLimit, ReportedChange, Rest, Statement},
+        statement::{RateLimit, ReportedChange, Rest, UpstreamSignals},
     },
     unit::RequestRate,
 };
@@ -95,7 +95,7 @@
     /// do next.
     pub fn take(
         &self,
-        statement: &Statement,
+        statement: &UpstreamSignals,
         draw: f64,
         sent_at: BootInstant,
         now: BootInstant,
--- a/src/placing/statement.rs
+++ b/src/placing/statement.rs
@@ -18,7 +18,7 @@
 
 /// All that one answer says of the upstream that gave it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Statement {
+pub struct UpstreamSignals {
     /// Whether it is leaving.
     pub is_leaving: bool,
     /// The rest that it asks this VM for, if any.
