--- a/src/chat_face/statement.rs
+++ b/src/chat_face/statement.rs
@@ -9,7 +9,7 @@
         request::Core,
     },
     message::{Notice, ShortHash, ToldLimit},
-    placing::statement::{RateLimit, ReportedChange, Rest, UpstreamSignals},
+    placing::signals::{RateLimit, ReportedChange, Rest, UpstreamSignals},
     task,
     unit::RequestRate,
 };
--- a/src/gateway/limit_replay.rs
+++ b/src/gateway/limit_replay.rs
@@ -18,7 +18,7 @@
     placing::{
         member::{Member, UpstreamEntry, UpstreamState},
         pool::Want,
-        statement::{RateLimit, UpstreamSignals},
+        signals::{RateLimit, UpstreamSignals},
         upstream::InFlight,
     },
     unit::RequestRate,
--- a/src/gateway/own_words.rs
+++ b/src/gateway/own_words.rs
@@ -13,7 +13,7 @@
     message::{ShortHash, ToldLimit},
     placing::{
         member::Member,
-        statement::{ReportedChange, UpstreamSignals},
+        signals::{ReportedChange, UpstreamSignals},
     },
 };
 
--- a/src/gateway/own_words/tests.rs
+++ b/src/gateway/own_words/tests.rs
@@ -9,7 +9,7 @@
     gateway::test_fleet::Fleet,
     placing::{
         member::{UpstreamEntry, UpstreamState},
-        statement::{RateLimit, UpstreamSignals},
+        signals::{RateLimit, UpstreamSignals},
     },
 };
 
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -19,7 +19,7 @@
         cascade::Kept,
         member::Member,
         pool::VersionRule,
-        statement::{RateLimit, Rest, UpstreamSignals},
+        signals::{RateLimit, Rest, UpstreamSignals},
     },
     rollouts::choice::{ChoiceReason, VersionChoice},
     unit::Percent,
--- a/src/placing/mod.rs
+++ b/src/placing/mod.rs
@@ -3,7 +3,7 @@
 //! * [`pool`]: the upstreams as this VM sees them, and the choice among them;
 //!   `pool/told`: what upstreams say and VMs tell of them.
 //! * [`member`]: one of them.
-//! * [`statement`]: what an upstream says of itself in an answer;
+//! * [`signals`]: what an upstream says of itself in an answer;
 //!   [`reported_state`]: what is kept of that for its life.
 //! * [`seen`]: what this VM tells the others of them.
 //! * [`admission`]: how long the line at an upstream may be.
@@ -26,6 +26,6 @@
 pub mod reported_state;
 pub mod retry_window;
 pub(crate) mod seen;
-pub mod statement;
+pub mod signals;
 pub mod upstream;
 pub mod warm_up;
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -741,6 +741,6 @@
 #[cfg(test)]
 mod rest_replay;
 #[cfg(test)]
-mod statement_tests;
+mod signals_tests;
 #[cfg(test)]
 mod tests;
--- a/src/placing/pool/rest_replay.rs
+++ b/src/placing/pool/rest_replay.rs
@@ -20,7 +20,7 @@
 };
 use crate::placing::{
     reported_state::ReportedState,
-    statement::{Rest, UpstreamSignals},
+    signals::{Rest, UpstreamSignals},
     upstream::InFlight,
 };
 
--- a/src/placing/pool/statement_tests.rs
+++ b/src/placing/pool/signals_tests.rs
@@ -6,7 +6,7 @@
 };
 use crate::{
     id::StartMs,
-    placing::statement::{RateLimit, ReportedChange, Rest, UpstreamSignals},
+    placing::signals::{RateLimit, ReportedChange, Rest, UpstreamSignals},
 };
 
 const SECOND: Duration = Duration::from_secs(1);
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -13,7 +13,7 @@
     placing::{
         health::Verdict,
         member::{LoadReport, Member},
-        statement::{RateLimit, ReportedChange, UpstreamSignals},
+        signals::{RateLimit, ReportedChange, UpstreamSignals},
     },
 };
 
--- a/src/placing/reported_state.rs
+++ b/src/placing/reported_state.rs
@@ -21,7 +21,7 @@
     placing::{
         owners::Roster,
         rate_limit::{self, LimitChange, LimitState},
-        statement::{RateLimit, ReportedChange, Rest, UpstreamSignals},
+        signals::{RateLimit, ReportedChange, Rest, UpstreamSignals},
     },
     unit::RequestRate,
 };
