--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -19,7 +19,7 @@
         cascade::Kept,
         member::Member,
         pool::VersionRule,
-        signals::{RateLimit, Rest, UpstreamSignals},
+        signals::{RateLimit, RetryAfter, UpstreamSignals},
     },
     rollouts::choice::{ChoiceReason, VersionChoice},
     unit::Percent,
@@ -41,7 +41,7 @@
     /// Whether the upstream said that it is leaving.
     says_leaving: bool,
     /// The rest that the upstream asked for.
-    rest_wanted: Option<Rest>,
+    rest_wanted: Option<RetryAfter>,
     /// The rate limit that the upstream named.
     rate_limit: Option<RateLimit>,
     confidence: Option<u8>,
@@ -337,8 +337,10 @@
         }
         let rest = match &self.rest_wanted {
             None => None,
-            Some(Rest::For(time)) => Some(json!(time.as_millis() as u64)),
-            Some(Rest::Unreadable(text)) => Some(json!(text)),
+            Some(RetryAfter::For(time)) => {
+                Some(json!(time.as_millis() as u64))
+            }
+            Some(RetryAfter::Unreadable(text)) => Some(json!(text)),
         };
         if let Some(rest) = rest {
             fields.insert("rest_wanted_ms".into(), rest);
--- a/src/placing/pool/rest_replay.rs
+++ b/src/placing/pool/rest_replay.rs
@@ -20,7 +20,7 @@
 };
 use crate::placing::{
     reported_state::ReportedState,
-    signals::{Rest, UpstreamSignals},
+    signals::{RetryAfter, UpstreamSignals},
     upstream::InFlight,
 };
 
@@ -163,7 +163,7 @@
         let id = format!("i-{upstream}").parse().unwrap();
         let member = self.vms[vm].member(&id).unwrap();
         let statement = UpstreamSignals {
-            rest: Some(Rest::For(rest)),
+            rest: Some(RetryAfter::For(rest)),
             ..UpstreamSignals::default()
         };
         let (pool, now) = (&self.vms[vm], self.now);
@@ -307,7 +307,7 @@
     let words: Vec<ReportedState> =
         (0..300).map(|_| ReportedState::default()).collect();
     for word in &words {
-        let rest = Rest::For(REST);
+        let rest = RetryAfter::For(REST);
         word.take_rest(Some(&rest), rand::random(), now, now);
     }
     let back = |at: Duration| {
--- a/src/placing/pool/signals_tests.rs
+++ b/src/placing/pool/signals_tests.rs
@@ -6,7 +6,9 @@
 };
 use crate::{
     id::StartMs,
-    placing::signals::{RateLimit, ReportedChange, Rest, UpstreamSignals},
+    placing::signals::{
+        RateLimit, ReportedChange, RetryAfter, UpstreamSignals,
+    },
 };
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -93,7 +95,7 @@
 
 fn rests(time: Duration) -> UpstreamSignals {
     UpstreamSignals {
-        rest: Some(Rest::For(time)),
+        rest: Some(RetryAfter::For(time)),
         ..UpstreamSignals::default()
     }
 }
@@ -166,7 +168,7 @@
     let now = BootInstant::now();
     let pool = pool(&[entry("i-1", "a", "v1"), entry("i-2", "a", "v1")], now);
     let member = pool.member(&"i-1".parse().unwrap()).unwrap();
-    let rest = Some(Rest::Unreadable("soon".into()));
+    let rest = Some(RetryAfter::Unreadable("soon".into()));
     let unreadable = UpstreamSignals { rest, ..UpstreamSignals::default() };
     let news = pool.take_statement(&member, &unreadable, now, now);
     assert_eq!(news, [ReportedChange::RetryAfterUnreadable("soon".into())]);
--- a/src/placing/reported_state.rs
+++ b/src/placing/reported_state.rs
@@ -21,7 +21,7 @@
     placing::{
         owners::Roster,
         rate_limit::{self, LimitChange, LimitState},
-        signals::{RateLimit, ReportedChange, Rest, UpstreamSignals},
+        signals::{RateLimit, ReportedChange, RetryAfter, UpstreamSignals},
     },
     unit::RequestRate,
 };
@@ -171,16 +171,16 @@
     /// `sent_at`, or that it asks for none; returns what is news.
     pub(super) fn take_rest(
         &self,
-        rest: Option<&Rest>,
+        rest: Option<&RetryAfter>,
         draw: f64,
         sent_at: BootInstant,
         now: BootInstant,
     ) -> Option<ReportedChange> {
         match rest {
-            Some(Rest::For(time)) => self
+            Some(RetryAfter::For(time)) => self
                 .note_rest(*time, draw, now)
                 .then(|| ReportedChange::BackoffStarted(self.rest_left(now))),
-            Some(Rest::Unreadable(text)) => self
+            Some(RetryAfter::Unreadable(text)) => self
                 .note_unreadable()
                 .then(|| ReportedChange::RetryAfterUnreadable(text.clone())),
             None => self
--- a/src/placing/signals.rs
+++ b/src/placing/signals.rs
@@ -22,7 +22,7 @@
     /// Whether it is leaving.
     pub is_leaving: bool,
     /// The rest that it asks this VM for, if any.
-    pub rest: Option<Rest>,
+    pub rest: Option<RetryAfter>,
     /// What it says of the requests of all VMs together; `None` where it
     /// leaves that open.
     pub rate_limit: Option<RateLimit>,
@@ -33,37 +33,40 @@
 /// For how long an upstream wants no further request of the VM that it has
 /// turned away.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Rest {
+pub enum RetryAfter {
     /// For this time.
     For(Duration),
     /// It says something that is no time.
     Unreadable(String),
 }
 
-impl Rest {
+impl RetryAfter {
     /// Reads it from an answer's head: of several times, the longest.
-    pub fn read(status: u16, headers: &HeaderMap) -> Option<Rest> {
+    pub fn read(status: u16, headers: &HeaderMap) -> Option<RetryAfter> {
         if !TURNED_AWAY.contains(&status) {
             return None;
         }
         let rests = headers.get_all(RETRY_AFTER).iter().map(|value| {
             let text = String::from_utf8_lossy(value.as_bytes());
-            Rest::parse(&text)
+            RetryAfter::parse(&text)
         });
-        rests.max_by_key(Rest::time)
+        rests.max_by_key(RetryAfter::time)
     }
 
-    fn parse(text: &str) -> Rest {
+    fn parse(text: &str) -> RetryAfter {
         let seconds = text.trim().parse().ok();
         let time = seconds.and_then(|s| Duration::try_from_secs_f64(s).ok());
-        time.map_or_else(|| Rest::Unreadable(shortened(text)), Rest::For)
+        time.map_or_else(
+            || RetryAfter::Unreadable(shortened(text)),
+            RetryAfter::For,
+        )
     }
 
     /// How long it is, as far as that can be read.
     pub fn time(&self) -> Option<Duration> {
         match self {
-            Rest::For(time) => Some(*time),
-            Rest::Unreadable(_) => None,
+            RetryAfter::For(time) => Some(*time),
+            RetryAfter::Unreadable(_) => None,
         }
     }
 }
--- a/src/placing/signals/tests.rs
+++ b/src/placing/signals/tests.rs
@@ -23,21 +23,21 @@
     }
 }
 
-fn read(status: u16, values: &[&[u8]]) -> Option<Rest> {
+fn read(status: u16, values: &[&[u8]]) -> Option<RetryAfter> {
     let mut headers = HeaderMap::new();
     for value in values {
         let value = HeaderValue::from_bytes(value).unwrap();
         headers.append(RETRY_AFTER, value);
     }
-    Rest::read(status, &headers)
+    RetryAfter::read(status, &headers)
 }
 
 #[test]
 fn a_rest_is_seconds_beside_a_request_that_was_turned_away() {
-    let three = Some(Rest::For(Duration::from_secs(3)));
+    let three = Some(RetryAfter::For(Duration::from_secs(3)));
     assert_eq!(read(503, &[b"3"]), three);
     assert_eq!(read(429, &[b" 3 "]), three);
-    let part = Rest::For(Duration::from_millis(250));
+    let part = RetryAfter::For(Duration::from_millis(250));
     assert_eq!(read(503, &[b"0.25"]), Some(part));
     assert_eq!(read(503, &[]), None);
     for status in [200, 301, 421, 500, 504] {
@@ -47,7 +47,7 @@
 
 #[test]
 fn of_several_times_the_longest_holds() {
-    let three = Some(Rest::For(Duration::from_secs(3)));
+    let three = Some(RetryAfter::For(Duration::from_secs(3)));
     assert_eq!(read(503, &[b"1", b"3", b"2"]), three);
     assert_eq!(read(503, &[b"soon", b"3"]), three);
 }
@@ -58,7 +58,7 @@
         ["", "-1", "NaN", "inf", "1e300", "Thu, 01 Dec 1994 16:00:00 GMT"]
     {
         let read = read(503, &[text.as_bytes()]);
-        assert_eq!(read, Some(Rest::Unreadable(text.into())), "{text}");
+        assert_eq!(read, Some(RetryAfter::Unreadable(text.into())), "{text}");
     }
 }
 
@@ -76,11 +76,11 @@
                 headers.append(RETRY_AFTER, value);
             }
         }
-        match Rest::read(status, &headers) {
-            Some(Rest::Unreadable(text)) => {
+        match RetryAfter::read(status, &headers) {
+            Some(RetryAfter::Unreadable(text)) => {
                 prop_assert!(text.chars().count() <= TEXT_MOST);
             }
-            Some(Rest::For(_)) | None => {}
+            Some(RetryAfter::For(_)) | None => {}
         }
         match RateLimit::read(headers.get_all(RETRY_AFTER), false) {
             Some(RateLimit::Unreadable(text)) => {
