--- a/src/chat_face/statement.rs
+++ b/src/chat_face/statement.rs
@@ -60,7 +60,7 @@
     let ran = ![STATUS_UNAVAILABLE, STATUS_NOT_LOADED].contains(&status);
     UpstreamSignals {
         is_leaving: headers.get(LEAVING).is_some_and(|v| v == "1"),
-        rest: RetryAfter::read(status, headers),
+        retry_after: RetryAfter::read(status, headers),
         rate_limit: RateLimit::read(headers.get_all(RATE_LIMIT), ran),
         load: None,
     }
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -180,7 +180,7 @@
     pub(crate) fn note_statement(&mut self, statement: &UpstreamSignals) {
         if let Some(last) = self.attempts.last_mut() {
             last.says_leaving = statement.is_leaving;
-            last.rest_wanted.clone_from(&statement.rest);
+            last.rest_wanted.clone_from(&statement.retry_after);
             last.rate_limit.clone_from(&statement.rate_limit);
         }
     }
--- a/src/placing/pool/rest_replay.rs
+++ b/src/placing/pool/rest_replay.rs
@@ -163,7 +163,7 @@
         let id = format!("i-{upstream}").parse().unwrap();
         let member = self.vms[vm].member(&id).unwrap();
         let statement = UpstreamSignals {
-            rest: Some(RetryAfter::For(rest)),
+            retry_after: Some(RetryAfter::For(rest)),
             ..UpstreamSignals::default()
         };
         let (pool, now) = (&self.vms[vm], self.now);
--- a/src/placing/pool/signals_tests.rs
+++ b/src/placing/pool/signals_tests.rs
@@ -95,7 +95,7 @@
 
 fn rests(time: Duration) -> UpstreamSignals {
     UpstreamSignals {
-        rest: Some(RetryAfter::For(time)),
+        retry_after: Some(RetryAfter::For(time)),
         ..UpstreamSignals::default()
     }
 }
@@ -169,7 +169,8 @@
     let pool = pool(&[entry("i-1", "a", "v1"), entry("i-2", "a", "v1")], now);
     let member = pool.member(&"i-1".parse().unwrap()).unwrap();
     let rest = Some(RetryAfter::Unreadable("soon".into()));
-    let unreadable = UpstreamSignals { rest, ..UpstreamSignals::default() };
+    let unreadable =
+        UpstreamSignals { retry_after: rest, ..UpstreamSignals::default() };
     let news = pool.take_statement(&member, &unreadable, now, now);
     assert_eq!(news, [ReportedChange::RetryAfterUnreadable("soon".into())]);
     assert_eq!(pool.take_statement(&member, &unreadable, now, now), []);
--- a/src/placing/reported_state.rs
+++ b/src/placing/reported_state.rs
@@ -102,7 +102,8 @@
     ) -> Vec<ReportedChange> {
         let is_news = statement.is_leaving && self.note_leaving();
         let leaving = is_news.then_some(ReportedChange::Leaving);
-        let rest = self.take_rest(statement.rest.as_ref(), draw, sent_at, now);
+        let rest =
+            self.take_rest(statement.retry_after.as_ref(), draw, sent_at, now);
         let limit = statement.rate_limit.as_ref();
         let limit = limit.and_then(|limit| self.take_limit(limit, draw, now));
         [leaving, rest, limit].into_iter().flatten().collect()
--- a/src/placing/signals.rs
+++ b/src/placing/signals.rs
@@ -22,7 +22,7 @@
     /// Whether it is leaving.
     pub is_leaving: bool,
     /// The rest that it asks this VM for, if any.
-    pub rest: Option<RetryAfter>,
+    pub retry_after: Option<RetryAfter>,
     /// What it says of the requests of all VMs together; `None` where it
     /// leaves that open.
     pub rate_limit: Option<RateLimit>,
