--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -32,7 +32,7 @@
         admission,
         health::Verdict,
         member::{Member, Reading},
-        pool::{NoMember, SharedPrompt, Want},
+        pool::{PickError, SharedPrompt, Want},
         upstream::InFlight,
     },
     platform::headers::{self, AnswerHead},
@@ -284,15 +284,15 @@
         let want = self.want(&version, &self.tried);
         let picked = self.gateway.pool.pick(&self.service, &want, now);
         let member = picked.map_err(|no_member| match no_member {
-            NoMember::Unknown => Error::new(ErrorKind::NoUpstream)
+            PickError::Unknown => Error::new(ErrorKind::NoUpstream)
                 .context(format!("no upstream of {}", self.service)),
-            NoMember::Evacuated => Error::new(ErrorKind::NoUpstream)
+            PickError::Evacuated => Error::new(ErrorKind::NoUpstream)
                 .context(format!("all of {} is evacuated", self.service)),
-            NoMember::BackingOff(left) => self.all_backing_off(left),
-            NoMember::Cold => Error::new(ErrorKind::Overloaded)
+            PickError::BackingOff(left) => self.all_backing_off(left),
+            PickError::Cold => Error::new(ErrorKind::Overloaded)
                 .context(format!("all of {} is cold", self.service))
                 .with_retry_after(RETRY_AFTER_COLD),
-            NoMember::Full => Error::new(ErrorKind::Overloaded)
+            PickError::Full => Error::new(ErrorKind::Overloaded)
                 .context(format!("{} is full", self.service))
                 .with_retry_after(admission::return_after(
                     self.gateway.service_times.of(&self.service),
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -118,7 +118,7 @@
 
 /// Why there is no upstream for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoMember {
+pub enum PickError {
     /// None is known that may take it.
     Unknown,
     /// All are in data halls whose upstreams are to get no requests.
@@ -409,13 +409,13 @@
     ///
     /// # Errors
     ///
-    /// A [`NoMember`] when none may take it.
+    /// A [`PickError`] when none may take it.
     pub fn pick(
         &self,
         service: &ServiceId,
         want: &Want<'_>,
         now: BootInstant,
-    ) -> Result<Arc<Member>, NoMember> {
+    ) -> Result<Arc<Member>, PickError> {
         let members = self.read();
         let open = self.candidates(&members, service, want, now)?;
         let chosen = match want.prompt {
@@ -446,12 +446,12 @@
         service: &ServiceId,
         want: &Want<'_>,
         now: BootInstant,
-    ) -> Result<Vec<&'a Arc<Member>>, NoMember> {
+    ) -> Result<Vec<&'a Arc<Member>>, PickError> {
         let all = members.by_service.get(service);
         let all = all.map_or(&[][..], Vec::as_slice);
         let open = self.open_to(all, service, want, now)?;
         if open.iter().all(|member| member.fill(now) >= want.most_fill) {
-            return Err(NoMember::Full);
+            return Err(PickError::Full);
         }
         Ok(open)
     }
@@ -464,7 +464,7 @@
         service: &ServiceId,
         want: &Want<'_>,
         now: BootInstant,
-    ) -> Result<Vec<&'a Arc<Member>>, NoMember> {
+    ) -> Result<Vec<&'a Arc<Member>>, PickError> {
         let may_answer =
             |m: &&Arc<Member>| !want.withdrawn.contains(&m.entry.software);
         let open: Vec<&Arc<Member>> = all
@@ -473,23 +473,23 @@
             .filter(may_answer)
             .collect();
         if open.is_empty() {
-            return Err(NoMember::Unknown);
+            return Err(PickError::Unknown);
         }
         let open = self.without_evacuated(open);
         if open.is_empty() {
-            return Err(NoMember::Evacuated);
+            return Err(PickError::Evacuated);
         }
         // Before what is open only for now: a version on trial gets its share
         // also while the others can take no more.
         let open = without_avoided(open, &want.rule);
         if open.is_empty() {
-            return Err(NoMember::Unknown);
+            return Err(PickError::Unknown);
         }
         let open =
-            self.without_backoff(open, now).map_err(NoMember::BackingOff)?;
+            self.without_backoff(open, now).map_err(PickError::BackingOff)?;
         let open = self.without_cold(open, service, now);
         if open.is_empty() {
-            return Err(NoMember::Cold);
+            return Err(PickError::Cold);
         }
         let open = preferred(open, &want.rule);
         let is_sound = |member: &&Arc<Member>| {
--- a/src/placing/pool/signals_tests.rs
+++ b/src/placing/pool/signals_tests.rs
@@ -100,7 +100,7 @@
     }
 }
 
-fn refused(pool: &Pool, want: &Want<'_>, now: BootInstant) -> NoMember {
+fn refused(pool: &Pool, want: &Want<'_>, now: BootInstant) -> PickError {
     pool.pick(&"writers".parse().unwrap(), want, now).unwrap_err()
 }
 
@@ -135,7 +135,7 @@
     says(&pool, "i-1", rests(SECOND * 8), now);
     assert_eq!(pool.service_backoff(&service, now), None, "one is awake");
     says(&pool, "i-2", rests(SECOND * 2), now);
-    let NoMember::BackingOff(left) = refused(&pool, &Want::default(), now)
+    let PickError::BackingOff(left) = refused(&pool, &Want::default(), now)
     else {
         panic!("the reason is their rest");
     };
@@ -146,7 +146,7 @@
     assert!(pool.service_backoff(&service, now) >= Some(SECOND * 8));
     let tried = [ShortHash::of("i-1")];
     let want = Want { tried: &tried, ..Want::default() };
-    assert_eq!(refused(&pool, &want, now), NoMember::Unknown);
+    assert_eq!(refused(&pool, &want, now), PickError::Unknown);
 }
 
 #[test]
@@ -200,7 +200,7 @@
         for rule in rules("v2") {
             let want = Want { rule, ..Want::default() };
             let no_member = refused(&pool, &want, now);
-            assert!(matches!(no_member, NoMember::BackingOff(_)));
+            assert!(matches!(no_member, PickError::BackingOff(_)));
         }
         // One that is only preferred is not worth a refusal.
         let rule = VersionRule::Prefer("v1".parse().unwrap());
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -132,12 +132,12 @@
     let held: Vec<_> = (0..13).map(|_| member.upstream.begin()).collect();
     let service = "writers".parse().unwrap();
     let picked = pool.pick(&service, &Want::default(), now);
-    assert_eq!(picked.unwrap_err(), NoMember::Full);
+    assert_eq!(picked.unwrap_err(), PickError::Full);
     drop(held);
     assert!(pool.pick(&service, &Want::default(), now).is_ok());
     let other = "nobody".parse().unwrap();
     let picked = pool.pick(&other, &Want::default(), now);
-    assert_eq!(picked.unwrap_err(), NoMember::Unknown);
+    assert_eq!(picked.unwrap_err(), PickError::Unknown);
 }
 
 #[test]
@@ -257,7 +257,7 @@
     assert!(pool.evacuate(&far));
     let service = "writers".parse().unwrap();
     let picked = pool.pick(&service, &Want::default(), now);
-    assert_eq!(picked.unwrap_err(), NoMember::Evacuated);
+    assert_eq!(picked.unwrap_err(), PickError::Evacuated);
     assert!(pool.end_evacuation(&near, now));
     assert_eq!(picks(&pool, &Want::default(), now), ["i-1"]);
 }
