--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -284,7 +284,7 @@
         let want = self.want(&version, &self.tried);
         let picked = self.gateway.pool.pick(&self.service, &want, now);
         let member = picked.map_err(|no_member| match no_member {
-            PickError::Unknown => Error::new(ErrorKind::NoUpstream)
+            PickError::NoCandidate => Error::new(ErrorKind::NoUpstream)
                 .context(format!("no upstream of {}", self.service)),
             PickError::Evacuated => Error::new(ErrorKind::NoUpstream)
                 .context(format!("all of {} is evacuated", self.service)),
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -120,7 +120,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PickError {
     /// None is known that may take it.
-    Unknown,
+    NoCandidate,
     /// All are in data halls whose upstreams are to get no requests.
     Evacuated,
     /// All have asked for fewer requests, and the first of them may get one
@@ -473,7 +473,7 @@
             .filter(may_answer)
             .collect();
         if open.is_empty() {
-            return Err(PickError::Unknown);
+            return Err(PickError::NoCandidate);
         }
         let open = self.without_evacuated(open);
         if open.is_empty() {
@@ -483,7 +483,7 @@
         // also while the others can take no more.
         let open = without_avoided(open, &want.rule);
         if open.is_empty() {
-            return Err(PickError::Unknown);
+            return Err(PickError::NoCandidate);
         }
         let open =
             self.without_backoff(open, now).map_err(PickError::BackingOff)?;
--- a/src/placing/pool/signals_tests.rs
+++ b/src/placing/pool/signals_tests.rs
@@ -146,7 +146,7 @@
     assert!(pool.service_backoff(&service, now) >= Some(SECOND * 8));
     let tried = [ShortHash::of("i-1")];
     let want = Want { tried: &tried, ..Want::default() };
-    assert_eq!(refused(&pool, &want, now), PickError::Unknown);
+    assert_eq!(refused(&pool, &want, now), PickError::NoCandidate);
 }
 
 #[test]
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -137,7 +137,7 @@
     assert!(pool.pick(&service, &Want::default(), now).is_ok());
     let other = "nobody".parse().unwrap();
     let picked = pool.pick(&other, &Want::default(), now);
-    assert_eq!(picked.unwrap_err(), PickError::Unknown);
+    assert_eq!(picked.unwrap_err(), PickError::NoCandidate);
 }
 
 #[test]
