--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -32,7 +32,7 @@
         admission,
         health::Verdict,
         member::{Member, Reading},
-        pool::{PickError, SharedPrompt, Want},
+        pool::{PickCriteria, PickError, SharedPrompt},
         upstream::InFlight,
     },
     platform::headers::{self, AnswerHead},
@@ -253,9 +253,9 @@
         &self,
         version: &'a VersionChoice,
         tried: &'a [ShortHash],
-    ) -> Want<'a> {
+    ) -> PickCriteria<'a> {
         let takes = self.gateway.service_times.of(&self.service);
-        Want {
+        PickCriteria {
             rule: version.rule.clone(),
             prompt: self.shared_prompt(),
             withdrawn: &version.withdrawn,
--- a/src/gateway/limit_replay.rs
+++ b/src/gateway/limit_replay.rs
@@ -17,7 +17,7 @@
     gateway::test_fleet::{Fleet, STEP_MS},
     placing::{
         member::{Member, UpstreamEntry, UpstreamState},
-        pool::Want,
+        pool::PickCriteria,
         signals::{RateLimit, UpstreamSignals},
         upstream::InFlight,
     },
@@ -248,7 +248,7 @@
         let vm = self.fleet.vms[at].clone();
         let service = "writers".parse().unwrap();
         let now = self.fleet.clock.now();
-        let picked = vm.pool.pick(&service, &Want::default(), now);
+        let picked = vm.pool.pick(&service, &PickCriteria::default(), now);
         let Ok(member) = picked else {
             self.refused += 1;
             return;
--- a/src/gateway/wake_tests.rs
+++ b/src/gateway/wake_tests.rs
@@ -22,7 +22,7 @@
     http_client::Listening,
     id::UpstreamId,
     message::ShortHash,
-    placing::{member::UpstreamEntry, pool::Want},
+    placing::{member::UpstreamEntry, pool::PickCriteria},
 };
 
 const REQUEST: RequestDigest = RequestDigest(1);
@@ -123,7 +123,7 @@
 fn decisions(gateway: &Gateway) -> Vec<(&'static str, bool)> {
     let now = gateway.clock.now();
     let own_proof = gateway.knowledge.proof_age(now);
-    let want = Want::default();
+    let want = PickCriteria::default();
     let picked = gateway.pool.pick(&service(), &want, now);
     vec![
         ("accepts keys", gateway.may_accept_keys(now)),
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -90,7 +90,7 @@
 
 /// What a request asks of the choice.
 #[derive(Clone, Debug)]
-pub struct Want<'a> {
+pub struct PickCriteria<'a> {
     /// Which software may answer it.
     pub rule: VersionRule,
     /// What it would like to find in an upstream's memory.
@@ -103,10 +103,10 @@
     pub most_fill: f64,
 }
 
-impl Default for Want<'_> {
+impl Default for PickCriteria<'_> {
     /// Whatever is free.
     fn default() -> Self {
-        Want {
+        PickCriteria {
             rule: VersionRule::Any,
             prompt: None,
             withdrawn: &[],
@@ -413,7 +413,7 @@
     pub fn pick(
         &self,
         service: &ServiceId,
-        want: &Want<'_>,
+        want: &PickCriteria<'_>,
         now: BootInstant,
     ) -> Result<Arc<Member>, PickError> {
         let members = self.read();
@@ -433,7 +433,7 @@
     pub fn can_pick(
         &self,
         service: &ServiceId,
-        want: &Want<'_>,
+        want: &PickCriteria<'_>,
         now: BootInstant,
     ) -> bool {
         self.candidates(&self.read(), service, want, now).is_ok()
@@ -444,7 +444,7 @@
         &self,
         members: &'a Members,
         service: &ServiceId,
-        want: &Want<'_>,
+        want: &PickCriteria<'_>,
         now: BootInstant,
     ) -> Result<Vec<&'a Arc<Member>>, PickError> {
         let all = members.by_service.get(service);
@@ -462,7 +462,7 @@
         &self,
         all: &'a [Arc<Member>],
         service: &ServiceId,
-        want: &Want<'_>,
+        want: &PickCriteria<'_>,
         now: BootInstant,
     ) -> Result<Vec<&'a Arc<Member>>, PickError> {
         let may_answer =
--- a/src/placing/pool/replay.rs
+++ b/src/placing/pool/replay.rs
@@ -141,7 +141,10 @@
                 subject: random.random_range(0..400),
                 worth_waiting: Duration::from_millis(60),
             };
-            let want = Want { prompt: Some(prompt), ..Want::default() };
+            let want = PickCriteria {
+                prompt: Some(prompt),
+                ..PickCriteria::default()
+            };
             let service = "writers".parse().unwrap();
             let member = vms[vm].pool.pick(&service, &want, now).unwrap();
             let id = member.entry.id.to_string();
@@ -225,7 +228,10 @@
                 subject: random.random_range(0..400),
                 worth_waiting: Duration::from_millis(60),
             };
-            let want = Want { prompt: Some(prompt), ..Want::default() };
+            let want = PickCriteria {
+                prompt: Some(prompt),
+                ..PickCriteria::default()
+            };
             let member = pool.pick(&service, &want, now).unwrap();
             let id = member.entry.id.to_string();
             let engine: usize = id["i-".len()..].parse().unwrap();
--- a/src/placing/pool/rest_replay.rs
+++ b/src/placing/pool/rest_replay.rs
@@ -189,7 +189,8 @@
         let service = "writers".parse().unwrap();
         let mut tried = Vec::new();
         for _ in 0..ATTEMPTS {
-            let want = Want { tried: &tried, ..Want::default() };
+            let want =
+                PickCriteria { tried: &tried, ..PickCriteria::default() };
             let picked = self.vms[vm].pick(&service, &want, self.now);
             let Ok(member) = picked else { break };
             tried.push(member.upstream.short);
--- a/src/placing/pool/signals_tests.rs
+++ b/src/placing/pool/signals_tests.rs
@@ -23,7 +23,7 @@
 }
 
 fn open(pool: &Pool, now: BootInstant) -> Vec<String> {
-    picks(pool, &Want::default(), now)
+    picks(pool, &PickCriteria::default(), now)
 }
 
 #[test]
@@ -100,7 +100,11 @@
     }
 }
 
-fn refused(pool: &Pool, want: &Want<'_>, now: BootInstant) -> PickError {
+fn refused(
+    pool: &Pool,
+    want: &PickCriteria<'_>,
+    now: BootInstant,
+) -> PickError {
     pool.pick(&"writers".parse().unwrap(), want, now).unwrap_err()
 }
 
@@ -135,7 +139,8 @@
     says(&pool, "i-1", rests(SECOND * 8), now);
     assert_eq!(pool.service_backoff(&service, now), None, "one is awake");
     says(&pool, "i-2", rests(SECOND * 2), now);
-    let PickError::BackingOff(left) = refused(&pool, &Want::default(), now)
+    let PickError::BackingOff(left) =
+        refused(&pool, &PickCriteria::default(), now)
     else {
         panic!("the reason is their rest");
     };
@@ -145,7 +150,7 @@
     says(&pool, "i-2", leaves(), now);
     assert!(pool.service_backoff(&service, now) >= Some(SECOND * 8));
     let tried = [ShortHash::of("i-1")];
-    let want = Want { tried: &tried, ..Want::default() };
+    let want = PickCriteria { tried: &tried, ..PickCriteria::default() };
     assert_eq!(refused(&pool, &want, now), PickError::NoCandidate);
 }
 
@@ -198,13 +203,13 @@
         };
         says(&pool, "i-1", statement, now);
         for rule in rules("v2") {
-            let want = Want { rule, ..Want::default() };
+            let want = PickCriteria { rule, ..PickCriteria::default() };
             let no_member = refused(&pool, &want, now);
             assert!(matches!(no_member, PickError::BackingOff(_)));
         }
         // One that is only preferred is not worth a refusal.
         let rule = VersionRule::Prefer("v1".parse().unwrap());
-        let want = Want { rule, ..Want::default() };
+        let want = PickCriteria { rule, ..PickCriteria::default() };
         assert_eq!(picks(&pool, &want, now), ["i-2"]);
     }
 }
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -31,7 +31,7 @@
 
 pub(super) fn picks(
     pool: &Pool,
-    want: &Want<'_>,
+    want: &PickCriteria<'_>,
     now: BootInstant,
 ) -> Vec<String> {
     let service = "writers".parse().unwrap();
@@ -52,7 +52,7 @@
     let entries = [entry("i-1", "a", "v1"), entry("i-2", "a", "v1"), leaving];
     let pool = pool(&entries, now);
     let tried = [ShortHash::of("i-1")];
-    let want = Want { tried: &tried, ..Want::default() };
+    let want = PickCriteria { tried: &tried, ..PickCriteria::default() };
     assert_eq!(picks(&pool, &want, now), ["i-2"]);
 }
 
@@ -71,7 +71,7 @@
     assert!(!pool.has_other(&service, &tried, now));
     pool.set(life(2), now);
     assert!(pool.has_other(&service, &tried, now));
-    let want = Want { tried: &tried, ..Want::default() };
+    let want = PickCriteria { tried: &tried, ..PickCriteria::default() };
     assert_eq!(picks(&pool, &want, now), ["i-1"]);
 }
 
@@ -81,7 +81,9 @@
     let entries = [entry("i-1", "a", "v1"), entry("i-2", "a", "v2")];
     let pool = pool(&entries, now);
     let new: VersionId = "v2".parse().unwrap();
-    let by = |rule| picks(&pool, &Want { rule, ..Want::default() }, now);
+    let by = |rule| {
+        picks(&pool, &PickCriteria { rule, ..PickCriteria::default() }, now)
+    };
     assert_eq!(by(VersionRule::Prefer(new.clone())), ["i-2"]);
     assert_eq!(by(VersionRule::Avoid(new.clone())), ["i-1"]);
     pool.remove(&"i-1".parse().unwrap(), true, now);
@@ -99,7 +101,8 @@
         subject: 77,
         worth_waiting: Duration::from_millis(100),
     };
-    let want = Want { prompt: Some(prompt), ..Want::default() };
+    let want =
+        PickCriteria { prompt: Some(prompt), ..PickCriteria::default() };
     let home = picks(&pool, &want, now);
     assert_eq!(home.len(), 1);
     let member = pool.member(&home[0].parse().unwrap()).unwrap();
@@ -118,7 +121,7 @@
     let work = Work { requests: 9, reading_ms: 500 };
     pool.set_peer_work("vm-2", &[(busy.upstream.short, work)], now);
     assert_eq!(busy.requests(now), 9);
-    assert_eq!(picks(&pool, &Want::default(), now), ["i-2"]);
+    assert_eq!(picks(&pool, &PickCriteria::default(), now), ["i-2"]);
     let later = now + PEER_COUNT_LIFETIME;
     pool.set_peer_work("vm-3", &[], later);
     assert_eq!(busy.requests(later), 0);
@@ -131,12 +134,12 @@
     let member = pool.member(&"i-1".parse().unwrap()).unwrap();
     let held: Vec<_> = (0..13).map(|_| member.upstream.begin()).collect();
     let service = "writers".parse().unwrap();
-    let picked = pool.pick(&service, &Want::default(), now);
+    let picked = pool.pick(&service, &PickCriteria::default(), now);
     assert_eq!(picked.unwrap_err(), PickError::Full);
     drop(held);
-    assert!(pool.pick(&service, &Want::default(), now).is_ok());
+    assert!(pool.pick(&service, &PickCriteria::default(), now).is_ok());
     let other = "nobody".parse().unwrap();
-    let picked = pool.pick(&other, &Want::default(), now);
+    let picked = pool.pick(&other, &PickCriteria::default(), now);
     assert_eq!(picked.unwrap_err(), PickError::NoCandidate);
 }
 
@@ -147,15 +150,15 @@
     let id = "i-1".parse().unwrap();
     pool.remove(&id, false, now);
     let soon = now + VANISHED_GRACE / 2;
-    assert_eq!(picks(&pool, &Want::default(), soon), ["i-1"]);
+    assert_eq!(picks(&pool, &PickCriteria::default(), soon), ["i-1"]);
     assert!(pool.sweep(soon).is_empty());
     pool.set(entry("i-1", "a", "v1"), soon);
     let late = now + VANISHED_GRACE * 2;
     assert!(pool.sweep(late).is_empty());
-    assert_eq!(picks(&pool, &Want::default(), late), ["i-1"]);
+    assert_eq!(picks(&pool, &PickCriteria::default(), late), ["i-1"]);
     pool.remove(&id, false, late);
     assert_eq!(pool.sweep(late + VANISHED_GRACE).len(), 1);
-    assert!(picks(&pool, &Want::default(), late).is_empty());
+    assert!(picks(&pool, &PickCriteria::default(), late).is_empty());
 }
 
 #[test]
@@ -173,18 +176,21 @@
         member.health.record(Verdict::Unreachable, now);
         member.note_unreachable(now);
     }
-    assert_eq!(picks(&pool, &Want::default(), now), ["i-1"]);
+    assert_eq!(picks(&pool, &PickCriteria::default(), now), ["i-1"]);
     let other = pool.member(&"i-4".parse().unwrap()).unwrap();
     let limit = Duration::from_secs(1);
     let silent = now + CUT_SILENCE;
     assert!(pool.seems_dead(&other, CUT_SILENCE, limit, silent));
     assert!(!pool.seems_dead(&other, Duration::ZERO, limit, silent));
     let later = now + CUT_PAUSE / 2;
-    assert_eq!(picks(&pool, &Want::default(), later), ["i-1"]);
+    assert_eq!(picks(&pool, &PickCriteria::default(), later), ["i-1"]);
     other.note_heard(now);
     let near = pool.member(&"i-1".parse().unwrap()).unwrap();
     let _held = [near.upstream.begin(), near.upstream.begin()];
-    assert!(picks(&pool, &Want::default(), now).contains(&"i-4".to_owned()));
+    assert!(
+        picks(&pool, &PickCriteria::default(), now)
+            .contains(&"i-4".to_owned())
+    );
 }
 
 #[test]
@@ -230,9 +236,9 @@
     // beats: this VM stands there.
     let busy = pool.member(&"i-1".parse().unwrap()).unwrap();
     let _held: Vec<_> = (0..9).map(|_| busy.upstream.begin()).collect();
-    assert_eq!(picks(&pool, &Want::default(), silent), ["i-1"]);
+    assert_eq!(picks(&pool, &PickCriteria::default(), silent), ["i-1"]);
     pool.note_hall_heard(&far, silent);
-    assert_eq!(picks(&pool, &Want::default(), silent), ["i-2"]);
+    assert_eq!(picks(&pool, &PickCriteria::default(), silent), ["i-2"]);
 }
 
 #[test]
@@ -247,19 +253,23 @@
     assert!(pool.evacuate(&near));
     assert!(!pool.evacuate(&near), "it is known already");
     for rule in [VersionRule::Any, VersionRule::Prefer(old.clone())] {
-        let want = Want { rule, prompt: Some(prompt), ..Want::default() };
+        let want = PickCriteria {
+            rule,
+            prompt: Some(prompt),
+            ..PickCriteria::default()
+        };
         assert_eq!(picks(&pool, &want, now), ["i-2"]);
     }
     // Also when nothing else is well.
     let other = pool.member(&"i-2".parse().unwrap()).unwrap();
     other.health.record(Verdict::Unreachable, now);
-    assert_eq!(picks(&pool, &Want::default(), now), ["i-2"]);
+    assert_eq!(picks(&pool, &PickCriteria::default(), now), ["i-2"]);
     assert!(pool.evacuate(&far));
     let service = "writers".parse().unwrap();
-    let picked = pool.pick(&service, &Want::default(), now);
+    let picked = pool.pick(&service, &PickCriteria::default(), now);
     assert_eq!(picked.unwrap_err(), PickError::Evacuated);
     assert!(pool.end_evacuation(&near, now));
-    assert_eq!(picks(&pool, &Want::default(), now), ["i-1"]);
+    assert_eq!(picks(&pool, &PickCriteria::default(), now), ["i-1"]);
 }
 
 #[test]
@@ -275,7 +285,7 @@
     here.note_load(&member(&here), load, now);
     assert_eq!(member(&here).requests(now), 8);
     assert_eq!(member(&here).reading(now), Duration::from_millis(600));
-    assert_eq!(picks(&here, &Want::default(), now), ["i-2"]);
+    assert_eq!(picks(&here, &PickCriteria::default(), now), ["i-2"]);
     // The others of the hall are told how old it is, and once.
     let told = here.take_stated(after(100));
     assert!(here.take_stated(after(100)).is_empty());
--- a/src/placing/warm_up/tests.rs
+++ b/src/placing/warm_up/tests.rs
@@ -7,7 +7,7 @@
 use super::*;
 use crate::placing::{
     member::{UpstreamEntry, UpstreamState},
-    pool::{Pool, Want},
+    pool::{PickCriteria, Pool},
 };
 
 const SLACK: WarmUpSlack = WarmUpSlack { overshoot: 1.5, tolerance: 5.0 };
@@ -152,7 +152,8 @@
     for ms in (0..3000).step_by(5) {
         let now = start + Duration::from_millis(ms);
         let pool = &pools[random.random_range(0..pools.len())];
-        if let Ok(member) = pool.pick(&service, &Want::default(), now) {
+        if let Ok(member) = pool.pick(&service, &PickCriteria::default(), now)
+        {
             let id = member.entry.id.to_string();
             sent.entry(id).or_default().push(ms);
         }
@@ -178,7 +179,7 @@
     assert!(served >= 200, "{served}");
     let service = "writers".parse().unwrap();
     let later = start + WARM_UP.time;
-    let picked = pools[0].pick(&service, &Want::default(), later);
+    let picked = pools[0].pick(&service, &PickCriteria::default(), later);
     assert!(picked.is_ok(), "they are warm");
     // Without a bound the same load breaks it.
     let unbounded = hall(&names(21), 8, start);
