--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -260,7 +260,7 @@
             prompt: self.shared_prompt(),
             withdrawn: &version.withdrawn,
             tried,
-            most_fill: admission::fill_limit(self.route.aim, takes),
+            max_utilization: admission::fill_limit(self.route.aim, takes),
         }
     }
 
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -100,7 +100,7 @@
     /// Lives of upstreams that were asked already.
     pub tried: &'a [ShortHash],
     /// Requests for each slot of every upstream from which it is turned away.
-    pub most_fill: f64,
+    pub max_utilization: f64,
 }
 
 impl Default for PickCriteria<'_> {
@@ -111,7 +111,7 @@
             prompt: None,
             withdrawn: &[],
             tried: &[],
-            most_fill: FILL_LEAST,
+            max_utilization: FILL_LEAST,
         }
     }
 }
@@ -450,7 +450,7 @@
         let all = members.by_service.get(service);
         let all = all.map_or(&[][..], Vec::as_slice);
         let open = self.open_to(all, service, want, now)?;
-        if open.iter().all(|member| member.fill(now) >= want.most_fill) {
+        if open.iter().all(|member| member.fill(now) >= want.max_utilization) {
             return Err(PickError::Full);
         }
         Ok(open)
