--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -307,7 +307,7 @@
         let tokens = self.inbound.prompt_tokens.unwrap_or(0);
         let read_before = member.reading(now);
         let read_most = member.reading_most(now);
-        let fill_before = member.fill(now);
+        let fill_before = member.utilization(now);
         let times = &self.gateway.read_times;
         let expected = times.expected(model.as_ref(), tokens);
         let reading = (tokens > 0).then(|| member.read(expected));
--- a/src/placing/member.rs
+++ b/src/placing/member.rs
@@ -300,7 +300,7 @@
     }
 
     /// How full it is: requests for each slot.
-    pub fn fill(&self, now: BootInstant) -> f64 {
+    pub fn utilization(&self, now: BootInstant) -> f64 {
         f64::from(self.requests(now)) / f64::from(self.entry.slots.max(1))
     }
 
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -450,7 +450,10 @@
         let all = members.by_service.get(service);
         let all = all.map_or(&[][..], Vec::as_slice);
         let open = self.open_to(all, service, want, now)?;
-        if open.iter().all(|member| member.fill(now) >= want.max_utilization) {
+        if open
+            .iter()
+            .all(|member| member.utilization(now) >= want.max_utilization)
+        {
             return Err(PickError::Full);
         }
         Ok(open)
@@ -592,7 +595,7 @@
             // Slightly shuffled, so that VMs that know the same do not all
             // go to the same place.
             let risk = member.health.failure_chance(now) * FAILURE_FILL;
-            member.fill(now) + risk + way + rand::random::<f64>() * 0.02
+            member.utilization(now) + risk + way + rand::random::<f64>() * 0.02
         };
         let filled = open.iter().map(|member| (fill(member), *member));
         let least = filled.min_by(|a, b| a.0.total_cmp(&b.0));
