--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -260,7 +260,10 @@
             prompt: self.shared_prompt(),
             withdrawn: &version.withdrawn,
             tried,
-            max_utilization: admission::fill_limit(self.route.aim, takes),
+            max_utilization: admission::utilization_limit(
+                self.route.aim,
+                takes,
+            ),
         }
     }
 
--- a/src/placing/admission.rs
+++ b/src/placing/admission.rs
@@ -87,7 +87,10 @@
 
 /// Requests for each slot, at the least full upstream, from which a request
 /// with this aim is turned away.
-pub(crate) fn fill_limit(aim: Duration, takes: Option<Duration>) -> f64 {
+pub(crate) fn utilization_limit(
+    aim: Duration,
+    takes: Option<Duration>,
+) -> f64 {
     let Some(takes) = takes.filter(|takes| !takes.is_zero()) else {
         return FILL_LEAST;
     };
--- a/src/placing/admission/tests.rs
+++ b/src/placing/admission/tests.rs
@@ -19,7 +19,7 @@
 
 /// A way to turn callers away.
 struct Way {
-    fill_limit: f64,
+    utilization_limit: f64,
     /// When they come back, in milliseconds, by a draw from 0 to 1.
     return_ms: fn(f64) -> u64,
 }
@@ -87,7 +87,7 @@
             .map(|(fill, r)| (fill + random.random::<f64>() * 0.3, r))
             .min_by(|a, b| a.0.total_cmp(&b.0))
             .expect("a replica");
-        if fill < way.fill_limit {
+        if fill < way.utilization_limit {
             let work_ms = random.random_range(30..90);
             let end_ms = chosen.take(now_ms, work_ms);
             match end_ms - first_ms <= AIM_MS {
@@ -112,10 +112,10 @@
 /// everybody is let in, and comes late.
 #[test]
 fn a_short_line_serves_more_callers_in_time() {
-    let limit = fill_limit(Duration::from_millis(AIM_MS), Some(TAKES));
-    let by_slots = Way { fill_limit: FILL_LEAST, return_ms: |_| 400 };
-    let by_aim = Way { fill_limit: limit, return_ms };
-    let unlimited = Way { fill_limit: f64::MAX, return_ms };
+    let limit = utilization_limit(Duration::from_millis(AIM_MS), Some(TAKES));
+    let by_slots = Way { utilization_limit: FILL_LEAST, return_ms: |_| 400 };
+    let by_aim = Way { utilization_limit: limit, return_ms };
+    let unlimited = Way { utilization_limit: f64::MAX, return_ms };
     for (load, gain) in [(0.9, 0.02), (1.0, 0.1), (1.1, 0.04), (1.4, 0.02)] {
         let slots = play(load, &by_slots);
         let aim = play(load, &by_aim);
@@ -130,8 +130,8 @@
 #[test]
 fn the_limit_follows_what_a_request_takes() {
     let aim = Duration::from_millis(150);
-    let limit = |ms| fill_limit(aim, Some(Duration::from_millis(ms)));
-    assert_eq!(fill_limit(aim, None), FILL_LEAST);
+    let limit = |ms| utilization_limit(aim, Some(Duration::from_millis(ms)));
+    assert_eq!(utilization_limit(aim, None), FILL_LEAST);
     assert_eq!(limit(0), FILL_LEAST);
     assert!((limit(30) - 2.0).abs() < 1e-9);
     assert_eq!(limit(1), FILL_MOST);
