--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -535,7 +535,7 @@
         trace: &mut Trace,
     ) -> Result<Reply, Fault> {
         let takes = self.gateway.service_times.of(&self.service);
-        let line = admission::wait_at(attempt.fill_before, takes);
+        let line = admission::queue_wait(attempt.fill_before, takes);
         let patience = self.route.aim.mul_f64(RETRY_AFTER_AIM) + line;
         let limit = self.limit(attempt, patience);
         let (mut exchange, _) = self.send(attempt, None, limit, trace).await?;
--- a/src/placing/admission.rs
+++ b/src/placing/admission.rs
@@ -99,7 +99,7 @@
 }
 
 /// The time for which a request waits at an upstream that is so full.
-pub(crate) fn wait_at(fill: f64, takes: Option<Duration>) -> Duration {
+pub(crate) fn queue_wait(fill: f64, takes: Option<Duration>) -> Duration {
     let takes = takes.unwrap_or_default();
     takes.mul_f64((fill - 1.0).clamp(0.0, FILL_MOST))
 }
--- a/src/placing/admission/tests.rs
+++ b/src/placing/admission/tests.rs
@@ -136,9 +136,9 @@
     assert!((limit(30) - 2.0).abs() < 1e-9);
     assert_eq!(limit(1), FILL_MOST);
     assert_eq!(limit(3000), FILL_LEAST);
-    assert_eq!(wait_at(0.5, Some(TAKES)), Duration::ZERO);
-    assert_eq!(wait_at(3.0, Some(TAKES)), TAKES * 2);
-    assert_eq!(wait_at(3.0, None), Duration::ZERO);
+    assert_eq!(queue_wait(0.5, Some(TAKES)), Duration::ZERO);
+    assert_eq!(queue_wait(3.0, Some(TAKES)), TAKES * 2);
+    assert_eq!(queue_wait(3.0, None), Duration::ZERO);
 }
 
 #[test]
