--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -297,7 +297,7 @@
                 .with_retry_after(RETRY_AFTER_COLD),
             PickError::Full => Error::new(ErrorKind::Overloaded)
                 .context(format!("{} is full", self.service))
-                .with_retry_after(admission::return_after(
+                .with_retry_after(admission::retry_after(
                     self.gateway.service_times.of(&self.service),
                     rand::random(),
                 )),
--- a/src/placing/admission.rs
+++ b/src/placing/admission.rs
@@ -106,7 +106,7 @@
 
 /// When a caller that was turned away should come back: once places have
 /// become free, `draw` (0 to 1) spreading those of one moment.
-pub(crate) fn return_after(takes: Option<Duration>, draw: f64) -> Duration {
+pub(crate) fn retry_after(takes: Option<Duration>, draw: f64) -> Duration {
     let Some(takes) = takes else { return RETURN_MOST };
     let wait = takes.mul_f64(RETURN_FROM + draw * RETURN_SPREAD);
     wait.clamp(RETURN_LEAST, RETURN_MOST)
--- a/src/placing/admission/tests.rs
+++ b/src/placing/admission/tests.rs
@@ -33,7 +33,7 @@
 }
 
 fn return_ms(draw: f64) -> u64 {
-    return_after(Some(TAKES), draw).as_millis() as u64
+    retry_after(Some(TAKES), draw).as_millis() as u64
 }
 
 /// One replica: when each of its slots is free, and what it held lately.
@@ -143,11 +143,11 @@
 
 #[test]
 fn callers_come_back_when_places_are_free_and_not_together() {
-    assert_eq!(return_after(Some(TAKES), 0.0), TAKES / 2);
-    assert_eq!(return_after(Some(TAKES), 1.0), TAKES * 3 / 2);
-    assert_eq!(return_after(None, 0.0), RETURN_MOST);
+    assert_eq!(retry_after(Some(TAKES), 0.0), TAKES / 2);
+    assert_eq!(retry_after(Some(TAKES), 1.0), TAKES * 3 / 2);
+    assert_eq!(retry_after(None, 0.0), RETURN_MOST);
     let stream = Some(Duration::from_secs(4));
-    assert_eq!(return_after(stream, 0.5), RETURN_MOST);
+    assert_eq!(retry_after(stream, 0.5), RETURN_MOST);
 }
 
 #[test]
