--- a/src/chat_face/choose.rs
+++ b/src/chat_face/choose.rs
@@ -547,7 +547,7 @@
             return error;
         }
         let draw = ChaCha8Rng::seed_from_u64(seed).random();
-        let back = admission::return_after_backoff(self.soonest, draw);
+        let back = admission::retry_after_backoff(self.soonest, draw);
         error.with_retry_after(back)
     }
 
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -343,7 +343,7 @@
                 "all of {} have asked for fewer requests",
                 self.service
             ))
-            .with_retry_after(admission::return_after_backoff(
+            .with_retry_after(admission::retry_after_backoff(
                 left,
                 rand::random(),
             ))
--- a/src/placing/admission.rs
+++ b/src/placing/admission.rs
@@ -115,7 +115,7 @@
 /// When a caller should come back that was turned away because every upstream
 /// has asked for fewer requests: once the first may get one, `draw` (0 to 1)
 /// spreading those who were told together.
-pub(crate) fn return_after_backoff(left: Duration, draw: f64) -> Duration {
+pub(crate) fn retry_after_backoff(left: Duration, draw: f64) -> Duration {
     let spread = left.mul_f64(BACKOFF_SPREAD_PART).max(BACKOFF_SPREAD_LEAST);
     left + spread.mul_f64(draw)
 }
