--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -572,7 +572,7 @@
         if attempt.fill_before < 1.0 {
             let now = self.gateway.clock.now();
             let took = now.saturating_duration_since(attempt.began_at);
-            self.gateway.service_times.learn(&self.service, took);
+            self.gateway.service_times.record(&self.service, took);
         }
     }
 
--- a/src/placing/admission.rs
+++ b/src/placing/admission.rs
@@ -77,7 +77,7 @@
     }
 
     /// Takes in what one more request took.
-    pub(crate) fn learn(&self, service: &ServiceId, took: Duration) {
+    pub(crate) fn record(&self, service: &ServiceId, took: Duration) {
         let mut times = self.0.lock().expect("times lock");
         let took_s = took.as_secs_f64();
         let held_s = times.entry(service.clone()).or_insert(took_s);
--- a/src/placing/admission/tests.rs
+++ b/src/placing/admission/tests.rs
@@ -155,10 +155,10 @@
     let times = ServiceTimes::default();
     let service: ServiceId = "portal".parse().unwrap();
     assert_eq!(times.of(&service), None);
-    times.learn(&service, TAKES);
+    times.record(&service, TAKES);
     assert_eq!(times.of(&service), Some(TAKES));
     for _ in 0..200 {
-        times.learn(&service, TAKES * 2);
+        times.record(&service, TAKES * 2);
     }
     let learned = times.of(&service).unwrap();
     assert!(learned > TAKES.mul_f64(1.99), "{learned:?}");
