--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -35,7 +35,7 @@
     metrics::Metrics,
     placing::{
         admission::ServiceTimes,
-        cascade::ReadTimes,
+        cascade::PrefillTimes,
         health::{HealthChange, Verdict},
         member::{Member, UpstreamState},
         pool::Pool,
@@ -119,7 +119,7 @@
     pub(crate) pool: Pool,
     pub(crate) rollouts: Rollouts,
     pub(crate) crashes: CrashRecord,
-    pub(crate) read_times: ReadTimes,
+    pub(crate) read_times: PrefillTimes,
     pub(crate) service_times: ServiceTimes,
     pub(crate) peers: Peers,
     pub(crate) metrics: Arc<Metrics>,
@@ -152,7 +152,7 @@
             ),
             rollouts: Rollouts::new(settings.session_time),
             crashes: CrashRecord::default(),
-            read_times: ReadTimes::default(),
+            read_times: PrefillTimes::default(),
             service_times: ServiceTimes::default(),
             peers: Peers::new(
                 &settings,
--- a/src/placing/cascade.rs
+++ b/src/placing/cascade.rs
@@ -44,7 +44,7 @@
 
 /// What is known of the models' speeds, learned from answers.
 #[derive(Debug, Default)]
-pub(crate) struct ReadTimes(Mutex<HashMap<ModelId, Read>>);
+pub(crate) struct PrefillTimes(Mutex<HashMap<ModelId, Read>>);
 
 /// What was read, and how long it took. Sums rather than a mean of ratios, so
 /// that a short prompt that had to wait says little.
@@ -54,7 +54,7 @@
     tokens: f64,
 }
 
-impl ReadTimes {
+impl PrefillTimes {
     /// The time that a model takes to read so many tokens.
     pub(crate) fn expected(
         &self,
@@ -143,7 +143,7 @@
 /// Why the answer at hand is passed on.
 pub(crate) fn larger_model(
     doubt: &Doubt<'_>,
-    times: &ReadTimes,
+    times: &PrefillTimes,
     waiting: Duration,
     now: BootInstant,
 ) -> Result<ModelId, Kept> {
--- a/src/placing/cascade/tests.rs
+++ b/src/placing/cascade/tests.rs
@@ -37,7 +37,7 @@
         has_attempt,
         tokens: 1000,
     };
-    larger_model(&doubt, &ReadTimes::default(), waiting, now)
+    larger_model(&doubt, &PrefillTimes::default(), waiting, now)
 }
 
 /// The largest confidence at which another model is asked, given time.
@@ -74,14 +74,14 @@
         has_attempt: true,
         tokens: 1000,
     };
-    let times = ReadTimes::default();
+    let times = PrefillTimes::default();
     let kept = larger_model(&doubt, &times, Duration::ZERO, now);
     assert_eq!(kept, Err(Kept::Largest));
 }
 
 #[test]
 fn reading_times_are_learned_and_short_prompts_say_little() {
-    let times = ReadTimes::default();
+    let times = PrefillTimes::default();
     let model = "large".parse().unwrap();
     for _ in 0..50 {
         times.learn(&model, 10_000, Duration::from_millis(610));
