--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -301,7 +301,7 @@
         let was_free = attempt.read_before < FREE_READING;
         if let (true, Some(model)) = (was_free, &attempt.model) {
             let times = &self.gateway.read_times;
-            times.learn(model, attempt.tokens, waited);
+            times.record(model, attempt.tokens, waited);
         }
     }
 
--- a/src/placing/cascade.rs
+++ b/src/placing/cascade.rs
@@ -70,7 +70,7 @@
 
     /// Takes in how long a model took until the first event, when nothing
     /// else was being read before it.
-    pub(crate) fn learn(
+    pub(crate) fn record(
         &self,
         model: &ModelId,
         tokens: u64,
--- a/src/placing/cascade/tests.rs
+++ b/src/placing/cascade/tests.rs
@@ -84,8 +84,8 @@
     let times = PrefillTimes::default();
     let model = "large".parse().unwrap();
     for _ in 0..50 {
-        times.learn(&model, 10_000, Duration::from_millis(610));
-        times.learn(&model, 300, Duration::from_millis(300));
+        times.record(&model, 10_000, Duration::from_millis(610));
+        times.record(&model, 300, Duration::from_millis(300));
     }
     let expected = times.expected(Some(&model), 10_000).as_millis();
     assert!((600..1000).contains(&expected), "{expected} ms");
