--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -19,7 +19,7 @@
     http_client::Exchange,
     id::ModelId,
     placing::{
-        cascade::{Doubt, Kept, larger_model},
+        cascade::{Doubt, Kept, escalation_target},
         health::Verdict,
         member::Member,
     },
@@ -226,7 +226,8 @@
             tokens: attempt.tokens,
         };
         let times = &self.gateway.read_times;
-        let larger = larger_model(&doubt, times, attempt.read_before, now)?;
+        let larger =
+            escalation_target(&doubt, times, attempt.read_before, now)?;
         // An answer that is at hand is better than one that nobody gives.
         match self.can_ask_again(now) {
             true => Ok(larger),
--- a/src/placing/cascade.rs
+++ b/src/placing/cascade.rs
@@ -141,7 +141,7 @@
 /// # Errors
 ///
 /// Why the answer at hand is passed on.
-pub(crate) fn larger_model(
+pub(crate) fn escalation_target(
     doubt: &Doubt<'_>,
     times: &PrefillTimes,
     waiting: Duration,
--- a/src/placing/cascade/tests.rs
+++ b/src/placing/cascade/tests.rs
@@ -37,7 +37,7 @@
         has_attempt,
         tokens: 1000,
     };
-    larger_model(&doubt, &PrefillTimes::default(), waiting, now)
+    escalation_target(&doubt, &PrefillTimes::default(), waiting, now)
 }
 
 /// The largest confidence at which another model is asked, given time.
@@ -75,7 +75,7 @@
         tokens: 1000,
     };
     let times = PrefillTimes::default();
-    let kept = larger_model(&doubt, &times, Duration::ZERO, now);
+    let kept = escalation_target(&doubt, &times, Duration::ZERO, now);
     assert_eq!(kept, Err(Kept::Largest));
 }
 
