--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -19,7 +19,7 @@
     http_client::Exchange,
     id::ModelId,
     placing::{
-        cascade::{Doubt, Kept, escalation_target},
+        cascade::{EscalationInput, Kept, escalation_target},
         health::Verdict,
         member::Member,
     },
@@ -217,7 +217,7 @@
         confidence: Percent,
     ) -> Result<ModelId, Kept> {
         let now = self.gateway.clock.now();
-        let doubt = Doubt {
+        let doubt = EscalationInput {
             route: &self.route,
             model,
             confidence,
--- a/src/placing/cascade.rs
+++ b/src/placing/cascade.rs
@@ -93,7 +93,7 @@
 }
 
 /// What decides whether a larger model is asked.
-pub(crate) struct Doubt<'a> {
+pub(crate) struct EscalationInput<'a> {
     /// The route.
     pub(crate) route: &'a Route,
     /// The model that has answered.
@@ -142,7 +142,7 @@
 ///
 /// Why the answer at hand is passed on.
 pub(crate) fn escalation_target(
-    doubt: &Doubt<'_>,
+    doubt: &EscalationInput<'_>,
     times: &PrefillTimes,
     waiting: Duration,
     now: BootInstant,
--- a/src/placing/cascade/tests.rs
+++ b/src/placing/cascade/tests.rs
@@ -29,7 +29,7 @@
     has_attempt: bool,
 ) -> Result<ModelId, Kept> {
     let now = BootInstant::now();
-    let doubt = Doubt {
+    let doubt = EscalationInput {
         route: &route(),
         model: &"small".parse().unwrap(),
         confidence: Percent::new(confidence).unwrap(),
@@ -66,7 +66,7 @@
 #[test]
 fn the_largest_model_has_the_last_word() {
     let now = BootInstant::now();
-    let doubt = Doubt {
+    let doubt = EscalationInput {
         route: &route(),
         model: &"large".parse().unwrap(),
         confidence: Percent::new(0).unwrap(),
