--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -19,7 +19,7 @@
     http_client::Exchange,
     id::ModelId,
     placing::{
-        cascade::{EscalationInput, Kept, escalation_target},
+        cascade::{EscalationInput, NoEscalation, escalation_target},
         health::Verdict,
         member::Member,
     },
@@ -215,7 +215,7 @@
         attempt: &Attempt,
         model: &ModelId,
         confidence: Percent,
-    ) -> Result<ModelId, Kept> {
+    ) -> Result<ModelId, NoEscalation> {
         let now = self.gateway.clock.now();
         let doubt = EscalationInput {
             route: &self.route,
@@ -231,7 +231,7 @@
         // An answer that is at hand is better than one that nobody gives.
         match self.can_ask_again(now) {
             true => Ok(larger),
-            false => Err(Kept::NoUpstream),
+            false => Err(NoEscalation::NoUpstream),
         }
     }
 
--- a/src/placing/cascade.rs
+++ b/src/placing/cascade.rs
@@ -110,7 +110,7 @@
 
 /// Why an answer is passed on rather than a larger model asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Kept {
+pub(crate) enum NoEscalation {
     /// No larger model is left.
     Largest,
     /// The model is sure enough.
@@ -123,15 +123,15 @@
     NoUpstream,
 }
 
-impl Kept {
+impl NoEscalation {
     /// The word in the log.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
-            Kept::Largest => "largest",
-            Kept::Sure => "sure",
-            Kept::NoTime => "no_time",
-            Kept::NoAttempt => "no_attempt",
-            Kept::NoUpstream => "no_upstream",
+            NoEscalation::Largest => "largest",
+            NoEscalation::Sure => "sure",
+            NoEscalation::NoTime => "no_time",
+            NoEscalation::NoAttempt => "no_attempt",
+            NoEscalation::NoUpstream => "no_upstream",
         }
     }
 }
@@ -146,18 +146,18 @@
     times: &PrefillTimes,
     waiting: Duration,
     now: BootInstant,
-) -> Result<ModelId, Kept> {
-    let largest = doubt.route.sizes.last().ok_or(Kept::Largest)?;
+) -> Result<ModelId, NoEscalation> {
+    let largest = doubt.route.sizes.last().ok_or(NoEscalation::Largest)?;
     if doubt.model == largest {
-        return Err(Kept::Largest);
+        return Err(NoEscalation::Largest);
     }
     let confidence = f64::from(doubt.confidence.value());
     let enough = f64::from(ENOUGH_CONFIDENCE);
     if confidence >= enough {
-        return Err(Kept::Sure);
+        return Err(NoEscalation::Sure);
     }
     if !doubt.has_attempt {
-        return Err(Kept::NoAttempt);
+        return Err(NoEscalation::NoAttempt);
     }
     let passed = now.saturating_duration_since(doubt.started_at);
     let reading = times.expected(Some(largest), doubt.tokens);
@@ -165,7 +165,7 @@
     let used = expected.as_secs_f64() / doubt.route.aim.as_secs_f64();
     let ease = ((1.0 - used) / (1.0 - EASY_PART)).clamp(0.0, 1.0);
     if confidence >= enough * ease {
-        return Err(Kept::NoTime);
+        return Err(NoEscalation::NoTime);
     }
     Ok(largest.clone())
 }
--- a/src/placing/cascade/tests.rs
+++ b/src/placing/cascade/tests.rs
@@ -27,7 +27,7 @@
     confidence: u8,
     waiting: Duration,
     has_attempt: bool,
-) -> Result<ModelId, Kept> {
+) -> Result<ModelId, NoEscalation> {
     let now = BootInstant::now();
     let doubt = EscalationInput {
         route: &route(),
@@ -49,18 +49,21 @@
     assert_eq!(decide(10, Duration::ZERO, true), Ok(large));
     assert!(decide(DOUBTFUL, Duration::ZERO, true).is_ok());
     let sure = decide(ENOUGH_CONFIDENCE, Duration::ZERO, true);
-    assert_eq!(sure, Err(Kept::Sure));
-    assert_eq!(decide(90, Duration::ZERO, true), Err(Kept::Sure));
-    assert_eq!(decide(10, Duration::ZERO, false), Err(Kept::NoAttempt));
+    assert_eq!(sure, Err(NoEscalation::Sure));
+    assert_eq!(decide(90, Duration::ZERO, true), Err(NoEscalation::Sure));
+    assert_eq!(
+        decide(10, Duration::ZERO, false),
+        Err(NoEscalation::NoAttempt)
+    );
 }
 
 #[test]
 fn the_less_time_is_left_the_more_doubtful_it_must_be() {
     let near = Duration::from_millis(1500);
-    assert_eq!(decide(DOUBTFUL, near, true), Err(Kept::NoTime));
+    assert_eq!(decide(DOUBTFUL, near, true), Err(NoEscalation::NoTime));
     assert!(decide(5, near, true).is_ok());
     let gone = Duration::from_secs(2);
-    assert_eq!(decide(0, gone, true), Err(Kept::NoTime));
+    assert_eq!(decide(0, gone, true), Err(NoEscalation::NoTime));
 }
 
 #[test]
@@ -76,7 +79,7 @@
     };
     let times = PrefillTimes::default();
     let kept = escalation_target(&doubt, &times, Duration::ZERO, now);
-    assert_eq!(kept, Err(Kept::Largest));
+    assert_eq!(kept, Err(NoEscalation::Largest));
 }
 
 #[test]
