--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -31,7 +31,7 @@
     placing::{
         admission,
         health::Verdict,
-        member::{Member, Reading},
+        member::{Member, PrefillGuard},
         pool::{PickCriteria, PickError, SharedPrompt},
         upstream::InFlight,
     },
@@ -143,7 +143,7 @@
     /// The time expected until they are read.
     pub(crate) expected: Duration,
     /// Held until the first event is here.
-    pub(crate) reading: Option<Reading>,
+    pub(crate) reading: Option<PrefillGuard>,
     _in_flight: InFlight,
     _session: Option<SessionUse>,
 }
--- a/src/placing/member.rs
+++ b/src/placing/member.rs
@@ -386,10 +386,10 @@
     }
 
     /// Counts a prompt as being read there while the guard lives.
-    pub fn read(self: &Arc<Self>, expected: Duration) -> Reading {
+    pub fn read(self: &Arc<Self>, expected: Duration) -> PrefillGuard {
         let ms = u32::try_from(expected.as_millis()).unwrap_or(u32::MAX);
         self.reading_ms.fetch_add(ms, Ordering::Relaxed);
-        Reading { member: self.clone(), ms }
+        PrefillGuard { member: self.clone(), ms }
     }
 
     /// Takes in what another VM has there.
@@ -431,12 +431,12 @@
 
 /// Counts a prompt as being read while it lives.
 #[derive(Debug)]
-pub struct Reading {
+pub struct PrefillGuard {
     member: Arc<Member>,
     ms: u32,
 }
 
-impl Drop for Reading {
+impl Drop for PrefillGuard {
     fn drop(&mut self) {
         self.member.reading_ms.fetch_sub(self.ms, Ordering::Relaxed);
     }
--- a/src/placing/pool/replay.rs
+++ b/src/placing/pool/replay.rs
@@ -12,7 +12,7 @@
 use super::{tests::SLACK, *};
 use crate::placing::{
     health::Verdict,
-    member::{LoadReport, Reading},
+    member::{LoadReport, PrefillGuard},
 };
 
 const HALLS: usize = 4;
@@ -45,7 +45,7 @@
     at_ms: u64,
     vm: usize,
     engine: usize,
-    reading: Reading,
+    reading: PrefillGuard,
 }
 
 /// What came of a replay.
