--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -313,7 +313,7 @@
         let fill_before = member.utilization(now);
         let times = &self.gateway.read_times;
         let expected = times.expected(model.as_ref(), tokens);
-        let reading = (tokens > 0).then(|| member.read(expected));
+        let reading = (tokens > 0).then(|| member.begin_prefill(expected));
         if reading.is_some() {
             self.gateway.pool.note_reading(expected);
         }
--- a/src/placing/member.rs
+++ b/src/placing/member.rs
@@ -386,7 +386,10 @@
     }
 
     /// Counts a prompt as being read there while the guard lives.
-    pub fn read(self: &Arc<Self>, expected: Duration) -> PrefillGuard {
+    pub fn begin_prefill(
+        self: &Arc<Self>,
+        expected: Duration,
+    ) -> PrefillGuard {
         let ms = u32::try_from(expected.as_millis()).unwrap_or(u32::MAX);
         self.reading_ms.fetch_add(ms, Ordering::Relaxed);
         PrefillGuard { member: self.clone(), ms }
--- a/src/placing/pool/replay.rs
+++ b/src/placing/pool/replay.rs
@@ -153,7 +153,8 @@
             waits_ms.push(begins - now_ms);
             let at_ms = begins + READING_MS;
             free_at_ms[engine] = at_ms;
-            let reading = member.read(Duration::from_millis(READING_MS));
+            let reading =
+                member.begin_prefill(Duration::from_millis(READING_MS));
             queue.push(Reverse((at_ms, done.len())));
             done.push(Some(Done { at_ms, vm, engine, reading }));
         }
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -106,7 +106,7 @@
     let home = picks(&pool, &want, now);
     assert_eq!(home.len(), 1);
     let member = pool.member(&home[0].parse().unwrap()).unwrap();
-    let reading = member.read(Duration::from_millis(60));
+    let reading = member.begin_prefill(Duration::from_millis(60));
     assert_ne!(picks(&pool, &want, now), home, "the second home is free");
     drop(reading);
     assert_eq!(picks(&pool, &want, now), home);
