--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -308,7 +308,7 @@
         self.tried.push(member.upstream.short);
         let session = self.use_session(&member.entry.software, now);
         let tokens = self.inbound.prompt_tokens.unwrap_or(0);
-        let read_before = member.reading(now);
+        let read_before = member.prefill_backlog(now);
         let read_most = member.reading_most(now);
         let fill_before = member.utilization(now);
         let times = &self.gateway.read_times;
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -152,7 +152,7 @@
             version: None,
             model,
             requests_there: member.requests(now),
-            reading_there_ms: member.reading(now).as_millis() as u64,
+            reading_there_ms: member.prefill_backlog(now).as_millis() as u64,
             began_ms: self.passed_ms(),
             ended_ms: None,
             end: "running".to_owned(),
--- a/src/placing/member.rs
+++ b/src/placing/member.rs
@@ -340,7 +340,7 @@
     /// VMs of other data halls are heard rarely in a large fleet, and what
     /// they send there is not known here: in the same replay prompts wait for
     /// 44 ms with what engines state and 47 ms without, and 78 and 95 ms.
-    pub fn reading(&self, now: BootInstant) -> Duration {
+    pub fn prefill_backlog(&self, now: BootInstant) -> Duration {
         let own = self.reading_ms.load(Ordering::Relaxed);
         let others = *self.others_reading.lock().expect("told lock");
         let passed = now.saturating_duration_since(others.at);
@@ -361,7 +361,7 @@
         let own = self.reading_ms.load(Ordering::Relaxed);
         let told = self.others_reading.lock().expect("told lock").told_ms;
         let told = Duration::from_millis(u64::from(own) + u64::from(told));
-        told.max(self.reading(now))
+        told.max(self.prefill_backlog(now))
     }
 
     /// Takes in what the upstream stated at that time, where each request
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -627,7 +627,7 @@
             };
             let running = RUNNING_SLOWS * member.requests(now);
             let risk = FAILURE_COST.mul_f64(member.health.failure_chance(now));
-            member.reading(now) + running + read + risk
+            member.prefill_backlog(now) + running + read + risk
         };
         let waits = order
             .iter()
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -284,7 +284,7 @@
     let load = LoadReport { running: 2, waiting: 6 };
     here.note_load(&member(&here), load, now);
     assert_eq!(member(&here).requests(now), 8);
-    assert_eq!(member(&here).reading(now), Duration::from_millis(600));
+    assert_eq!(member(&here).prefill_backlog(now), Duration::from_millis(600));
     assert_eq!(picks(&here, &PickCriteria::default(), now), ["i-2"]);
     // The others of the hall are told how old it is, and once.
     let told = here.take_stated(after(100));
@@ -293,7 +293,10 @@
     assert_eq!(member(&there).requests(after(0)), 8);
     // What waited is read meanwhile, and other words count again.
     let later = after(500);
-    assert_eq!(member(&there).reading(later), Duration::from_millis(100));
+    assert_eq!(
+        member(&there).prefill_backlog(later),
+        Duration::from_millis(100)
+    );
     assert_eq!(member(&there).requests(after(5000)), 0);
     // What is older than the last word changes nothing.
     let free = LoadReport { running: 0, waiting: 0 };
