--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -309,7 +309,7 @@
         let session = self.use_session(&member.entry.software, now);
         let tokens = self.inbound.prompt_tokens.unwrap_or(0);
         let read_before = member.prefill_backlog(now);
-        let read_most = member.reading_most(now);
+        let read_most = member.max_prefill_backlog(now);
         let fill_before = member.utilization(now);
         let times = &self.gateway.read_times;
         let expected = times.expected(model.as_ref(), tokens);
@@ -737,7 +737,7 @@
 /// How long an upstream may give no sign of life: longer while it reads long
 /// prompts, since nothing else comes meanwhile.
 fn patience(member: &Member, least: Duration, now: BootInstant) -> Duration {
-    let reading = member.reading_most(now).mul_f64(READING_PART);
+    let reading = member.max_prefill_backlog(now).mul_f64(READING_PART);
     least + reading.min(READING_PATIENCE_MOST)
 }
 
--- a/src/placing/member.rs
+++ b/src/placing/member.rs
@@ -357,7 +357,7 @@
 
     /// The most that it may still have to read: what other VMs have told may
     /// take longer than expected, or more may have come after it.
-    pub fn reading_most(&self, now: BootInstant) -> Duration {
+    pub fn max_prefill_backlog(&self, now: BootInstant) -> Duration {
         let own = self.reading_ms.load(Ordering::Relaxed);
         let told = self.others_reading.lock().expect("told lock").told_ms;
         let told = Duration::from_millis(u64::from(own) + u64::from(told));
