--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -315,7 +315,7 @@
         let expected = times.expected(model.as_ref(), tokens);
         let reading = (tokens > 0).then(|| member.begin_prefill(expected));
         if reading.is_some() {
-            self.gateway.pool.note_reading(expected);
+            self.gateway.pool.record_expected_prefill(expected);
         }
         if reading.is_some() && expected >= TOLD_READING {
             self.gateway.early_beat.wake();
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -638,7 +638,7 @@
     }
 
     /// Takes in the time that one more prompt is expected to take to be read.
-    pub fn note_reading(&self, expected: Duration) {
+    pub fn record_expected_prefill(&self, expected: Duration) {
         let us = u32::try_from(expected.as_micros()).unwrap_or(u32::MAX);
         let held = self.mean_reading_us.load(Ordering::Relaxed);
         let mean = match held {
--- a/src/placing/pool/replay.rs
+++ b/src/placing/pool/replay.rs
@@ -84,7 +84,7 @@
         for number in 0..HALLS * ENGINES_OF_HALL {
             pool.set(engine(number), start);
         }
-        pool.note_reading(Duration::from_millis(READING_MS));
+        pool.record_expected_prefill(Duration::from_millis(READING_MS));
         Vm { hall, pool }
     };
     (0..HALLS * VMS_OF_HALL).map(vm).collect()
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -278,8 +278,8 @@
     let after = |ms| now + Duration::from_millis(ms);
     let entries = [entry("i-1", "a", "v1"), entry("i-2", "a", "v1")];
     let (here, there) = (pool(&entries, now), pool(&entries, now));
-    here.note_reading(Duration::from_millis(100));
-    there.note_reading(Duration::from_millis(100));
+    here.record_expected_prefill(Duration::from_millis(100));
+    there.record_expected_prefill(Duration::from_millis(100));
     let member = |pool: &Pool| pool.member(&"i-1".parse().unwrap()).unwrap();
     let load = LoadReport { running: 2, waiting: 6 };
     here.note_load(&member(&here), load, now);
