--- a/src/chat_face/choose.rs
+++ b/src/chat_face/choose.rs
@@ -23,7 +23,7 @@
     error::{Error, ErrorKind},
     id::{ModelId, UpstreamId, VersionId},
     message::ShortHash,
-    placing::{admission, upstream::UpstreamFacts},
+    placing::{admission, upstream::UpstreamSnapshot},
     unit::MicroCost,
 };
 
@@ -470,7 +470,7 @@
 ///
 /// [`ErrorKind::NoUpstream`] with the numbers of those left out.
 pub fn pick_upstream(
-    facts: &[UpstreamFacts],
+    facts: &[UpstreamSnapshot],
     wish: UpstreamWish<'_>,
     seed: u64,
 ) -> Result<UpstreamChoice, Error> {
@@ -496,8 +496,8 @@
 
 /// The upstreams by usability.
 struct Sorted<'a> {
-    local: Vec<&'a UpstreamFacts>,
-    remote: Vec<&'a UpstreamFacts>,
+    local: Vec<&'a UpstreamSnapshot>,
+    remote: Vec<&'a UpstreamSnapshot>,
     leaving: u32,
     broken: u32,
     backing_off: u32,
@@ -507,7 +507,10 @@
 }
 
 impl<'a> Sorted<'a> {
-    fn new(facts: &'a [UpstreamFacts], wish: UpstreamWish<'_>) -> Sorted<'a> {
+    fn new(
+        facts: &'a [UpstreamSnapshot],
+        wish: UpstreamWish<'_>,
+    ) -> Sorted<'a> {
         let mut sorted = Sorted {
             local: Vec::new(),
             remote: Vec::new(),
@@ -552,7 +555,7 @@
     }
 
     /// The own hall, unless it cannot or another has clearly more room.
-    fn pool(&self) -> Vec<&'a UpstreamFacts> {
+    fn pool(&self) -> Vec<&'a UpstreamSnapshot> {
         let overflow = !self.remote.is_empty()
             && fill(&self.local) > OVERFLOW_FILL
             && fill(&self.remote) < 1.0;
@@ -563,22 +566,22 @@
     }
 }
 
-fn fill(pool: &[&UpstreamFacts]) -> f64 {
+fn fill(pool: &[&UpstreamSnapshot]) -> f64 {
     let requests: f64 = pool.iter().map(|one| one.requests).sum();
     let slots: f64 = pool.iter().map(|one| one.slots).sum();
     if slots > 0.0 { requests / slots } else { f64::INFINITY }
 }
 
 /// Whether an upstream is known to have loaded a version.
-fn has_loaded(one: &UpstreamFacts, version: Option<ShortHash>) -> bool {
+fn has_loaded(one: &UpstreamSnapshot, version: Option<ShortHash>) -> bool {
     version.is_none_or(|version| one.versions.contains(&version))
 }
 
 fn prefer<'a>(
-    pool: &[&'a UpstreamFacts],
+    pool: &[&'a UpstreamSnapshot],
     prefix: Option<u64>,
     rng: &mut ChaCha8Rng,
-) -> (&'a UpstreamFacts, Preferred) {
+) -> (&'a UpstreamSnapshot, Preferred) {
     if let [only] = pool {
         return (only, Preferred::Only);
     }
@@ -595,10 +598,11 @@
 
 /// The upstream that probably holds the prefix, unless it is overloaded.
 fn home_of<'a>(
-    pool: &[&'a UpstreamFacts],
+    pool: &[&'a UpstreamSnapshot],
     prefix: u64,
-) -> Option<&'a UpstreamFacts> {
-    let weight = |one: &&&UpstreamFacts| mix(prefix ^ u64::from(one.short.0));
+) -> Option<&'a UpstreamSnapshot> {
+    let weight =
+        |one: &&&UpstreamSnapshot| mix(prefix ^ u64::from(one.short.0));
     let home = pool.iter().max_by_key(weight)?;
     let mean = fill(pool);
     let bound = (mean * AFFINITY_BOUND * home.slots).max(1.0);
@@ -606,7 +610,7 @@
 }
 
 /// How full an upstream would be with one request more.
-fn pressure(one: &UpstreamFacts) -> f64 {
+fn pressure(one: &UpstreamSnapshot) -> f64 {
     (one.requests + 1.0) / one.slots.max(f64::MIN_POSITIVE)
 }
 
@@ -628,7 +632,7 @@
 
 impl Room {
     /// Adds up the usable replicas of a model.
-    pub fn of(facts: &[UpstreamFacts]) -> Room {
+    pub fn of(facts: &[UpstreamSnapshot]) -> Room {
         let usable = facts.iter().filter(|one| one.is_open());
         usable.fold(Room::default(), |room, one| Room {
             requests: room.requests + one.requests,
@@ -638,7 +642,7 @@
 }
 
 /// Whether any replica of a version could take a request.
-pub fn any_usable(facts: &[UpstreamFacts], version: ShortHash) -> bool {
+pub fn any_usable(facts: &[UpstreamSnapshot], version: ShortHash) -> bool {
     facts.iter().any(|one| one.is_open() && has_loaded(one, Some(version)))
 }
 
--- a/src/chat_face/view.rs
+++ b/src/chat_face/view.rs
@@ -24,7 +24,7 @@
     message::{Beat, LoadEntry, ShortHash},
     placing::{
         owners::Roster,
-        upstream::{Serves, Upstream, UpstreamFacts},
+        upstream::{Serves, Upstream, UpstreamSnapshot},
     },
     rendezvous,
     settings::PeerSettings,
@@ -171,13 +171,13 @@
         &self,
         upstream: &Upstream,
         now: BootInstant,
-    ) -> UpstreamFacts {
+    ) -> UpstreamSnapshot {
         let facts = upstream.facts(&self.data_hall, now);
         let (vm, hall) = (self.vm.as_str(), &upstream.record.data_hall);
         let word = &upstream.reported_state;
         let limit =
             word.limit_wait(&self.roster, vm, upstream.short, hall, now);
-        UpstreamFacts { backoff: facts.backoff.max(limit), ..facts }
+        UpstreamSnapshot { backoff: facts.backoff.max(limit), ..facts }
     }
 
     /// Notes that the list was read and had not changed.
--- a/src/chat_face/vm.rs
+++ b/src/chat_face/vm.rs
@@ -44,7 +44,7 @@
     message::{PeerReply, PeerRequest, ShortHash},
     metrics::Metrics,
     peer::{PeerClient, PeerError, PeerService},
-    placing::upstream::UpstreamFacts,
+    placing::upstream::UpstreamSnapshot,
     retry::RetryBudget,
     settings::Settings,
 };
@@ -263,7 +263,7 @@
         &self,
         model: &ModelId,
         now: BootInstant,
-    ) -> Vec<UpstreamFacts> {
+    ) -> Vec<UpstreamSnapshot> {
         let upstreams = self.view.model_upstreams(model);
         upstreams.iter().map(|one| self.view.facts(one, now)).collect()
     }
--- a/src/placing/upstream.rs
+++ b/src/placing/upstream.rs
@@ -115,7 +115,7 @@
 
 /// What the choice needs to know of one upstream, taken at one moment.
 #[derive(Clone, Debug, PartialEq)]
-pub struct UpstreamFacts {
+pub struct UpstreamSnapshot {
     /// Its name.
     pub id: UpstreamId,
     /// Its short hash.
@@ -138,7 +138,7 @@
     pub versions: Vec<ShortHash>,
 }
 
-impl UpstreamFacts {
+impl UpstreamSnapshot {
     /// Whether it may get a request now.
     pub fn is_open(&self) -> bool {
         !self.leaving && !self.broken && self.backoff.is_zero()
@@ -285,7 +285,7 @@
         &self,
         own_hall: &DataHallId,
         now: BootInstant,
-    ) -> UpstreamFacts {
+    ) -> UpstreamSnapshot {
         let held = self.load.lock().expect("load lock");
         let load = held.as_ref().filter(|load| {
             now.saturating_duration_since(load.at) < LOAD_LIFETIME
@@ -296,7 +296,7 @@
             let since = f64::from(own) - f64::from(load.own_in_flight);
             (reported + since).max(f64::from(own))
         });
-        UpstreamFacts {
+        UpstreamSnapshot {
             id: self.record.id.clone(),
             short: self.short,
             local: self.record.data_hall == *own_hall,
--- a/standins/src/measure.rs
+++ b/standins/src/measure.rs
@@ -16,7 +16,7 @@
     chat_face::choose::{UpstreamWish, pick_upstream},
     http_client::{Call, HttpClient, Reuse},
     message::ShortHash,
-    placing::upstream::UpstreamFacts,
+    placing::upstream::UpstreamSnapshot,
 };
 use rand::{Rng, SeedableRng, seq::IndexedRandom};
 use rand_chacha::ChaCha8Rng;
@@ -441,8 +441,8 @@
 fn measure_choice(replicas: u32) -> Value {
     const ROUNDS: u32 = 20_000;
     let version = ShortHash(7);
-    let facts: Vec<UpstreamFacts> = (0..replicas)
-        .map(|n| UpstreamFacts {
+    let facts: Vec<UpstreamSnapshot> = (0..replicas)
+        .map(|n| UpstreamSnapshot {
             id: format!("u{n}").parse().expect("a name"),
             short: ShortHash(n.wrapping_mul(2_654_435_761)),
             local: true,
