--- a/src/chat_face/view.rs
+++ b/src/chat_face/view.rs
@@ -172,7 +172,7 @@
         upstream: &Upstream,
         now: BootInstant,
     ) -> UpstreamSnapshot {
-        let facts = upstream.facts(&self.data_hall, now);
+        let facts = upstream.snapshot(&self.data_hall, now);
         let (vm, hall) = (self.vm.as_str(), &upstream.record.data_hall);
         let word = &upstream.reported_state;
         let limit =
--- a/src/placing/upstream.rs
+++ b/src/placing/upstream.rs
@@ -281,7 +281,7 @@
     }
 
     /// What the choice needs to know.
-    pub fn facts(
+    pub fn snapshot(
         &self,
         own_hall: &DataHallId,
         now: BootInstant,
@@ -362,14 +362,14 @@
         let hall = "a".parse().unwrap();
         let first = upstream.begin();
         upstream.set_load(4, 1, vec![], now);
-        assert_eq!(upstream.facts(&hall, now).requests, 5.0);
+        assert_eq!(upstream.snapshot(&hall, now).requests, 5.0);
         let _second = upstream.begin();
-        assert_eq!(upstream.facts(&hall, now).requests, 6.0);
+        assert_eq!(upstream.snapshot(&hall, now).requests, 6.0);
         drop(first);
-        assert_eq!(upstream.facts(&hall, now).requests, 5.0);
+        assert_eq!(upstream.snapshot(&hall, now).requests, 5.0);
         assert!(!upstream.set_load(0, 0, vec![], now));
         let late = now + LOAD_LIFETIME;
-        assert_eq!(upstream.facts(&hall, late).requests, 1.0);
+        assert_eq!(upstream.snapshot(&hall, late).requests, 1.0);
     }
 
     #[test]
@@ -397,9 +397,9 @@
         let record = upstream(now).record.clone();
         let upstream = Upstream::new(record, true, now);
         let hall = "b".parse().unwrap();
-        let first = upstream.facts(&hall, now);
+        let first = upstream.snapshot(&hall, now);
         assert!(!first.local);
         assert_eq!(first.slots, 2.0);
-        assert_eq!(upstream.facts(&hall, now + SLOW_START).slots, 10.0);
+        assert_eq!(upstream.snapshot(&hall, now + SLOW_START).slots, 10.0);
     }
 }
