--- a/src/chat_face/choose.rs
+++ b/src/chat_face/choose.rs
@@ -523,7 +523,7 @@
         for one in facts {
             if one.leaving {
                 sorted.leaving += 1;
-            } else if one.broken || wish.tried.contains(&one.id) {
+            } else if one.breaker_open || wish.tried.contains(&one.id) {
                 sorted.broken += 1;
             } else if !one.backoff.is_zero() {
                 sorted.backing_off += 1;
--- a/src/chat_face/operators.rs
+++ b/src/chat_face/operators.rs
@@ -387,7 +387,7 @@
                     "data_hall": upstream.record.data_hall,
                     "serves": upstream.record.serves,
                     "leaving": facts.leaving,
-                    "failing": facts.broken,
+                    "failing": facts.breaker_open,
                     "requests": facts.requests,
                     "slots": facts.slots,
                     "load_age_ms":
--- a/src/placing/upstream.rs
+++ b/src/placing/upstream.rs
@@ -125,7 +125,7 @@
     /// Whether it is leaving.
     pub leaving: bool,
     /// Whether its breaker holds requests back.
-    pub broken: bool,
+    pub breaker_open: bool,
     /// How long it is to get no request of this VM, as it has asked for.
     pub backoff: Duration,
     /// Requests that it probably holds, own ones corrected.
@@ -141,7 +141,7 @@
 impl UpstreamSnapshot {
     /// Whether it may get a request now.
     pub fn is_open(&self) -> bool {
-        !self.leaving && !self.broken && self.backoff.is_zero()
+        !self.leaving && !self.breaker_open && self.backoff.is_zero()
     }
 }
 
@@ -301,7 +301,7 @@
             short: self.short,
             local: self.record.data_hall == *own_hall,
             leaving: self.is_leaving(),
-            broken: self.is_broken(now),
+            breaker_open: self.is_broken(now),
             backoff: self.reported_state.rest_left(now),
             requests,
             slots: f64::from(self.record.slots) * self.warmth(now),
--- a/standins/src/measure.rs
+++ b/standins/src/measure.rs
@@ -447,7 +447,7 @@
             short: ShortHash(n.wrapping_mul(2_654_435_761)),
             local: true,
             leaving: n % 50 == 0,
-            broken: n % 70 == 0,
+            breaker_open: n % 70 == 0,
             backoff: Duration::ZERO,
             requests: f64::from(n % 13),
             slots: 16.0,
