--- a/src/chat_face/choose.rs
+++ b/src/chat_face/choose.rs
@@ -633,7 +633,7 @@
 impl Room {
     /// Adds up the usable replicas of a model.
     pub fn of(facts: &[UpstreamSnapshot]) -> Room {
-        let usable = facts.iter().filter(|one| one.is_open());
+        let usable = facts.iter().filter(|one| one.is_available());
         usable.fold(Room::default(), |room, one| Room {
             requests: room.requests + one.requests,
             slots: room.slots + one.slots,
@@ -643,7 +643,9 @@
 
 /// Whether any replica of a version could take a request.
 pub fn any_usable(facts: &[UpstreamSnapshot], version: ShortHash) -> bool {
-    facts.iter().any(|one| one.is_open() && has_loaded(one, Some(version)))
+    facts
+        .iter()
+        .any(|one| one.is_available() && has_loaded(one, Some(version)))
 }
 
 /// The age of a moment, in whole milliseconds.
--- a/src/placing/upstream.rs
+++ b/src/placing/upstream.rs
@@ -140,7 +140,7 @@
 
 impl UpstreamSnapshot {
     /// Whether it may get a request now.
-    pub fn is_open(&self) -> bool {
+    pub fn is_available(&self) -> bool {
         !self.leaving && !self.breaker_open && self.backoff.is_zero()
     }
 }
