--- a/src/chat_face/choose.rs
+++ b/src/chat_face/choose.rs
@@ -602,7 +602,7 @@
     prefix: u64,
 ) -> Option<&'a UpstreamSnapshot> {
     let weight =
-        |one: &&&UpstreamSnapshot| mix(prefix ^ u64::from(one.short.0));
+        |one: &&&UpstreamSnapshot| mix(prefix ^ u64::from(one.short_hash.0));
     let home = pool.iter().max_by_key(weight)?;
     let mean = fill(pool);
     let bound = (mean * AFFINITY_BOUND * home.slots).max(1.0);
--- a/src/chat_face/server.rs
+++ b/src/chat_face/server.rs
@@ -267,8 +267,11 @@
             Ok(Some(list)) => {
                 for upstream in vm.view.take_list(&list, now) {
                     log_leaving(&upstream, "by the platform's list");
-                    Gossiper::notify(&vm, Notice::Leaving(upstream.short))
-                        .await;
+                    Gossiper::notify(
+                        &vm,
+                        Notice::Leaving(upstream.short_hash),
+                    )
+                    .await;
                 }
             }
             Ok(None) => vm.view.list_unchanged(now),
--- a/src/chat_face/statement.rs
+++ b/src/chat_face/statement.rs
@@ -45,7 +45,7 @@
                     other.event().log(format_args!("upstream {id}"));
                 }
             }
-            let Some(notice) = notice_of(&news, upstream.short) else {
+            let Some(notice) = notice_of(&news, upstream.short_hash) else {
                 continue;
             };
             let vm = self.vm.clone();
--- a/src/chat_face/view.rs
+++ b/src/chat_face/view.rs
@@ -75,7 +75,7 @@
                     .or_default()
                     .push(upstream.clone()),
             }
-            upstreams.by_short.insert(upstream.short, upstream.clone());
+            upstreams.by_short.insert(upstream.short_hash, upstream.clone());
             upstreams.by_id.insert(record.id.clone(), upstream);
         }
         upstreams
@@ -176,7 +176,7 @@
         let (vm, hall) = (self.vm.as_str(), &upstream.record.data_hall);
         let word = &upstream.reported_state;
         let limit =
-            word.limit_wait(&self.roster, vm, upstream.short, hall, now);
+            word.limit_wait(&self.roster, vm, upstream.short_hash, hall, now);
         UpstreamSnapshot { backoff: facts.backoff.max(limit), ..facts }
     }
 
@@ -413,7 +413,7 @@
     }
     let small = |value: u32| value.min(u16::MAX.into()) as u16;
     Some(LoadEntry {
-        upstream: upstream.short,
+        upstream: upstream.short_hash,
         age_ms: age.as_millis() as u16,
         running: small(load.running),
         waiting: small(load.waiting),
--- a/src/crashes/end_check.rs
+++ b/src/crashes/end_check.rs
@@ -31,7 +31,7 @@
     began_at: BootInstant,
 ) {
     let now = gateway.clock.now();
-    let life = member.upstream.short;
+    let life = member.upstream.short_hash;
     let has_crashed = member.has_crashed();
     if !has_crashed && !member.takes_requests(now) {
         // It was leaving: its end was planned.
@@ -66,7 +66,7 @@
         return;
     }
     let now = gateway.clock.now();
-    let life = member.upstream.short;
+    let life = member.upstream.short_hash;
     let changes = gateway.crashes.settle(life, listening, now);
     gateway.note_crash_changes(&changes);
 }
@@ -79,7 +79,7 @@
     })));
     gateway.metrics.upstreams_ended.inc();
     let now = gateway.clock.now();
-    let life = member.upstream.short;
+    let life = member.upstream.short_hash;
     let changes = gateway.crashes.settle(life, Listening::No, now);
     gateway.note_crash_changes(&changes);
     gateway.early_beat.wake();
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -305,7 +305,7 @@
         let model = self.model.clone();
         trace.begin(&member, model.clone(), now);
         trace.note_version(&version);
-        self.tried.push(member.upstream.short);
+        self.tried.push(member.upstream.short_hash);
         let session = self.use_session(&member.entry.software, now);
         let tokens = self.inbound.prompt_tokens.unwrap_or(0);
         let read_before = member.prefill_backlog(now);
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -253,7 +253,7 @@
             // Its record may only have lapsed.
             let word = member.upstream.reported_state.clone();
             let mut unlisted = self.unlisted.lock().expect("words lock");
-            unlisted.keep(member.upstream.short, word, now);
+            unlisted.keep(member.upstream.short_hash, word, now);
             self.change(|by_id| {
                 by_id.remove(id);
             });
@@ -343,7 +343,8 @@
         now: BootInstant,
     ) -> bool {
         let roster = self.roster.read().expect("roster lock");
-        let (short, hall) = (member.upstream.short, &member.entry.data_hall);
+        let (short, hall) =
+            (member.upstream.short_hash, &member.entry.data_hall);
         let most = warm_up.most(self.slack);
         let part = warm_up::part(&roster, &self.vm, short, hall, most);
         member.sent_cold.lock().expect("sent lock").has_room(part, now)
@@ -356,7 +357,8 @@
     }
 
     fn limit_wait(&self, member: &Member, now: BootInstant) -> Duration {
-        let (short, hall) = (member.upstream.short, &member.entry.data_hall);
+        let (short, hall) =
+            (member.upstream.short_hash, &member.entry.data_hall);
         let word = &member.upstream.reported_state;
         word.limit_wait(&self.roster, &self.vm, short, hall, now)
     }
@@ -615,7 +617,7 @@
     ) -> &'a Arc<Member> {
         let mut order: Vec<&'a Arc<Member>> = open.to_vec();
         order.sort_by_cached_key(|member| {
-            let id = u64::from(member.upstream.short.0);
+            let id = u64::from(member.upstream.short_hash.0);
             std::cmp::Reverse(rendezvous::mix(prompt.subject, id))
         });
         let away = prompt.worth_waiting;
@@ -691,14 +693,14 @@
         }
         let by_short = by_id.values();
         let by_short =
-            by_short.map(|m| (m.upstream.short, m.clone())).collect();
+            by_short.map(|m| (m.upstream.short_hash, m.clone())).collect();
         *held = Arc::new(Members { by_id, by_service, by_short });
     }
 }
 
 /// Whether an upstream takes requests and was not asked.
 fn is_open(member: &Member, tried: &[ShortHash], now: BootInstant) -> bool {
-    member.takes_requests(now) && !tried.contains(&member.upstream.short)
+    member.takes_requests(now) && !tried.contains(&member.upstream.short_hash)
 }
 
 /// Leaves out the upstreams whose software is to be avoided.
--- a/src/placing/pool/rest_replay.rs
+++ b/src/placing/pool/rest_replay.rs
@@ -193,7 +193,7 @@
                 PickCriteria { tried: &tried, ..PickCriteria::default() };
             let picked = self.vms[vm].pick(&service, &want, self.now);
             let Ok(member) = picked else { break };
-            tried.push(member.upstream.short);
+            tried.push(member.upstream.short_hash);
             let number = member.entry.id.as_str()[2..].parse().unwrap();
             self.note_arrival(vm, number);
             if !self.is_shedding(number) {
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -27,7 +27,7 @@
         sent_at: BootInstant,
         now: BootInstant,
     ) -> Vec<ReportedChange> {
-        let life = member.upstream.short;
+        let life = member.upstream.short_hash;
         let was_leaving = member.upstream.is_leaving();
         let word = &member.upstream.reported_state;
         let mut news = word.take(statement, rand::random(), sent_at, now);
@@ -145,7 +145,7 @@
         now: BootInstant,
     ) {
         if member.note_stated(load, self.mean_reading(), now) {
-            let short = member.upstream.short;
+            let short = member.upstream.short_hash;
             self.seen.lock().expect("seen lock").note_load(short, load, now);
         }
     }
@@ -182,7 +182,7 @@
         verdict: Verdict,
         now: BootInstant,
     ) -> bool {
-        let short = member.upstream.short;
+        let short = member.upstream.short_hash;
         self.seen.lock().expect("seen lock").note_verdict(short, verdict, now)
     }
 
@@ -222,7 +222,7 @@
                 reading_ms: bounded(reading_ms),
             };
             let has_any = work != Work::default();
-            has_any.then_some((member.upstream.short, work))
+            has_any.then_some((member.upstream.short_hash, work))
         });
         work.collect()
     }
--- a/src/placing/upstream.rs
+++ b/src/placing/upstream.rs
@@ -102,7 +102,7 @@
     pub record: UpstreamRecord,
     /// The short hash that VMs tell each other of it by: of its name, or of
     /// one life where it may start again under that.
-    pub short: ShortHash,
+    pub short_hash: ShortHash,
     /// What it has said of itself.
     pub reported_state: Arc<ReportedState>,
     seen_at: BootInstant,
@@ -119,7 +119,7 @@
     /// Its name.
     pub id: UpstreamId,
     /// Its short hash.
-    pub short: ShortHash,
+    pub short_hash: ShortHash,
     /// Whether it stands in this VM's data hall.
     pub local: bool,
     /// Whether it is leaving.
@@ -154,22 +154,22 @@
         is_new: bool,
         now: BootInstant,
     ) -> Upstream {
-        let short = ShortHash::of(record.id.as_str());
-        Upstream::with_word(record, short, Arc::default(), is_new, now)
+        let short_hash = ShortHash::of(record.id.as_str());
+        Upstream::with_word(record, short_hash, Arc::default(), is_new, now)
     }
 
     /// The same, with the short hash that it is told by and what it has said
     /// of itself before.
     pub fn with_word(
         record: UpstreamRecord,
-        short: ShortHash,
+        short_hash: ShortHash,
         reported_state: Arc<ReportedState>,
         is_new: bool,
         now: BootInstant,
     ) -> Upstream {
         let long_ago = now.checked_sub(SLOW_START).unwrap_or(now);
         Upstream {
-            short,
+            short_hash,
             record,
             reported_state,
             seen_at: if is_new { now } else { long_ago },
@@ -298,7 +298,7 @@
         });
         UpstreamSnapshot {
             id: self.record.id.clone(),
-            short: self.short,
+            short_hash: self.short_hash,
             local: self.record.data_hall == *own_hall,
             leaving: self.is_leaving(),
             breaker_open: self.is_broken(now),
--- a/standins/src/measure.rs
+++ b/standins/src/measure.rs
@@ -444,7 +444,7 @@
     let facts: Vec<UpstreamSnapshot> = (0..replicas)
         .map(|n| UpstreamSnapshot {
             id: format!("u{n}").parse().expect("a name"),
-            short: ShortHash(n.wrapping_mul(2_654_435_761)),
+            short_hash: ShortHash(n.wrapping_mul(2_654_435_761)),
             local: true,
             leaving: n % 50 == 0,
             breaker_open: n % 70 == 0,
