--- a/src/chat_face/dispatch.rs
+++ b/src/chat_face/dispatch.rs
@@ -39,7 +39,7 @@
     },
     id::UpstreamId,
     message::ShortHash,
-    placing::upstream::{BreakerChange, InFlight, Upstream},
+    placing::upstream::{BreakerChange, InFlightGuard, Upstream},
     task::{self, within},
     unit::{MicroCost, Share},
 };
@@ -81,7 +81,7 @@
     pub(crate) upstream: Arc<Upstream>,
     pub(crate) choice: UpstreamChoice,
     pub(super) chosen_at: BootInstant,
-    _in_flight: InFlight,
+    _in_flight: InFlightGuard,
 }
 
 /// How an attempt failed.
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -33,7 +33,7 @@
         health::Verdict,
         member::{Member, PrefillGuard},
         pool::{PickCriteria, PickError, SharedPrompt},
-        upstream::InFlight,
+        upstream::InFlightGuard,
     },
     platform::headers::{self, AnswerHead},
     rollouts::choice::VersionChoice,
@@ -144,7 +144,7 @@
     pub(crate) expected: Duration,
     /// Held until the first event is here.
     pub(crate) reading: Option<PrefillGuard>,
-    _in_flight: InFlight,
+    _in_flight: InFlightGuard,
     _session: Option<SessionUse>,
 }
 
--- a/src/gateway/limit_replay.rs
+++ b/src/gateway/limit_replay.rs
@@ -19,7 +19,7 @@
         member::{Member, UpstreamEntry, UpstreamState},
         pool::PickCriteria,
         signals::{RateLimit, UpstreamSignals},
-        upstream::InFlight,
+        upstream::InFlightGuard,
     },
     unit::RequestRate,
 };
@@ -108,7 +108,7 @@
     ends_at: BootInstant,
     vm: usize,
     member: Arc<Member>,
-    _in_flight: InFlight,
+    _in_flight: InFlightGuard,
 }
 
 struct Replay {
--- a/src/placing/pool/rest_replay.rs
+++ b/src/placing/pool/rest_replay.rs
@@ -21,7 +21,7 @@
 use crate::placing::{
     reported_state::ReportedState,
     signals::{RetryAfter, UpstreamSignals},
-    upstream::InFlight,
+    upstream::InFlightGuard,
 };
 
 const STEP: Duration = Duration::from_millis(5);
@@ -76,7 +76,7 @@
     began_at: BootInstant,
     now: BootInstant,
     /// Requests that are worked on, with their ends.
-    working: VecDeque<(BootInstant, InFlight)>,
+    working: VecDeque<(BootInstant, InFlightGuard)>,
     /// What halls are to hear.
     told: VecDeque<(BootInstant, usize, usize)>,
     /// When each VM was told by each upstream, and what came since.
--- a/src/placing/upstream.rs
+++ b/src/placing/upstream.rs
@@ -181,9 +181,9 @@
     }
 
     /// Counts a request of this VM until the guard is dropped.
-    pub fn begin(self: &Arc<Self>) -> InFlight {
+    pub fn begin(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
-        InFlight(self.clone())
+        InFlightGuard(self.clone())
     }
 
     /// This VM's requests there.
@@ -331,9 +331,9 @@
 
 /// Counts a request at an upstream while it lives.
 #[derive(Debug)]
-pub struct InFlight(Arc<Upstream>);
+pub struct InFlightGuard(Arc<Upstream>);
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
