--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -30,7 +30,7 @@
     message::ShortHash,
     placing::{
         admission,
-        health::Verdict,
+        health::AttemptOutcome,
         member::{Member, PrefillGuard},
         pool::{PickCriteria, PickError, SharedPrompt},
         upstream::InFlightGuard,
@@ -177,11 +177,11 @@
 
 impl Fault {
     /// What it says of the upstream, if that is to blame.
-    pub(crate) fn verdict(&self) -> Option<Verdict> {
+    pub(crate) fn verdict(&self) -> Option<AttemptOutcome> {
         match self {
             Fault::NotRun(..) | Fault::Poor(_) => None,
-            Fault::Unknown(..) => Some(Verdict::Lost),
-            Fault::Failed(_) => Some(Verdict::Failed),
+            Fault::Unknown(..) => Some(AttemptOutcome::Lost),
+            Fault::Failed(_) => Some(AttemptOutcome::Failed),
         }
     }
 }
@@ -461,7 +461,8 @@
             Ok(exchange) => exchange,
             Err(Some(SendError::NotSent(reason))) => {
                 let member = &attempt.member;
-                self.gateway.judge_upstream(member, Verdict::Unreachable);
+                self.gateway
+                    .judge_upstream(member, AttemptOutcome::Unreachable);
                 return Err(Fault::NotRun("unreachable", reason));
             }
             Err(Some(error)) => {
@@ -561,7 +562,7 @@
         }
         trace.part();
         trace.end_attempt("answered", "");
-        self.judge(attempt, Verdict::Good, Some(waited));
+        self.judge(attempt, AttemptOutcome::Good, Some(waited));
         self.learn_service_time(attempt);
         Ok(reply)
     }
@@ -628,12 +629,12 @@
     pub(crate) fn judge(
         &self,
         attempt: &Attempt,
-        verdict: Verdict,
+        verdict: AttemptOutcome,
         first_part: Option<Duration>,
     ) {
         let gateway = &self.gateway;
         let now = gateway.clock.now();
-        if verdict == Verdict::Lost {
+        if verdict == AttemptOutcome::Lost {
             end_check::note_lost(
                 gateway,
                 &attempt.member,
@@ -641,10 +642,11 @@
                 attempt.began_at,
             );
         }
-        let says_nothing_of_version = verdict == Verdict::Failed
+        let says_nothing_of_version = verdict == AttemptOutcome::Failed
             && gateway.pool.is_alone_suspect(&attempt.member, now);
         gateway.judge_upstream(&attempt.member, verdict);
-        let ended = attempt.member.is_over() && verdict != Verdict::Good;
+        let ended =
+            attempt.member.is_over() && verdict != AttemptOutcome::Good;
         if says_nothing_of_version || ended {
             return;
         }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -36,7 +36,7 @@
     placing::{
         admission::ServiceTimes,
         cascade::PrefillTimes,
-        health::{HealthChange, Verdict},
+        health::{AttemptOutcome, HealthChange},
         member::{Member, UpstreamState},
         pool::Pool,
         retry_window::RetryWindow,
@@ -424,13 +424,17 @@
     }
 
     /// Takes in how an attempt at an upstream ended.
-    pub(crate) fn judge_upstream(&self, member: &Member, verdict: Verdict) {
+    pub(crate) fn judge_upstream(
+        &self,
+        member: &Member,
+        verdict: AttemptOutcome,
+    ) {
         // It failed because it ended; the one in its place has not.
-        if member.is_over() && verdict != Verdict::Good {
+        if member.is_over() && verdict != AttemptOutcome::Good {
             return;
         }
         let now = self.clock.now();
-        if verdict == Verdict::Unreachable {
+        if verdict == AttemptOutcome::Unreachable {
             member.note_unreachable(now);
         }
         if self.pool.note_verdict(member, verdict, now) {
--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -20,7 +20,7 @@
     id::ModelId,
     placing::{
         cascade::{EscalationInput, NoEscalation, escalation_target},
-        health::Verdict,
+        health::AttemptOutcome,
         member::Member,
     },
     platform::headers::{self, AnswerHead},
@@ -256,7 +256,7 @@
             Ok(Brought::Events(first)) => (first, false),
             Ok(Brought::End) => (Bytes::new(), true),
             Err(stop) => {
-                self.judge(&source.attempt, Verdict::Lost, None);
+                self.judge(&source.attempt, AttemptOutcome::Lost, None);
                 return Err(Fault::Unknown(stop.label(), stop.reason()));
             }
         };
@@ -264,7 +264,7 @@
         let waited = now.saturating_duration_since(source.attempt.began_at);
         source.attempt.reading = None;
         self.learn_read_time(&source.attempt, waited);
-        self.judge(&source.attempt, Verdict::Good, Some(waited));
+        self.judge(&source.attempt, AttemptOutcome::Good, Some(waited));
         trace.part();
         let head = Reply {
             status: hyper::StatusCode::OK,
@@ -286,11 +286,11 @@
         let left = self.left(self.gateway.clock.now());
         let read = exchange.read_whole(LIMIT_BYTES);
         let Some(Ok(answer)) = task::within(left, read).await else {
-            self.judge(&attempt, Verdict::Lost, None);
+            self.judge(&attempt, AttemptOutcome::Lost, None);
             return Fault::Unknown("broken", format!("status {status}"));
         };
         if status >= 500 {
-            self.judge(&attempt, Verdict::Failed, None);
+            self.judge(&attempt, AttemptOutcome::Failed, None);
         }
         let status = hyper::StatusCode::from_u16(status)
             .unwrap_or(hyper::StatusCode::BAD_GATEWAY);
@@ -402,7 +402,7 @@
             return Err(BrokenOff);
         };
         let mut reason = stop.reason();
-        self.job.judge(&source.attempt, Verdict::Lost, None);
+        self.job.judge(&source.attempt, AttemptOutcome::Lost, None);
         self.note_end(stop.label(), &reason);
         // The upstream that is given up must stop before another goes on.
         let model = source.attempt.model.clone();
@@ -465,13 +465,13 @@
                 Ok(Source { attempt, exchange, events })
             }
             Ok((exchange, _)) => {
-                self.job.judge(&attempt, Verdict::Failed, None);
+                self.job.judge(&attempt, AttemptOutcome::Failed, None);
                 let reason = format!("status {}", exchange.status);
                 failed(self, "failed", reason)
             }
             Err(Fault::NotRun(label, reason)) => failed(self, label, reason),
             Err(Fault::Unknown(label, reason)) => {
-                self.job.judge(&attempt, Verdict::Lost, None);
+                self.job.judge(&attempt, AttemptOutcome::Lost, None);
                 failed(self, label, reason)
             }
             Err(Fault::Poor(_)) => failed(self, "poor", String::new()),
--- a/src/message.rs
+++ b/src/message.rs
@@ -21,7 +21,7 @@
     crashes::sighting::Sighting,
     facts::knowledge::ChangedItem,
     id::{DataHallId, Incarnation, RequestId, Revision, VmId},
-    placing::health::Verdict,
+    placing::health::AttemptOutcome,
     rollouts::evidence::{Evidence, HallEvidence},
     unit::{Mbps, RequestRate},
 };
@@ -67,7 +67,7 @@
     /// The upstream.
     pub upstream: ShortHash,
     /// How the attempt ended.
-    pub verdict: Verdict,
+    pub verdict: AttemptOutcome,
 }
 
 /// The rate limit that an upstream named, as one VM tells it to the others.
--- a/src/placing/health.rs
+++ b/src/placing/health.rs
@@ -42,7 +42,7 @@
 
 /// How one attempt ended, as far as its upstream is to blame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum AttemptOutcome {
     /// It answered.
     Good,
     /// It answered that it failed.
@@ -116,18 +116,20 @@
     /// Takes in how an attempt of another VM of the data hall ended.
     pub fn hear(
         &self,
-        verdict: Verdict,
+        verdict: AttemptOutcome,
         now: BootInstant,
     ) -> Option<HealthChange> {
         let mut state = self.0.lock().expect("health lock");
         state.fade(now);
         match verdict {
-            Verdict::Good => {
+            AttemptOutcome::Good => {
                 state.good += 1.0;
                 return None;
             }
-            Verdict::Failed | Verdict::Lost => state.bad += TOLD_FAILURE,
-            Verdict::Unreachable => state.bad += TOLD_UNREACHABLE,
+            AttemptOutcome::Failed | AttemptOutcome::Lost => {
+                state.bad += TOLD_FAILURE
+            }
+            AttemptOutcome::Unreachable => state.bad += TOLD_UNREACHABLE,
         }
         let is_news = state.out_until.is_none_or(|until| now >= until);
         if !is_news || !state.fails() {
@@ -140,15 +142,17 @@
     /// Takes in how an attempt ended.
     pub fn record(
         &self,
-        verdict: Verdict,
+        verdict: AttemptOutcome,
         now: BootInstant,
     ) -> Option<HealthChange> {
         let mut state = self.0.lock().expect("health lock");
         state.fade(now);
         match verdict {
-            Verdict::Good => state.record_good(now),
-            Verdict::Failed | Verdict::Lost => state.record_bad(now),
-            Verdict::Unreachable => {
+            AttemptOutcome::Good => state.record_good(now),
+            AttemptOutcome::Failed | AttemptOutcome::Lost => {
+                state.record_bad(now)
+            }
+            AttemptOutcome::Unreachable => {
                 // One such failure says enough: the next request would wait
                 // for it as well.
                 state.in_a_row = UNFIT_IN_A_ROW;
--- a/src/placing/health/tests.rs
+++ b/src/placing/health/tests.rs
@@ -4,10 +4,13 @@
 fn one_failure_says_nothing_and_three_in_a_row_do() {
     let now = BootInstant::now();
     let health = Health::new(now);
-    assert_eq!(health.record(Verdict::Failed, now), None);
-    assert_eq!(health.record(Verdict::Failed, now), None);
+    assert_eq!(health.record(AttemptOutcome::Failed, now), None);
+    assert_eq!(health.record(AttemptOutcome::Failed, now), None);
     assert!(health.is_sound(now));
-    assert_eq!(health.record(Verdict::Failed, now), Some(HealthChange::Unfit));
+    assert_eq!(
+        health.record(AttemptOutcome::Failed, now),
+        Some(HealthChange::Unfit)
+    );
     assert!(!health.is_sound(now));
     assert!(health.is_sound(now + PAUSE));
 }
@@ -16,7 +19,7 @@
 fn a_connection_that_cannot_be_opened_says_enough() {
     let now = BootInstant::now();
     let health = Health::new(now);
-    let change = health.record(Verdict::Unreachable, now);
+    let change = health.record(AttemptOutcome::Unreachable, now);
     assert_eq!(change, Some(HealthChange::Unfit));
 }
 
@@ -25,8 +28,11 @@
     let now = BootInstant::now();
     let health = Health::new(now);
     let changes = (0..20).filter_map(|number| {
-        let verdict =
-            if number % 5 < 2 { Verdict::Failed } else { Verdict::Good };
+        let verdict = if number % 5 < 2 {
+            AttemptOutcome::Failed
+        } else {
+            AttemptOutcome::Good
+        };
         health.record(verdict, now)
     });
     assert!(changes.collect::<Vec<_>>().contains(&HealthChange::Unfit));
@@ -36,12 +42,12 @@
 fn an_answer_after_the_pause_brings_it_back() {
     let now = BootInstant::now();
     let health = Health::new(now);
-    health.record(Verdict::Unreachable, now);
+    health.record(AttemptOutcome::Unreachable, now);
     // An answer from before the pause's end is old news.
-    assert_eq!(health.record(Verdict::Good, now), None);
+    assert_eq!(health.record(AttemptOutcome::Good, now), None);
     assert!(!health.is_sound(now));
     let later = now + PAUSE;
-    let change = health.record(Verdict::Good, later);
+    let change = health.record(AttemptOutcome::Good, later);
     assert_eq!(change, Some(HealthChange::Fit));
     assert!(health.is_sound(later));
 }
@@ -50,9 +56,9 @@
 fn failing_again_after_the_pause_doubles_it() {
     let now = BootInstant::now();
     let health = Health::new(now);
-    health.record(Verdict::Unreachable, now);
+    health.record(AttemptOutcome::Unreachable, now);
     let later = now + PAUSE;
-    health.record(Verdict::Unreachable, later);
+    health.record(AttemptOutcome::Unreachable, later);
     assert!(!health.is_sound(later + PAUSE));
     assert!(health.is_sound(later + PAUSE * 2));
 }
@@ -63,9 +69,9 @@
     let health = Health::new(now);
     assert_eq!(health.failure_chance(now), 0.0);
     for _ in 0..3 {
-        assert_eq!(health.hear(Verdict::Lost, now), None);
+        assert_eq!(health.hear(AttemptOutcome::Lost, now), None);
     }
-    let change = health.hear(Verdict::Lost, now);
+    let change = health.hear(AttemptOutcome::Lost, now);
     assert_eq!(change, Some(HealthChange::Unfit));
     assert!(!health.is_sound(now));
     let later = now + HALF_LIFE * 10;
@@ -74,9 +80,10 @@
     // Answers that others tell of keep it fit.
     let answering = Health::new(now);
     for _ in 0..12 {
-        answering.hear(Verdict::Good, now);
+        answering.hear(AttemptOutcome::Good, now);
     }
-    let changes = (0..5).filter_map(|_| answering.hear(Verdict::Lost, now));
+    let changes =
+        (0..5).filter_map(|_| answering.hear(AttemptOutcome::Lost, now));
     assert_eq!(changes.count(), 0);
     assert!(answering.is_sound(now));
 }
@@ -85,8 +92,8 @@
 fn two_that_cannot_connect_tell_enough() {
     let now = BootInstant::now();
     let health = Health::new(now);
-    assert_eq!(health.hear(Verdict::Unreachable, now), None);
-    let change = health.hear(Verdict::Unreachable, now);
+    assert_eq!(health.hear(AttemptOutcome::Unreachable, now), None);
+    let change = health.hear(AttemptOutcome::Unreachable, now);
     assert_eq!(change, Some(HealthChange::Unfit));
 }
 
@@ -104,11 +111,11 @@
             let at = if number < 6 { 0 } else { number % 20 };
             let health = &upstreams[at];
             if !is_bad(at) {
-                health.record(Verdict::Good, now);
+                health.record(AttemptOutcome::Good, now);
                 continue;
             }
             counted += u32::from(!health.is_suspect(now));
-            health.record(Verdict::Failed, now);
+            health.record(AttemptOutcome::Failed, now);
         }
         counted
     };
--- a/src/placing/pool/replay.rs
+++ b/src/placing/pool/replay.rs
@@ -11,7 +11,7 @@
 
 use super::{tests::SLACK, *};
 use crate::placing::{
-    health::Verdict,
+    health::AttemptOutcome,
     member::{LoadReport, PrefillGuard},
 };
 
@@ -237,7 +237,11 @@
             let id = member.entry.id.to_string();
             let engine: usize = id["i-".len()..].parse().unwrap();
             let fails = is_dead && dead.contains(&engine);
-            let verdict = if fails { Verdict::Lost } else { Verdict::Good };
+            let verdict = if fails {
+                AttemptOutcome::Lost
+            } else {
+                AttemptOutcome::Good
+            };
             failed += usize::from(fails && now_ms < LOAD_MS / 2 + 1000);
             member.health.record(verdict, now);
             pool.note_verdict(&member, verdict, now);
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -2,7 +2,7 @@
 use crate::id::StartMs;
 use crate::message::Work;
 use crate::placing::member::{LoadReport, PEER_COUNT_LIFETIME};
-use crate::placing::{hall_way::CUT_PAUSE, health::Verdict};
+use crate::placing::{hall_way::CUT_PAUSE, health::AttemptOutcome};
 
 pub(super) const SLACK: WarmUpSlack =
     WarmUpSlack { overshoot: 1.5, tolerance: 5.0 };
@@ -173,7 +173,7 @@
     let pool = pool(&entries, now);
     for id in ["i-2", "i-3"] {
         let member = pool.member(&id.parse().unwrap()).unwrap();
-        member.health.record(Verdict::Unreachable, now);
+        member.health.record(AttemptOutcome::Unreachable, now);
         member.note_unreachable(now);
     }
     assert_eq!(picks(&pool, &PickCriteria::default(), now), ["i-1"]);
@@ -262,7 +262,7 @@
     }
     // Also when nothing else is well.
     let other = pool.member(&"i-2".parse().unwrap()).unwrap();
-    other.health.record(Verdict::Unreachable, now);
+    other.health.record(AttemptOutcome::Unreachable, now);
     assert_eq!(picks(&pool, &PickCriteria::default(), now), ["i-2"]);
     assert!(pool.evacuate(&far));
     let service = "writers".parse().unwrap();
@@ -313,9 +313,9 @@
     let pool = pool(&entries, now);
     let member = |n: usize| pool.member(&entries[n].id).unwrap();
     assert!(!pool.is_alone_suspect(&member(0), now));
-    member(0).health.record(Verdict::Failed, now);
+    member(0).health.record(AttemptOutcome::Failed, now);
     assert!(pool.is_alone_suspect(&member(0), now));
-    member(1).health.record(Verdict::Failed, now);
+    member(1).health.record(AttemptOutcome::Failed, now);
     assert!(!pool.is_alone_suspect(&member(0), now), "half of them fail");
 }
 
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -11,7 +11,7 @@
     id::UpstreamId,
     message::{ShortHash, StatedLoad, ToldFailure, ToldLimit, Work},
     placing::{
-        health::Verdict,
+        health::AttemptOutcome,
         member::{LoadReport, Member},
         signals::{RateLimit, ReportedChange, UpstreamSignals},
     },
@@ -168,7 +168,7 @@
                     waiting: told.waiting.into(),
                 };
                 if member.note_stated(load, each, at) {
-                    member.health.hear(Verdict::Good, now);
+                    member.health.hear(AttemptOutcome::Good, now);
                 }
             }
         }
@@ -179,7 +179,7 @@
     pub fn note_verdict(
         &self,
         member: &Member,
-        verdict: Verdict,
+        verdict: AttemptOutcome,
         now: BootInstant,
     ) -> bool {
         let short = member.upstream.short_hash;
--- a/src/placing/seen.rs
+++ b/src/placing/seen.rs
@@ -6,7 +6,7 @@
 use crate::{
     clock::BootInstant,
     message::{ShortHash, StatedLoad, ToldFailure, ToldLimit},
-    placing::{health::Verdict, member::LoadReport},
+    placing::{health::AttemptOutcome, member::LoadReport},
     unit::RequestRate,
 };
 
@@ -52,7 +52,7 @@
     /// What each upstream stated last, and when.
     stated: HashMap<ShortHash, (LoadReport, BootInstant)>,
     /// Upstreams that have failed since the last beat.
-    failed: HashMap<ShortHash, Verdict>,
+    failed: HashMap<ShortHash, AttemptOutcome>,
     /// When a failure of each upstream was last told.
     told_at: HashMap<ShortHash, BootInstant>,
     /// Lives that are leaving, and when that was heard.
@@ -79,10 +79,10 @@
     pub(crate) fn note_verdict(
         &mut self,
         upstream: ShortHash,
-        verdict: Verdict,
+        verdict: AttemptOutcome,
         now: BootInstant,
     ) -> bool {
-        if verdict == Verdict::Good {
+        if verdict == AttemptOutcome::Good {
             self.answered_at = Some(now);
             return false;
         }
@@ -91,7 +91,7 @@
             return false;
         }
         self.failed.insert(upstream, verdict);
-        matches!(verdict, Verdict::Lost | Verdict::Unreachable)
+        matches!(verdict, AttemptOutcome::Lost | AttemptOutcome::Unreachable)
     }
 
     /// Notes that a life is leaving, as it has said itself.
--- a/src/rollouts/registry.rs
+++ b/src/rollouts/registry.rs
@@ -6,7 +6,7 @@
     clock::BootInstant,
     id::{ServiceId, VersionId},
     message::ShortHash,
-    placing::health::Verdict,
+    placing::health::AttemptOutcome,
     rollouts::{
         choice::VersionChoice,
         evidence::{Evidence, HallEvidence},
@@ -184,7 +184,7 @@
         service: &ServiceId,
         software: &VersionId,
         route: &str,
-        verdict: Verdict,
+        verdict: AttemptOutcome,
         first_part: Option<Duration>,
     ) {
         let mut rollouts = self.running.lock().expect("rollouts lock");
--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -19,7 +19,7 @@
     clock::BootInstant,
     id::{ServiceId, VersionId},
     message::ShortHash,
-    placing::{health::Verdict, pool::VersionRule},
+    placing::{health::AttemptOutcome, pool::VersionRule},
     rendezvous,
     rollouts::{
         choice::ChoiceReason,
@@ -328,17 +328,17 @@
         &mut self,
         software: &VersionId,
         route: &str,
-        verdict: Verdict,
+        verdict: AttemptOutcome,
         first_part: Option<Duration>,
     ) {
         let side = self.side(software);
         let route = ShortHash::of(route);
-        let mut is_bad = verdict == Verdict::Failed;
+        let mut is_bad = verdict == AttemptOutcome::Failed;
         if let Some(first_part) = first_part {
             is_bad |= self.is_slow(route, side, first_part.as_secs_f64());
         }
         let answers = &mut self.own.entry(route).or_default()[side as usize];
-        if verdict == Verdict::Lost {
+        if verdict == AttemptOutcome::Lost {
             answers.lost += 1;
             return;
         }
--- a/src/rollouts/rollout/tests.rs
+++ b/src/rollouts/rollout/tests.rs
@@ -57,7 +57,7 @@
 fn answer(rollouts: &Rollouts, count: u32) {
     let new = version("v2");
     for _ in 0..count {
-        let verdict = Verdict::Good;
+        let verdict = AttemptOutcome::Good;
         rollouts.record(&service(), &new, "write", verdict, None);
     }
 }
@@ -141,11 +141,17 @@
     for rollouts in [&here, &there] {
         for _ in 0..40 {
             let old = version("v1");
-            rollouts.record(&service(), &old, "a", Verdict::Good, None);
+            rollouts.record(&service(), &old, "a", AttemptOutcome::Good, None);
         }
         for _ in 0..2 {
             let new = version("v2");
-            rollouts.record(&service(), &new, "a", Verdict::Failed, None);
+            rollouts.record(
+                &service(),
+                &new,
+                "a",
+                AttemptOutcome::Failed,
+                None,
+            );
         }
     }
     assert_eq!(here.judge(now), []);
@@ -173,14 +179,14 @@
         }
     };
     // A quarter of all machines is lost, and of the new version's three two.
-    record("v1", Verdict::Good, 100);
-    record("v1", Verdict::Lost, 30);
-    record("v2", Verdict::Good, 2);
-    record("v2", Verdict::Lost, 8);
+    record("v1", AttemptOutcome::Good, 100);
+    record("v1", AttemptOutcome::Lost, 30);
+    record("v2", AttemptOutcome::Good, 2);
+    record("v2", AttemptOutcome::Lost, 8);
     assert_eq!(rollouts.judge(now), []);
     // Only the new version goes on losing answers.
-    record("v1", Verdict::Good, 300);
-    record("v2", Verdict::Lost, 30);
+    record("v1", AttemptOutcome::Good, 300);
+    record("v2", AttemptOutcome::Lost, 30);
     assert_eq!(rollouts.judge(now).len(), 1);
 }
 
@@ -190,7 +196,7 @@
     let rollouts = running(now);
     for _ in 0..BAD_ANSWERS {
         let new = version("v2");
-        rollouts.record(&service(), &new, "a", Verdict::Failed, None);
+        rollouts.record(&service(), &new, "a", AttemptOutcome::Failed, None);
     }
     assert_eq!(rollouts.judge(now).len(), 1);
     assert_eq!(rollouts.due(false, |_, _| 0, &[], now), []);
@@ -206,8 +212,8 @@
     for name in ["v1", "v2"] {
         for number in 0..100 {
             let verdict = match number % 5 {
-                0 => Verdict::Failed,
-                _ => Verdict::Good,
+                0 => AttemptOutcome::Failed,
+                _ => AttemptOutcome::Good,
             };
             let version = version(name);
             rollouts.record(&service(), &version, "a", verdict, None);
@@ -227,7 +233,7 @@
             &service(),
             &version,
             route,
-            Verdict::Good,
+            AttemptOutcome::Good,
             first_part,
         );
     };
@@ -257,7 +263,7 @@
     let record = |name: &str, number: u64| {
         let ms = if number.is_multiple_of(5) { 5000 } else { 50 };
         let first_part = Some(Duration::from_millis(ms));
-        let (version, good) = (version(name), Verdict::Good);
+        let (version, good) = (version(name), AttemptOutcome::Good);
         rollouts.record(&service(), &version, "a", good, first_part);
     };
     for number in 0..317 {
