--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -562,7 +562,7 @@
         }
         trace.part();
         trace.end_attempt("answered", "");
-        self.judge(attempt, AttemptOutcome::Good, Some(waited));
+        self.judge(attempt, AttemptOutcome::Success, Some(waited));
         self.learn_service_time(attempt);
         Ok(reply)
     }
@@ -646,7 +646,7 @@
             && gateway.pool.is_alone_suspect(&attempt.member, now);
         gateway.judge_upstream(&attempt.member, verdict);
         let ended =
-            attempt.member.is_over() && verdict != AttemptOutcome::Good;
+            attempt.member.is_over() && verdict != AttemptOutcome::Success;
         if says_nothing_of_version || ended {
             return;
         }
--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -264,7 +264,7 @@
         let waited = now.saturating_duration_since(source.attempt.began_at);
         source.attempt.reading = None;
         self.learn_read_time(&source.attempt, waited);
-        self.judge(&source.attempt, AttemptOutcome::Good, Some(waited));
+        self.judge(&source.attempt, AttemptOutcome::Success, Some(waited));
         trace.part();
         let head = Reply {
             status: hyper::StatusCode::OK,
--- a/src/placing/health.rs
+++ b/src/placing/health.rs
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptOutcome {
     /// It answered.
-    Good,
+    Success,
     /// It answered that it failed.
     Failed,
     /// It broke off or stayed silent.
@@ -122,7 +122,7 @@
         let mut state = self.0.lock().expect("health lock");
         state.fade(now);
         match verdict {
-            AttemptOutcome::Good => {
+            AttemptOutcome::Success => {
                 state.good += 1.0;
                 return None;
             }
@@ -148,7 +148,7 @@
         let mut state = self.0.lock().expect("health lock");
         state.fade(now);
         match verdict {
-            AttemptOutcome::Good => state.record_good(now),
+            AttemptOutcome::Success => state.record_good(now),
             AttemptOutcome::Failed | AttemptOutcome::Lost => {
                 state.record_bad(now)
             }
--- a/src/placing/health/tests.rs
+++ b/src/placing/health/tests.rs
@@ -31,7 +31,7 @@
         let verdict = if number % 5 < 2 {
             AttemptOutcome::Failed
         } else {
-            AttemptOutcome::Good
+            AttemptOutcome::Success
         };
         health.record(verdict, now)
     });
@@ -44,10 +44,10 @@
     let health = Health::new(now);
     health.record(AttemptOutcome::Unreachable, now);
     // An answer from before the pause's end is old news.
-    assert_eq!(health.record(AttemptOutcome::Good, now), None);
+    assert_eq!(health.record(AttemptOutcome::Success, now), None);
     assert!(!health.is_sound(now));
     let later = now + PAUSE;
-    let change = health.record(AttemptOutcome::Good, later);
+    let change = health.record(AttemptOutcome::Success, later);
     assert_eq!(change, Some(HealthChange::Fit));
     assert!(health.is_sound(later));
 }
@@ -80,7 +80,7 @@
     // Answers that others tell of keep it fit.
     let answering = Health::new(now);
     for _ in 0..12 {
-        answering.hear(AttemptOutcome::Good, now);
+        answering.hear(AttemptOutcome::Success, now);
     }
     let changes =
         (0..5).filter_map(|_| answering.hear(AttemptOutcome::Lost, now));
@@ -111,7 +111,7 @@
             let at = if number < 6 { 0 } else { number % 20 };
             let health = &upstreams[at];
             if !is_bad(at) {
-                health.record(AttemptOutcome::Good, now);
+                health.record(AttemptOutcome::Success, now);
                 continue;
             }
             counted += u32::from(!health.is_suspect(now));
--- a/src/placing/pool/replay.rs
+++ b/src/placing/pool/replay.rs
@@ -240,7 +240,7 @@
             let verdict = if fails {
                 AttemptOutcome::Lost
             } else {
-                AttemptOutcome::Good
+                AttemptOutcome::Success
             };
             failed += usize::from(fails && now_ms < LOAD_MS / 2 + 1000);
             member.health.record(verdict, now);
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -168,7 +168,7 @@
                     waiting: told.waiting.into(),
                 };
                 if member.note_stated(load, each, at) {
-                    member.health.hear(AttemptOutcome::Good, now);
+                    member.health.hear(AttemptOutcome::Success, now);
                 }
             }
         }
--- a/src/placing/seen.rs
+++ b/src/placing/seen.rs
@@ -82,7 +82,7 @@
         verdict: AttemptOutcome,
         now: BootInstant,
     ) -> bool {
-        if verdict == AttemptOutcome::Good {
+        if verdict == AttemptOutcome::Success {
             self.answered_at = Some(now);
             return false;
         }
--- a/src/rollouts/fleet_tests.rs
+++ b/src/rollouts/fleet_tests.rs
@@ -222,7 +222,7 @@
     fleet.order();
     for vm in &fleet.vms {
         let new = version("v2");
-        let good = AttemptOutcome::Good;
+        let good = AttemptOutcome::Success;
         vm.rollouts.record(&service(), &new, "write", good, None);
     }
     // The new version has everything after 0.64 of the time allowed, and is
--- a/src/rollouts/rollout/tests.rs
+++ b/src/rollouts/rollout/tests.rs
@@ -57,7 +57,7 @@
 fn answer(rollouts: &Rollouts, count: u32) {
     let new = version("v2");
     for _ in 0..count {
-        let verdict = AttemptOutcome::Good;
+        let verdict = AttemptOutcome::Success;
         rollouts.record(&service(), &new, "write", verdict, None);
     }
 }
@@ -141,7 +141,13 @@
     for rollouts in [&here, &there] {
         for _ in 0..40 {
             let old = version("v1");
-            rollouts.record(&service(), &old, "a", AttemptOutcome::Good, None);
+            rollouts.record(
+                &service(),
+                &old,
+                "a",
+                AttemptOutcome::Success,
+                None,
+            );
         }
         for _ in 0..2 {
             let new = version("v2");
@@ -179,13 +185,13 @@
         }
     };
     // A quarter of all machines is lost, and of the new version's three two.
-    record("v1", AttemptOutcome::Good, 100);
+    record("v1", AttemptOutcome::Success, 100);
     record("v1", AttemptOutcome::Lost, 30);
-    record("v2", AttemptOutcome::Good, 2);
+    record("v2", AttemptOutcome::Success, 2);
     record("v2", AttemptOutcome::Lost, 8);
     assert_eq!(rollouts.judge(now), []);
     // Only the new version goes on losing answers.
-    record("v1", AttemptOutcome::Good, 300);
+    record("v1", AttemptOutcome::Success, 300);
     record("v2", AttemptOutcome::Lost, 30);
     assert_eq!(rollouts.judge(now).len(), 1);
 }
@@ -213,7 +219,7 @@
         for number in 0..100 {
             let verdict = match number % 5 {
                 0 => AttemptOutcome::Failed,
-                _ => AttemptOutcome::Good,
+                _ => AttemptOutcome::Success,
             };
             let version = version(name);
             rollouts.record(&service(), &version, "a", verdict, None);
@@ -233,7 +239,7 @@
             &service(),
             &version,
             route,
-            AttemptOutcome::Good,
+            AttemptOutcome::Success,
             first_part,
         );
     };
@@ -263,7 +269,7 @@
     let record = |name: &str, number: u64| {
         let ms = if number.is_multiple_of(5) { 5000 } else { 50 };
         let first_part = Some(Duration::from_millis(ms));
-        let (version, good) = (version(name), AttemptOutcome::Good);
+        let (version, good) = (version(name), AttemptOutcome::Success);
         rollouts.record(&service(), &version, "a", good, first_part);
     };
     for number in 0..317 {
