--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -437,7 +437,7 @@
         if verdict == AttemptOutcome::Unreachable {
             member.note_unreachable(now);
         }
-        if self.pool.note_verdict(member, verdict, now) {
+        if self.pool.record_outcome(member, verdict, now) {
             self.early_beat.wake();
         }
         let change = member.health.record(verdict, now);
--- a/src/placing/pool/replay.rs
+++ b/src/placing/pool/replay.rs
@@ -244,7 +244,7 @@
             };
             failed += usize::from(fails && now_ms < LOAD_MS / 2 + 1000);
             member.health.record(verdict, now);
-            pool.note_verdict(&member, verdict, now);
+            pool.record_outcome(&member, verdict, now);
             if !fails {
                 let load = LoadReport { running: 1, waiting: 0 };
                 pool.note_load(&member, load, now);
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -176,14 +176,17 @@
 
     /// Takes in how an attempt ended, for the other VMs of the data hall;
     /// returns whether they should hear of it at once.
-    pub fn note_verdict(
+    pub fn record_outcome(
         &self,
         member: &Member,
         verdict: AttemptOutcome,
         now: BootInstant,
     ) -> bool {
         let short = member.upstream.short_hash;
-        self.seen.lock().expect("seen lock").note_verdict(short, verdict, now)
+        self.seen
+            .lock()
+            .expect("seen lock")
+            .record_outcome(short, verdict, now)
     }
 
     /// Takes the failures that the others are to hear of.
--- a/src/placing/seen.rs
+++ b/src/placing/seen.rs
@@ -76,7 +76,7 @@
 
     /// Notes how an attempt ended; returns whether the others should hear of
     /// it at once.
-    pub(crate) fn note_verdict(
+    pub(crate) fn record_outcome(
         &mut self,
         upstream: ShortHash,
         verdict: AttemptOutcome,
