--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -443,7 +443,7 @@
         let change = member.health.record(verdict, now);
         let event = match change {
             None => return,
-            Some(HealthChange::Unfit) => Event::UpstreamUnfit,
+            Some(HealthChange::Unhealthy) => Event::UpstreamUnfit,
             Some(HealthChange::Fit) => Event::UpstreamFit,
         };
         event.record(fields(json!({ "upstream": member.entry.id })));
--- a/src/placing/health.rs
+++ b/src/placing/health.rs
@@ -71,7 +71,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthChange {
     /// It is unfit and left alone for a while.
-    Unfit,
+    Unhealthy,
     /// It answers again.
     Fit,
 }
@@ -136,7 +136,7 @@
             return None;
         }
         state.out_until = Some(now + state.pause);
-        Some(HealthChange::Unfit)
+        Some(HealthChange::Unhealthy)
     }
 
     /// Takes in how an attempt ended.
@@ -209,7 +209,7 @@
             return None;
         }
         self.out_until = Some(now + self.pause);
-        Some(HealthChange::Unfit)
+        Some(HealthChange::Unhealthy)
     }
 }
 
--- a/src/placing/health/tests.rs
+++ b/src/placing/health/tests.rs
@@ -9,7 +9,7 @@
     assert!(health.is_sound(now));
     assert_eq!(
         health.record(AttemptOutcome::Failed, now),
-        Some(HealthChange::Unfit)
+        Some(HealthChange::Unhealthy)
     );
     assert!(!health.is_sound(now));
     assert!(health.is_sound(now + PAUSE));
@@ -20,7 +20,7 @@
     let now = BootInstant::now();
     let health = Health::new(now);
     let change = health.record(AttemptOutcome::Unreachable, now);
-    assert_eq!(change, Some(HealthChange::Unfit));
+    assert_eq!(change, Some(HealthChange::Unhealthy));
 }
 
 #[test]
@@ -35,7 +35,7 @@
         };
         health.record(verdict, now)
     });
-    assert!(changes.collect::<Vec<_>>().contains(&HealthChange::Unfit));
+    assert!(changes.collect::<Vec<_>>().contains(&HealthChange::Unhealthy));
 }
 
 #[test]
@@ -72,7 +72,7 @@
         assert_eq!(health.hear(AttemptOutcome::Lost, now), None);
     }
     let change = health.hear(AttemptOutcome::Lost, now);
-    assert_eq!(change, Some(HealthChange::Unfit));
+    assert_eq!(change, Some(HealthChange::Unhealthy));
     assert!(!health.is_sound(now));
     let later = now + HALF_LIFE * 10;
     assert!(health.is_sound(later));
@@ -94,7 +94,7 @@
     let health = Health::new(now);
     assert_eq!(health.hear(AttemptOutcome::Unreachable, now), None);
     let change = health.hear(AttemptOutcome::Unreachable, now);
-    assert_eq!(change, Some(HealthChange::Unfit));
+    assert_eq!(change, Some(HealthChange::Unhealthy));
 }
 
 /// Twenty upstreams of a new version, one of them faulty: by its failures
