--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -444,7 +444,7 @@
         let event = match change {
             None => return,
             Some(HealthChange::Unhealthy) => Event::UpstreamUnfit,
-            Some(HealthChange::Fit) => Event::UpstreamFit,
+            Some(HealthChange::Healthy) => Event::UpstreamFit,
         };
         event.record(fields(json!({ "upstream": member.entry.id })));
     }
--- a/src/placing/health.rs
+++ b/src/placing/health.rs
@@ -73,7 +73,7 @@
     /// It is unfit and left alone for a while.
     Unhealthy,
     /// It answers again.
-    Fit,
+    Healthy,
 }
 
 impl Health {
@@ -192,7 +192,7 @@
         self.out_until = None;
         self.pause = PAUSE;
         self.bad = 0.0;
-        Some(HealthChange::Fit)
+        Some(HealthChange::Healthy)
     }
 
     fn record_bad(&mut self, now: BootInstant) -> Option<HealthChange> {
--- a/src/placing/health/tests.rs
+++ b/src/placing/health/tests.rs
@@ -48,7 +48,7 @@
     assert!(!health.is_sound(now));
     let later = now + PAUSE;
     let change = health.record(AttemptOutcome::Success, later);
-    assert_eq!(change, Some(HealthChange::Fit));
+    assert_eq!(change, Some(HealthChange::Healthy));
     assert!(health.is_sound(later));
 }
 
