--- a/src/placing/health.rs
+++ b/src/placing/health.rs
@@ -90,7 +90,7 @@
     }
 
     /// Whether requests may go there.
-    pub fn is_sound(&self, now: BootInstant) -> bool {
+    pub fn is_healthy(&self, now: BootInstant) -> bool {
         let state = self.0.lock().expect("health lock");
         state.out_until.is_none_or(|until| now >= until)
     }
--- a/src/placing/health/tests.rs
+++ b/src/placing/health/tests.rs
@@ -6,13 +6,13 @@
     let health = Health::new(now);
     assert_eq!(health.record(AttemptOutcome::Failed, now), None);
     assert_eq!(health.record(AttemptOutcome::Failed, now), None);
-    assert!(health.is_sound(now));
+    assert!(health.is_healthy(now));
     assert_eq!(
         health.record(AttemptOutcome::Failed, now),
         Some(HealthChange::Unhealthy)
     );
-    assert!(!health.is_sound(now));
-    assert!(health.is_sound(now + PAUSE));
+    assert!(!health.is_healthy(now));
+    assert!(health.is_healthy(now + PAUSE));
 }
 
 #[test]
@@ -45,11 +45,11 @@
     health.record(AttemptOutcome::Unreachable, now);
     // An answer from before the pause's end is old news.
     assert_eq!(health.record(AttemptOutcome::Success, now), None);
-    assert!(!health.is_sound(now));
+    assert!(!health.is_healthy(now));
     let later = now + PAUSE;
     let change = health.record(AttemptOutcome::Success, later);
     assert_eq!(change, Some(HealthChange::Healthy));
-    assert!(health.is_sound(later));
+    assert!(health.is_healthy(later));
 }
 
 #[test]
@@ -59,8 +59,8 @@
     health.record(AttemptOutcome::Unreachable, now);
     let later = now + PAUSE;
     health.record(AttemptOutcome::Unreachable, later);
-    assert!(!health.is_sound(later + PAUSE));
-    assert!(health.is_sound(later + PAUSE * 2));
+    assert!(!health.is_healthy(later + PAUSE));
+    assert!(health.is_healthy(later + PAUSE * 2));
 }
 
 #[test]
@@ -73,9 +73,9 @@
     }
     let change = health.hear(AttemptOutcome::Lost, now);
     assert_eq!(change, Some(HealthChange::Unhealthy));
-    assert!(!health.is_sound(now));
+    assert!(!health.is_healthy(now));
     let later = now + HALF_LIFE * 10;
-    assert!(health.is_sound(later));
+    assert!(health.is_healthy(later));
     assert!(health.failure_chance(later) < 0.01);
     // Answers that others tell of keep it fit.
     let answering = Health::new(now);
@@ -85,7 +85,7 @@
     let changes =
         (0..5).filter_map(|_| answering.hear(AttemptOutcome::Lost, now));
     assert_eq!(changes.count(), 0);
-    assert!(answering.is_sound(now));
+    assert!(answering.is_healthy(now));
 }
 
 #[test]
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -497,11 +497,11 @@
             return Err(PickError::Cold);
         }
         let open = preferred(open, &want.rule);
-        let is_sound = |member: &&Arc<Member>| {
-            member.health.is_sound(now) && !self.is_cut_off(member, now)
+        let is_healthy = |member: &&Arc<Member>| {
+            member.health.is_healthy(now) && !self.is_cut_off(member, now)
         };
         let sound: Vec<&Arc<Member>> =
-            open.iter().copied().filter(is_sound).collect();
+            open.iter().copied().filter(is_healthy).collect();
         Ok(if sound.is_empty() { open } else { sound })
     }
 
