--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -32,7 +32,7 @@
         admission,
         health::AttemptOutcome,
         member::{Member, PrefillGuard},
-        pool::{PickCriteria, PickError, SharedPrompt},
+        pool::{PickCriteria, PickError, PrefixAffinity},
         upstream::InFlightGuard,
     },
     platform::headers::{self, AnswerHead},
@@ -385,7 +385,7 @@
     }
 
     /// The part of the prompt that is shared with most later requests.
-    fn shared_prompt(&self) -> Option<SharedPrompt> {
+    fn shared_prompt(&self) -> Option<PrefixAffinity> {
         let parts = &self.inbound.prompt;
         let (_, shared) = parts.split_last()?;
         let subject = shared.last()?.id;
@@ -395,7 +395,7 @@
         let count = u32::try_from(tokens).unwrap_or(u32::MAX);
         let most = self.route.aim.mul_f64(KEPT_PROMPT_WAIT_PART);
         let spared = KEPT_TOKEN_WAIT.saturating_mul(count).min(most);
-        Some(SharedPrompt { subject, worth_waiting: saved + spared })
+        Some(PrefixAffinity { subject, worth_waiting: saved + spared })
     }
 
     fn urgency(&self) -> u8 {
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -81,7 +81,7 @@
 
 /// A prompt that an upstream may have in its memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SharedPrompt {
+pub struct PrefixAffinity {
     /// What identifies the longest part shared with other requests.
     pub subject: u64,
     /// The wait that is worth taking to find it there.
@@ -94,7 +94,7 @@
     /// Which software may answer it.
     pub rule: VersionRule,
     /// What it would like to find in an upstream's memory.
-    pub prompt: Option<SharedPrompt>,
+    pub prompt: Option<PrefixAffinity>,
     /// Versions of software that may not answer it at all.
     pub withdrawn: &'a [VersionId],
     /// Lives of upstreams that were asked already.
@@ -611,7 +611,7 @@
     /// of them is likely to have it.
     fn soonest<'a>(
         &self,
-        prompt: SharedPrompt,
+        prompt: PrefixAffinity,
         open: &[&'a Arc<Member>],
         now: BootInstant,
     ) -> &'a Arc<Member> {
--- a/src/placing/pool/replay.rs
+++ b/src/placing/pool/replay.rs
@@ -137,7 +137,7 @@
             + usize::from(random.random::<f64>() < expected.fract());
         for _ in 0..count {
             let vm = random.random_range(0..vms.len());
-            let prompt = SharedPrompt {
+            let prompt = PrefixAffinity {
                 subject: random.random_range(0..400),
                 worth_waiting: Duration::from_millis(60),
             };
@@ -225,7 +225,7 @@
         for _ in 0..2 {
             let number = random.random_range(0..vms.len());
             let pool = &vms[number].pool;
-            let prompt = SharedPrompt {
+            let prompt = PrefixAffinity {
                 subject: random.random_range(0..400),
                 worth_waiting: Duration::from_millis(60),
             };
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -97,7 +97,7 @@
     let entries: Vec<UpstreamEntry> =
         (0..8).map(|n| entry(&format!("i-{n}"), "a", "v1")).collect();
     let pool = pool(&entries, now);
-    let prompt = SharedPrompt {
+    let prompt = PrefixAffinity {
         subject: 77,
         worth_waiting: Duration::from_millis(100),
     };
@@ -249,7 +249,7 @@
     let (near, far) = ("a".parse().unwrap(), "b".parse().unwrap());
     let old: VersionId = "v1".parse().unwrap();
     let prompt =
-        SharedPrompt { subject: 7, worth_waiting: Duration::from_secs(1) };
+        PrefixAffinity { subject: 7, worth_waiting: Duration::from_secs(1) };
     assert!(pool.evacuate(&near));
     assert!(!pool.evacuate(&near), "it is known already");
     for rule in [VersionRule::Any, VersionRule::Prefer(old.clone())] {
