--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -388,14 +388,14 @@
     fn shared_prompt(&self) -> Option<PrefixAffinity> {
         let parts = &self.inbound.prompt;
         let (_, shared) = parts.split_last()?;
-        let subject = shared.last()?.id;
+        let prefix_hash = shared.last()?.id;
         let tokens = shared.iter().map(|part| part.tokens).sum();
         let times = &self.gateway.read_times;
         let saved = times.expected(self.model.as_ref(), tokens);
         let count = u32::try_from(tokens).unwrap_or(u32::MAX);
         let most = self.route.aim.mul_f64(KEPT_PROMPT_WAIT_PART);
         let spared = KEPT_TOKEN_WAIT.saturating_mul(count).min(most);
-        Some(PrefixAffinity { subject, worth_waiting: saved + spared })
+        Some(PrefixAffinity { prefix_hash, worth_waiting: saved + spared })
     }
 
     fn urgency(&self) -> u8 {
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -83,7 +83,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefixAffinity {
     /// What identifies the longest part shared with other requests.
-    pub subject: u64,
+    pub prefix_hash: u64,
     /// The wait that is worth taking to find it there.
     pub worth_waiting: Duration,
 }
@@ -618,7 +618,7 @@
         let mut order: Vec<&'a Arc<Member>> = open.to_vec();
         order.sort_by_cached_key(|member| {
             let id = u64::from(member.upstream.short_hash.0);
-            std::cmp::Reverse(rendezvous::mix(prompt.subject, id))
+            std::cmp::Reverse(rendezvous::mix(prompt.prefix_hash, id))
         });
         let away = prompt.worth_waiting;
         let wait = |place: usize, member: &Arc<Member>| {
--- a/src/placing/pool/replay.rs
+++ b/src/placing/pool/replay.rs
@@ -138,7 +138,7 @@
         for _ in 0..count {
             let vm = random.random_range(0..vms.len());
             let prompt = PrefixAffinity {
-                subject: random.random_range(0..400),
+                prefix_hash: random.random_range(0..400),
                 worth_waiting: Duration::from_millis(60),
             };
             let want = PickCriteria {
@@ -226,7 +226,7 @@
             let number = random.random_range(0..vms.len());
             let pool = &vms[number].pool;
             let prompt = PrefixAffinity {
-                subject: random.random_range(0..400),
+                prefix_hash: random.random_range(0..400),
                 worth_waiting: Duration::from_millis(60),
             };
             let want = PickCriteria {
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -98,7 +98,7 @@
         (0..8).map(|n| entry(&format!("i-{n}"), "a", "v1")).collect();
     let pool = pool(&entries, now);
     let prompt = PrefixAffinity {
-        subject: 77,
+        prefix_hash: 77,
         worth_waiting: Duration::from_millis(100),
     };
     let want =
@@ -248,8 +248,10 @@
     let pool = pool(&entries, now);
     let (near, far) = ("a".parse().unwrap(), "b".parse().unwrap());
     let old: VersionId = "v1".parse().unwrap();
-    let prompt =
-        PrefixAffinity { subject: 7, worth_waiting: Duration::from_secs(1) };
+    let prompt = PrefixAffinity {
+        prefix_hash: 7,
+        worth_waiting: Duration::from_secs(1),
+    };
     assert!(pool.evacuate(&near));
     assert!(!pool.evacuate(&near), "it is known already");
     for rule in [VersionRule::Any, VersionRule::Prefer(old.clone())] {
