--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -395,7 +395,7 @@
         let count = u32::try_from(tokens).unwrap_or(u32::MAX);
         let most = self.route.aim.mul_f64(KEPT_PROMPT_WAIT_PART);
         let spared = KEPT_TOKEN_WAIT.saturating_mul(count).min(most);
-        Some(PrefixAffinity { prefix_hash, worth_waiting: saved + spared })
+        Some(PrefixAffinity { prefix_hash, cache_miss_cost: saved + spared })
     }
 
     fn urgency(&self) -> u8 {
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -85,7 +85,7 @@
     /// What identifies the longest part shared with other requests.
     pub prefix_hash: u64,
     /// The wait that is worth taking to find it there.
-    pub worth_waiting: Duration,
+    pub cache_miss_cost: Duration,
 }
 
 /// What a request asks of the choice.
@@ -620,7 +620,7 @@
             let id = u64::from(member.upstream.short_hash.0);
             std::cmp::Reverse(rendezvous::mix(prompt.prefix_hash, id))
         });
-        let away = prompt.worth_waiting;
+        let away = prompt.cache_miss_cost;
         let wait = |place: usize, member: &Arc<Member>| {
             let read = match place {
                 0 => Duration::ZERO,
--- a/src/placing/pool/replay.rs
+++ b/src/placing/pool/replay.rs
@@ -139,7 +139,7 @@
             let vm = random.random_range(0..vms.len());
             let prompt = PrefixAffinity {
                 prefix_hash: random.random_range(0..400),
-                worth_waiting: Duration::from_millis(60),
+                cache_miss_cost: Duration::from_millis(60),
             };
             let want = PickCriteria {
                 prompt: Some(prompt),
@@ -227,7 +227,7 @@
             let pool = &vms[number].pool;
             let prompt = PrefixAffinity {
                 prefix_hash: random.random_range(0..400),
-                worth_waiting: Duration::from_millis(60),
+                cache_miss_cost: Duration::from_millis(60),
             };
             let want = PickCriteria {
                 prompt: Some(prompt),
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -99,7 +99,7 @@
     let pool = pool(&entries, now);
     let prompt = PrefixAffinity {
         prefix_hash: 77,
-        worth_waiting: Duration::from_millis(100),
+        cache_miss_cost: Duration::from_millis(100),
     };
     let want =
         PickCriteria { prompt: Some(prompt), ..PickCriteria::default() };
@@ -250,7 +250,7 @@
     let old: VersionId = "v1".parse().unwrap();
     let prompt = PrefixAffinity {
         prefix_hash: 7,
-        worth_waiting: Duration::from_secs(1),
+        cache_miss_cost: Duration::from_secs(1),
     };
     assert!(pool.evacuate(&near));
     assert!(!pool.evacuate(&near), "it is known already");
