--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -479,7 +479,7 @@
         let head =
             headers::read_answer(status, &exchange.headers, &self.inbound.id);
         let now = self.gateway.clock.now();
-        attempt.member.note_heard(now);
+        attempt.member.record_activity(now);
         if let Some(statement) = &head.statement {
             trace.note_statement(statement);
             let gateway = &self.gateway;
--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -125,7 +125,7 @@
             match read.or(silent).await? {
                 Some(chunk) => {
                     self.events.push(&chunk);
-                    member.note_heard(job.gateway.clock.now());
+                    member.record_activity(job.gateway.clock.now());
                 }
                 None if self.events.is_empty() => return Ok(Brought::End),
                 None => {
--- a/src/placing/hall_way.rs
+++ b/src/placing/hall_way.rs
@@ -53,7 +53,7 @@
 
 impl HallWay {
     /// Notes that something came from an upstream there.
-    pub fn note_heard(&self, now: BootInstant) {
+    pub fn record_activity(&self, now: BootInstant) {
         self.0.lock().expect("way lock").hear(now);
     }
 
--- a/src/placing/hall_way/tests.rs
+++ b/src/placing/hall_way/tests.rs
@@ -19,7 +19,7 @@
     assert!(!way.is_cut_off(last + SILENCE_LEAST));
     let silent = last + SILENCE_LEAST + BEAT;
     assert!(way.is_cut_off(silent));
-    way.note_heard(silent);
+    way.record_activity(silent);
     assert!(!way.is_cut_off(silent));
 }
 
@@ -29,7 +29,7 @@
     for _ in 0..30 {
         now += Duration::from_millis(500);
         assert!(!way.is_cut_off(now));
-        way.note_heard(now);
+        way.record_activity(now);
     }
 }
 
--- a/src/placing/member.rs
+++ b/src/placing/member.rs
@@ -317,9 +317,9 @@
     }
 
     /// Notes that something came from it.
-    pub fn note_heard(&self, now: BootInstant) {
+    pub fn record_activity(&self, now: BootInstant) {
         *self.heard_at.lock().expect("heard lock") = now;
-        self.way.note_heard(now);
+        self.way.record_activity(now);
     }
 
     /// Notes that no connection to it could be opened.
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -184,7 +184,7 @@
     assert!(!pool.seems_dead(&other, Duration::ZERO, limit, silent));
     let later = now + CUT_PAUSE / 2;
     assert_eq!(picks(&pool, &PickCriteria::default(), later), ["i-1"]);
-    other.note_heard(now);
+    other.record_activity(now);
     let near = pool.member(&"i-1".parse().unwrap()).unwrap();
     let _held = [near.upstream.begin(), near.upstream.begin()];
     assert!(
@@ -226,7 +226,7 @@
         pool.note_hall_heard(&far, now);
     }
     let member = pool.member(&"i-2".parse().unwrap()).unwrap();
-    member.note_heard(now);
+    member.record_activity(now);
     let began_at = now;
     let limit = Duration::from_secs(5);
     let silent = began_at + Duration::from_millis(1500);
