--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -435,7 +435,7 @@
         }
         let now = self.clock.now();
         if verdict == AttemptOutcome::Unreachable {
-            member.note_unreachable(now);
+            member.record_connect_failure(now);
         }
         if self.pool.record_outcome(member, verdict, now) {
             self.early_beat.wake();
--- a/src/placing/hall_way.rs
+++ b/src/placing/hall_way.rs
@@ -70,7 +70,7 @@
     }
 
     /// Notes that a connection to an upstream there could not be opened.
-    pub fn note_unreachable(&self, now: BootInstant) {
+    pub fn record_connect_failure(&self, now: BootInstant) {
         let mut state = self.0.lock().expect("way lock");
         state.failures += 1;
         if state.failures >= CUT_FAILURES {
--- a/src/placing/hall_way/tests.rs
+++ b/src/placing/hall_way/tests.rs
@@ -55,10 +55,10 @@
     let way = HallWay::default();
     let now = BootInstant::now();
     for _ in 1..CUT_FAILURES {
-        way.note_unreachable(now);
+        way.record_connect_failure(now);
     }
     assert!(!way.is_cut_off(now), "one says nothing");
-    way.note_unreachable(now);
+    way.record_connect_failure(now);
     assert!(way.is_cut_off(now));
     assert!(!way.is_cut_off(now + CUT_PAUSE));
 }
--- a/src/placing/member.rs
+++ b/src/placing/member.rs
@@ -323,8 +323,8 @@
     }
 
     /// Notes that no connection to it could be opened.
-    pub fn note_unreachable(&self, now: BootInstant) {
-        self.way.note_unreachable(now);
+    pub fn record_connect_failure(&self, now: BootInstant) {
+        self.way.record_connect_failure(now);
     }
 
     /// How long nothing has come from it.
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -174,7 +174,7 @@
     for id in ["i-2", "i-3"] {
         let member = pool.member(&id.parse().unwrap()).unwrap();
         member.health.record(AttemptOutcome::Unreachable, now);
-        member.note_unreachable(now);
+        member.record_connect_failure(now);
     }
     assert_eq!(picks(&pool, &PickCriteria::default(), now), ["i-1"]);
     let other = pool.member(&"i-4".parse().unwrap()).unwrap();
@@ -204,12 +204,12 @@
     let pool = pool(&entries, now);
     let member = |id: &str| pool.member(&id.parse().unwrap()).unwrap();
     for id in ["i-1", "i-2"] {
-        member(id).note_unreachable(now);
+        member(id).record_connect_failure(now);
     }
     assert!(pool.is_cut_off(&member("i-3"), now));
     pool.note_hall_heard(&"b".parse().unwrap(), now);
     assert!(!pool.is_cut_off(&member("i-3"), now));
-    member("i-1").note_unreachable(now);
+    member("i-1").record_connect_failure(now);
     assert!(!pool.is_cut_off(&member("i-3"), now), "one says nothing");
 }
 
