--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -217,7 +217,7 @@
     if beat.digest == gateway.knowledge.digest() {
         gateway.peers.note_agreed(&beat.vm, now);
     }
-    gateway.pool.note_hall_heard(&beat.data_hall, now);
+    gateway.pool.record_hall_heartbeat(&beat.data_hall, now);
     gateway.pool.set_peer_work(&beat.vm, &beat.work, now);
     gateway.pool.hear_stated(&beat.stated, now);
     let is_near = beat.data_hall == gateway.settings.data_hall;
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -284,7 +284,7 @@
 
     /// Notes that a VM of a data hall was heard, so that the way there is open
     /// and failures to connect are the upstreams' own.
-    pub fn note_hall_heard(&self, hall: &DataHallId, now: BootInstant) {
+    pub fn record_hall_heartbeat(&self, hall: &DataHallId, now: BootInstant) {
         self.way(hall).note_beat(now);
     }
 
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -207,7 +207,7 @@
         member(id).record_connect_failure(now);
     }
     assert!(pool.is_cut_off(&member("i-3"), now));
-    pool.note_hall_heard(&"b".parse().unwrap(), now);
+    pool.record_hall_heartbeat(&"b".parse().unwrap(), now);
     assert!(!pool.is_cut_off(&member("i-3"), now));
     member("i-1").record_connect_failure(now);
     assert!(!pool.is_cut_off(&member("i-3"), now), "one says nothing");
@@ -222,8 +222,8 @@
     let beat = Duration::from_millis(200);
     for _ in 0..10 {
         now += beat;
-        pool.note_hall_heard(&near, now);
-        pool.note_hall_heard(&far, now);
+        pool.record_hall_heartbeat(&near, now);
+        pool.record_hall_heartbeat(&far, now);
     }
     let member = pool.member(&"i-2".parse().unwrap()).unwrap();
     member.record_activity(now);
@@ -237,7 +237,7 @@
     let busy = pool.member(&"i-1".parse().unwrap()).unwrap();
     let _held: Vec<_> = (0..9).map(|_| busy.upstream.begin()).collect();
     assert_eq!(picks(&pool, &PickCriteria::default(), silent), ["i-1"]);
-    pool.note_hall_heard(&far, silent);
+    pool.record_hall_heartbeat(&far, silent);
     assert_eq!(picks(&pool, &PickCriteria::default(), silent), ["i-2"]);
 }
 
