--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -516,7 +516,7 @@
         loop {
             let now = gateway.clock.now();
             let waited = now.saturating_duration_since(since);
-            if waited >= most || member.is_over() {
+            if waited >= most || member.is_superseded() {
                 return;
             }
             let is_dead = least.is_some_and(|least| {
@@ -645,8 +645,8 @@
         let says_nothing_of_version = verdict == AttemptOutcome::Failed
             && gateway.pool.is_alone_suspect(&attempt.member, now);
         gateway.judge_upstream(&attempt.member, verdict);
-        let ended =
-            attempt.member.is_over() && verdict != AttemptOutcome::Success;
+        let ended = attempt.member.is_superseded()
+            && verdict != AttemptOutcome::Success;
         if says_nothing_of_version || ended {
             return;
         }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -430,7 +430,7 @@
         verdict: AttemptOutcome,
     ) {
         // It failed because it ended; the one in its place has not.
-        if member.is_over() && verdict != AttemptOutcome::Success {
+        if member.is_superseded() && verdict != AttemptOutcome::Success {
             return;
         }
         let now = self.clock.now();
--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -171,7 +171,7 @@
                 self.watch_silence(member, since, Some(limit), most).await;
                 return;
             }
-            if left.is_zero() || member.is_over() {
+            if left.is_zero() || member.is_superseded() {
                 return;
             }
             task::sleep(left.min(WATCH_PERIOD)).await;
@@ -390,7 +390,7 @@
     /// there is time left.
     fn must_wait(&self) -> bool {
         let now = self.job.gateway.clock.now();
-        let is_over = |source: &Source| source.attempt.member.is_over();
+        let is_over = |source: &Source| source.attempt.member.is_superseded();
         now < self.job.deadline
             && !self.source.as_ref().is_none_or(is_over)
             && !self.job.may_resume(now)
--- a/src/placing/member.rs
+++ b/src/placing/member.rs
@@ -143,7 +143,7 @@
     pub(super) sent_cold: Mutex<SentLately>,
     stated: Mutex<Option<Stated>>,
     /// Whether a later life has taken its place.
-    is_over: AtomicBool,
+    is_superseded: AtomicBool,
     /// Whether one did although it was not leaving.
     has_crashed: AtomicBool,
 }
@@ -224,7 +224,7 @@
             cold_until: Mutex::new(Some(now + entry.warm_up_left)),
             sent_cold: Mutex::default(),
             stated: Mutex::default(),
-            is_over: AtomicBool::new(false),
+            is_superseded: AtomicBool::new(false),
             has_crashed: AtomicBool::new(false),
             entry,
         }
@@ -266,7 +266,7 @@
 
     /// Notes that a later life has taken its place.
     pub(super) fn note_over(&self) {
-        self.is_over.store(true, Ordering::Relaxed);
+        self.is_superseded.store(true, Ordering::Relaxed);
         // Whoever had said so has ended as planned.
         if self.upstream.mark_leaving() {
             self.has_crashed.store(true, Ordering::Relaxed);
@@ -280,8 +280,8 @@
 
     /// Whether a later life has taken its place: nothing more comes from it,
     /// and what failed with it says nothing of its version.
-    pub fn is_over(&self) -> bool {
-        self.is_over.load(Ordering::Relaxed)
+    pub fn is_superseded(&self) -> bool {
+        self.is_superseded.load(Ordering::Relaxed)
     }
 
     /// Requests that it probably holds, of all VMs: those of the others by
--- a/src/placing/pool/signals_tests.rs
+++ b/src/placing/pool/signals_tests.rs
@@ -77,7 +77,10 @@
     says(&pool, "i-1", leaves(), now);
     assert!(pool.set(life(2), now));
     assert_eq!(open(&pool, now), ["i-1"]);
-    assert!(first.is_over() && !first.has_crashed(), "its end was planned");
+    assert!(
+        first.is_superseded() && !first.has_crashed(),
+        "its end was planned"
+    );
 }
 
 /// A record that was once `leaving` and is `ready` again is a return.
