--- a/src/chat_face/gossip.rs
+++ b/src/chat_face/gossip.rs
@@ -223,7 +223,9 @@
             };
             let word = &upstream.reported_state;
             let draw = rand::random();
-            if let Some(news) = word.note_limit(told.rate, at, draw, now) {
+            if let Some(news) =
+                word.update_rate_limit(told.rate, at, draw, now)
+            {
                 let id = &upstream.record.id;
                 let event = news.event();
                 event.log(format_args!("upstream {id}, told by another VM"));
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -85,12 +85,13 @@
             let Some(member) = members.by_short.get(&one.upstream) else {
                 let mut unlisted = self.unlisted.lock().expect("words lock");
                 unlisted.note(one.upstream, now, |word| {
-                    word.note_limit(one.rate, at, rand::random(), now);
+                    word.update_rate_limit(one.rate, at, rand::random(), now);
                 });
                 continue;
             };
             let word = &member.upstream.reported_state;
-            let change = word.note_limit(one.rate, at, rand::random(), now);
+            let change =
+                word.update_rate_limit(one.rate, at, rand::random(), now);
             // A VM of the own hall has told all of it.
             let for_own_hall = change.is_some() && !is_near;
             let mut seen = self.seen.lock().expect("seen lock");
--- a/src/placing/reported_state.rs
+++ b/src/placing/reported_state.rs
@@ -116,9 +116,11 @@
         now: BootInstant,
     ) -> Option<ReportedChange> {
         match limit {
-            RateLimit::Unlimited => self.note_limit(None, now, draw, now),
+            RateLimit::Unlimited => {
+                self.update_rate_limit(None, now, draw, now)
+            }
             RateLimit::At(rate) => {
-                self.note_limit(Some(*rate), now, draw, now)
+                self.update_rate_limit(Some(*rate), now, draw, now)
             }
             RateLimit::Unreadable(text) => {
                 let was = &self.was_limit_unreadable;
@@ -131,7 +133,7 @@
 
     /// Takes in the rate limit that it named at a time, or that it named none;
     /// returns what is news.
-    pub(crate) fn note_limit(
+    pub(crate) fn update_rate_limit(
         &self,
         rate: Option<RequestRate>,
         stated_at: BootInstant,
