--- a/src/gateway/own_words/tests.rs
+++ b/src/gateway/own_words/tests.rs
@@ -114,8 +114,9 @@
     let now = fleet.clock.now();
     let id = "i-1".parse().unwrap();
     let members = fleet.vms.iter().filter_map(|vm| vm.pool.member(&id));
-    let limits = members
-        .filter_map(|member| member.upstream.reported_state.limit_per_s(now));
+    let limits = members.filter_map(|member| {
+        member.upstream.reported_state.rate_limit_per_s(now)
+    });
     limits.count()
 }
 
--- a/src/placing/reported_state.rs
+++ b/src/placing/reported_state.rs
@@ -166,7 +166,7 @@
 
     /// The rate that it takes from all VMs together, in requests a second, if
     /// it has a limit.
-    pub fn limit_per_s(&self, now: BootInstant) -> Option<f64> {
+    pub fn rate_limit_per_s(&self, now: BootInstant) -> Option<f64> {
         self.limit.per_s(now)
     }
 
@@ -259,7 +259,7 @@
     pub fn holds(&self, now: BootInstant) -> bool {
         self.is_leaving()
             || !self.rest_left(now).is_zero()
-            || self.limit_per_s(now).is_some()
+            || self.rate_limit_per_s(now).is_some()
     }
 }
 
