--- a/src/chat_face/view.rs
+++ b/src/chat_face/view.rs
@@ -175,8 +175,13 @@
         let facts = upstream.snapshot(&self.data_hall, now);
         let (vm, hall) = (self.vm.as_str(), &upstream.record.data_hall);
         let word = &upstream.reported_state;
-        let limit =
-            word.limit_wait(&self.roster, vm, upstream.short_hash, hall, now);
+        let limit = word.rate_limit_wait(
+            &self.roster,
+            vm,
+            upstream.short_hash,
+            hall,
+            now,
+        );
         UpstreamSnapshot { backoff: facts.backoff.max(limit), ..facts }
     }
 
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -353,14 +353,14 @@
     /// How long an upstream is to get no request of this VM, by what it has
     /// asked for; zero if it may have one.
     pub fn backoff(&self, member: &Member, now: BootInstant) -> Duration {
-        member.rest_left(now).max(self.limit_wait(member, now))
+        member.rest_left(now).max(self.rate_limit_wait(member, now))
     }
 
-    fn limit_wait(&self, member: &Member, now: BootInstant) -> Duration {
+    fn rate_limit_wait(&self, member: &Member, now: BootInstant) -> Duration {
         let (short, hall) =
             (member.upstream.short_hash, &member.entry.data_hall);
         let word = &member.upstream.reported_state;
-        word.limit_wait(&self.roster, &self.vm, short, hall, now)
+        word.rate_limit_wait(&self.roster, &self.vm, short, hall, now)
     }
 
     fn way(&self, hall: &DataHallId) -> Arc<HallWay> {
--- a/src/placing/reported_state.rs
+++ b/src/placing/reported_state.rs
@@ -149,7 +149,7 @@
 
     /// How long `vm` is to send no request to it, the upstream of this hash
     /// and data hall, because of its rate limit; zero if it may send one.
-    pub(crate) fn limit_wait(
+    pub(crate) fn rate_limit_wait(
         &self,
         roster: &RwLock<Roster>,
         vm: &str,
