--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -427,7 +427,7 @@
         if chosen.is_cold(now) {
             chosen.sent_cold.lock().expect("sent lock").count(now);
         }
-        chosen.upstream.reported_state.note_sent(now);
+        chosen.upstream.reported_state.record_sent(now);
         Ok(chosen.clone())
     }
 
--- a/src/placing/rate_limit.rs
+++ b/src/placing/rate_limit.rs
@@ -158,7 +158,7 @@
     }
 
     /// Notes that this VM sends a request.
-    pub(crate) fn note_sent(&self, now: BootInstant) {
+    pub(crate) fn record_sent(&self, now: BootInstant) {
         if !self.may_hold.load(Ordering::Relaxed) {
             return;
         }
--- a/src/placing/rate_limit/tests.rs
+++ b/src/placing/rate_limit/tests.rs
@@ -34,7 +34,7 @@
             let wait = limit.wait(Some(owners), now);
             passed += wait;
             if wait.is_zero() {
-                limit.note_sent(now);
+                limit.record_sent(now);
                 sent.push(passed);
             }
         }
@@ -91,7 +91,7 @@
             limit.take(rate, stated_at, 0.5, now);
             let per_s = limit.per_s(now);
             prop_assert!(per_s.is_none_or(|per_s| per_s > 0.0));
-            limit.note_sent(now);
+            limit.record_sent(now);
             if per_s.is_some() {
                 prop_assert!(!limit.wait(None, now).is_zero());
             }
--- a/src/placing/reported_state.rs
+++ b/src/placing/reported_state.rs
@@ -230,8 +230,8 @@
     /// Notes that a request goes there: after a rest the first one finds out
     /// whether it takes any, since what was held back would otherwise come all
     /// at once.
-    pub fn note_sent(&self, now: BootInstant) {
-        self.limit.note_sent(now);
+    pub fn record_sent(&self, now: BootInstant) {
+        self.limit.record_sent(now);
         if !self.has_rest.load(Ordering::Relaxed) {
             return;
         }
--- a/src/placing/reported_state/tests.rs
+++ b/src/placing/reported_state/tests.rs
@@ -33,14 +33,14 @@
     word.note_rest(SECOND, 0.0, now);
     let over = now + SECOND;
     assert!(word.rest_left(over).is_zero());
-    word.note_sent(over);
+    word.record_sent(over);
     assert_eq!(word.rest_left(over), TRY_GAP);
     assert!(word.rest_left(over + TRY_GAP).is_zero());
     assert!(!word.note_taken(now), "it was sent before the rest was over");
     assert_eq!(word.rest_left(over), TRY_GAP);
     assert!(word.note_taken(over));
     assert!(!word.note_taken(over), "that is news once");
-    word.note_sent(over);
+    word.record_sent(over);
     assert!(word.rest_left(over).is_zero());
 }
 
