--- a/src/chat_face/statement.rs
+++ b/src/chat_face/statement.rs
@@ -35,7 +35,7 @@
         let statement = read_statement(status, headers);
         let (draw, now) = (rand::random(), self.vm.clock.now());
         let word = &upstream.reported_state;
-        for news in word.take(&statement, draw, chosen.chosen_at, now) {
+        for news in word.apply(&statement, draw, chosen.chosen_at, now) {
             match &news {
                 ReportedChange::Leaving => {
                     log_leaving(upstream, "by its own answer")
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -30,7 +30,7 @@
         let life = member.upstream.short_hash;
         let was_leaving = member.upstream.is_leaving();
         let word = &member.upstream.reported_state;
-        let mut news = word.take(statement, rand::random(), sent_at, now);
+        let mut news = word.apply(statement, rand::random(), sent_at, now);
         if news.contains(&ReportedChange::Leaving) {
             self.tell_leaving(life, now);
         }
--- a/src/placing/reported_state.rs
+++ b/src/placing/reported_state.rs
@@ -93,7 +93,7 @@
     ///
     /// `draw`, from 0 to 1, spreads what the VMs that were told in one moment
     /// do next.
-    pub fn take(
+    pub fn apply(
         &self,
         statement: &UpstreamSignals,
         draw: f64,
