--- a/src/gateway/limit_replay.rs
+++ b/src/gateway/limit_replay.rs
@@ -230,7 +230,7 @@
                 ..UpstreamSignals::default()
             };
             let vm = self.fleet.vms[work.vm].clone();
-            let news = vm.pool.take_statement(
+            let news = vm.pool.apply_signals(
                 &work.member,
                 &statement,
                 now.checked_sub(WORK).unwrap(),
--- a/src/gateway/own_words.rs
+++ b/src/gateway/own_words.rs
@@ -27,7 +27,7 @@
         sent_at: BootInstant,
     ) {
         let now = self.clock.now();
-        let news = self.pool.take_statement(member, statement, sent_at, now);
+        let news = self.pool.apply_signals(member, statement, sent_at, now);
         for news in &news {
             self.note_own_news(member, news);
         }
--- a/src/placing/pool/rest_replay.rs
+++ b/src/placing/pool/rest_replay.rs
@@ -167,7 +167,7 @@
             ..UpstreamSignals::default()
         };
         let (pool, now) = (&self.vms[vm], self.now);
-        pool.take_statement(&member, &statement, now, now);
+        pool.apply_signals(&member, &statement, now, now);
     }
 
     fn beat(&mut self) {
@@ -201,7 +201,7 @@
                 self.working.push_back((ends_at, member.upstream.begin()));
                 let served = UpstreamSignals::default();
                 let (pool, now) = (&self.vms[vm], self.now);
-                pool.take_statement(&member, &served, now, now);
+                pool.apply_signals(&member, &served, now, now);
                 return;
             }
             self.turn_away(vm, number);
--- a/src/placing/pool/signals_tests.rs
+++ b/src/placing/pool/signals_tests.rs
@@ -19,7 +19,7 @@
 
 fn says(pool: &Pool, id: &str, statement: UpstreamSignals, now: BootInstant) {
     let member = pool.member(&id.parse().unwrap()).unwrap();
-    pool.take_statement(&member, &statement, now, now);
+    pool.apply_signals(&member, &statement, now, now);
 }
 
 fn open(pool: &Pool, now: BootInstant) -> Vec<String> {
@@ -31,9 +31,9 @@
     let now = BootInstant::now();
     let pool = pool(&[entry("i-1", "a", "v1"), entry("i-2", "a", "v1")], now);
     let member = pool.member(&"i-1".parse().unwrap()).unwrap();
-    let news = pool.take_statement(&member, &leaves(), now, now);
+    let news = pool.apply_signals(&member, &leaves(), now, now);
     assert_eq!(news, [ReportedChange::Leaving]);
-    let news = pool.take_statement(&member, &leaves(), now, now);
+    let news = pool.apply_signals(&member, &leaves(), now, now);
     assert_eq!(news, [], "it says so in each answer");
     assert_eq!(open(&pool, now), ["i-2"]);
     let service = "writers".parse().unwrap();
@@ -179,9 +179,9 @@
     let rest = Some(RetryAfter::Unreadable("soon".into()));
     let unreadable =
         UpstreamSignals { retry_after: rest, ..UpstreamSignals::default() };
-    let news = pool.take_statement(&member, &unreadable, now, now);
+    let news = pool.apply_signals(&member, &unreadable, now, now);
     assert_eq!(news, [ReportedChange::RetryAfterUnreadable("soon".into())]);
-    assert_eq!(pool.take_statement(&member, &unreadable, now, now), []);
+    assert_eq!(pool.apply_signals(&member, &unreadable, now, now), []);
     assert_eq!(open(&pool, now), ["i-1", "i-2"]);
     says(&pool, "i-1", rests(Duration::MAX), now);
     assert_eq!(open(&pool, now), ["i-2"]);
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -20,7 +20,7 @@
 impl Pool {
     /// Takes in what an upstream says of itself in its answer to what was
     /// sent at `sent_at`; returns what is news.
-    pub fn take_statement(
+    pub fn apply_signals(
         &self,
         member: &Member,
         statement: &UpstreamSignals,
