--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -179,7 +179,7 @@
         proof_age_ms: age.map(|age| age.as_millis() as u32 + 1),
         can_watch: peers.can_watch(now),
         work: gateway.pool.own_work(),
-        stated: gateway.pool.take_stated(now),
+        stated: gateway.pool.take_loads(now),
         failures: gateway.pool.take_failures(now),
         leaving_upstreams: gateway.pool.take_leaving(now),
         rate_limits: gateway.pool.take_limits(true, now),
--- a/src/placing/pool/replay.rs
+++ b/src/placing/pool/replay.rs
@@ -179,7 +179,7 @@
         }
         let work = sender.pool.own_work();
         let stated = match is_near_turn {
-            true => sender.pool.take_stated(now),
+            true => sender.pool.take_loads(now),
             false => Vec::new(),
         };
         let name = format!("vm-{from}");
@@ -263,7 +263,7 @@
 fn tell_failures(vms: &[Vm], now: BootInstant) {
     for (from, sender) in vms.iter().enumerate() {
         let failures = sender.pool.take_failures(now);
-        let stated = sender.pool.take_stated(now);
+        let stated = sender.pool.take_loads(now);
         for (to, receiver) in vms.iter().enumerate() {
             if to != from && receiver.hall == sender.hall {
                 receiver.pool.hear_stated(&stated, now);
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -289,8 +289,8 @@
     assert_eq!(member(&here).prefill_backlog(now), Duration::from_millis(600));
     assert_eq!(picks(&here, &PickCriteria::default(), now), ["i-2"]);
     // The others of the hall are told how old it is, and once.
-    let told = here.take_stated(after(100));
-    assert!(here.take_stated(after(100)).is_empty());
+    let told = here.take_loads(after(100));
+    assert!(here.take_loads(after(100)).is_empty());
     there.hear_stated(&told, after(100));
     assert_eq!(member(&there).requests(after(0)), 8);
     // What waited is read meanwhile, and other words count again.
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -152,8 +152,8 @@
     }
 
     /// Takes what upstreams have stated to this VM since it was last taken.
-    pub fn take_stated(&self, now: BootInstant) -> Vec<StatedLoad> {
-        self.seen.lock().expect("seen lock").take_stated(now)
+    pub fn take_loads(&self, now: BootInstant) -> Vec<StatedLoad> {
+        self.seen.lock().expect("seen lock").take_loads(now)
     }
 
     /// Takes in what upstreams have stated to another VM.
--- a/src/placing/seen.rs
+++ b/src/placing/seen.rs
@@ -153,7 +153,7 @@
     }
 
     /// Takes what upstreams have stated since this was last asked.
-    pub(crate) fn take_stated(&mut self, now: BootInstant) -> Vec<StatedLoad> {
+    pub(crate) fn take_loads(&mut self, now: BootInstant) -> Vec<StatedLoad> {
         let bounded = |n: u32| u16::try_from(n).unwrap_or(u16::MAX);
         let taken = self.stated.drain().map(|(upstream, (load, at))| {
             let age = now.saturating_duration_since(at).as_millis();
