--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -219,7 +219,7 @@
     }
     gateway.pool.record_hall_heartbeat(&beat.data_hall, now);
     gateway.pool.set_peer_work(&beat.vm, &beat.work, now);
-    gateway.pool.hear_stated(&beat.stated, now);
+    gateway.pool.apply_peer_loads(&beat.stated, now);
     let is_near = beat.data_hall == gateway.settings.data_hall;
     gateway.hear_leaving(&beat.vm, &beat.leaving_upstreams);
     gateway.hear_limits(&beat.vm, &beat.rate_limits, is_near);
--- a/src/placing/pool/replay.rs
+++ b/src/placing/pool/replay.rs
@@ -188,7 +188,7 @@
             let is_turn = if is_near { is_near_turn } else { is_far_turn };
             if to != from && is_turn {
                 receiver.pool.set_peer_work(&name, &work, now);
-                receiver.pool.hear_stated(&stated, now);
+                receiver.pool.apply_peer_loads(&stated, now);
             }
         }
     }
@@ -266,7 +266,7 @@
         let stated = sender.pool.take_loads(now);
         for (to, receiver) in vms.iter().enumerate() {
             if to != from && receiver.hall == sender.hall {
-                receiver.pool.hear_stated(&stated, now);
+                receiver.pool.apply_peer_loads(&stated, now);
                 receiver.pool.hear_failures(&failures, now);
             }
         }
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -291,7 +291,7 @@
     // The others of the hall are told how old it is, and once.
     let told = here.take_loads(after(100));
     assert!(here.take_loads(after(100)).is_empty());
-    there.hear_stated(&told, after(100));
+    there.apply_peer_loads(&told, after(100));
     assert_eq!(member(&there).requests(after(0)), 8);
     // What waited is read meanwhile, and other words count again.
     let later = after(500);
@@ -303,7 +303,7 @@
     // What is older than the last word changes nothing.
     let free = LoadReport { running: 0, waiting: 0 };
     there.note_load(&member(&there), free, later);
-    there.hear_stated(&told, after(600));
+    there.apply_peer_loads(&told, after(600));
     assert_eq!(member(&there).requests(later), 0);
 }
 
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -157,7 +157,7 @@
     }
 
     /// Takes in what upstreams have stated to another VM.
-    pub fn hear_stated(&self, stated: &[StatedLoad], now: BootInstant) {
+    pub fn apply_peer_loads(&self, stated: &[StatedLoad], now: BootInstant) {
         let each = self.mean_reading();
         let members = self.read();
         for told in stated {
