--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -127,7 +127,7 @@
         let for_others = ForOthers {
             hall_evidence: rollouts.hall_evidence(hall, &beat.evidence, now),
             sightings: gateway.crashes.to_tell(Audience::OtherHalls),
-            rate_limits: gateway.pool.take_limits(false, now),
+            rate_limits: gateway.pool.take_rate_limits(false, now),
         };
         beat.hall_evidence = rollouts.relays(&beat.evidence, now);
         beat.sightings = gateway.crashes.to_tell(Audience::OwnHall);
@@ -182,7 +182,7 @@
         stated: gateway.pool.take_loads(now),
         failures: gateway.pool.take_failures(now),
         leaving_upstreams: gateway.pool.take_leaving(now),
-        rate_limits: gateway.pool.take_limits(true, now),
+        rate_limits: gateway.pool.take_rate_limits(true, now),
         evidence: gateway.rollouts.evidence(old, now),
         sightings: Vec::new(),
         hall_evidence: Vec::new(),
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -61,12 +61,15 @@
 
     /// The rate limits that the other VMs are to hear of: those of the own
     /// data hall, or of the others.
-    pub(crate) fn take_limits(
+    pub(crate) fn take_rate_limits(
         &self,
         for_own_hall: bool,
         now: BootInstant,
     ) -> Vec<ToldLimit> {
-        self.seen.lock().expect("seen lock").take_limits(for_own_hall, now)
+        self.seen
+            .lock()
+            .expect("seen lock")
+            .take_rate_limits(for_own_hall, now)
     }
 
     /// Takes in which rate limits another VM has told of, and tells them on;
--- a/src/placing/seen.rs
+++ b/src/placing/seen.rs
@@ -128,7 +128,7 @@
 
     /// The rate limits of which the VMs of the own data hall, or of the
     /// others, are to hear.
-    pub(crate) fn take_limits(
+    pub(crate) fn take_rate_limits(
         &mut self,
         for_own_hall: bool,
         now: BootInstant,
