--- a/src/gateway/own_words.rs
+++ b/src/gateway/own_words.rs
@@ -55,7 +55,9 @@
         is_near: bool,
     ) {
         let now = self.clock.now();
-        for (member, news) in self.pool.hear_limits(told, is_near, now) {
+        for (member, news) in
+            self.pool.apply_peer_rate_limits(told, is_near, now)
+        {
             let mut details = json!({
                 "upstream": member.entry.life().to_string(),
                 "by": "vm",
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -74,7 +74,7 @@
 
     /// Takes in which rate limits another VM has told of, and tells them on;
     /// returns what is news.
-    pub(crate) fn hear_limits(
+    pub(crate) fn apply_peer_rate_limits(
         &self,
         told: &[ToldLimit],
         is_near: bool,
