--- a/src/gateway/own_words.rs
+++ b/src/gateway/own_words.rs
@@ -38,7 +38,7 @@
     /// A VM tells all of its data hall in a round of beats, and few of the
     /// others, so whoever hears it tells it on.
     pub(crate) fn hear_leaving(&self, from: &str, told: &[ShortHash]) {
-        for member in self.pool.hear_leaving(told, self.clock.now()) {
+        for member in self.pool.apply_peer_leaving(told, self.clock.now()) {
             Event::UpstreamLeaving.record(fields(json!({
                 "upstream": member.entry.life().to_string(),
                 "by": "vm",
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -115,7 +115,7 @@
 
     /// Takes in which lives have said to another VM that they are leaving, and
     /// tells them on; returns those of which that is news.
-    pub fn hear_leaving(
+    pub fn apply_peer_leaving(
         &self,
         told: &[ShortHash],
         now: BootInstant,
