--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -224,7 +224,7 @@
     gateway.hear_leaving(&beat.vm, &beat.leaving_upstreams);
     gateway.hear_limits(&beat.vm, &beat.rate_limits, is_near);
     if is_near {
-        for unfit in gateway.pool.hear_failures(&beat.failures, now) {
+        for unfit in gateway.pool.apply_peer_failures(&beat.failures, now) {
             Event::UpstreamUnfit.record(fields(json!({
                 "upstream": unfit,
                 "told_by": beat.vm,
--- a/src/placing/pool/replay.rs
+++ b/src/placing/pool/replay.rs
@@ -267,7 +267,7 @@
         for (to, receiver) in vms.iter().enumerate() {
             if to != from && receiver.hall == sender.hall {
                 receiver.pool.apply_peer_loads(&stated, now);
-                receiver.pool.hear_failures(&failures, now);
+                receiver.pool.apply_peer_failures(&failures, now);
             }
         }
     }
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -200,7 +200,7 @@
 
     /// Takes in the failures that another VM of the data hall has seen;
     /// returns the upstreams that are unfit by now.
-    pub fn hear_failures(
+    pub fn apply_peer_failures(
         &self,
         told: &[ToldFailure],
         now: BootInstant,
