--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -178,7 +178,7 @@
         // Rounded up, so that a proof never seems younger than it is.
         proof_age_ms: age.map(|age| age.as_millis() as u32 + 1),
         can_watch: peers.can_watch(now),
-        work: gateway.pool.own_work(),
+        work: gateway.pool.local_work(),
         stated: gateway.pool.take_loads(now),
         failures: gateway.pool.take_failures(now),
         leaving_upstreams: gateway.pool.take_leaving(now),
--- a/src/placing/pool/replay.rs
+++ b/src/placing/pool/replay.rs
@@ -177,7 +177,7 @@
         if !is_near_turn && !is_far_turn {
             continue;
         }
-        let work = sender.pool.own_work();
+        let work = sender.pool.local_work();
         let stated = match is_near_turn {
             true => sender.pool.take_loads(now),
             false => Vec::new(),
--- a/src/placing/pool/rest_replay.rs
+++ b/src/placing/pool/rest_replay.rs
@@ -172,7 +172,7 @@
 
     fn beat(&mut self) {
         for from in 0..self.vms.len() {
-            let work = self.vms[from].own_work();
+            let work = self.vms[from].local_work();
             let hall = from / self.hall * self.hall;
             for vm in hall..(hall + self.hall).min(self.vms.len()) {
                 if vm != from {
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -219,7 +219,7 @@
     }
 
     /// What this VM has at each upstream that has any of it.
-    pub fn own_work(&self) -> Vec<(ShortHash, Work)> {
+    pub fn local_work(&self) -> Vec<(ShortHash, Work)> {
         let members = self.read();
         let bounded = |n: u32| u16::try_from(n).unwrap_or(u16::MAX);
         let work = members.by_id.values().filter_map(|member| {
