--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -608,7 +608,7 @@
     /// waiting may still bring the rest.
     fn has_other_upstream(&self) -> bool {
         let now = self.gateway.clock.now();
-        self.gateway.pool.has_other(&self.service, &self.tried, now)
+        self.gateway.pool.has_untried(&self.service, &self.tried, now)
     }
 
     /// Whether the rest of a stream that broke off may be asked for.
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -506,7 +506,7 @@
     }
 
     /// Whether an upstream whose life is not among `tried` may take a request.
-    pub fn has_other(
+    pub fn has_untried(
         &self,
         service: &ServiceId,
         tried: &[ShortHash],
--- a/src/placing/pool/signals_tests.rs
+++ b/src/placing/pool/signals_tests.rs
@@ -38,7 +38,7 @@
     assert_eq!(open(&pool, now), ["i-2"]);
     let service = "writers".parse().unwrap();
     let tried = [ShortHash::of("i-2")];
-    assert!(!pool.has_other(&service, &tried, now));
+    assert!(!pool.has_untried(&service, &tried, now));
 }
 
 /// Its record says `ready` until the store has taken its leave.
@@ -128,10 +128,10 @@
     let pool = pool(&[entry("i-1", "a", "v1"), entry("i-2", "a", "v1")], now);
     let service = "writers".parse().unwrap();
     let tried = [ShortHash::of("i-2")];
-    assert!(pool.has_other(&service, &tried, now));
+    assert!(pool.has_untried(&service, &tried, now));
     says(&pool, "i-1", rests(SECOND), now);
-    assert!(!pool.has_other(&service, &tried, now));
-    assert!(pool.has_other(&service, &tried, now + SECOND * 2));
+    assert!(!pool.has_untried(&service, &tried, now));
+    assert!(pool.has_untried(&service, &tried, now + SECOND * 2));
 }
 
 #[test]
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -68,9 +68,9 @@
     let pool = pool(&[life(1)], now);
     let tried = [ShortHash::of(&life(1).life().to_string())];
     let service = "writers".parse().unwrap();
-    assert!(!pool.has_other(&service, &tried, now));
+    assert!(!pool.has_untried(&service, &tried, now));
     pool.set(life(2), now);
-    assert!(pool.has_other(&service, &tried, now));
+    assert!(pool.has_untried(&service, &tried, now));
     let want = PickCriteria { tried: &tried, ..PickCriteria::default() };
     assert_eq!(picks(&pool, &want, now), ["i-1"]);
 }
@@ -328,10 +328,10 @@
     let pool = pool(&entries, now);
     let service = "writers".parse().unwrap();
     let first = [ShortHash::of("i-1")];
-    assert!(pool.has_other(&service, &first, now));
+    assert!(pool.has_untried(&service, &first, now));
     pool.evacuate(&"b".parse().unwrap());
-    assert!(!pool.has_other(&service, &first, now));
-    assert!(pool.has_other(&service, &[], now));
+    assert!(!pool.has_untried(&service, &first, now));
+    assert!(pool.has_untried(&service, &[], now));
 }
 
 #[test]
