--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -643,7 +643,7 @@
             );
         }
         let says_nothing_of_version = verdict == AttemptOutcome::Failed
-            && gateway.pool.is_alone_suspect(&attempt.member, now);
+            && gateway.pool.is_isolated_failure(&attempt.member, now);
         gateway.judge_upstream(&attempt.member, verdict);
         let ended = attempt.member.is_superseded()
             && verdict != AttemptOutcome::Success;
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -660,7 +660,11 @@
 
     /// Whether an upstream has failed lately while most of those with its
     /// software have not, so that its failures say nothing of the software.
-    pub fn is_alone_suspect(&self, member: &Member, now: BootInstant) -> bool {
+    pub fn is_isolated_failure(
+        &self,
+        member: &Member,
+        now: BootInstant,
+    ) -> bool {
         if !member.health.is_suspect(now) {
             return false;
         }
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -314,11 +314,11 @@
         (0..4).map(|n| entry(&format!("i-{n}"), "a", "v2")).collect();
     let pool = pool(&entries, now);
     let member = |n: usize| pool.member(&entries[n].id).unwrap();
-    assert!(!pool.is_alone_suspect(&member(0), now));
+    assert!(!pool.is_isolated_failure(&member(0), now));
     member(0).health.record(AttemptOutcome::Failed, now);
-    assert!(pool.is_alone_suspect(&member(0), now));
+    assert!(pool.is_isolated_failure(&member(0), now));
     member(1).health.record(AttemptOutcome::Failed, now);
-    assert!(!pool.is_alone_suspect(&member(0), now), "half of them fail");
+    assert!(!pool.is_isolated_failure(&member(0), now), "half of them fail");
 }
 
 #[test]
