--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -256,7 +256,7 @@
     /// Whether a further attempt may be sent to a service.
     pub(crate) fn has_retry(&self, service: &ServiceId) -> bool {
         let now = self.clock.now();
-        self.retries(service).has_one(self.peers.fleet_size(), now)
+        self.retries(service).allows_retry(self.peers.fleet_size(), now)
     }
 
     /// Takes a further attempt at a service, if one is left.
--- a/src/placing/retry_window.rs
+++ b/src/placing/retry_window.rs
@@ -66,7 +66,7 @@
     }
 
     /// Whether a further attempt may be made by one of `vms` VMs.
-    pub fn has_one(&self, vms: usize, now: BootInstant) -> bool {
+    pub fn allows_retry(&self, vms: usize, now: BootInstant) -> bool {
         let number = self.number(now);
         let parts = self.parts.lock().expect("parts lock");
         let recent = |part: &&Part| part.number + PARTS >= number;
@@ -84,11 +84,11 @@
 
     /// Takes a further attempt for one of `vms` VMs, if one is left.
     pub fn try_retry(&self, vms: usize, now: BootInstant) -> bool {
-        let has_one = self.has_one(vms, now);
-        if has_one {
+        let allows_retry = self.allows_retry(vms, now);
+        if allows_retry {
             self.count_retry(now);
         }
-        has_one
+        allows_retry
     }
 
     /// The number of the part that `now` falls in; the first is 1.
--- a/src/placing/retry_window/tests.rs
+++ b/src/placing/retry_window/tests.rs
@@ -55,6 +55,6 @@
     for _ in 0..1000 {
         window.count_request(now);
     }
-    assert!(window.has_one(1000, now));
-    assert!(!window.has_one(1000, now + BOUND.window));
+    assert!(window.allows_retry(1000, now));
+    assert!(!window.allows_retry(1000, now + BOUND.window));
 }
