--- a/src/chat_face/dispatch.rs
+++ b/src/chat_face/dispatch.rs
@@ -765,7 +765,7 @@
         let upstream = &chosen.upstream;
         let change = match fault {
             None | Some(AttemptFault::Cancelled | AttemptFault::TooLarge) => {
-                upstream.succeeded()
+                upstream.record_success()
             }
             Some(_) => upstream.failed(self.vm.clock.now()),
         };
--- a/src/placing/upstream.rs
+++ b/src/placing/upstream.rs
@@ -250,7 +250,7 @@
     }
 
     /// Records that it answered.
-    pub fn succeeded(&self) -> Option<BreakerChange> {
+    pub fn record_success(&self) -> Option<BreakerChange> {
         let mut breaker = self.breaker.lock().expect("breaker lock");
         let was_open = !matches!(*breaker, Breaker::Closed { .. });
         *breaker = Breaker::Closed { failures: 0 };
@@ -387,7 +387,7 @@
         upstream.failed(later);
         assert!(!upstream.try_enter(later + BREAKER_PAUSE));
         assert!(upstream.try_enter(later + BREAKER_PAUSE * 2));
-        assert_eq!(upstream.succeeded(), Some(BreakerChange::Closed));
+        assert_eq!(upstream.record_success(), Some(BreakerChange::Closed));
         assert!(upstream.try_enter(later));
     }
 
