--- a/src/chat_face/dispatch.rs
+++ b/src/chat_face/dispatch.rs
@@ -767,7 +767,7 @@
             None | Some(AttemptFault::Cancelled | AttemptFault::TooLarge) => {
                 upstream.record_success()
             }
-            Some(_) => upstream.failed(self.vm.clock.now()),
+            Some(_) => upstream.record_failure(self.vm.clock.now()),
         };
         let event = match change {
             Some(BreakerChange::Opened) => Event::BreakerOpened,
--- a/src/placing/upstream.rs
+++ b/src/placing/upstream.rs
@@ -258,7 +258,7 @@
     }
 
     /// Records that it failed to answer.
-    pub fn failed(&self, now: BootInstant) -> Option<BreakerChange> {
+    pub fn record_failure(&self, now: BootInstant) -> Option<BreakerChange> {
         let mut breaker = self.breaker.lock().expect("breaker lock");
         let (next, change) = match *breaker {
             Breaker::Closed { failures } if failures + 1 < BREAKER_LIMIT => {
@@ -377,14 +377,14 @@
         let now = BootInstant::now();
         let upstream = upstream(now);
         for _ in 1..BREAKER_LIMIT {
-            assert_eq!(upstream.failed(now), None);
+            assert_eq!(upstream.record_failure(now), None);
         }
-        assert_eq!(upstream.failed(now), Some(BreakerChange::Opened));
+        assert_eq!(upstream.record_failure(now), Some(BreakerChange::Opened));
         assert!(!upstream.try_enter(now));
         let later = now + BREAKER_PAUSE;
         assert!(upstream.try_enter(later));
         assert!(!upstream.try_enter(later));
-        upstream.failed(later);
+        upstream.record_failure(later);
         assert!(!upstream.try_enter(later + BREAKER_PAUSE));
         assert!(upstream.try_enter(later + BREAKER_PAUSE * 2));
         assert_eq!(upstream.record_success(), Some(BreakerChange::Closed));
