--- a/src/chat_face/dispatch.rs
+++ b/src/chat_face/dispatch.rs
@@ -637,7 +637,7 @@
             .clone();
         // Lets the trial of an open breaker through; the pick saw it closed
         // or due.
-        upstream.try_enter(now);
+        upstream.allow_request(now);
         upstream.reported_state.record_sent(now);
         let in_flight = upstream.begin();
         Ok(Chosen { upstream, choice, chosen_at: now, _in_flight: in_flight })
--- a/src/placing/upstream.rs
+++ b/src/placing/upstream.rs
@@ -236,7 +236,7 @@
 
     /// Whether a request may be sent now; lets one trial through an open
     /// breaker whose pause has passed.
-    pub fn try_enter(&self, now: BootInstant) -> bool {
+    pub fn allow_request(&self, now: BootInstant) -> bool {
         let mut breaker = self.breaker.lock().expect("breaker lock");
         match *breaker {
             Breaker::Closed { .. } => true,
@@ -380,15 +380,15 @@
             assert_eq!(upstream.record_failure(now), None);
         }
         assert_eq!(upstream.record_failure(now), Some(BreakerChange::Opened));
-        assert!(!upstream.try_enter(now));
+        assert!(!upstream.allow_request(now));
         let later = now + BREAKER_PAUSE;
-        assert!(upstream.try_enter(later));
-        assert!(!upstream.try_enter(later));
+        assert!(upstream.allow_request(later));
+        assert!(!upstream.allow_request(later));
         upstream.record_failure(later);
-        assert!(!upstream.try_enter(later + BREAKER_PAUSE));
-        assert!(upstream.try_enter(later + BREAKER_PAUSE * 2));
+        assert!(!upstream.allow_request(later + BREAKER_PAUSE));
+        assert!(upstream.allow_request(later + BREAKER_PAUSE * 2));
         assert_eq!(upstream.record_success(), Some(BreakerChange::Closed));
-        assert!(upstream.try_enter(later));
+        assert!(upstream.allow_request(later));
     }
 
     #[test]
