--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -257,7 +257,7 @@
         let takes = self.gateway.service_times.of(&self.service);
         PickCriteria {
             rule: version.rule.clone(),
-            prompt: self.shared_prompt(),
+            affinity: self.shared_prompt(),
             withdrawn: &version.withdrawn,
             tried,
             max_utilization: admission::utilization_limit(
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -94,7 +94,7 @@
     /// Which software may answer it.
     pub rule: VersionRule,
     /// What it would like to find in an upstream's memory.
-    pub prompt: Option<PrefixAffinity>,
+    pub affinity: Option<PrefixAffinity>,
     /// Versions of software that may not answer it at all.
     pub withdrawn: &'a [VersionId],
     /// Lives of upstreams that were asked already.
@@ -108,7 +108,7 @@
     fn default() -> Self {
         PickCriteria {
             rule: VersionRule::Any,
-            prompt: None,
+            affinity: None,
             withdrawn: &[],
             tried: &[],
             max_utilization: FILL_LEAST,
@@ -420,7 +420,7 @@
     ) -> Result<Arc<Member>, PickError> {
         let members = self.read();
         let open = self.candidates(&members, service, want, now)?;
-        let chosen = match want.prompt {
+        let chosen = match want.affinity {
             Some(prompt) => self.soonest(prompt, &open, now),
             None => self.emptiest(&open, now),
         };
--- a/src/placing/pool/replay.rs
+++ b/src/placing/pool/replay.rs
@@ -142,7 +142,7 @@
                 cache_miss_cost: Duration::from_millis(60),
             };
             let want = PickCriteria {
-                prompt: Some(prompt),
+                affinity: Some(prompt),
                 ..PickCriteria::default()
             };
             let service = "writers".parse().unwrap();
@@ -230,7 +230,7 @@
                 cache_miss_cost: Duration::from_millis(60),
             };
             let want = PickCriteria {
-                prompt: Some(prompt),
+                affinity: Some(prompt),
                 ..PickCriteria::default()
             };
             let member = pool.pick(&service, &want, now).unwrap();
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -102,7 +102,7 @@
         cache_miss_cost: Duration::from_millis(100),
     };
     let want =
-        PickCriteria { prompt: Some(prompt), ..PickCriteria::default() };
+        PickCriteria { affinity: Some(prompt), ..PickCriteria::default() };
     let home = picks(&pool, &want, now);
     assert_eq!(home.len(), 1);
     let member = pool.member(&home[0].parse().unwrap()).unwrap();
@@ -257,7 +257,7 @@
     for rule in [VersionRule::Any, VersionRule::Prefer(old.clone())] {
         let want = PickCriteria {
             rule,
-            prompt: Some(prompt),
+            affinity: Some(prompt),
             ..PickCriteria::default()
         };
         assert_eq!(picks(&pool, &want, now), ["i-2"]);
