--- a/src/api/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -41,7 +41,7 @@
     },
     id::UpstreamId,
     message::ShortHash,
-    placing::upstream::{BreakerChange, InFlight, Upstream},
+    placing::upstream::{BreakerChange, InFlightGuard, Upstream},
     task::{self, within},
     unit::{MicroCost, Share},
 };
@@ -83,7 +83,7 @@
     pub(crate) upstream: Arc<Upstream>,
     pub(crate) choice: UpstreamChoice,
     pub(super) chosen_at: BootInstant,
-    _in_flight: InFlight,
+    _in_flight: InFlightGuard,
 }
 
 /// How an attempt failed.
@@ -639,8 +639,8 @@
             .clone();
         // Lets the trial of an open breaker through; the pick saw it closed
         // or due.
-        upstream.try_enter(now);
-        upstream.own_word.note_sent(now);
+        upstream.allow_request(now);
+        upstream.reported_state.record_sent(now);
         let in_flight = upstream.begin();
         Ok(SelectedUpstream {
             upstream,
@@ -784,9 +784,9 @@
         let upstream = &chosen.upstream;
         let change = match fault {
             None | Some(AttemptFault::Cancelled | AttemptFault::TooLarge) => {
-                upstream.succeeded()
+                upstream.record_success()
             }
-            Some(_) => upstream.failed(self.vm.clock.now()),
+            Some(_) => upstream.record_failure(self.vm.clock.now()),
         };
         let event = match change {
             Some(BreakerChange::Opened) => Event::BreakerOpened,
--- a/src/api/statement.rs
+++ b/src/api/statement.rs
@@ -9,7 +9,9 @@
         request::RequestContext,
     },
     message::{Notice, ShortHash, ToldLimit},
-    placing::statement::{OwnNews, RateLimit, Rest, Statement},
+    placing::signals::{
+        RateLimit, ReportedChange, RetryAfter, UpstreamSignals,
+    },
     task,
     unit::RequestRate,
 };
@@ -32,16 +34,18 @@
         let upstream = &chosen.upstream;
         let statement = read_statement(status, headers);
         let (draw, now) = (rand::random(), self.vm.clock.now());
-        let word = &upstream.own_word;
-        for news in word.take(&statement, draw, chosen.chosen_at, now) {
+        let word = &upstream.reported_state;
+        for news in word.apply(&statement, draw, chosen.chosen_at, now) {
             match &news {
-                OwnNews::Leaving => log_leaving(upstream, "by its own answer"),
+                ReportedChange::Leaving => {
+                    log_leaving(upstream, "by its own answer")
+                }
                 other => {
                     let id = &upstream.record.id;
                     other.event().log(format_args!("upstream {id}"));
                 }
             }
-            let Some(notice) = notice_of(&news, upstream.short) else {
+            let Some(notice) = notice_of(&news, upstream.short_hash) else {
                 continue;
             };
             let vm = self.vm.clone();
@@ -52,25 +56,25 @@
 }
 
 /// Reads what an upstream says of itself in the head of an answer.
-fn read_statement(status: u16, headers: &HeaderMap) -> Statement {
+fn read_statement(status: u16, headers: &HeaderMap) -> UpstreamSignals {
     let ran = ![STATUS_UNAVAILABLE, STATUS_NOT_LOADED].contains(&status);
-    Statement {
+    UpstreamSignals {
         is_leaving: headers.get(LEAVING).is_some_and(|v| v == "1"),
-        rest: Rest::read(status, headers),
+        retry_after: RetryAfter::read(status, headers),
         rate_limit: RateLimit::read(headers.get_all(RATE_LIMIT), ran),
         load: None,
     }
 }
 
 /// What the other VMs of the data hall are to know at once.
-fn notice_of(news: &OwnNews, upstream: ShortHash) -> Option<Notice> {
+fn notice_of(news: &ReportedChange, upstream: ShortHash) -> Option<Notice> {
     let limit = |rate: Option<RequestRate>| {
         Notice::RateLimit(ToldLimit { upstream, rate, age_ms: 0 })
     };
     match news {
-        OwnNews::Leaving => Some(Notice::Leaving(upstream)),
-        OwnNews::Limited(rate) => Some(limit(Some(*rate))),
-        OwnNews::Unlimited => Some(limit(None)),
+        ReportedChange::Leaving => Some(Notice::Leaving(upstream)),
+        ReportedChange::RateLimited(rate) => Some(limit(Some(*rate))),
+        ReportedChange::RateLimitLifted => Some(limit(None)),
         _ => None,
     }
 }
--- a/src/api/view.rs
+++ b/src/api/view.rs
@@ -24,7 +24,7 @@
     message::{Beat, LoadEntry, ShortHash},
     placing::{
         owners::Roster,
-        upstream::{Serves, Upstream, UpstreamFacts},
+        upstream::{Serves, Upstream, UpstreamSnapshot},
     },
     rendezvous,
     settings::PeerSettings,
@@ -75,7 +75,7 @@
                     .or_default()
                     .push(upstream.clone()),
             }
-            upstreams.by_short.insert(upstream.short, upstream.clone());
+            upstreams.by_short.insert(upstream.short_hash, upstream.clone());
             upstreams.by_id.insert(record.id.clone(), upstream);
         }
         upstreams
@@ -171,13 +171,18 @@
         &self,
         upstream: &Upstream,
         now: BootInstant,
-    ) -> UpstreamFacts {
-        let facts = upstream.facts(&self.data_hall, now);
+    ) -> UpstreamSnapshot {
+        let facts = upstream.snapshot(&self.data_hall, now);
         let (vm, hall) = (self.vm.as_str(), &upstream.record.data_hall);
-        let word = &upstream.own_word;
-        let limit =
-            word.limit_wait(&self.roster, vm, upstream.short, hall, now);
-        UpstreamFacts { backoff: facts.backoff.max(limit), ..facts }
+        let word = &upstream.reported_state;
+        let limit = word.rate_limit_wait(
+            &self.roster,
+            vm,
+            upstream.short_hash,
+            hall,
+            now,
+        );
+        UpstreamSnapshot { backoff: facts.backoff.max(limit), ..facts }
     }
 
     /// Notes that the list was read and had not changed.
@@ -413,7 +418,7 @@
     }
     let small = |value: u32| value.min(u16::MAX.into()) as u16;
     Some(LoadEntry {
-        upstream: upstream.short,
+        upstream: upstream.short_hash,
         age_ms: age.as_millis() as u16,
         running: small(load.running),
         waiting: small(load.waiting),
--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -128,7 +128,7 @@
         let for_others = ForOthers {
             hall_evidence: rollouts.hall_evidence(hall, &beat.evidence, now),
             sightings: gateway.crashes.to_tell(Audience::OtherHalls),
-            rate_limits: gateway.pool.take_limits(false, now),
+            rate_limits: gateway.pool.take_rate_limits(false, now),
         };
         beat.hall_evidence = rollouts.relays(&beat.evidence, now);
         beat.sightings = gateway.crashes.to_tell(Audience::OwnHall);
@@ -180,11 +180,11 @@
         // Rounded up, so that a proof never seems younger than it is.
         proof_age_ms: age.map(|age| age.as_millis() as u32 + 1),
         can_watch: peers.can_watch(now),
-        work: gateway.pool.own_work(),
-        stated: gateway.pool.take_stated(now),
+        work: gateway.pool.local_work(),
+        stated: gateway.pool.take_loads(now),
         failures: gateway.pool.take_failures(now),
         leaving_upstreams: gateway.pool.take_leaving(now),
-        rate_limits: gateway.pool.take_limits(true, now),
+        rate_limits: gateway.pool.take_rate_limits(true, now),
         evidence: gateway.rollouts.evidence(old, now),
         sightings: Vec::new(),
         hall_evidence: Vec::new(),
@@ -219,14 +219,14 @@
     if beat.digest == gateway.knowledge.digest() {
         gateway.peers.note_agreed(&beat.vm, now);
     }
-    gateway.pool.note_hall_heard(&beat.data_hall, now);
+    gateway.pool.record_hall_heartbeat(&beat.data_hall, now);
     gateway.pool.set_peer_work(&beat.vm, &beat.work, now);
-    gateway.pool.hear_stated(&beat.stated, now);
+    gateway.pool.apply_peer_loads(&beat.stated, now);
     let is_near = beat.data_hall == gateway.settings.data_hall;
     gateway.merge_leaving_upstreams(&beat.vm, &beat.leaving_upstreams);
     gateway.merge_rate_limits(&beat.vm, &beat.rate_limits, is_near);
     if is_near {
-        for unfit in gateway.pool.hear_failures(&beat.failures, now) {
+        for unfit in gateway.pool.apply_peer_failures(&beat.failures, now) {
             Event::UpstreamUnfit.record(fields(json!({
                 "upstream": unfit,
                 "told_by": beat.vm,
--- a/src/gateway/limit_replay.rs
+++ b/src/gateway/limit_replay.rs
@@ -17,9 +17,9 @@
     gateway::test_fleet::{Fleet, STEP_MS},
     placing::{
         member::{Member, UpstreamEntry, UpstreamState},
-        pool::Want,
-        statement::{RateLimit, Statement},
-        upstream::InFlight,
+        pool::PickCriteria,
+        signals::{RateLimit, UpstreamSignals},
+        upstream::InFlightGuard,
     },
     unit::RequestRate,
 };
@@ -108,7 +108,7 @@
     ends_at: BootInstant,
     vm: usize,
     member: Arc<Member>,
-    _in_flight: InFlight,
+    _in_flight: InFlightGuard,
 }
 
 struct Replay {
@@ -225,10 +225,12 @@
                 let told = self.told_at_ms.entry((work.vm, upstream));
                 told.or_insert(passed_ms);
             }
-            let statement =
-                Statement { rate_limit: Some(limit), ..Statement::default() };
+            let statement = UpstreamSignals {
+                rate_limit: Some(limit),
+                ..UpstreamSignals::default()
+            };
             let vm = self.fleet.vms[work.vm].clone();
-            let news = vm.pool.take_statement(
+            let news = vm.pool.apply_signals(
                 &work.member,
                 &statement,
                 now.checked_sub(WORK).unwrap(),
@@ -246,7 +248,7 @@
         let vm = self.fleet.vms[at].clone();
         let service = "writers".parse().unwrap();
         let now = self.fleet.clock.now();
-        let picked = vm.pool.pick(&service, &Want::default(), now);
+        let picked = vm.pool.pick(&service, &PickCriteria::default(), now);
         let Ok(member) = picked else {
             self.refused += 1;
             return;
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -35,8 +35,8 @@
     metrics::Metrics,
     placing::{
         admission::ServiceTimes,
-        cascade::ReadTimes,
-        health::{HealthChange, Verdict},
+        cascade::PrefillTimes,
+        health::{AttemptOutcome, HealthChange},
         member::{Member, UpstreamState},
         pool::Pool,
         retry_window::RetryWindow,
@@ -119,7 +119,7 @@
     pub(crate) pool: Pool,
     pub(crate) rollouts: Rollouts,
     pub(crate) crashes: CrashRecord,
-    pub(crate) read_times: ReadTimes,
+    pub(crate) read_times: PrefillTimes,
     pub(crate) service_times: ServiceTimes,
     pub(crate) peers: Peers,
     pub(crate) metrics: Arc<Metrics>,
@@ -152,7 +152,7 @@
             ),
             rollouts: Rollouts::new(settings.session_timeout),
             crashes: CrashRecord::default(),
-            read_times: ReadTimes::default(),
+            read_times: PrefillTimes::default(),
             service_times: ServiceTimes::default(),
             peers: Peers::new(
                 &settings,
@@ -260,7 +260,7 @@
     /// Whether a further attempt may be sent to a service.
     pub(crate) fn has_retry(&self, service: &ServiceId) -> bool {
         let now = self.clock.now();
-        self.retries(service).has_one(self.peers.fleet_size(), now)
+        self.retries(service).allows_retry(self.peers.fleet_size(), now)
     }
 
     /// Takes a further attempt at a service, if one is left.
@@ -428,23 +428,27 @@
     }
 
     /// Takes in how an attempt at an upstream ended.
-    pub(crate) fn judge_upstream(&self, member: &Member, verdict: Verdict) {
+    pub(crate) fn judge_upstream(
+        &self,
+        member: &Member,
+        verdict: AttemptOutcome,
+    ) {
         // It failed because it ended; the one in its place has not.
-        if member.is_over() && verdict != Verdict::Good {
+        if member.is_superseded() && verdict != AttemptOutcome::Success {
             return;
         }
         let now = self.clock.now();
-        if verdict == Verdict::Unreachable {
-            member.note_unreachable(now);
+        if verdict == AttemptOutcome::Unreachable {
+            member.record_connect_failure(now);
         }
-        if self.pool.note_verdict(member, verdict, now) {
+        if self.pool.record_outcome(member, verdict, now) {
             self.early_heartbeat.wake();
         }
         let change = member.health.record(verdict, now);
         let event = match change {
             None => return,
-            Some(HealthChange::Unfit) => Event::UpstreamUnfit,
-            Some(HealthChange::Fit) => Event::UpstreamFit,
+            Some(HealthChange::Unhealthy) => Event::UpstreamUnfit,
+            Some(HealthChange::Healthy) => Event::UpstreamFit,
         };
         event.record(fields(json!({ "upstream": member.entry.id })));
     }
--- a/src/gateway/own_words.rs
+++ b/src/gateway/own_words.rs
@@ -2,7 +2,7 @@
 //!
 //! Every answer of an upstream comes through [`Gateway::hear`], whatever was
 //! asked and however the attempt goes on; what is kept of it stands in
-//! [`own_word`](crate::placing::own_word).
+//! [`reported_state`](crate::placing::reported_state).
 
 use serde_json::json;
 
@@ -13,7 +13,7 @@
     message::{ShortHash, ToldLimit},
     placing::{
         member::Member,
-        statement::{OwnNews, Statement},
+        signals::{ReportedChange, UpstreamSignals},
     },
 };
 
@@ -23,11 +23,11 @@
     pub(crate) fn hear(
         &self,
         member: &Member,
-        statement: &Statement,
+        statement: &UpstreamSignals,
         sent_at: BootInstant,
     ) {
         let now = self.clock.now();
-        let news = self.pool.take_statement(member, statement, sent_at, now);
+        let news = self.pool.apply_signals(member, statement, sent_at, now);
         for news in &news {
             self.note_own_news(member, news);
         }
@@ -42,7 +42,7 @@
         from: &str,
         told: &[ShortHash],
     ) {
-        for member in self.pool.hear_leaving(told, self.clock.now()) {
+        for member in self.pool.apply_peer_leaving(told, self.clock.now()) {
             Event::UpstreamLeaving.record(fields(json!({
                 "upstream": member.entry.life().to_string(),
                 "by": "vm",
@@ -59,13 +59,15 @@
         is_near: bool,
     ) {
         let now = self.clock.now();
-        for (member, news) in self.pool.hear_limits(told, is_near, now) {
+        for (member, news) in
+            self.pool.apply_peer_rate_limits(told, is_near, now)
+        {
             let mut details = json!({
                 "upstream": member.entry.life().to_string(),
                 "by": "vm",
                 "told_by": from,
             });
-            if let OwnNews::Limited(rate) = news {
+            if let ReportedChange::RateLimited(rate) = news {
                 details["per_s"] = rate.per_s().into();
                 // The own data hall is to hear it from this VM.
                 if !is_near {
@@ -76,29 +78,30 @@
         }
     }
 
-    fn note_own_news(&self, member: &Member, news: &OwnNews) {
+    fn note_own_news(&self, member: &Member, news: &ReportedChange) {
         let life = member.entry.life().to_string();
         let said = &self.metrics.upstreams_said;
         said.with_label_values(&[news.label()]).inc();
         let mut details = json!({ "upstream": life });
         match news {
-            OwnNews::Leaving => {
+            ReportedChange::Leaving => {
                 self.early_heartbeat.wake();
                 details["by"] = "answer".into();
             }
-            OwnNews::Resting(time) => {
+            ReportedChange::BackoffStarted(time) => {
                 details["rest_ms"] = (time.as_millis() as u64).into();
             }
-            OwnNews::Limited(rate) => {
+            ReportedChange::RateLimited(rate) => {
                 self.early_heartbeat.wake();
                 details["by"] = "answer".into();
                 details["per_s"] = rate.per_s().into();
             }
-            OwnNews::Unreadable(text) | OwnNews::LimitUnreadable(text) => {
+            ReportedChange::RetryAfterUnreadable(text)
+            | ReportedChange::RateLimitUnreadable(text) => {
                 details["text"] = json!(text);
             }
-            OwnNews::Unlimited => details["by"] = "answer".into(),
-            OwnNews::Rested => {}
+            ReportedChange::RateLimitLifted => details["by"] = "answer".into(),
+            ReportedChange::BackoffEnded => {}
         }
         news.event().record(fields(details));
     }
--- a/src/placing/admission.rs
+++ b/src/placing/admission.rs
@@ -77,7 +77,7 @@
     }
 
     /// Takes in what one more request took.
-    pub(crate) fn learn(&self, service: &ServiceId, took: Duration) {
+    pub(crate) fn record(&self, service: &ServiceId, took: Duration) {
         let mut times = self.0.lock().expect("times lock");
         let took_s = took.as_secs_f64();
         let held_s = times.entry(service.clone()).or_insert(took_s);
@@ -87,7 +87,10 @@
 
 /// Requests for each slot, at the least full upstream, from which a request
 /// with this aim is turned away.
-pub(crate) fn fill_limit(aim: Duration, takes: Option<Duration>) -> f64 {
+pub(crate) fn utilization_limit(
+    aim: Duration,
+    takes: Option<Duration>,
+) -> f64 {
     let Some(takes) = takes.filter(|takes| !takes.is_zero()) else {
         return FILL_LEAST;
     };
@@ -96,14 +99,14 @@
 }
 
 /// The time for which a request waits at an upstream that is so full.
-pub(crate) fn wait_at(fill: f64, takes: Option<Duration>) -> Duration {
+pub(crate) fn queue_wait(fill: f64, takes: Option<Duration>) -> Duration {
     let takes = takes.unwrap_or_default();
     takes.mul_f64((fill - 1.0).clamp(0.0, FILL_MOST))
 }
 
 /// When a caller that was turned away should come back: once places have
 /// become free, `draw` (0 to 1) spreading those of one moment.
-pub(crate) fn return_after(takes: Option<Duration>, draw: f64) -> Duration {
+pub(crate) fn retry_after(takes: Option<Duration>, draw: f64) -> Duration {
     let Some(takes) = takes else { return RETURN_MOST };
     let wait = takes.mul_f64(RETURN_FROM + draw * RETURN_SPREAD);
     wait.clamp(RETURN_LEAST, RETURN_MOST)
@@ -112,7 +115,7 @@
 /// When a caller should come back that was turned away because every upstream
 /// has asked for fewer requests: once the first may get one, `draw` (0 to 1)
 /// spreading those who were told together.
-pub(crate) fn return_after_backoff(left: Duration, draw: f64) -> Duration {
+pub(crate) fn retry_after_backoff(left: Duration, draw: f64) -> Duration {
     let spread = left.mul_f64(BACKOFF_SPREAD_PART).max(BACKOFF_SPREAD_LEAST);
     left + spread.mul_f64(draw)
 }
--- a/src/placing/hall_way.rs
+++ b/src/placing/hall_way.rs
@@ -53,7 +53,7 @@
 
 impl HallWay {
     /// Notes that something came from an upstream there.
-    pub fn note_heard(&self, now: BootInstant) {
+    pub fn record_activity(&self, now: BootInstant) {
         self.0.lock().expect("way lock").hear(now);
     }
 
@@ -70,7 +70,7 @@
     }
 
     /// Notes that a connection to an upstream there could not be opened.
-    pub fn note_unreachable(&self, now: BootInstant) {
+    pub fn record_connect_failure(&self, now: BootInstant) {
         let mut state = self.0.lock().expect("way lock");
         state.failures += 1;
         if state.failures >= CUT_FAILURES {
--- a/src/placing/pool/replay.rs
+++ b/src/placing/pool/replay.rs
@@ -11,8 +11,8 @@
 
 use super::{tests::SLACK, *};
 use crate::placing::{
-    health::Verdict,
-    member::{LoadReport, Reading},
+    health::AttemptOutcome,
+    member::{LoadReport, PrefillGuard},
 };
 
 const HALLS: usize = 4;
@@ -45,7 +45,7 @@
     at_ms: u64,
     vm: usize,
     engine: usize,
-    reading: Reading,
+    reading: PrefillGuard,
 }
 
 /// What came of a replay.
@@ -84,7 +84,7 @@
         for number in 0..HALLS * ENGINES_OF_HALL {
             pool.set(engine(number), start);
         }
-        pool.note_reading(Duration::from_millis(READING_MS));
+        pool.record_expected_prefill(Duration::from_millis(READING_MS));
         Vm { hall, pool }
     };
     (0..HALLS * VMS_OF_HALL).map(vm).collect()
@@ -137,11 +137,14 @@
             + usize::from(random.random::<f64>() < expected.fract());
         for _ in 0..count {
             let vm = random.random_range(0..vms.len());
-            let prompt = SharedPrompt {
-                subject: random.random_range(0..400),
-                worth_waiting: Duration::from_millis(60),
+            let prompt = PrefixAffinity {
+                prefix_hash: random.random_range(0..400),
+                cache_miss_cost: Duration::from_millis(60),
+            };
+            let want = PickCriteria {
+                affinity: Some(prompt),
+                ..PickCriteria::default()
             };
-            let want = Want { prompt: Some(prompt), ..Want::default() };
             let service = "writers".parse().unwrap();
             let member = vms[vm].pool.pick(&service, &want, now).unwrap();
             let id = member.entry.id.to_string();
@@ -150,7 +153,8 @@
             waits_ms.push(begins - now_ms);
             let at_ms = begins + READING_MS;
             free_at_ms[engine] = at_ms;
-            let reading = member.read(Duration::from_millis(READING_MS));
+            let reading =
+                member.begin_prefill(Duration::from_millis(READING_MS));
             queue.push(Reverse((at_ms, done.len())));
             done.push(Some(Done { at_ms, vm, engine, reading }));
         }
@@ -173,9 +177,9 @@
         if !is_near_turn && !is_far_turn {
             continue;
         }
-        let work = sender.pool.own_work();
+        let work = sender.pool.local_work();
         let stated = match is_near_turn {
-            true => sender.pool.take_stated(now),
+            true => sender.pool.take_loads(now),
             false => Vec::new(),
         };
         let name = format!("vm-{from}");
@@ -184,7 +188,7 @@
             let is_turn = if is_near { is_near_turn } else { is_far_turn };
             if to != from && is_turn {
                 receiver.pool.set_peer_work(&name, &work, now);
-                receiver.pool.hear_stated(&stated, now);
+                receiver.pool.apply_peer_loads(&stated, now);
             }
         }
     }
@@ -221,19 +225,26 @@
         for _ in 0..2 {
             let number = random.random_range(0..vms.len());
             let pool = &vms[number].pool;
-            let prompt = SharedPrompt {
-                subject: random.random_range(0..400),
-                worth_waiting: Duration::from_millis(60),
+            let prompt = PrefixAffinity {
+                prefix_hash: random.random_range(0..400),
+                cache_miss_cost: Duration::from_millis(60),
+            };
+            let want = PickCriteria {
+                affinity: Some(prompt),
+                ..PickCriteria::default()
             };
-            let want = Want { prompt: Some(prompt), ..Want::default() };
             let member = pool.pick(&service, &want, now).unwrap();
             let id = member.entry.id.to_string();
             let engine: usize = id["i-".len()..].parse().unwrap();
             let fails = is_dead && dead.contains(&engine);
-            let verdict = if fails { Verdict::Lost } else { Verdict::Good };
+            let verdict = if fails {
+                AttemptOutcome::Lost
+            } else {
+                AttemptOutcome::Success
+            };
             failed += usize::from(fails && now_ms < LOAD_MS / 2 + 1000);
             member.health.record(verdict, now);
-            pool.note_verdict(&member, verdict, now);
+            pool.record_outcome(&member, verdict, now);
             if !fails {
                 let load = LoadReport { running: 1, waiting: 0 };
                 pool.note_load(&member, load, now);
@@ -252,11 +263,11 @@
 fn tell_failures(vms: &[Vm], now: BootInstant) {
     for (from, sender) in vms.iter().enumerate() {
         let failures = sender.pool.take_failures(now);
-        let stated = sender.pool.take_stated(now);
+        let stated = sender.pool.take_loads(now);
         for (to, receiver) in vms.iter().enumerate() {
             if to != from && receiver.hall == sender.hall {
-                receiver.pool.hear_stated(&stated, now);
-                receiver.pool.hear_failures(&failures, now);
+                receiver.pool.apply_peer_loads(&stated, now);
+                receiver.pool.apply_peer_failures(&failures, now);
             }
         }
     }
--- a/src/placing/pool/rest_replay.rs
+++ b/src/placing/pool/rest_replay.rs
@@ -19,9 +19,9 @@
     *,
 };
 use crate::placing::{
-    own_word::OwnWord,
-    statement::{Rest, Statement},
-    upstream::InFlight,
+    reported_state::ReportedState,
+    signals::{RetryAfter, UpstreamSignals},
+    upstream::InFlightGuard,
 };
 
 const STEP: Duration = Duration::from_millis(5);
@@ -76,7 +76,7 @@
     began_at: BootInstant,
     now: BootInstant,
     /// Requests that are worked on, with their ends.
-    working: VecDeque<(BootInstant, InFlight)>,
+    working: VecDeque<(BootInstant, InFlightGuard)>,
     /// What halls are to hear.
     told: VecDeque<(BootInstant, usize, usize)>,
     /// When each VM was told by each upstream, and what came since.
@@ -162,15 +162,17 @@
     fn hear_rest(&mut self, vm: usize, upstream: usize, rest: Duration) {
         let id = format!("i-{upstream}").parse().unwrap();
         let member = self.vms[vm].member(&id).unwrap();
-        let statement =
-            Statement { rest: Some(Rest::For(rest)), ..Statement::default() };
+        let statement = UpstreamSignals {
+            retry_after: Some(RetryAfter::For(rest)),
+            ..UpstreamSignals::default()
+        };
         let (pool, now) = (&self.vms[vm], self.now);
-        pool.take_statement(&member, &statement, now, now);
+        pool.apply_signals(&member, &statement, now, now);
     }
 
     fn beat(&mut self) {
         for from in 0..self.vms.len() {
-            let work = self.vms[from].own_work();
+            let work = self.vms[from].local_work();
             let hall = from / self.hall * self.hall;
             for vm in hall..(hall + self.hall).min(self.vms.len()) {
                 if vm != from {
@@ -187,18 +189,19 @@
         let service = "writers".parse().unwrap();
         let mut tried = Vec::new();
         for _ in 0..ATTEMPTS {
-            let want = Want { tried: &tried, ..Want::default() };
+            let want =
+                PickCriteria { tried: &tried, ..PickCriteria::default() };
             let picked = self.vms[vm].pick(&service, &want, self.now);
             let Ok(member) = picked else { break };
-            tried.push(member.upstream.short);
+            tried.push(member.upstream.short_hash);
             let number = member.entry.id.as_str()[2..].parse().unwrap();
             self.note_arrival(vm, number);
             if !self.is_shedding(number) {
                 let ends_at = self.now + WORK;
                 self.working.push_back((ends_at, member.upstream.begin()));
-                let served = Statement::default();
+                let served = UpstreamSignals::default();
                 let (pool, now) = (&self.vms[vm], self.now);
-                pool.take_statement(&member, &served, now, now);
+                pool.apply_signals(&member, &served, now, now);
                 return;
             }
             self.turn_away(vm, number);
@@ -302,13 +305,15 @@
 #[test]
 fn those_told_together_do_not_return_together() {
     let now = BootInstant::now();
-    let words: Vec<OwnWord> = (0..300).map(|_| OwnWord::default()).collect();
+    let words: Vec<ReportedState> =
+        (0..300).map(|_| ReportedState::default()).collect();
     for word in &words {
-        let rest = Rest::For(REST);
+        let rest = RetryAfter::For(REST);
         word.take_rest(Some(&rest), rand::random(), now, now);
     }
     let back = |at: Duration| {
-        let is_back = |word: &&OwnWord| word.rest_left(now + at).is_zero();
+        let is_back =
+            |word: &&ReportedState| word.rest_left(now + at).is_zero();
         words.iter().filter(is_back).count()
     };
     assert_eq!(back(REST - STEP), 0);
--- a/src/placing/seen.rs
+++ b/src/placing/seen.rs
@@ -6,7 +6,7 @@
 use crate::{
     clock::BootInstant,
     message::{ShortHash, StatedLoad, ToldFailure, ToldLimit},
-    placing::{health::Verdict, member::LoadReport},
+    placing::{health::AttemptOutcome, member::LoadReport},
     unit::RequestRate,
 };
 
@@ -52,7 +52,7 @@
     /// What each upstream stated last, and when.
     stated: HashMap<ShortHash, (LoadReport, BootInstant)>,
     /// Upstreams that have failed since the last beat.
-    failed: HashMap<ShortHash, Verdict>,
+    failed: HashMap<ShortHash, AttemptOutcome>,
     /// When a failure of each upstream was last told.
     told_at: HashMap<ShortHash, BootInstant>,
     /// Lives that are leaving, and when that was heard.
@@ -76,13 +76,13 @@
 
     /// Notes how an attempt ended; returns whether the others should hear of
     /// it at once.
-    pub(crate) fn note_verdict(
+    pub(crate) fn record_outcome(
         &mut self,
         upstream: ShortHash,
-        verdict: Verdict,
+        verdict: AttemptOutcome,
         now: BootInstant,
     ) -> bool {
-        if verdict == Verdict::Good {
+        if verdict == AttemptOutcome::Success {
             self.answered_at = Some(now);
             return false;
         }
@@ -91,7 +91,7 @@
             return false;
         }
         self.failed.insert(upstream, verdict);
-        matches!(verdict, Verdict::Lost | Verdict::Unreachable)
+        matches!(verdict, AttemptOutcome::Lost | AttemptOutcome::Unreachable)
     }
 
     /// Notes that a life is leaving, as it has said itself.
@@ -128,7 +128,7 @@
 
     /// The rate limits of which the VMs of the own data hall, or of the
     /// others, are to hear.
-    pub(crate) fn take_limits(
+    pub(crate) fn take_rate_limits(
         &mut self,
         for_own_hall: bool,
         now: BootInstant,
@@ -153,7 +153,7 @@
     }
 
     /// Takes what upstreams have stated since this was last asked.
-    pub(crate) fn take_stated(&mut self, now: BootInstant) -> Vec<StatedLoad> {
+    pub(crate) fn take_loads(&mut self, now: BootInstant) -> Vec<StatedLoad> {
         let bounded = |n: u32| u16::try_from(n).unwrap_or(u16::MAX);
         let taken = self.stated.drain().map(|(upstream, (load, at))| {
             let age = now.saturating_duration_since(at).as_millis();
