--- a/src/id.rs
+++ b/src/id.rs
@@ -294,14 +294,14 @@
 /// One life of an upstream, which may start again under its name: what is
 /// known or told of one life says nothing of another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct UpstreamLife {
+pub struct UpstreamIncarnation {
     /// The upstream.
     pub id: UpstreamId,
     /// When the life began; `None` for one that tells no start.
     pub started: Option<StartMs>,
 }
 
-impl fmt::Display for UpstreamLife {
+impl fmt::Display for UpstreamIncarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.started {
             Some(started) => write!(f, "{}@{started}", self.id),
@@ -310,14 +310,17 @@
     }
 }
 
-impl FromStr for UpstreamLife {
+impl FromStr for UpstreamIncarnation {
     type Err = Error;
 
-    fn from_str(text: &str) -> Result<UpstreamLife, Error> {
+    fn from_str(text: &str) -> Result<UpstreamIncarnation, Error> {
         let Some((id, started)) = text.split_once('@') else {
-            return Ok(UpstreamLife { id: text.parse()?, started: None });
+            return Ok(UpstreamIncarnation {
+                id: text.parse()?,
+                started: None,
+            });
         };
         let started = Some(started.parse()?);
-        Ok(UpstreamLife { id: id.parse()?, started })
+        Ok(UpstreamIncarnation { id: id.parse()?, started })
     }
 }
--- a/src/placing/member.rs
+++ b/src/placing/member.rs
@@ -14,7 +14,8 @@
 use crate::{
     clock::BootInstant,
     id::{
-        DataHallId, ServiceId, StartMs, UpstreamId, UpstreamLife, VersionId,
+        DataHallId, ServiceId, StartMs, UpstreamId, UpstreamIncarnation,
+        VersionId,
     },
     message::{ShortHash, Work},
     placing::{
@@ -85,8 +86,8 @@
 
 impl UpstreamEntry {
     /// The life that it is of.
-    pub fn life(&self) -> UpstreamLife {
-        UpstreamLife { id: self.id.clone(), started: self.started }
+    pub fn life(&self) -> UpstreamIncarnation {
+        UpstreamIncarnation { id: self.id.clone(), started: self.started }
     }
 
     /// How it stands to an entry that was told before.
