--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -21,7 +21,7 @@
     event::Event,
     facts::{knowledge::ChangedItem, knowledge_pack, peers::Receiver},
     gateway::{Gateway, fields},
-    message::{PeerReply, PeerRequest, ShortHash, ToldLimit, VmBeat},
+    message::{Heartbeat, PeerReply, PeerRequest, ShortHash, ToldLimit},
     metrics::Metrics,
     peer::PeerService,
     platform::store::{Item, Items},
@@ -103,7 +103,7 @@
 /// The beats of one round: one for the VMs of the own data hall and one for
 /// those of others, which differ only in their echo.
 pub(crate) struct Round {
-    beat: VmBeat,
+    beat: Heartbeat,
     /// What only other halls are told, until the first of them is reached.
     for_others: Option<ForOthers>,
     receivers: std::vec::IntoIter<Receiver>,
@@ -140,7 +140,7 @@
     }
 
     /// The next beat, and the VM that it goes to.
-    pub(crate) fn next_beat(&mut self) -> Option<(SocketAddr, &VmBeat)> {
+    pub(crate) fn next_beat(&mut self) -> Option<(SocketAddr, &Heartbeat)> {
         let receiver = self.receivers.next()?;
         if !receiver.is_near
             && let Some(told) = self.for_others.take()
@@ -156,14 +156,14 @@
 }
 
 /// What a VM has to tell the others now.
-fn beat(gateway: &Gateway) -> VmBeat {
+fn beat(gateway: &Gateway) -> Heartbeat {
     let peers = &gateway.peers;
     let now = gateway.clock.now();
     let number = peers.next_number(now);
     let old =
         |service: &_, target: &_| gateway.in_flight_at_old(service, target);
     let age = gateway.knowledge.proof_age(now);
-    VmBeat {
+    Heartbeat {
         vm: peers.vm().to_owned(),
         data_hall: gateway.settings.data_hall.clone(),
         link_mbps: gateway.settings.link,
@@ -197,7 +197,7 @@
             task::sleep(Duration::from_millis(50)).await;
             continue;
         };
-        match gateway.peers.codec.open::<VmBeat>(&buffer[..length]) {
+        match gateway.peers.codec.open::<Heartbeat>(&buffer[..length]) {
             Ok(beat) => hear(&gateway, &beat),
             Err(fault) => {
                 let dropped = &gateway.metrics.frames_dropped;
@@ -208,7 +208,7 @@
 }
 
 /// Takes in a beat.
-pub(crate) fn hear(gateway: &Arc<Gateway>, beat: &VmBeat) {
+pub(crate) fn hear(gateway: &Arc<Gateway>, beat: &Heartbeat) {
     if beat.vm == gateway.peers.vm() {
         return;
     }
@@ -250,7 +250,7 @@
 }
 
 /// Takes in what a beat tells of the roll-outs that are running.
-fn hear_evidence(gateway: &Gateway, beat: &VmBeat, is_near: bool) {
+fn hear_evidence(gateway: &Gateway, beat: &Heartbeat, is_near: bool) {
     let now = gateway.clock.now();
     let rollouts = &gateway.rollouts;
     let own_hall = ShortHash::of(gateway.settings.data_hall.as_str());
--- a/src/facts/peers.rs
+++ b/src/facts/peers.rs
@@ -22,7 +22,7 @@
     frame::FrameCodec,
     gateway::settings::GatewaySettings,
     id::{DataHallId, Incarnation},
-    message::{Echo, VmBeat},
+    message::{Echo, Heartbeat},
     metrics::Metrics,
     peer::PeerClient,
     rendezvous,
@@ -159,7 +159,7 @@
     /// Lives are told apart by the time of day at which they began, which may
     /// have been set back meanwhile; a life that has fallen silent gives way
     /// to any other.
-    fn is_after(&self, beat: &VmBeat, now: BootInstant) -> bool {
+    fn is_after(&self, beat: &Heartbeat, now: BootInstant) -> bool {
         let silent = now.saturating_duration_since(self.at);
         if self.incarnation != beat.incarnation && silent > LIFE_OPEN_AFTER {
             return false;
@@ -574,7 +574,7 @@
     /// whether its sender knows more.
     pub(crate) fn hear(
         &self,
-        beat: &VmBeat,
+        beat: &Heartbeat,
         knowledge: &Knowledge,
         now: BootInstant,
     ) -> bool {
@@ -615,7 +615,7 @@
     ///
     /// The beat was made once the echoed one had been there for as long as it
     /// says, and the echoed one arrived after it was sent from here.
-    fn proven_at(&self, beat: &VmBeat) -> Option<BootInstant> {
+    fn proven_at(&self, beat: &Heartbeat) -> Option<BootInstant> {
         let echo = beat.echo?;
         if echo.incarnation != self.incarnation {
             return None;
--- a/src/facts/peers/tests.rs
+++ b/src/facts/peers/tests.rs
@@ -14,8 +14,8 @@
     Gateway::new(settings, Arc::new(SystemClock))
 }
 
-fn beat(vm: usize, hall: &str, incarnation: u64, number: u32) -> VmBeat {
-    VmBeat {
+fn beat(vm: usize, hall: &str, incarnation: u64, number: u32) -> Heartbeat {
+    Heartbeat {
         vm: format!("vm-{vm}"),
         data_hall: hall.parse().unwrap(),
         link_mbps: Mbps(20),
@@ -41,7 +41,7 @@
 }
 
 /// Lets a VM hear a beat.
-fn hear(gateway: &Gateway, beat: &VmBeat) {
+fn hear(gateway: &Gateway, beat: &Heartbeat) {
     let now = gateway.clock.now();
     gateway.peers.hear(beat, &gateway.knowledge, now);
 }
@@ -102,7 +102,8 @@
     let first = before.iter().find(|vm| *vm != peers.vm()).unwrap();
     let number = first.strip_prefix("vm-").unwrap().parse().unwrap();
     let hall = hall(first).to_string();
-    let turned_away = VmBeat { can_watch: false, ..beat(number, &hall, 1, 2) };
+    let turned_away =
+        Heartbeat { can_watch: false, ..beat(number, &hall, 1, 2) };
     hear(&gateway, &turned_away);
     let after = peers.find_watchers(gateway.clock.now());
     assert_eq!(after.len(), WATCHERS);
--- a/src/message.rs
+++ b/src/message.rs
@@ -218,7 +218,7 @@
 /// It carries an echo of the receiver's last beat, so that the receiver knows
 /// that everything in it is younger than that beat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct VmBeat {
+pub struct Heartbeat {
     /// The sender.
     pub vm: String,
     /// Its data hall.
