--- a/src/chat_face/gossip.rs
+++ b/src/chat_face/gossip.rs
@@ -23,7 +23,7 @@
     event::Event,
     frame::{DATAGRAM_LIMIT_BYTES, FrameFault},
     id::VmId,
-    message::{Beat, Datagram, Gossip, Notice, ShortHash},
+    message::{Datagram, Gossip, HeartbeatEntry, Notice, ShortHash},
     placing::upstream::Upstream,
     task,
 };
@@ -263,7 +263,7 @@
 pub(crate) fn message(vm: &Vm, counter: u32) -> Gossip {
     let now = vm.clock.now();
     let me = vm.life();
-    let own = Beat {
+    let own = HeartbeatEntry {
         vm: ShortHash::of(me.vm.as_str()),
         incarnation: me.incarnation,
         counter,
--- a/src/chat_face/membership.rs
+++ b/src/chat_face/membership.rs
@@ -9,7 +9,7 @@
 use crate::{
     clock::BootInstant,
     id::Incarnation,
-    message::{Beat, ShortHash},
+    message::{HeartbeatEntry, ShortHash},
 };
 
 /// What is believed about a VM.
@@ -87,7 +87,7 @@
     /// Returns the change of belief that it causes, if any.
     pub fn observe(
         &mut self,
-        beat: &Beat,
+        beat: &HeartbeatEntry,
         now: BootInstant,
     ) -> Option<LifeChange> {
         if beat.vm == self.me {
@@ -153,7 +153,7 @@
     }
 
     /// The latest signs of life, for passing on.
-    pub fn beats(&self, limit: usize) -> Vec<Beat> {
+    pub fn beats(&self, limit: usize) -> Vec<HeartbeatEntry> {
         let mut newest: Vec<_> = self
             .members
             .iter()
@@ -163,7 +163,7 @@
         newest
             .into_iter()
             .take(limit)
-            .map(|(vm, member)| Beat {
+            .map(|(vm, member)| HeartbeatEntry {
                 vm: *vm,
                 incarnation: member.incarnation,
                 counter: member.counter,
@@ -184,8 +184,8 @@
 
     const VM: ShortHash = ShortHash(2);
 
-    fn beat(incarnation: u64, counter: u32) -> Beat {
-        Beat {
+    fn beat(incarnation: u64, counter: u32) -> HeartbeatEntry {
+        HeartbeatEntry {
             vm: VM,
             incarnation: Incarnation(incarnation),
             counter,
--- a/src/chat_face/view.rs
+++ b/src/chat_face/view.rs
@@ -21,7 +21,7 @@
     clock::BootInstant,
     event::Event,
     id::{DataHallId, Incarnation, ModelId, ServiceId, UpstreamId, VmId},
-    message::{Beat, LoadEntry, ShortHash},
+    message::{HeartbeatEntry, LoadEntry, ShortHash},
     placing::{
         owners::Roster,
         upstream::{Serves, Upstream, UpstreamFacts},
@@ -286,7 +286,7 @@
     /// Takes in signs of life.
     pub fn observe_beats(
         &self,
-        beats: &[Beat],
+        beats: &[HeartbeatEntry],
         now: BootInstant,
     ) -> Vec<LifeChange> {
         let mut members = self.members.lock().expect("members lock");
@@ -299,7 +299,7 @@
     }
 
     /// The latest signs of life.
-    pub fn beats(&self, limit: usize) -> Vec<Beat> {
+    pub fn beats(&self, limit: usize) -> Vec<HeartbeatEntry> {
         self.members.lock().expect("members lock").beats(limit)
     }
 
--- a/src/message.rs
+++ b/src/message.rs
@@ -96,7 +96,7 @@
 
 /// A sign of life of one VM, passed on by others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct HeartbeatEntry {
     /// The VM.
     pub vm: ShortHash,
     /// Its life.
@@ -155,7 +155,7 @@
     /// The age of the last proof that this revision is current.
     pub proof_age_ms: Option<u32>,
     /// Signs of life.
-    pub beats: Vec<Beat>,
+    pub beats: Vec<HeartbeatEntry>,
     /// Loads.
     pub loads: Vec<LoadEntry>,
     /// Sums over data halls.
