--- a/src/facts/peers.rs
+++ b/src/facts/peers.rs
@@ -22,7 +22,7 @@
     frame::FrameCodec,
     gateway::settings::GatewaySettings,
     id::{DataHallId, Incarnation},
-    message::{Echo, Heartbeat},
+    message::{Heartbeat, HeartbeatEcho},
     metrics::Metrics,
     peer::PeerClient,
     rendezvous,
@@ -167,9 +167,9 @@
         (self.incarnation, self.number) >= (beat.incarnation, beat.number)
     }
 
-    fn echo(&self, now: BootInstant) -> Echo {
+    fn echo(&self, now: BootInstant) -> HeartbeatEcho {
         let held = now.saturating_duration_since(self.at);
-        Echo {
+        HeartbeatEcho {
             incarnation: self.incarnation,
             number: self.number,
             held_ms: held.as_millis() as u32,
@@ -183,7 +183,7 @@
     /// Where it listens.
     pub(crate) address: SocketAddr,
     /// Its last beat that arrived.
-    pub(crate) echo: Option<Echo>,
+    pub(crate) echo: Option<HeartbeatEcho>,
     /// Whether it is known to stand in the sender's data hall.
     pub(crate) is_near: bool,
 }
--- a/src/message.rs
+++ b/src/message.rs
@@ -204,7 +204,7 @@
 
 /// The last beat that a VM has had from another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Echo {
+pub struct HeartbeatEcho {
     /// The other VM's life.
     pub incarnation: Incarnation,
     /// The number of the beat.
@@ -232,7 +232,7 @@
     /// A number that grows while it lives.
     pub number: u32,
     /// The receiver's last beat that arrived.
-    pub echo: Option<Echo>,
+    pub echo: Option<HeartbeatEcho>,
     /// Whether it is in a planned stop.
     pub leaving: bool,
     /// The version of the platform's store up to which it knows all.
