--- a/src/facts/peers.rs
+++ b/src/facts/peers.rs
@@ -172,7 +172,7 @@
         HeartbeatEcho {
             incarnation: self.incarnation,
             number: self.number,
-            held_ms: held.as_millis() as u32,
+            elapsed_ms: held.as_millis() as u32,
         }
     }
 }
@@ -621,7 +621,7 @@
             return None;
         }
         let sent_at = self.sent_at(echo.number)?;
-        let held = Duration::from_millis(echo.held_ms.into());
+        let held = Duration::from_millis(echo.elapsed_ms.into());
         let age = Duration::from_millis(beat.proof_age_ms?.into());
         (sent_at + held).checked_sub(age)
     }
--- a/src/message.rs
+++ b/src/message.rs
@@ -210,7 +210,7 @@
     /// The number of the beat.
     pub number: u32,
     /// How long it has been here.
-    pub held_ms: u32,
+    pub elapsed_ms: u32,
 }
 
 /// What a VM before a platform tells each other VM a few times a second.
