--- a/src/facts/peers/tests.rs
+++ b/src/facts/peers/tests.rs
@@ -6,7 +6,7 @@
 use crate::{
     clock::SystemClock,
     gateway::{Gateway, tests::SETTINGS},
-    message::Work,
+    message::InFlightWork,
 };
 
 fn gateway() -> Arc<Gateway> {
@@ -29,7 +29,7 @@
         table: 0,
         proof_age_ms: None,
         can_watch: true,
-        work: Vec::<(crate::message::ShortHash, Work)>::new(),
+        work: Vec::<(crate::message::ShortHash, InFlightWork)>::new(),
         stated: Vec::new(),
         failures: Vec::new(),
         leaving_upstreams: Vec::new(),
--- a/src/message.rs
+++ b/src/message.rs
@@ -53,7 +53,7 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize,
 )]
-pub struct Work {
+pub struct InFlightWork {
     /// Requests.
     pub requests: u16,
     /// Time that the prompts take which are being read, in milliseconds.
@@ -246,7 +246,7 @@
     /// Whether the platform's store answers it, as far as it knows.
     pub can_watch: bool,
     /// What it has at each upstream that has any of it.
-    pub work: Vec<(ShortHash, Work)>,
+    pub work: Vec<(ShortHash, InFlightWork)>,
     /// What upstreams have stated to it since its last beat.
     pub stated: Vec<StatedLoad>,
     /// Upstreams at which its attempts have failed lately, for the VMs of its
--- a/src/placing/member.rs
+++ b/src/placing/member.rs
@@ -17,7 +17,7 @@
         DataHallId, ServiceId, StartMs, UpstreamId, UpstreamIncarnation,
         VersionId,
     },
-    message::{ShortHash, Work},
+    message::{InFlightWork, ShortHash},
     placing::{
         hall_way::HallWay,
         health::Health,
@@ -172,7 +172,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct PeerCount {
-    work: Work,
+    work: InFlightWork,
     at: BootInstant,
 }
 
@@ -394,9 +394,14 @@
     }
 
     /// Takes in what another VM has there.
-    pub fn set_peer_work(&self, vm: &str, work: Work, now: BootInstant) {
+    pub fn set_peer_work(
+        &self,
+        vm: &str,
+        work: InFlightWork,
+        now: BootInstant,
+    ) {
         let mut counts = self.counts.lock().expect("counts lock");
-        if work == Work::default() {
+        if work == InFlightWork::default() {
             counts.remove(vm);
         } else {
             counts.insert(vm.to_owned(), PeerCount { work, at: now });
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -9,7 +9,7 @@
 use crate::{
     clock::BootInstant,
     id::UpstreamId,
-    message::{ShortHash, StatedLoad, ToldFailure, ToldLimit, Work},
+    message::{InFlightWork, ShortHash, StatedLoad, ToldFailure, ToldLimit},
     placing::{
         health::Verdict,
         member::{LoadReport, Member},
@@ -212,16 +212,16 @@
     }
 
     /// What this VM has at each upstream that has any of it.
-    pub fn own_work(&self) -> Vec<(ShortHash, Work)> {
+    pub fn own_work(&self) -> Vec<(ShortHash, InFlightWork)> {
         let members = self.read();
         let bounded = |n: u32| u16::try_from(n).unwrap_or(u16::MAX);
         let work = members.by_id.values().filter_map(|member| {
             let reading_ms = member.reading_ms.load(Ordering::Relaxed);
-            let work = Work {
+            let work = InFlightWork {
                 requests: bounded(member.upstream.in_flight()),
                 reading_ms: bounded(reading_ms),
             };
-            let has_any = work != Work::default();
+            let has_any = work != InFlightWork::default();
             has_any.then_some((member.upstream.short, work))
         });
         work.collect()
@@ -231,12 +231,12 @@
     pub fn set_peer_work(
         &self,
         vm: &str,
-        work: &[(ShortHash, Work)],
+        work: &[(ShortHash, InFlightWork)],
         now: BootInstant,
     ) {
         let members = self.read();
         let mut told = self.told.lock().expect("told lock");
-        let set = |upstream: &ShortHash, there: Work| {
+        let set = |upstream: &ShortHash, there: InFlightWork| {
             if let Some(member) = members.by_short.get(upstream) {
                 member.set_peer_work(vm, there, now);
             }
@@ -248,7 +248,7 @@
             work.iter().map(|(upstream, _)| *upstream).collect();
         let before = told.at.get(vm).map_or(&[][..], Vec::as_slice);
         for upstream in before.iter().filter(|u| !upstreams.contains(u)) {
-            set(upstream, Work::default());
+            set(upstream, InFlightWork::default());
         }
         told.at.insert(vm.to_owned(), upstreams.into_iter().collect());
         if told.is_due(now) {
