--- a/src/message.rs
+++ b/src/message.rs
@@ -63,7 +63,7 @@
 /// A failure at an upstream, as one VM tells it to the others of its data
 /// hall.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldFailure {
+pub struct UpstreamFailureReport {
     /// The upstream.
     pub upstream: ShortHash,
     /// How the attempt ended.
@@ -251,7 +251,7 @@
     pub stated: Vec<StatedLoad>,
     /// Upstreams at which its attempts have failed lately, for the VMs of its
     /// data hall.
-    pub failures: Vec<ToldFailure>,
+    pub failures: Vec<UpstreamFailureReport>,
     /// Lives of upstreams that have said lately that they are leaving.
     pub leaving_upstreams: Vec<ShortHash>,
     /// Rate limits that upstreams have named lately: to it, for the VMs of its
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -9,7 +9,9 @@
 use crate::{
     clock::BootInstant,
     id::UpstreamId,
-    message::{InFlightWork, ShortHash, StatedLoad, ToldFailure, ToldLimit},
+    message::{
+        InFlightWork, ShortHash, StatedLoad, ToldLimit, UpstreamFailureReport,
+    },
     placing::{
         health::Verdict,
         member::{LoadReport, Member},
@@ -187,7 +189,10 @@
     }
 
     /// Takes the failures that the others are to hear of.
-    pub fn take_failures(&self, now: BootInstant) -> Vec<ToldFailure> {
+    pub fn take_failures(
+        &self,
+        now: BootInstant,
+    ) -> Vec<UpstreamFailureReport> {
         self.seen.lock().expect("seen lock").take_failures(now)
     }
 
@@ -195,7 +200,7 @@
     /// returns the upstreams that are unfit by now.
     pub fn hear_failures(
         &self,
-        told: &[ToldFailure],
+        told: &[UpstreamFailureReport],
         now: BootInstant,
     ) -> Vec<UpstreamId> {
         let members = self.read();
--- a/src/placing/seen.rs
+++ b/src/placing/seen.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     clock::BootInstant,
-    message::{ShortHash, StatedLoad, ToldFailure, ToldLimit},
+    message::{ShortHash, StatedLoad, ToldLimit, UpstreamFailureReport},
     placing::{health::Verdict, member::LoadReport},
     unit::RequestRate,
 };
@@ -174,7 +174,7 @@
     pub(crate) fn take_failures(
         &mut self,
         now: BootInstant,
-    ) -> Vec<ToldFailure> {
+    ) -> Vec<UpstreamFailureReport> {
         let failed = std::mem::take(&mut self.failed);
         let is_well = self.answered_at.is_some_and(|at| is_recent(at, now));
         if !is_well {
@@ -184,9 +184,12 @@
         self.told_at.extend(told_now);
         self.told_at.retain(|_, at| is_recent(*at, now));
         let told = failed.into_iter();
-        told.map(|(upstream, verdict)| ToldFailure { upstream, verdict })
-            .take(FAILURES_MOST)
-            .collect()
+        told.map(|(upstream, verdict)| UpstreamFailureReport {
+            upstream,
+            verdict,
+        })
+        .take(FAILURES_MOST)
+        .collect()
     }
 }
 
