--- a/src/chat_face/statement.rs
+++ b/src/chat_face/statement.rs
@@ -8,7 +8,7 @@
         gossip::{Gossiper, log_leaving},
         request::Core,
     },
-    message::{Notice, ShortHash, ToldLimit},
+    message::{Notice, RateLimitReport, ShortHash},
     placing::statement::{OwnNews, RateLimit, Rest, Statement},
     task,
     unit::RequestRate,
@@ -65,7 +65,7 @@
 /// What the other VMs of the data hall are to know at once.
 fn notice_of(news: &OwnNews, upstream: ShortHash) -> Option<Notice> {
     let limit = |rate: Option<RequestRate>| {
-        Notice::RateLimit(ToldLimit { upstream, rate, age_ms: 0 })
+        Notice::RateLimit(RateLimitReport { upstream, rate, age_ms: 0 })
     };
     match news {
         OwnNews::Leaving => Some(Notice::Leaving(upstream)),
--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -21,7 +21,7 @@
     event::Event,
     facts::{knowledge::ChangedItem, knowledge_pack, peers::Receiver},
     gateway::{Gateway, fields},
-    message::{Heartbeat, PeerReply, PeerRequest, ShortHash, ToldLimit},
+    message::{Heartbeat, PeerReply, PeerRequest, RateLimitReport, ShortHash},
     metrics::Metrics,
     peer::PeerService,
     platform::store::{Item, Items},
@@ -114,7 +114,7 @@
 struct ForOthers {
     hall_evidence: Vec<HallEvidence>,
     sightings: Vec<Sighting>,
-    rate_limits: Vec<ToldLimit>,
+    rate_limits: Vec<RateLimitReport>,
 }
 
 impl Round {
--- a/src/gateway/own_words.rs
+++ b/src/gateway/own_words.rs
@@ -10,7 +10,7 @@
     clock::BootInstant,
     event::Event,
     gateway::{Gateway, fields},
-    message::{ShortHash, ToldLimit},
+    message::{RateLimitReport, ShortHash},
     placing::{
         member::Member,
         statement::{OwnNews, Statement},
@@ -51,7 +51,7 @@
     pub(crate) fn hear_limits(
         &self,
         from: &str,
-        told: &[ToldLimit],
+        told: &[RateLimitReport],
         is_near: bool,
     ) {
         let now = self.clock.now();
--- a/src/message.rs
+++ b/src/message.rs
@@ -72,7 +72,7 @@
 
 /// The rate limit that an upstream named, as one VM tells it to the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldLimit {
+pub struct RateLimitReport {
     /// The life of the upstream.
     pub upstream: ShortHash,
     /// The rate; `None` where it named none any more.
@@ -168,7 +168,7 @@
     /// It is leaving.
     Leaving(ShortHash),
     /// It has begun to name a rate limit, or names none any more.
-    RateLimit(ToldLimit),
+    RateLimit(RateLimitReport),
 }
 
 impl Notice {
@@ -180,7 +180,7 @@
                 let later_ms = u16::try_from(time.as_millis());
                 let later_ms = later_ms.unwrap_or(u16::MAX);
                 let age_ms = told.age_ms.saturating_add(later_ms);
-                Notice::RateLimit(ToldLimit { age_ms, ..told })
+                Notice::RateLimit(RateLimitReport { age_ms, ..told })
             }
         }
     }
@@ -256,7 +256,7 @@
     pub leaving_upstreams: Vec<ShortHash>,
     /// Rate limits that upstreams have named lately: to it, for the VMs of its
     /// data hall; to any VM that it has heard, for those of other halls.
-    pub rate_limits: Vec<ToldLimit>,
+    pub rate_limits: Vec<RateLimitReport>,
     /// What it has seen of the roll-outs that are running, for the VMs of its
     /// data hall.
     pub evidence: Vec<Evidence>,
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -10,7 +10,8 @@
     clock::BootInstant,
     id::UpstreamId,
     message::{
-        InFlightWork, ShortHash, StatedLoad, ToldLimit, UpstreamFailureReport,
+        InFlightWork, RateLimitReport, ShortHash, StatedLoad,
+        UpstreamFailureReport,
     },
     placing::{
         health::Verdict,
@@ -67,7 +68,7 @@
         &self,
         for_own_hall: bool,
         now: BootInstant,
-    ) -> Vec<ToldLimit> {
+    ) -> Vec<RateLimitReport> {
         self.seen.lock().expect("seen lock").take_limits(for_own_hall, now)
     }
 
@@ -75,7 +76,7 @@
     /// returns what is news.
     pub(crate) fn hear_limits(
         &self,
-        told: &[ToldLimit],
+        told: &[RateLimitReport],
         is_near: bool,
         now: BootInstant,
     ) -> Vec<(Arc<Member>, OwnNews)> {
--- a/src/placing/seen.rs
+++ b/src/placing/seen.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     clock::BootInstant,
-    message::{ShortHash, StatedLoad, ToldLimit, UpstreamFailureReport},
+    message::{RateLimitReport, ShortHash, StatedLoad, UpstreamFailureReport},
     placing::{health::Verdict, member::LoadReport},
     unit::RequestRate,
 };
@@ -132,7 +132,7 @@
         &mut self,
         for_own_hall: bool,
         now: BootInstant,
-    ) -> Vec<ToldLimit> {
+    ) -> Vec<RateLimitReport> {
         let age = |at: BootInstant| now.saturating_duration_since(at);
         self.limits.retain(|_, seen| age(seen.stated_at) < LIMIT_TOLD_FAR);
         let is_told = |seen: &SeenLimit| {
@@ -140,13 +140,13 @@
             !for_own_hall || seen.near_from.is_some_and(is_new)
         };
         let told = self.limits.iter().filter(|(_, seen)| is_told(seen));
-        let told = told.map(|(upstream, seen)| ToldLimit {
+        let told = told.map(|(upstream, seen)| RateLimitReport {
             upstream: *upstream,
             rate: seen.rate,
             age_ms: u16::try_from(age(seen.stated_at).as_millis())
                 .unwrap_or(u16::MAX),
         });
-        let mut told: Vec<ToldLimit> = told.collect();
+        let mut told: Vec<RateLimitReport> = told.collect();
         told.sort_by_key(|limit| limit.age_ms);
         told.truncate(LIMITS_MOST);
         told
