--- a/src/message.rs
+++ b/src/message.rs
@@ -83,7 +83,7 @@
 
 /// What an upstream stated of its load, as one VM tells it to the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StatedLoad {
+pub struct UpstreamLoadReport {
     /// The upstream.
     pub upstream: ShortHash,
     /// Requests that it worked on.
@@ -248,7 +248,7 @@
     /// What it has at each upstream that has any of it.
     pub work: Vec<(ShortHash, InFlightWork)>,
     /// What upstreams have stated to it since its last beat.
-    pub stated: Vec<StatedLoad>,
+    pub stated: Vec<UpstreamLoadReport>,
     /// Upstreams at which its attempts have failed lately, for the VMs of its
     /// data hall.
     pub failures: Vec<UpstreamFailureReport>,
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -10,8 +10,8 @@
     clock::BootInstant,
     id::UpstreamId,
     message::{
-        InFlightWork, RateLimitReport, ShortHash, StatedLoad,
-        UpstreamFailureReport,
+        InFlightWork, RateLimitReport, ShortHash, UpstreamFailureReport,
+        UpstreamLoadReport,
     },
     placing::{
         health::Verdict,
@@ -154,12 +154,16 @@
     }
 
     /// Takes what upstreams have stated to this VM since it was last taken.
-    pub fn take_stated(&self, now: BootInstant) -> Vec<StatedLoad> {
+    pub fn take_stated(&self, now: BootInstant) -> Vec<UpstreamLoadReport> {
         self.seen.lock().expect("seen lock").take_stated(now)
     }
 
     /// Takes in what upstreams have stated to another VM.
-    pub fn hear_stated(&self, stated: &[StatedLoad], now: BootInstant) {
+    pub fn hear_stated(
+        &self,
+        stated: &[UpstreamLoadReport],
+        now: BootInstant,
+    ) {
         let each = self.mean_reading();
         let members = self.read();
         for told in stated {
--- a/src/placing/seen.rs
+++ b/src/placing/seen.rs
@@ -5,7 +5,9 @@
 
 use crate::{
     clock::BootInstant,
-    message::{RateLimitReport, ShortHash, StatedLoad, UpstreamFailureReport},
+    message::{
+        RateLimitReport, ShortHash, UpstreamFailureReport, UpstreamLoadReport,
+    },
     placing::{health::Verdict, member::LoadReport},
     unit::RequestRate,
 };
@@ -153,11 +155,14 @@
     }
 
     /// Takes what upstreams have stated since this was last asked.
-    pub(crate) fn take_stated(&mut self, now: BootInstant) -> Vec<StatedLoad> {
+    pub(crate) fn take_stated(
+        &mut self,
+        now: BootInstant,
+    ) -> Vec<UpstreamLoadReport> {
         let bounded = |n: u32| u16::try_from(n).unwrap_or(u16::MAX);
         let taken = self.stated.drain().map(|(upstream, (load, at))| {
             let age = now.saturating_duration_since(at).as_millis();
-            StatedLoad {
+            UpstreamLoadReport {
                 upstream,
                 running: bounded(load.running),
                 waiting: bounded(load.waiting),
