--- a/src/gateway/limit_replay.rs
+++ b/src/gateway/limit_replay.rs
@@ -104,7 +104,7 @@
 }
 
 /// A request that is worked on.
-struct InFlightWork {
+struct Work {
     ends_at: BootInstant,
     vm: usize,
     member: Arc<Member>,
@@ -115,7 +115,7 @@
     case: Case,
     fleet: Fleet,
     rng: StdRng,
-    working: VecDeque<InFlightWork>,
+    working: VecDeque<Work>,
     /// When each VM was first told by each upstream.
     told_at_ms: HashMap<(usize, usize), u64>,
     /// What came at each upstream, when, and whether its VM had been told.
@@ -256,7 +256,7 @@
         let told_ms = self.told_at_ms.get(&(at, upstream));
         let was_told = told_ms.is_some_and(|told| passed_ms >= told + TOLD_MS);
         self.arrivals[upstream].push((passed_ms, was_told));
-        self.working.push_back(InFlightWork {
+        self.working.push_back(Work {
             ends_at: now + WORK,
             vm: at,
             _in_flight: member.upstream.begin(),
