--- a/src/chat_face/gossip.rs
+++ b/src/chat_face/gossip.rs
@@ -23,7 +23,7 @@
     event::Event,
     frame::{DATAGRAM_LIMIT_BYTES, FrameFault},
     id::VmId,
-    message::{Datagram, Gossip, HeartbeatEntry, Notice, ShortHash},
+    message::{Datagram, Gossip, HeartbeatEntry, ShortHash, UpstreamNotice},
     placing::upstream::Upstream,
     task,
 };
@@ -84,7 +84,7 @@
     }
 
     /// Tells the hall what an upstream has said of itself.
-    pub(crate) async fn notify(vm: &Arc<Vm>, mut notice: Notice) {
+    pub(crate) async fn notify(vm: &Arc<Vm>, mut notice: UpstreamNotice) {
         for attempt in 0..2 {
             if attempt > 0 {
                 task::sleep(NOTICE_REPEAT).await;
@@ -204,9 +204,9 @@
     }
 }
 
-fn take_notice(vm: &Vm, notice: Notice, now: BootInstant) {
+fn take_notice(vm: &Vm, notice: UpstreamNotice, now: BootInstant) {
     match notice {
-        Notice::Leaving(short) => {
+        UpstreamNotice::Leaving(short) => {
             let found = vm.view.upstream_by_short(short);
             if let Some(upstream) = found
                 && upstream.mark_leaving()
@@ -214,7 +214,7 @@
                 log_leaving(&upstream, "told by another VM");
             }
         }
-        Notice::RateLimit(told) => {
+        UpstreamNotice::RateLimit(told) => {
             let age = Duration::from_millis(told.age_ms.into());
             let found = vm.view.upstream_by_short(told.upstream);
             let (Some(upstream), Some(at)) = (found, now.checked_sub(age))
--- a/src/chat_face/load.rs
+++ b/src/chat_face/load.rs
@@ -12,7 +12,7 @@
         vm::Vm,
     },
     http_client::Call,
-    message::{Notice, ShortHash},
+    message::{ShortHash, UpstreamNotice},
     placing::upstream::Upstream,
     task,
 };
@@ -76,6 +76,6 @@
     upstream.set_load(report.running, report.waiting, versions, asked_at);
     if report.leaving && upstream.mark_leaving() {
         log_leaving(upstream, "by its own report");
-        Gossiper::notify(vm, Notice::Leaving(upstream.short)).await;
+        Gossiper::notify(vm, UpstreamNotice::Leaving(upstream.short)).await;
     }
 }
--- a/src/chat_face/server.rs
+++ b/src/chat_face/server.rs
@@ -25,7 +25,7 @@
     clock::{SharedClock, SystemClock},
     error::{Error, ErrorKind},
     event::Event,
-    message::Notice,
+    message::UpstreamNotice,
     peer,
     settings::Settings,
     task::{self, Task, within},
@@ -267,8 +267,11 @@
             Ok(Some(list)) => {
                 for upstream in vm.view.take_list(&list, now) {
                     log_leaving(&upstream, "by the platform's list");
-                    Gossiper::notify(&vm, Notice::Leaving(upstream.short))
-                        .await;
+                    Gossiper::notify(
+                        &vm,
+                        UpstreamNotice::Leaving(upstream.short),
+                    )
+                    .await;
                 }
             }
             Ok(None) => vm.view.list_unchanged(now),
--- a/src/chat_face/statement.rs
+++ b/src/chat_face/statement.rs
@@ -8,7 +8,7 @@
         gossip::{Gossiper, log_leaving},
         request::Core,
     },
-    message::{Notice, RateLimitReport, ShortHash},
+    message::{RateLimitReport, ShortHash, UpstreamNotice},
     placing::statement::{OwnNews, RateLimit, Rest, Statement},
     task,
     unit::RequestRate,
@@ -63,12 +63,16 @@
 }
 
 /// What the other VMs of the data hall are to know at once.
-fn notice_of(news: &OwnNews, upstream: ShortHash) -> Option<Notice> {
+fn notice_of(news: &OwnNews, upstream: ShortHash) -> Option<UpstreamNotice> {
     let limit = |rate: Option<RequestRate>| {
-        Notice::RateLimit(RateLimitReport { upstream, rate, age_ms: 0 })
+        UpstreamNotice::RateLimit(RateLimitReport {
+            upstream,
+            rate,
+            age_ms: 0,
+        })
     };
     match news {
-        OwnNews::Leaving => Some(Notice::Leaving(upstream)),
+        OwnNews::Leaving => Some(UpstreamNotice::Leaving(upstream)),
         OwnNews::Limited(rate) => Some(limit(Some(*rate))),
         OwnNews::Unlimited => Some(limit(None)),
         _ => None,
--- a/src/message.rs
+++ b/src/message.rs
@@ -164,23 +164,23 @@
 
 /// What a VM has heard from an upstream that its data hall is to know at once.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Notice {
+pub enum UpstreamNotice {
     /// It is leaving.
     Leaving(ShortHash),
     /// It has begun to name a rate limit, or names none any more.
     RateLimit(RateLimitReport),
 }
 
-impl Notice {
+impl UpstreamNotice {
     /// The same, told again some time later.
-    pub(crate) fn after(self, time: Duration) -> Notice {
+    pub(crate) fn after(self, time: Duration) -> UpstreamNotice {
         match self {
-            Notice::Leaving(_) => self,
-            Notice::RateLimit(told) => {
+            UpstreamNotice::Leaving(_) => self,
+            UpstreamNotice::RateLimit(told) => {
                 let later_ms = u16::try_from(time.as_millis());
                 let later_ms = later_ms.unwrap_or(u16::MAX);
                 let age_ms = told.age_ms.saturating_add(later_ms);
-                Notice::RateLimit(RateLimitReport { age_ms, ..told })
+                UpstreamNotice::RateLimit(RateLimitReport { age_ms, ..told })
             }
         }
     }
@@ -192,7 +192,7 @@
     /// A gossip round.
     Gossip(Gossip),
     /// An upstream has said something of itself.
-    Notice(Notice),
+    Notice(UpstreamNotice),
     /// One VM's own sums, for the VM that adds up its data hall.
     Report {
         /// The sender.
