--- a/src/chains/store.rs
+++ b/src/chains/store.rs
@@ -22,11 +22,11 @@
 use serde::Deserialize;
 
 use crate::{
-    bucket::Bucket,
     clock::SharedClock,
     http_client::{Call, HttpClient, SendError, WholeAnswer},
     settings::StoreSettings,
     task,
+    token_bucket::TokenBucket,
 };
 
 /// The largest value that the service takes, in bytes.
@@ -214,8 +214,8 @@
     base_path: String,
     settings: StoreSettings,
     clock: SharedClock,
-    writes: Mutex<Bucket>,
-    reads: Mutex<Bucket>,
+    writes: Mutex<TokenBucket>,
+    reads: Mutex<TokenBucket>,
     counts: Arc<StoreCounts>,
 }
 
@@ -232,7 +232,7 @@
     ) -> HttpStore {
         let (address, base_path) = split_url(url);
         let now = clock.now();
-        let bucket = |rate: f64| Mutex::new(Bucket::new(rate, rate, now));
+        let bucket = |rate: f64| Mutex::new(TokenBucket::new(rate, rate, now));
         HttpStore {
             client: HttpClient::new(settings.deadline, clock.clone()),
             address,
@@ -250,7 +250,10 @@
         self.counts.clone()
     }
 
-    async fn admit(&self, bucket: &Mutex<Bucket>) -> Result<(), StoreError> {
+    async fn admit(
+        &self,
+        bucket: &Mutex<TokenBucket>,
+    ) -> Result<(), StoreError> {
         let patience = self.settings.deadline * LIMIT_PATIENCE;
         let give_up_at = self.clock.now() + patience;
         loop {
--- a/src/chat_face/limit.rs
+++ b/src/chat_face/limit.rs
@@ -15,7 +15,6 @@
 };
 
 use crate::{
-    bucket::Bucket,
     chat_face::{
         tally::{Tallies, Tally, TallyKey, usage},
         template::Template,
@@ -24,6 +23,7 @@
     error::{Error, ErrorKind},
     id::OrganisationId,
     message::ShortHash,
+    token_bucket::TokenBucket,
     unit::MicroCost,
 };
 
@@ -42,7 +42,7 @@
 /// The use that one organisation makes of this VM.
 #[derive(Debug)]
 struct Use {
-    bucket: Bucket,
+    bucket: TokenBucket,
     in_flight: Arc<AtomicU32>,
     demand_per_s: f64,
     asked_since: u32,
@@ -138,7 +138,7 @@
         let rate = template.rate_per_s;
         let burst = (rate * BURST_S).max(1.0);
         Use {
-            bucket: Bucket::new(rate, burst, now),
+            bucket: TokenBucket::new(rate, burst, now),
             in_flight: Arc::default(),
             demand_per_s: 0.0,
             asked_since: 0,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -45,7 +45,6 @@
 #![warn(missing_docs)]
 
 mod answer;
-mod bucket;
 pub mod chains;
 pub mod chat_face;
 pub mod cli;
@@ -74,4 +73,5 @@
 mod sse;
 mod story;
 mod task;
+mod token_bucket;
 pub mod unit;
--- a/src/bucket.rs
+++ b/src/token_bucket.rs
@@ -6,22 +6,22 @@
 
 /// A token bucket that starts full.
 #[derive(Clone, Debug)]
-pub(crate) struct Bucket {
+pub(crate) struct TokenBucket {
     rate_per_s: f64,
     burst: f64,
     tokens: f64,
     filled_at: BootInstant,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// Creates a bucket that lets `burst` through at once and `rate_per_s`
     /// in the long run.
     pub(crate) fn new(
         rate_per_s: f64,
         burst: f64,
         now: BootInstant,
-    ) -> Bucket {
-        Bucket { rate_per_s, burst, tokens: burst, filled_at: now }
+    ) -> TokenBucket {
+        TokenBucket { rate_per_s, burst, tokens: burst, filled_at: now }
     }
 
     /// Takes `amount` tokens, or says how long to wait for them.
@@ -70,7 +70,7 @@
     #[test]
     fn a_bucket_lets_the_burst_and_then_the_rate_through() {
         let start = BootInstant::now();
-        let mut bucket = Bucket::new(10.0, 2.0, start);
+        let mut bucket = TokenBucket::new(10.0, 2.0, start);
         assert!(bucket.take(1.0, start).is_ok());
         assert!(bucket.take(1.0, start).is_ok());
         let wait = bucket.take(1.0, start).unwrap_err();
