--- a/src/chat_face/gossip.rs
+++ b/src/chat_face/gossip.rs
@@ -21,7 +21,7 @@
     },
     clock::BootInstant,
     event::Event,
-    frame::{DATAGRAM_LIMIT_BYTES, FrameFault},
+    frame::{DATAGRAM_LIMIT_BYTES, FrameError},
     id::VmId,
     message::{Datagram, Gossip, HeartbeatEntry, ShortHash, UpstreamNotice},
     placing::upstream::Upstream,
@@ -180,7 +180,7 @@
         }
     }
 
-    fn drop_frame(&self, vm: &Vm, fault: FrameFault) {
+    fn drop_frame(&self, vm: &Vm, fault: FrameError) {
         let label = fault.as_str();
         vm.metrics.frames_dropped.with_label_values(&[label]).inc();
         let now = vm.clock.now();
--- a/src/frame.rs
+++ b/src/frame.rs
@@ -44,7 +44,7 @@
 
 /// Why a frame was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FrameFault {
+pub enum FrameError {
     /// It is shorter than an empty frame.
     Short,
     /// It has another format.
@@ -55,14 +55,14 @@
     Body,
 }
 
-impl FrameFault {
+impl FrameError {
     /// The word used as a metric label.
     pub fn as_str(self) -> &'static str {
         match self {
-            FrameFault::Short => "short",
-            FrameFault::Format => "format",
-            FrameFault::Tag => "tag",
-            FrameFault::Body => "body",
+            FrameError::Short => "short",
+            FrameError::Format => "format",
+            FrameError::Tag => "tag",
+            FrameError::Body => "body",
         }
     }
 }
@@ -103,36 +103,36 @@
     ///
     /// # Errors
     ///
-    /// A [`FrameFault`] for anything that [`FrameCodec::seal`] of the same
+    /// A [`FrameError`] for anything that [`FrameCodec::seal`] of the same
     /// release and key has not made.
     pub fn open<T: DeserializeOwned>(
         &self,
         frame: &[u8],
-    ) -> Result<T, FrameFault> {
+    ) -> Result<T, FrameError> {
         let split =
-            frame.len().checked_sub(TAG_BYTES).ok_or(FrameFault::Short)?;
+            frame.len().checked_sub(TAG_BYTES).ok_or(FrameError::Short)?;
         let (sealed, tag) = frame.split_at(split);
         let [format, packing, body @ ..] = sealed else {
-            return Err(FrameFault::Short);
+            return Err(FrameError::Short);
         };
         if *format != FORMAT {
-            return Err(FrameFault::Format);
+            return Err(FrameError::Format);
         }
         let expected = blake3::keyed_hash(&self.key, sealed);
         if !same_bytes(&expected.as_bytes()[..TAG_BYTES], tag) {
-            return Err(FrameFault::Tag);
+            return Err(FrameError::Tag);
         }
         let inflated;
         let body = match *packing {
             PLAIN => body,
             DEFLATED => {
                 inflated =
-                    inflate(body, INFLATED_MOST).ok_or(FrameFault::Body)?;
+                    inflate(body, INFLATED_MOST).ok_or(FrameError::Body)?;
                 &inflated
             }
-            _ => return Err(FrameFault::Body),
+            _ => return Err(FrameError::Body),
         };
-        postcard::from_bytes(body).map_err(|_| FrameFault::Body)
+        postcard::from_bytes(body).map_err(|_| FrameError::Body)
     }
 }
 
@@ -190,7 +190,7 @@
         for length in 0..frame.len() {
             assert!(codec("1").open::<u64>(&frame[..length]).is_err());
         }
-        assert_eq!(codec("2").open::<u64>(&frame), Err(FrameFault::Tag));
+        assert_eq!(codec("2").open::<u64>(&frame), Err(FrameError::Tag));
     }
 
     #[test]
@@ -207,6 +207,6 @@
         }
         let frame = codec("1").seal(&Later::New);
         let opened = codec("1").open::<Now>(&frame);
-        assert_eq!(opened, Err(FrameFault::Body));
+        assert_eq!(opened, Err(FrameError::Body));
     }
 }
