--- a/src/chat_face/vm.rs
+++ b/src/chat_face/vm.rs
@@ -417,7 +417,7 @@
                 PeerReply::Decision(self.decisions.get(&id).map(Box::new))
             }
             PeerRequest::Knowledge
-            | PeerRequest::Look { .. }
+            | PeerRequest::PullKnowledge { .. }
             | PeerRequest::News { .. } => {
                 refused("this VM follows no platform's store")
             }
--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -293,7 +293,7 @@
 fn news(digest_before: u64, changes: &Items, own: SocketAddr) -> PeerRequest {
     let bytes = |item: &Item| item.value.as_ref().map_or(0, Vec::len);
     if changes.items.iter().any(|item| bytes(item) > TOLD_BYTES) {
-        return PeerRequest::Look { from: own };
+        return PeerRequest::PullKnowledge { from: own };
     }
     let items = changes.items.iter().map(|item| ChangedItem {
         key: item.key.clone(),
@@ -423,7 +423,7 @@
                 self.take_news(news);
                 PeerReply::Done
             }
-            PeerRequest::Look { from } => {
+            PeerRequest::PullKnowledge { from } => {
                 task::spawn(take_or_look(self, from)).detach();
                 PeerReply::Done
             }
--- a/src/message.rs
+++ b/src/message.rs
@@ -309,7 +309,7 @@
     Knowledge,
     /// Take everything from the sender, which knows more than it can tell
     /// every VM unasked.
-    Look {
+    PullKnowledge {
         /// Where the sender listens for other VMs.
         from: SocketAddr,
     },
