--- a/src/chat_face/vm.rs
+++ b/src/chat_face/vm.rs
@@ -418,7 +418,7 @@
             }
             PeerRequest::Knowledge
             | PeerRequest::PullKnowledge { .. }
-            | PeerRequest::News { .. } => {
+            | PeerRequest::KnowledgeDelta { .. } => {
                 refused("this VM follows no platform's store")
             }
         }
--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -300,7 +300,7 @@
         value: item.value.clone(),
         version: item.version.0,
     });
-    PeerRequest::News {
+    PeerRequest::KnowledgeDelta {
         digest_before,
         as_of: changes.as_of.0,
         items: items.collect(),
@@ -410,7 +410,7 @@
                     sightings: self.crashes.all_held(),
                 }
             }
-            PeerRequest::News { digest_before, as_of, items } => {
+            PeerRequest::KnowledgeDelta { digest_before, as_of, items } => {
                 let items = items.into_iter().map(|item| Item {
                     key: item.key,
                     value: item.value,
--- a/src/message.rs
+++ b/src/message.rs
@@ -314,7 +314,7 @@
         from: SocketAddr,
     },
     /// Take in what has changed in the platform's store.
-    News {
+    KnowledgeDelta {
         /// The digest of what was known before.
         digest_before: u64,
         /// The version of the store up to which it holds.
