--- a/src/chat_face/gossip.rs
+++ b/src/chat_face/gossip.rs
@@ -159,7 +159,7 @@
             return;
         }
         if let Some(peer) = vm.view.peer(&adder) {
-            let datagram = Datagram::Report { vm: me, tallies: due };
+            let datagram = Datagram::TallyReport { vm: me, tallies: due };
             self.send(vm, peer.address, &datagram).await;
         }
     }
@@ -197,7 +197,7 @@
     match datagram {
         Datagram::Gossip(gossip) => take_gossip(vm, &gossip, now).await,
         Datagram::Notice(notice) => take_notice(vm, notice, now),
-        Datagram::Report { vm: from, tallies } => {
+        Datagram::TallyReport { vm: from, tallies } => {
             let mut own = vm.tallies.lock().expect("tallies lock");
             own.report(ShortHash::of(from.as_str()), &tallies, now);
         }
--- a/src/message.rs
+++ b/src/message.rs
@@ -194,7 +194,7 @@
     /// An upstream has said something of itself.
     Notice(UpstreamNotice),
     /// One VM's own sums, for the VM that adds up its data hall.
-    Report {
+    TallyReport {
         /// The sender.
         vm: VmId,
         /// Its sums.
