--- a/src/chat_face/gossip.rs
+++ b/src/chat_face/gossip.rs
@@ -131,7 +131,7 @@
         {
             let mut gossip = message(vm, counter);
             // Signs of life matter in their own hall only.
-            gossip.beats.clear();
+            gossip.heartbeats.clear();
             gossip.loads = vm.view.loads(LOADS, 0, vm.clock.now());
             let datagram = Datagram::Gossip(gossip);
             self.send(vm, peer.address, &datagram).await;
@@ -234,7 +234,7 @@
 
 async fn take_gossip(vm: &Arc<Vm>, gossip: &Gossip, now: BootInstant) {
     if gossip.data_hall == *vm.view.data_hall() {
-        let changes = vm.view.observe_beats(&gossip.beats, now);
+        let changes = vm.view.observe_beats(&gossip.heartbeats, now);
         log_life_changes(&vm.view, &changes);
     }
     for upstream in vm.view.take_loads(&gossip.loads, now) {
@@ -280,7 +280,7 @@
         revision: vm.configuration.current().revision(),
         proof_age_ms: proof_age
             .map(|age| age.as_millis().min(u32::MAX.into()) as u32),
-        beats,
+        heartbeats: beats,
         loads: vm.view.loads(LOADS, LOADS_REMOTE, now),
         tallies: {
             let tallies = vm.tallies.lock().expect("tallies lock");
@@ -299,7 +299,7 @@
     while length(gossip) > DATAGRAM_LIMIT_BYTES {
         let longest = gossip.loads.len().max(gossip.tallies.len());
         if longest == 0 {
-            gossip.beats.remove(0);
+            gossip.heartbeats.remove(0);
         } else if gossip.loads.len() == longest {
             gossip.loads.pop();
         } else {
--- a/src/message.rs
+++ b/src/message.rs
@@ -155,7 +155,7 @@
     /// The age of the last proof that this revision is current.
     pub proof_age_ms: Option<u32>,
     /// Signs of life.
-    pub beats: Vec<HeartbeatEntry>,
+    pub heartbeats: Vec<HeartbeatEntry>,
     /// Loads.
     pub loads: Vec<LoadEntry>,
     /// Sums over data halls.
