--- a/src/chat_face/gossip.rs
+++ b/src/chat_face/gossip.rs
@@ -276,7 +276,7 @@
         vm: me.vm,
         data_hall: vm.view.data_hall().clone(),
         incarnation: me.incarnation,
-        peers: vm.peer_address,
+        peer_address: vm.peer_address,
         revision: vm.configuration.current().revision(),
         proof_age_ms: proof_age
             .map(|age| age.as_millis().min(u32::MAX.into()) as u32),
--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -167,7 +167,7 @@
         vm: peers.vm().to_owned(),
         data_hall: gateway.settings.data_hall.clone(),
         link_mbps: gateway.settings.link,
-        peers: gateway.settings.peers,
+        peer_address: gateway.settings.peers,
         incarnation: gateway.incarnation,
         number,
         echo: None,
@@ -240,7 +240,7 @@
     gateway.peers.note_behind(now);
     let age = gateway.knowledge.proof_age(now);
     if age.is_none_or(|age| age > BEHIND_AFTER) {
-        let (gateway, from) = (gateway.clone(), beat.peers);
+        let (gateway, from) = (gateway.clone(), beat.peer_address);
         let work = async move {
             // If it fails, the next beat says again that this VM is behind.
             let _ = fetch(&gateway, from).await;
--- a/src/facts/peers.rs
+++ b/src/facts/peers.rs
@@ -580,7 +580,7 @@
     ) -> bool {
         let mut known = self.known.lock().expect("peers lock");
         let peer = known.entry(beat.vm.clone()).or_insert_with(|| Peer {
-            address: beat.peers,
+            address: beat.peer_address,
             data_hall: beat.data_hall.clone(),
             link: beat.link_mbps,
             is_recorded: false,
@@ -589,7 +589,7 @@
         if peer.heard.as_ref().is_some_and(|heard| heard.is_after(beat, now)) {
             return false;
         }
-        peer.address = beat.peers;
+        peer.address = beat.peer_address;
         peer.link = beat.link_mbps;
         let proven_at = self.proven_at(beat);
         peer.heard = Some(Heard {
--- a/src/facts/peers/tests.rs
+++ b/src/facts/peers/tests.rs
@@ -19,7 +19,7 @@
         vm: format!("vm-{vm}"),
         data_hall: hall.parse().unwrap(),
         link_mbps: Mbps(20),
-        peers: format!("127.0.0.1:{}", 1000 + vm).parse().unwrap(),
+        peer_address: format!("127.0.0.1:{}", 1000 + vm).parse().unwrap(),
         incarnation: Incarnation(incarnation),
         number,
         echo: None,
--- a/src/message.rs
+++ b/src/message.rs
@@ -149,7 +149,7 @@
     /// Its life.
     pub incarnation: Incarnation,
     /// Where it listens for other VMs.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// The configuration revision in force there.
     pub revision: Revision,
     /// The age of the last proof that this revision is current.
@@ -226,7 +226,7 @@
     /// The rate of its network link.
     pub link_mbps: Mbps,
     /// Where it listens for other VMs.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Its life.
     pub incarnation: Incarnation,
     /// A number that grows while it lives.
