--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -174,7 +174,11 @@
         leaving: gateway.is_stopping(),
         as_of: gateway.knowledge.as_of().0,
         digest: gateway.knowledge.digest(),
-        table: gateway.knowledge.table_version().unwrap_or_default().0,
+        configuration_version: gateway
+            .knowledge
+            .table_version()
+            .unwrap_or_default()
+            .0,
         // Rounded up, so that a proof never seems younger than it is.
         proof_age_ms: age.map(|age| age.as_millis() as u32 + 1),
         can_watch: peers.can_watch(now),
--- a/src/facts/peers.rs
+++ b/src/facts/peers.rs
@@ -602,13 +602,15 @@
         });
         drop(known);
         if let Some(proven_at) = proven_at
-            && knowledge.table_version() == Some(TableVersion(beat.table))
+            && knowledge.table_version()
+                == Some(TableVersion(beat.configuration_version))
         {
             knowledge.prove(proven_at);
         }
         let table = knowledge.table_version().unwrap_or_default();
         beat.digest != knowledge.digest()
-            && (beat.as_of > knowledge.as_of().0 || beat.table > table.0)
+            && (beat.as_of > knowledge.as_of().0
+                || beat.configuration_version > table.0)
     }
 
     /// When what the sender knows was current, by this VM's clock.
--- a/src/facts/peers/tests.rs
+++ b/src/facts/peers/tests.rs
@@ -26,7 +26,7 @@
         leaving: false,
         as_of: 0,
         digest: 0,
-        table: 0,
+        configuration_version: 0,
         proof_age_ms: None,
         can_watch: true,
         work: Vec::<(crate::message::ShortHash, InFlightWork)>::new(),
--- a/src/message.rs
+++ b/src/message.rs
@@ -240,7 +240,7 @@
     /// A digest of all that it knows.
     pub digest: u64,
     /// The version of the configuration in force there.
-    pub table: u64,
+    pub configuration_version: u64,
     /// The age of the last proof that this configuration is current.
     pub proof_age_ms: Option<u32>,
     /// Whether the platform's store answers it, as far as it knows.
