--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -182,7 +182,7 @@
         // Rounded up, so that a proof never seems younger than it is.
         proof_age_ms: age.map(|age| age.as_millis() as u32 + 1),
         can_watch: peers.can_watch(now),
-        work: gateway.pool.own_work(),
+        in_flight: gateway.pool.own_work(),
         stated: gateway.pool.take_stated(now),
         failures: gateway.pool.take_failures(now),
         leaving_upstreams: gateway.pool.take_leaving(now),
@@ -222,7 +222,7 @@
         gateway.peers.note_agreed(&beat.vm, now);
     }
     gateway.pool.note_hall_heard(&beat.data_hall, now);
-    gateway.pool.set_peer_work(&beat.vm, &beat.work, now);
+    gateway.pool.set_peer_work(&beat.vm, &beat.in_flight, now);
     gateway.pool.hear_stated(&beat.stated, now);
     let is_near = beat.data_hall == gateway.settings.data_hall;
     gateway.hear_leaving(&beat.vm, &beat.leaving_upstreams);
--- a/src/facts/peers/tests.rs
+++ b/src/facts/peers/tests.rs
@@ -29,7 +29,7 @@
         configuration_version: 0,
         proof_age_ms: None,
         can_watch: true,
-        work: Vec::<(crate::message::ShortHash, InFlightWork)>::new(),
+        in_flight: Vec::<(crate::message::ShortHash, InFlightWork)>::new(),
         stated: Vec::new(),
         failures: Vec::new(),
         leaving_upstreams: Vec::new(),
--- a/src/message.rs
+++ b/src/message.rs
@@ -246,7 +246,7 @@
     /// Whether the platform's store answers it, as far as it knows.
     pub can_watch: bool,
     /// What it has at each upstream that has any of it.
-    pub work: Vec<(ShortHash, InFlightWork)>,
+    pub in_flight: Vec<(ShortHash, InFlightWork)>,
     /// What upstreams have stated to it since its last beat.
     pub stated: Vec<UpstreamLoadReport>,
     /// Upstreams at which its attempts have failed lately, for the VMs of its
