--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -183,7 +183,7 @@
         proof_age_ms: age.map(|age| age.as_millis() as u32 + 1),
         can_watch: peers.can_watch(now),
         in_flight: gateway.pool.own_work(),
-        stated: gateway.pool.take_stated(now),
+        load_reports: gateway.pool.take_stated(now),
         failures: gateway.pool.take_failures(now),
         leaving_upstreams: gateway.pool.take_leaving(now),
         rate_limits: gateway.pool.take_limits(true, now),
@@ -223,7 +223,7 @@
     }
     gateway.pool.note_hall_heard(&beat.data_hall, now);
     gateway.pool.set_peer_work(&beat.vm, &beat.in_flight, now);
-    gateway.pool.hear_stated(&beat.stated, now);
+    gateway.pool.hear_stated(&beat.load_reports, now);
     let is_near = beat.data_hall == gateway.settings.data_hall;
     gateway.hear_leaving(&beat.vm, &beat.leaving_upstreams);
     gateway.hear_limits(&beat.vm, &beat.rate_limits, is_near);
--- a/src/facts/peers/tests.rs
+++ b/src/facts/peers/tests.rs
@@ -30,7 +30,7 @@
         proof_age_ms: None,
         can_watch: true,
         in_flight: Vec::<(crate::message::ShortHash, InFlightWork)>::new(),
-        stated: Vec::new(),
+        load_reports: Vec::new(),
         failures: Vec::new(),
         leaving_upstreams: Vec::new(),
         rate_limits: Vec::new(),
--- a/src/message.rs
+++ b/src/message.rs
@@ -248,7 +248,7 @@
     /// What it has at each upstream that has any of it.
     pub in_flight: Vec<(ShortHash, InFlightWork)>,
     /// What upstreams have stated to it since its last beat.
-    pub stated: Vec<UpstreamLoadReport>,
+    pub load_reports: Vec<UpstreamLoadReport>,
     /// Upstreams at which its attempts have failed lately, for the VMs of its
     /// data hall.
     pub failures: Vec<UpstreamFailureReport>,
