--- a/src/message.rs
+++ b/src/message.rs
@@ -57,7 +57,7 @@
     /// Requests.
     pub requests: u16,
     /// Time that the prompts take which are being read, in milliseconds.
-    pub reading_ms: u16,
+    pub prefill_ms: u16,
 }
 
 /// A failure at an upstream, as one VM tells it to the others of its data
--- a/src/placing/member.rs
+++ b/src/placing/member.rs
@@ -186,7 +186,7 @@
     fn reading_left_ms(&self, now: BootInstant) -> u32 {
         let age = now.saturating_duration_since(self.at).as_millis();
         let age_ms = u32::try_from(age).unwrap_or(u32::MAX);
-        u32::from(self.work.reading_ms).saturating_sub(age_ms)
+        u32::from(self.work.prefill_ms).saturating_sub(age_ms)
     }
 }
 
@@ -429,7 +429,7 @@
         self.others.store(requests.sum(), Ordering::Relaxed);
         let left_ms = counts.values().map(|c| c.reading_left_ms(now)).sum();
         let told_ms =
-            counts.values().map(|c| u32::from(c.work.reading_ms)).sum();
+            counts.values().map(|c| u32::from(c.work.prefill_ms)).sum();
         let told = ToldReading { left_ms, told_ms, at: now };
         *self.others_reading.lock().expect("told lock") = told;
     }
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -115,7 +115,7 @@
     let entries = [entry("i-1", "a", "v1"), entry("i-2", "a", "v1")];
     let pool = pool(&entries, now);
     let busy = pool.member(&"i-1".parse().unwrap()).unwrap();
-    let work = InFlightWork { requests: 9, reading_ms: 500 };
+    let work = InFlightWork { requests: 9, prefill_ms: 500 };
     pool.set_peer_work("vm-2", &[(busy.upstream.short, work)], now);
     assert_eq!(busy.requests(now), 9);
     assert_eq!(picks(&pool, &Want::default(), now), ["i-2"]);
@@ -326,7 +326,7 @@
     let pool = pool(&entries, now);
     let member = |id: &str| pool.member(&id.parse().unwrap()).unwrap();
     let short = |id: &str| member(id).upstream.short;
-    let work = InFlightWork { requests: 3, reading_ms: 40 };
+    let work = InFlightWork { requests: 3, prefill_ms: 40 };
     pool.set_peer_work("vm-2", &[(short("i-1"), work)], now);
     pool.set_peer_work("vm-2", &[(short("i-2"), work)], now);
     assert_eq!(member("i-1").requests(now), 0);
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -229,7 +229,7 @@
             let reading_ms = member.reading_ms.load(Ordering::Relaxed);
             let work = InFlightWork {
                 requests: bounded(member.upstream.in_flight()),
-                reading_ms: bounded(reading_ms),
+                prefill_ms: bounded(reading_ms),
             };
             let has_any = work != InFlightWork::default();
             has_any.then_some((member.upstream.short, work))
