--- a/src/crashes/mod.rs
+++ b/src/crashes/mod.rs
@@ -12,7 +12,7 @@
 //! * [`record`]: what this VM knows of requests and of upstreams that ended,
 //!   and which requests it holds back.
 //! * [`verdict`]: the culprit is told from those that were there by chance.
-//! * [`sighting`], [`tellings`]: what VMs tell each other of it, in their
+//! * [`observation`], [`tellings`]: what VMs tell each other of it, in their
 //!   beats.
 //! * [`keeping`]: what is held back lies in the platform's store as well, for
 //!   VMs that start later, if need be all of them.
@@ -20,8 +20,8 @@
 pub mod digest;
 pub(crate) mod end_check;
 pub(crate) mod keeping;
+pub mod observation;
 pub(crate) mod record;
-pub mod sighting;
 pub(crate) mod tellings;
 pub(crate) mod verdict;
 
--- a/src/crashes/record.rs
+++ b/src/crashes/record.rs
@@ -17,7 +17,7 @@
     clock::BootInstant,
     crashes::{
         digest::RequestDigest,
-        sighting::{Crash, End, Seen, Sighting},
+        observation::{Crash, End, Seen, Sighting},
         tellings::{Audience, Source, Tellings},
         verdict::{self, Ends},
     },
--- a/src/crashes/tellings.rs
+++ b/src/crashes/tellings.rs
@@ -2,7 +2,7 @@
 
 use std::cmp::Reverse;
 
-use crate::crashes::sighting::Sighting;
+use crate::crashes::observation::Sighting;
 
 /// Rounds of beats in which a VM tells the same: each goes to all of its data
 /// hall, and one datagram in thirty is lost at worst.
@@ -39,19 +39,19 @@
 /// Something to tell in the next rounds of beats.
 #[derive(Debug)]
 struct Telling {
-    sighting: Sighting,
+    observation: Sighting,
     own_hall_left: u8,
     other_halls_left: u8,
 }
 
 impl Telling {
-    fn new(sighting: Sighting, source: Source) -> Telling {
+    fn new(observation: Sighting, source: Source) -> Telling {
         let (own_hall_left, other_halls_left) = match source {
             Source::Own | Source::OtherHall => (TOLD_ROUNDS, TOLD_ROUNDS),
             Source::OwnHall => (0, TOLD_ROUNDS),
             Source::Kept => (0, 0),
         };
-        Telling { sighting, own_hall_left, other_halls_left }
+        Telling { observation, own_hall_left, other_halls_left }
     }
 
     fn is_over(&self) -> bool {
@@ -73,9 +73,10 @@
 impl Tellings {
     /// Adds something that comes from `source`, unless all others have it or
     /// it is being told already.
-    pub(crate) fn add(&mut self, sighting: Sighting, source: Source) {
-        let is_told = self.0.iter().any(|told| told.sighting == sighting);
-        let telling = Telling::new(sighting, source);
+    pub(crate) fn add(&mut self, observation: Sighting, source: Source) {
+        let is_told =
+            self.0.iter().any(|told| told.observation == observation);
+        let telling = Telling::new(observation, source);
         if !is_told && !telling.is_over() {
             self.0.push(telling);
         }
@@ -87,14 +88,14 @@
         audience: Audience,
         rank: impl Fn(&Sighting) -> usize,
     ) -> Vec<Sighting> {
-        self.0.sort_by_key(|telling| Reverse(rank(&telling.sighting)));
+        self.0.sort_by_key(|telling| Reverse(rank(&telling.observation)));
         let mut told = Vec::new();
         for telling in &mut self.0 {
-            let sighting = telling.sighting;
+            let observation = telling.observation;
             let left = telling.left(audience);
             if *left > 0 && told.len() < TOLD_MOST {
                 *left -= 1;
-                told.push(sighting);
+                told.push(observation);
             }
         }
         self.0.retain(|telling| !telling.is_over());
--- a/src/crashes/verdict.rs
+++ b/src/crashes/verdict.rs
@@ -12,7 +12,7 @@
     collections::{BTreeMap, BTreeSet},
 };
 
-use crate::crashes::{digest::RequestDigest, sighting::End};
+use crate::crashes::{digest::RequestDigest, observation::End};
 
 /// Upstreams that must have ended under a request, with no other to explain
 /// it, before it is held back. Operators allow three.
--- a/src/facts/knowledge.rs
+++ b/src/facts/knowledge.rs
@@ -20,7 +20,7 @@
 use crate::{
     chains::store::StoreVersion,
     clock::BootInstant,
-    crashes::{digest::RequestDigest, sighting::Crash},
+    crashes::{digest::RequestDigest, observation::Crash},
     facts::{
         knowledge_pack,
         route::{RouteTable, TableVersion},
--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -15,7 +15,7 @@
 use crate::{
     chains::store::StoreVersion,
     crashes::{
-        sighting::Sighting,
+        observation::Sighting,
         tellings::{Audience, Source},
     },
     event::Event,
--- a/src/message.rs
+++ b/src/message.rs
@@ -18,7 +18,7 @@
         decision::Decision,
         tally::{Tally, TallyKey},
     },
-    crashes::sighting::Sighting,
+    crashes::observation::Sighting,
     facts::knowledge::ChangedItem,
     id::{DataHallId, Incarnation, RequestId, Revision, VmId},
     placing::health::Verdict,
