--- a/src/crashes/observation.rs
+++ b/src/crashes/observation.rs
@@ -48,21 +48,23 @@
 
 /// What one VM tells the others of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sighting {
+pub struct RequestObservation {
     /// The request.
     pub request: RequestDigest,
     /// What was seen of it.
     pub seen: Seen,
 }
 
-impl Sighting {
+impl RequestObservation {
     /// The sightings of upstreams that ended while they had a request.
     pub(crate) fn of_crashes(
         request: RequestDigest,
         crashes: Vec<Crash>,
-    ) -> impl Iterator<Item = Sighting> {
+    ) -> impl Iterator<Item = RequestObservation> {
         let crashes = crashes.into_iter();
-        crashes
-            .map(move |crash| Sighting { request, seen: Seen::Crashed(crash) })
+        crashes.map(move |crash| RequestObservation {
+            request,
+            seen: Seen::Crashed(crash),
+        })
     }
 }
--- a/src/crashes/record.rs
+++ b/src/crashes/record.rs
@@ -17,7 +17,7 @@
     clock::BootInstant,
     crashes::{
         digest::RequestDigest,
-        observation::{Crash, End, Seen, Sighting},
+        observation::{Crash, End, RequestObservation, Seen},
         tellings::{Audience, Source, Tellings},
         verdict::{self, Ends},
     },
@@ -224,7 +224,7 @@
     /// Takes in what another VM tells, or what was kept.
     pub(crate) fn hear(
         &self,
-        sightings: &[Sighting],
+        sightings: &[RequestObservation],
         source: Source,
         now: BootInstant,
     ) -> Vec<HoldChange> {
@@ -232,7 +232,7 @@
             return Vec::new();
         }
         let mut state = self.lock();
-        for Sighting { request, seen } in sightings {
+        for RequestObservation { request, seen } in sightings {
             match seen {
                 Seen::Crashed(crash) => {
                     state.end(crash.end, now);
@@ -249,7 +249,10 @@
     }
 
     /// What the next beat to these VMs tells.
-    pub(crate) fn to_tell(&self, audience: Audience) -> Vec<Sighting> {
+    pub(crate) fn to_tell(
+        &self,
+        audience: Audience,
+    ) -> Vec<RequestObservation> {
         let mut state = self.lock();
         let State { tellings, suspects, .. } = &mut *state;
         tellings.take(audience, |told| {
@@ -258,10 +261,10 @@
     }
 
     /// What another VM is handed that asks for all that is known.
-    pub(crate) fn all_held(&self) -> Vec<Sighting> {
+    pub(crate) fn all_held(&self) -> Vec<RequestObservation> {
         let held = self.held().into_iter();
         held.flat_map(|(request, crashes)| {
-            Sighting::of_crashes(request, crashes)
+            RequestObservation::of_crashes(request, crashes)
         })
         .collect()
     }
@@ -365,7 +368,7 @@
     }
 
     fn tell(&mut self, request: RequestDigest, seen: Seen, source: Source) {
-        self.tellings.add(Sighting { request, seen }, source);
+        self.tellings.add(RequestObservation { request, seen }, source);
     }
 
     /// Forgets the ends that a request saw; returns whether there were any.
--- a/src/crashes/record/tests.rs
+++ b/src/crashes/record/tests.rs
@@ -9,10 +9,10 @@
     ShortHash(number)
 }
 
-fn crash(request: RequestDigest, upstream: u32) -> Sighting {
+fn crash(request: RequestDigest, upstream: u32) -> RequestObservation {
     let end = End { upstream: life(upstream), number: 0 };
     let crash = Crash { end, had_ms: 50 };
-    Sighting { request, seen: Seen::Crashed(crash) }
+    RequestObservation { request, seen: Seen::Crashed(crash) }
 }
 
 /// Has upstreams end under a request.
@@ -118,7 +118,8 @@
     let (record, now) = (CrashRecord::default(), BootInstant::now());
     end_under(&record, OTHER, 1..=3, now);
     assert!(record.is_held(OTHER, now));
-    let told: Vec<Sighting> = (1..=4).map(|n| crash(DEADLY, n)).collect();
+    let told: Vec<RequestObservation> =
+        (1..=4).map(|n| crash(DEADLY, n)).collect();
     let changes = record.hear(&told, Source::OwnHall, now);
     assert!(changes.contains(&HoldChange::Released(OTHER)), "{changes:?}");
     assert!(record.is_held(DEADLY, now) && !record.is_held(OTHER, now));
@@ -174,7 +175,7 @@
 fn many_suspects_do_not_displace_one_that_is_held_back() {
     let (record, now) = (CrashRecord::default(), BootInstant::now());
     end_under(&record, DEADLY, 1..=3, now);
-    let told: Vec<Sighting> = (0..SUSPECTS_MOST as u64 + 500)
+    let told: Vec<RequestObservation> = (0..SUSPECTS_MOST as u64 + 500)
         .map(|number| crash(RequestDigest(1000 + number), 77))
         .collect();
     record.hear(&told, Source::OwnHall, now);
--- a/src/crashes/tellings.rs
+++ b/src/crashes/tellings.rs
@@ -2,7 +2,7 @@
 
 use std::cmp::Reverse;
 
-use crate::crashes::observation::Sighting;
+use crate::crashes::observation::RequestObservation;
 
 /// Rounds of beats in which a VM tells the same: each goes to all of its data
 /// hall, and one datagram in thirty is lost at worst.
@@ -39,13 +39,13 @@
 /// Something to tell in the next rounds of beats.
 #[derive(Debug)]
 struct Telling {
-    observation: Sighting,
+    observation: RequestObservation,
     own_hall_left: u8,
     other_halls_left: u8,
 }
 
 impl Telling {
-    fn new(observation: Sighting, source: Source) -> Telling {
+    fn new(observation: RequestObservation, source: Source) -> Telling {
         let (own_hall_left, other_halls_left) = match source {
             Source::Own | Source::OtherHall => (TOLD_ROUNDS, TOLD_ROUNDS),
             Source::OwnHall => (0, TOLD_ROUNDS),
@@ -73,7 +73,11 @@
 impl Tellings {
     /// Adds something that comes from `source`, unless all others have it or
     /// it is being told already.
-    pub(crate) fn add(&mut self, observation: Sighting, source: Source) {
+    pub(crate) fn add(
+        &mut self,
+        observation: RequestObservation,
+        source: Source,
+    ) {
         let is_told =
             self.0.iter().any(|told| told.observation == observation);
         let telling = Telling::new(observation, source);
@@ -86,8 +90,8 @@
     pub(crate) fn take(
         &mut self,
         audience: Audience,
-        rank: impl Fn(&Sighting) -> usize,
-    ) -> Vec<Sighting> {
+        rank: impl Fn(&RequestObservation) -> usize,
+    ) -> Vec<RequestObservation> {
         self.0.sort_by_key(|telling| Reverse(rank(&telling.observation)));
         let mut told = Vec::new();
         for telling in &mut self.0 {
--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -15,7 +15,7 @@
 use crate::{
     chains::store::StoreVersion,
     crashes::{
-        observation::Sighting,
+        observation::RequestObservation,
         tellings::{Audience, Source},
     },
     event::Event,
@@ -113,7 +113,7 @@
 /// own one are.
 struct ForOthers {
     hall_evidence: Vec<HallEvidence>,
-    sightings: Vec<Sighting>,
+    sightings: Vec<RequestObservation>,
     rate_limits: Vec<RateLimitReport>,
 }
 
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -22,7 +22,7 @@
     clock::{BootInstant, SharedClock},
     crashes::{
         record::{CrashRecord, HoldChange},
-        sighting::Sighting,
+        sighting::RequestObservation,
         tellings::Source,
     },
     event::Event,
@@ -377,8 +377,8 @@
                 })));
             }
             Fact::CrashingRequest(request, crashes) => {
-                let told: Vec<Sighting> =
-                    Sighting::of_crashes(request, crashes).collect();
+                let told: Vec<RequestObservation> =
+                    RequestObservation::of_crashes(request, crashes).collect();
                 self.hear_sightings(&told, Source::Kept);
             }
             Fact::Peer(vm, record) => {
@@ -393,7 +393,11 @@
     }
 
     /// Takes in what was seen elsewhere of requests and crashes.
-    pub(crate) fn hear_sightings(&self, told: &[Sighting], source: Source) {
+    pub(crate) fn hear_sightings(
+        &self,
+        told: &[RequestObservation],
+        source: Source,
+    ) {
         let now = self.clock.now();
         let changes = self.crashes.hear(told, source, now);
         self.note_crash_changes(&changes);
--- a/src/message.rs
+++ b/src/message.rs
@@ -18,7 +18,7 @@
         decision::Decision,
         tally::{Tally, TallyKey},
     },
-    crashes::observation::Sighting,
+    crashes::observation::RequestObservation,
     facts::knowledge::ChangedItem,
     id::{DataHallId, Incarnation, RequestId, Revision, VmId},
     placing::health::Verdict,
@@ -261,7 +261,7 @@
     /// data hall.
     pub evidence: Vec<Evidence>,
     /// What was seen lately of requests and of upstreams that ended.
-    pub sightings: Vec<Sighting>,
+    pub sightings: Vec<RequestObservation>,
     /// What the VMs of a whole data hall have seen: of its own for the VMs of
     /// other halls, and of other halls, which it was told, for those of its
     /// own.
@@ -351,7 +351,7 @@
         /// The age of the proof that they are current.
         proof_age_ms: u32,
         /// The requests that are held back, and why.
-        sightings: Vec<Sighting>,
+        sightings: Vec<RequestObservation>,
     },
     /// The receiver cannot or may not do it.
     Refused(String),
