--- a/src/crashes/record.rs
+++ b/src/crashes/record.rs
@@ -224,15 +224,15 @@
     /// Takes in what another VM tells, or what was kept.
     pub(crate) fn hear(
         &self,
-        sightings: &[RequestObservation],
+        observations: &[RequestObservation],
         source: Source,
         now: BootInstant,
     ) -> Vec<HoldChange> {
-        if sightings.is_empty() {
+        if observations.is_empty() {
             return Vec::new();
         }
         let mut state = self.lock();
-        for RequestObservation { request, seen } in sightings {
+        for RequestObservation { request, seen } in observations {
             match seen {
                 Seen::Crashed(crash) => {
                     state.end(crash.end, now);
--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -113,7 +113,7 @@
 /// own one are.
 struct ForOthers {
     hall_evidence: Vec<HallEvidence>,
-    sightings: Vec<RequestObservation>,
+    observations: Vec<RequestObservation>,
     rate_limits: Vec<RateLimitReport>,
 }
 
@@ -126,11 +126,11 @@
         let rollouts = &gateway.rollouts;
         let for_others = ForOthers {
             hall_evidence: rollouts.hall_evidence(hall, &beat.evidence, now),
-            sightings: gateway.crashes.to_tell(Audience::OtherHalls),
+            observations: gateway.crashes.to_tell(Audience::OtherHalls),
             rate_limits: gateway.pool.take_limits(false, now),
         };
         beat.hall_evidence = rollouts.relays(&beat.evidence, now);
-        beat.sightings = gateway.crashes.to_tell(Audience::OwnHall);
+        beat.observations = gateway.crashes.to_tell(Audience::OwnHall);
         let receivers = gateway.peers.receivers(now);
         Round {
             beat,
@@ -147,7 +147,7 @@
         {
             self.beat.evidence = Vec::new();
             self.beat.hall_evidence = told.hall_evidence;
-            self.beat.sightings = told.sightings;
+            self.beat.observations = told.observations;
             self.beat.rate_limits = told.rate_limits;
         }
         self.beat.echo = receiver.echo;
@@ -188,7 +188,7 @@
         leaving_upstreams: gateway.pool.take_leaving(now),
         rate_limits: gateway.pool.take_limits(true, now),
         evidence: gateway.rollouts.evidence(old, now),
-        sightings: Vec::new(),
+        observations: Vec::new(),
         hall_evidence: Vec::new(),
     }
 }
@@ -237,7 +237,7 @@
     }
     hear_evidence(gateway, beat, is_near);
     let source = if is_near { Source::OwnHall } else { Source::OtherHall };
-    gateway.hear_sightings(&beat.sightings, source);
+    gateway.hear_sightings(&beat.observations, source);
     if !knows_more {
         return;
     }
@@ -362,12 +362,12 @@
     let client = &gateway.peers.client;
     let reply =
         client.call(from, PeerRequest::Knowledge, KNOWLEDGE_LIMIT).await;
-    let Ok(PeerReply::Knowledge { as_of, packed, proof_age_ms, sightings }) =
+    let Ok(PeerReply::Knowledge { as_of, packed, proof_age_ms, observations }) =
         reply
     else {
         return false;
     };
-    gateway.hear_sightings(&sightings, Source::Kept);
+    gateway.hear_sightings(&observations, Source::Kept);
     if StoreVersion(as_of) <= gateway.knowledge.as_of() {
         return true;
     }
@@ -411,7 +411,7 @@
                     as_of: as_of.0,
                     packed: packed.to_vec(),
                     proof_age_ms: age.as_millis() as u32 + 1,
-                    sightings: self.crashes.all_held(),
+                    observations: self.crashes.all_held(),
                 }
             }
             PeerRequest::KnowledgeDelta { digest_before, as_of, items } => {
--- a/src/facts/peers/tests.rs
+++ b/src/facts/peers/tests.rs
@@ -35,7 +35,7 @@
         leaving_upstreams: Vec::new(),
         rate_limits: Vec::new(),
         evidence: Vec::new(),
-        sightings: Vec::new(),
+        observations: Vec::new(),
         hall_evidence: Vec::new(),
     }
 }
--- a/src/message.rs
+++ b/src/message.rs
@@ -261,7 +261,7 @@
     /// data hall.
     pub evidence: Vec<Evidence>,
     /// What was seen lately of requests and of upstreams that ended.
-    pub sightings: Vec<RequestObservation>,
+    pub observations: Vec<RequestObservation>,
     /// What the VMs of a whole data hall have seen: of its own for the VMs of
     /// other halls, and of other halls, which it was told, for those of its
     /// own.
@@ -351,7 +351,7 @@
         /// The age of the proof that they are current.
         proof_age_ms: u32,
         /// The requests that are held back, and why.
-        sightings: Vec<RequestObservation>,
+        observations: Vec<RequestObservation>,
     },
     /// The receiver cannot or may not do it.
     Refused(String),
