--- a/src/crashes/observation.rs
+++ b/src/crashes/observation.rs
@@ -43,7 +43,7 @@
     /// An upstream ended while it had the request.
     Crashed(Crash),
     /// An upstream ran it to its end.
-    RanWhole,
+    Completed,
 }
 
 /// What one VM tells the others of one request.
--- a/src/crashes/record.rs
+++ b/src/crashes/record.rs
@@ -217,7 +217,7 @@
         if !state.forget(request) {
             return Vec::new();
         }
-        state.tell(request, Seen::RanWhole, Source::Own);
+        state.tell(request, Seen::Completed, Source::Own);
         state.judge()
     }
 
@@ -238,9 +238,9 @@
                     state.end(crash.end, now);
                     state.take(*request, *crash, source, now);
                 }
-                Seen::RanWhole => {
+                Seen::Completed => {
                     if state.forget(*request) {
-                        state.tell(*request, Seen::RanWhole, source);
+                        state.tell(*request, Seen::Completed, source);
                     }
                 }
             }
@@ -348,7 +348,7 @@
         let ran_at = self.ran_whole.get(&request);
         if ran_at.is_some_and(|at| is_recent(*at, WELL_REMEMBERED, now)) {
             // Who has not had it yet takes it for a culprit.
-            self.tell(request, Seen::RanWhole, Source::Own);
+            self.tell(request, Seen::Completed, Source::Own);
             return;
         }
         if !self.is_suspect(request, now) {
--- a/src/gateway/wake_tests.rs
+++ b/src/gateway/wake_tests.rs
@@ -38,7 +38,7 @@
     Prove,
     Retry,
     End(u32),
-    RanWhole,
+    Completed,
     List,
     Vanish,
     Hear,
@@ -50,7 +50,7 @@
         Just(Act::Retry),
         (0..6_u32).prop_map(Act::End),
         (0..6_u32).prop_map(Act::End),
-        Just(Act::RanWhole),
+        Just(Act::Completed),
         Just(Act::List),
         Just(Act::Vanish),
         Just(Act::Hear),
@@ -92,7 +92,7 @@
             gateway.crashes.note_lost(REQUEST, life, now, now);
             gateway.crashes.settle(life, Listening::No, now);
         }
-        Act::RanWhole => {
+        Act::Completed => {
             gateway.crashes.note_ran_whole(REQUEST, now);
         }
         Act::List => {
