--- a/src/crashes/observation.rs
+++ b/src/crashes/observation.rs
@@ -39,7 +39,7 @@
 
 /// What was seen of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Seen {
+pub enum RequestOutcome {
     /// An upstream ended while it had the request.
     Crashed(Crash),
     /// An upstream ran it to its end.
@@ -52,7 +52,7 @@
     /// The request.
     pub request: RequestDigest,
     /// What was seen of it.
-    pub seen: Seen,
+    pub seen: RequestOutcome,
 }
 
 impl RequestObservation {
@@ -64,7 +64,7 @@
         let crashes = crashes.into_iter();
         crashes.map(move |crash| RequestObservation {
             request,
-            seen: Seen::Crashed(crash),
+            seen: RequestOutcome::Crashed(crash),
         })
     }
 }
--- a/src/crashes/record.rs
+++ b/src/crashes/record.rs
@@ -17,7 +17,7 @@
     clock::BootInstant,
     crashes::{
         digest::RequestDigest,
-        observation::{Crash, End, RequestObservation, Seen},
+        observation::{Crash, End, RequestObservation, RequestOutcome},
         tellings::{Audience, Source, Tellings},
         verdict::{self, Ends},
     },
@@ -217,7 +217,7 @@
         if !state.forget(request) {
             return Vec::new();
         }
-        state.tell(request, Seen::Completed, Source::Own);
+        state.tell(request, RequestOutcome::Completed, Source::Own);
         state.judge()
     }
 
@@ -234,13 +234,17 @@
         let mut state = self.lock();
         for RequestObservation { request, seen } in observations {
             match seen {
-                Seen::Crashed(crash) => {
+                RequestOutcome::Crashed(crash) => {
                     state.end(crash.end, now);
                     state.take(*request, *crash, source, now);
                 }
-                Seen::Completed => {
+                RequestOutcome::Completed => {
                     if state.forget(*request) {
-                        state.tell(*request, Seen::Completed, source);
+                        state.tell(
+                            *request,
+                            RequestOutcome::Completed,
+                            source,
+                        );
                     }
                 }
             }
@@ -348,7 +352,7 @@
         let ran_at = self.ran_whole.get(&request);
         if ran_at.is_some_and(|at| is_recent(*at, WELL_REMEMBERED, now)) {
             // Who has not had it yet takes it for a culprit.
-            self.tell(request, Seen::Completed, Source::Own);
+            self.tell(request, RequestOutcome::Completed, Source::Own);
             return;
         }
         if !self.is_suspect(request, now) {
@@ -364,10 +368,15 @@
         }
         ends.insert(crash.end, crash.had_ms);
         suspect.heard_at = now;
-        self.tell(request, Seen::Crashed(crash), source);
+        self.tell(request, RequestOutcome::Crashed(crash), source);
     }
 
-    fn tell(&mut self, request: RequestDigest, seen: Seen, source: Source) {
+    fn tell(
+        &mut self,
+        request: RequestDigest,
+        seen: RequestOutcome,
+        source: Source,
+    ) {
         self.tellings.add(RequestObservation { request, seen }, source);
     }
 
