--- a/src/crashes/mod.rs
+++ b/src/crashes/mod.rs
@@ -14,13 +14,13 @@
 //! * [`verdict`]: the culprit is told from those that were there by chance.
 //! * [`observation`], [`tellings`]: what VMs tell each other of it, in their
 //!   beats.
-//! * [`keeping`]: what is held back lies in the platform's store as well, for
+//! * [`persistence`]: what is held back lies in the platform's store as well, for
 //!   VMs that start later, if need be all of them.
 
 pub mod digest;
 pub(crate) mod end_check;
-pub(crate) mod keeping;
 pub mod observation;
+pub(crate) mod persistence;
 pub(crate) mod record;
 pub(crate) mod tellings;
 pub(crate) mod verdict;
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -21,7 +21,7 @@
 
 use crate::{
     clock::SystemClock,
-    crashes::keeping,
+    crashes::persistence,
     event::Event,
     facts::mesh,
     gateway::{
@@ -72,7 +72,7 @@
         task::spawn(watch::prove_loop(gateway.clone())),
         task::spawn(record::run(gateway.clone())),
         task::spawn(steward::run(gateway.clone())),
-        task::spawn(keeping::run(gateway.clone())),
+        task::spawn(persistence::run(gateway.clone())),
         task::spawn(mesh::beat_loop(gateway.clone(), datagrams.clone())),
         task::spawn(mesh::hear_loop(gateway.clone(), datagrams)),
         task::spawn(mesh::serve(gateway.clone(), streams)),
