--- a/src/crashes/mod.rs
+++ b/src/crashes/mod.rs
@@ -8,7 +8,7 @@
 //! # The way of a crash
 //!
 //! * [`digest`]: a request is known again by what it holds.
-//! * [`end_check`]: an attempt is lost; has its upstream ended?
+//! * [`crash_check`]: an attempt is lost; has its upstream ended?
 //! * [`record`]: what this VM knows of requests and of upstreams that ended,
 //!   and which requests it holds back.
 //! * [`verdict`]: the culprit is told from those that were there by chance.
@@ -17,8 +17,8 @@
 //! * [`persistence`]: what is held back lies in the platform's store as well, for
 //!   VMs that start later, if need be all of them.
 
+pub(crate) mod crash_check;
 pub mod digest;
-pub(crate) mod end_check;
 pub mod observation;
 pub(crate) mod persistence;
 pub(crate) mod record;
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     clock::BootInstant,
-    crashes::{digest::RequestDigest, end_check},
+    crashes::{crash_check, digest::RequestDigest},
     error::{Error, ErrorKind},
     facts::route::{Organisation, Repeat, Route},
     gateway::{
@@ -631,7 +631,7 @@
         let gateway = &self.gateway;
         let now = gateway.clock.now();
         if verdict == Verdict::Lost {
-            end_check::note_lost(
+            crash_check::note_lost(
                 gateway,
                 &attempt.member,
                 self.digest(),
