--- a/src/crashes/tellings.rs
+++ b/src/crashes/broadcast_queue.rs
@@ -38,20 +38,20 @@
 
 /// Something to tell in the next rounds of beats.
 #[derive(Debug)]
-struct Telling {
+struct Broadcast {
     observation: RequestObservation,
     own_hall_left: u8,
     other_halls_left: u8,
 }
 
-impl Telling {
-    fn new(observation: RequestObservation, source: Source) -> Telling {
+impl Broadcast {
+    fn new(observation: RequestObservation, source: Source) -> Broadcast {
         let (own_hall_left, other_halls_left) = match source {
             Source::Own | Source::OtherHall => (TOLD_ROUNDS, TOLD_ROUNDS),
             Source::OwnHall => (0, TOLD_ROUNDS),
             Source::Kept => (0, 0),
         };
-        Telling { observation, own_hall_left, other_halls_left }
+        Broadcast { observation, own_hall_left, other_halls_left }
     }
 
     fn is_over(&self) -> bool {
@@ -68,9 +68,9 @@
 
 /// Everything that is still to be told.
 #[derive(Debug, Default)]
-pub(crate) struct Tellings(Vec<Telling>);
+pub(crate) struct BroadcastQueue(Vec<Broadcast>);
 
-impl Tellings {
+impl BroadcastQueue {
     /// Adds something that comes from `source`, unless all others have it or
     /// it is being told already.
     pub(crate) fn add(
@@ -80,7 +80,7 @@
     ) {
         let is_told =
             self.0.iter().any(|told| told.observation == observation);
-        let telling = Telling::new(observation, source);
+        let telling = Broadcast::new(observation, source);
         if !is_told && !telling.is_over() {
             self.0.push(telling);
         }
--- a/src/crashes/mod.rs
+++ b/src/crashes/mod.rs
@@ -17,12 +17,12 @@
 //! * [`persistence`]: what is held back lies in the platform's store as well, for
 //!   VMs that start later, if need be all of them.
 
+pub(crate) mod broadcast_queue;
 pub(crate) mod crash_check;
 pub mod digest;
 pub mod observation;
 pub(crate) mod persistence;
 pub(crate) mod record;
-pub(crate) mod tellings;
 pub(crate) mod verdict;
 
 #[cfg(test)]
--- a/src/crashes/record.rs
+++ b/src/crashes/record.rs
@@ -16,9 +16,9 @@
 use crate::{
     clock::BootInstant,
     crashes::{
+        broadcast_queue::{Audience, BroadcastQueue, Source},
         digest::RequestDigest,
         observation::{Crash, End, RequestObservation, RequestOutcome},
-        tellings::{Audience, Source, Tellings},
         verdict::{self, Ends},
     },
     http_client::Listening,
@@ -121,7 +121,7 @@
     lives: HashMap<ShortHash, Life>,
     suspects: HashMap<RequestDigest, Suspect>,
     ran_whole: HashMap<RequestDigest, BootInstant>,
-    tellings: Tellings,
+    broadcast_queue: BroadcastQueue,
     held: BTreeSet<RequestDigest>,
     /// Those of them of which nothing was forgotten since.
     firmly_held: BTreeSet<RequestDigest>,
@@ -258,8 +258,8 @@
         audience: Audience,
     ) -> Vec<RequestObservation> {
         let mut state = self.lock();
-        let State { tellings, suspects, .. } = &mut *state;
-        tellings.take(audience, |told| {
+        let State { broadcast_queue, suspects, .. } = &mut *state;
+        broadcast_queue.take(audience, |told| {
             suspects.get(&told.request).map_or(0, |s| s.ends.len())
         })
     }
@@ -377,7 +377,7 @@
         seen: RequestOutcome,
         source: Source,
     ) {
-        self.tellings.add(RequestObservation { request, seen }, source);
+        self.broadcast_queue.add(RequestObservation { request, seen }, source);
     }
 
     /// Forgets the ends that a request saw; returns whether there were any.
--- a/src/crashes/record/tests.rs
+++ b/src/crashes/record/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::crashes::tellings::{TOLD_MOST, TOLD_ROUNDS};
+use crate::crashes::broadcast_queue::{TOLD_MOST, TOLD_ROUNDS};
 
 const DEADLY: RequestDigest = RequestDigest(1);
 const OTHER: RequestDigest = RequestDigest(2);
--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -15,8 +15,8 @@
 use crate::{
     chains::store::StoreVersion,
     crashes::{
+        broadcast_queue::{Audience, Source},
         observation::RequestObservation,
-        tellings::{Audience, Source},
     },
     event::Event,
     facts::{knowledge::ChangedItem, knowledge_pack, peers::Receiver},
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -21,9 +21,9 @@
 use crate::{
     clock::{BootInstant, SharedClock},
     crashes::{
+        broadcast_queue::Source,
         record::{CrashRecord, HoldChange},
         sighting::RequestObservation,
-        tellings::Source,
     },
     event::Event,
     facts::{
