--- a/src/crashes/mod.rs
+++ b/src/crashes/mod.rs
@@ -11,19 +11,19 @@
 //! * [`crash_check`]: an attempt is lost; has its upstream ended?
 //! * [`record`]: what this VM knows of requests and of upstreams that ended,
 //!   and which requests it holds back.
-//! * [`verdict`]: the culprit is told from those that were there by chance.
+//! * [`attribution`]: the culprit is told from those that were there by chance.
 //! * [`observation`], [`tellings`]: what VMs tell each other of it, in their
 //!   beats.
 //! * [`persistence`]: what is held back lies in the platform's store as well, for
 //!   VMs that start later, if need be all of them.
 
+pub(crate) mod attribution;
 pub(crate) mod broadcast_queue;
 pub(crate) mod crash_check;
 pub mod digest;
 pub mod observation;
 pub(crate) mod persistence;
 pub(crate) mod record;
-pub(crate) mod verdict;
 
 #[cfg(test)]
 mod replay;
--- a/src/crashes/record.rs
+++ b/src/crashes/record.rs
@@ -3,7 +3,7 @@
 //!
 //! An attempt that is lost says nothing yet. Once its upstream is known to
 //! have ended, everything that it had is a suspect, and what explains three
-//! ends is held back ([`verdict`](crate::crashes::verdict)). What has run
+//! ends is held back ([`attribution`](crate::crashes::attribution)). What has run
 //! whole anywhere is none.
 
 use std::{
@@ -16,10 +16,10 @@
 use crate::{
     clock::BootInstant,
     crashes::{
+        attribution::{self, Ends},
         broadcast_queue::{Audience, BroadcastQueue, Source},
         digest::RequestDigest,
         observation::{Crash, End, RequestObservation, RequestOutcome},
-        verdict::{self, Ends},
     },
     http_client::Listening,
     message::ShortHash,
@@ -405,7 +405,7 @@
         let suspects = self.suspects.iter();
         let ends =
             suspects.map(|(request, suspect)| (*request, &suspect.ends));
-        let held = verdict::culprits(ends, &self.firmly_held);
+        let held = attribution::culprits(ends, &self.firmly_held);
         let released = self.held.difference(&held);
         let mut changes: Vec<HoldChange> =
             released.map(|request| HoldChange::Released(*request)).collect();
