--- a/src/crashes/crash_check.rs
+++ b/src/crashes/crash_check.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     clock::BootInstant,
-    crashes::{digest::RequestDigest, record::NextStep},
+    crashes::{digest::RequestDigest, tracker::NextStep},
     event::Event,
     gateway::{Gateway, fields},
     http_client::Listening,
--- a/src/crashes/mod.rs
+++ b/src/crashes/mod.rs
@@ -9,7 +9,7 @@
 //!
 //! * [`digest`]: a request is known again by what it holds.
 //! * [`crash_check`]: an attempt is lost; has its upstream ended?
-//! * [`record`]: what this VM knows of requests and of upstreams that ended,
+//! * [`tracker`]: what this VM knows of requests and of upstreams that ended,
 //!   and which requests it holds back.
 //! * [`attribution`]: the culprit is told from those that were there by chance.
 //! * [`observation`], [`tellings`]: what VMs tell each other of it, in their
@@ -23,7 +23,7 @@
 pub mod digest;
 pub mod observation;
 pub(crate) mod persistence;
-pub(crate) mod record;
+pub(crate) mod tracker;
 
 #[cfg(test)]
 mod replay;
--- a/src/crashes/persistence.rs
+++ b/src/crashes/persistence.rs
@@ -11,7 +11,7 @@
 use crate::{
     chains::store::{Backoff, StoreError},
     clock::BootInstant,
-    crashes::record::REMEMBERED,
+    crashes::tracker::REMEMBERED,
     event::Event,
     gateway::{Gateway, fields},
     platform::{
--- a/src/crashes/replay.rs
+++ b/src/crashes/replay.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     clock::Clock,
-    crashes::{digest::RequestDigest, record::NextStep},
+    crashes::{digest::RequestDigest, tracker::NextStep},
     gateway::test_fleet::Fleet,
     http_client::Listening,
     message::ShortHash,
--- a/src/crashes/record.rs
+++ b/src/crashes/tracker.rs
@@ -129,11 +129,11 @@
 
 /// The record of one VM.
 #[derive(Debug, Default)]
-pub(crate) struct CrashRecord {
+pub(crate) struct CrashTracker {
     state: Mutex<State>,
 }
 
-impl CrashRecord {
+impl CrashTracker {
     /// Whether any request is held back.
     pub(crate) fn holds_any(&self) -> bool {
         !self.lock().held.is_empty()
@@ -422,7 +422,7 @@
 }
 
 /// Whether something was known at a time that is not too long ago. Whatever
-/// decides asks this, and does not wait for [`CrashRecord::sweep`]: that has
+/// decides asks this, and does not wait for [`CrashTracker::sweep`]: that has
 /// not run when a VM is woken.
 fn is_recent(at: BootInstant, limit: Duration, now: BootInstant) -> bool {
     now.saturating_duration_since(at) < limit
--- a/src/crashes/record/tests.rs
+++ b/src/crashes/tracker/tests.rs
@@ -17,7 +17,7 @@
 
 /// Has upstreams end under a request.
 fn end_under(
-    record: &CrashRecord,
+    record: &CrashTracker,
     request: RequestDigest,
     upstreams: std::ops::RangeInclusive<u32>,
     now: BootInstant,
@@ -30,7 +30,7 @@
 
 #[test]
 fn three_ends_are_enough_and_are_told_as_one_change() {
-    let (record, now) = (CrashRecord::default(), BootInstant::now());
+    let (record, now) = (CrashTracker::default(), BootInstant::now());
     end_under(&record, DEADLY, 1..=2, now);
     assert!(!record.is_held(DEADLY, now));
     record.note_lost(DEADLY, life(3), now - HAD, now);
@@ -42,7 +42,7 @@
 /// A reset says nothing, and nor does silence.
 #[test]
 fn a_lost_attempt_counts_only_where_its_upstream_has_ended() {
-    let (record, now) = (CrashRecord::default(), BootInstant::now());
+    let (record, now) = (CrashTracker::default(), BootInstant::now());
     for number in 1..=5 {
         let first = record.note_lost(DEADLY, life(number), now - HAD, now);
         assert_eq!(first, (NextStep::Check, Vec::new()));
@@ -67,7 +67,7 @@
 
 #[test]
 fn an_attempt_that_is_lost_after_its_upstream_has_ended_counts_at_once() {
-    let (record, now) = (CrashRecord::default(), BootInstant::now());
+    let (record, now) = (CrashTracker::default(), BootInstant::now());
     end_under(&record, OTHER, 1..=2, now);
     for number in 1..=2 {
         let lost = record.note_lost(DEADLY, life(number), now - HAD, now);
@@ -80,7 +80,7 @@
 /// Two VMs see one end, and each is told of it by several.
 #[test]
 fn one_end_counts_once() {
-    let (record, now) = (CrashRecord::default(), BootInstant::now());
+    let (record, now) = (CrashTracker::default(), BootInstant::now());
     end_under(&record, DEADLY, 1..=2, now);
     for source in [Source::OwnHall, Source::OtherHall, Source::Kept] {
         record.hear(&[crash(DEADLY, 1), crash(DEADLY, 2)], source, now);
@@ -90,8 +90,9 @@
 
 #[test]
 fn what_ran_whole_is_not_held_back_by_this_vm_or_those_it_tells() {
-    let (record, now) = (CrashRecord::default(), BootInstant::now());
-    let (other, told_late) = (CrashRecord::default(), CrashRecord::default());
+    let (record, now) = (CrashTracker::default(), BootInstant::now());
+    let (other, told_late) =
+        (CrashTracker::default(), CrashTracker::default());
     end_under(&record, DEADLY, 1..=3, now);
     other.hear(&record.to_tell(Audience::OwnHall), Source::OwnHall, now);
     assert!(record.is_held(DEADLY, now) && other.is_held(DEADLY, now));
@@ -115,7 +116,7 @@
 
 #[test]
 fn another_that_explains_the_ends_releases_a_bystander() {
-    let (record, now) = (CrashRecord::default(), BootInstant::now());
+    let (record, now) = (CrashTracker::default(), BootInstant::now());
     end_under(&record, OTHER, 1..=3, now);
     assert!(record.is_held(OTHER, now));
     let told: Vec<RequestObservation> =
@@ -127,7 +128,7 @@
 
 #[test]
 fn it_is_forgotten_ten_minutes_after_the_last_end() {
-    let (record, now) = (CrashRecord::default(), BootInstant::now());
+    let (record, now) = (CrashTracker::default(), BootInstant::now());
     end_under(&record, DEADLY, 1..=3, now);
     let half = now + REMEMBERED / 2;
     end_under(&record, DEADLY, 4..=4, half);
@@ -139,7 +140,7 @@
 
 #[test]
 fn each_vm_tells_its_hall_and_passes_on_what_other_halls_tell() {
-    let (record, now) = (CrashRecord::default(), BootInstant::now());
+    let (record, now) = (CrashTracker::default(), BootInstant::now());
     end_under(&record, DEADLY, 1..=1, now);
     record.hear(&[crash(DEADLY, 2)], Source::OwnHall, now);
     record.hear(&[crash(DEADLY, 3)], Source::OtherHall, now);
@@ -159,7 +160,7 @@
 /// A rack ends with all that it had; the culprit's ends are told first.
 #[test]
 fn a_beat_is_bounded_and_begins_with_the_most_suspect() {
-    let (record, now) = (CrashRecord::default(), BootInstant::now());
+    let (record, now) = (CrashTracker::default(), BootInstant::now());
     for request in 100..400 {
         end_under(&record, RequestDigest(request), 1..=1, now);
     }
@@ -173,7 +174,7 @@
 /// another stays so.
 #[test]
 fn many_suspects_do_not_displace_one_that_is_held_back() {
-    let (record, now) = (CrashRecord::default(), BootInstant::now());
+    let (record, now) = (CrashTracker::default(), BootInstant::now());
     end_under(&record, DEADLY, 1..=3, now);
     let told: Vec<RequestObservation> = (0..SUSPECTS_MOST as u64 + 500)
         .map(|number| crash(RequestDigest(1000 + number), 77))
@@ -188,7 +189,7 @@
 /// of its new life.
 #[test]
 fn an_end_of_an_upstream_that_came_back_unheard_is_another_end() {
-    let (record, now) = (CrashRecord::default(), BootInstant::now());
+    let (record, now) = (CrashTracker::default(), BootInstant::now());
     end_under(&record, DEADLY, 1..=3, now);
     let later = now + Duration::from_secs(2);
     for number in 1..=3 {
@@ -200,7 +201,7 @@
     assert!(record.is_held(DEADLY, later) && record.is_held(OTHER, later));
     // Another VM that is told of both counts them apart as well.
     let told = record.to_tell(Audience::OwnHall);
-    let other = CrashRecord::default();
+    let other = CrashTracker::default();
     other.hear(&told, Source::OwnHall, later);
     assert!(other.is_held(DEADLY, later) && other.is_held(OTHER, later));
 }
@@ -208,7 +209,7 @@
 /// Two VMs look at once whether an upstream has ended.
 #[test]
 fn an_end_that_another_vm_tells_first_is_not_counted_anew() {
-    let (record, now) = (CrashRecord::default(), BootInstant::now());
+    let (record, now) = (CrashTracker::default(), BootInstant::now());
     record.note_lost(DEADLY, life(1), now - HAD, now);
     record.hear(&[crash(OTHER, 1)], Source::OwnHall, now);
     record.settle(life(1), Listening::No, now);
@@ -219,7 +220,7 @@
 /// The way to an upstream was cut when it was asked whether it has ended.
 #[test]
 fn what_stayed_open_for_too_long_is_asked_anew() {
-    let (record, now) = (CrashRecord::default(), BootInstant::now());
+    let (record, now) = (CrashTracker::default(), BootInstant::now());
     record.note_lost(DEADLY, life(1), now - HAD, now);
     record.settle(life(1), Listening::Unknown, now);
     let soon = now + Duration::from_secs(1);
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -22,8 +22,8 @@
     clock::{BootInstant, SharedClock},
     crashes::{
         broadcast_queue::Source,
-        record::{CrashRecord, HoldChange},
         sighting::RequestObservation,
+        tracker::{CrashTracker, HoldChange},
     },
     event::Event,
     facts::{
@@ -118,7 +118,7 @@
     pub(crate) knowledge: Knowledge,
     pub(crate) pool: Pool,
     pub(crate) rollouts: Rollouts,
-    pub(crate) crashes: CrashRecord,
+    pub(crate) crashes: CrashTracker,
     pub(crate) read_times: ReadTimes,
     pub(crate) service_times: ServiceTimes,
     pub(crate) peers: Peers,
@@ -151,7 +151,7 @@
                 settings.warm_up_slack,
             ),
             rollouts: Rollouts::new(settings.session_time),
-            crashes: CrashRecord::default(),
+            crashes: CrashTracker::default(),
             read_times: ReadTimes::default(),
             service_times: ServiceTimes::default(),
             peers: Peers::new(
