--- a/src/crashes/tracker.rs
+++ b/src/crashes/tracker.rs
@@ -61,7 +61,7 @@
 
 /// A request that is held back from now on, or no longer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum HoldChange {
+pub(crate) enum QuarantineChange {
     /// It crashes what runs it.
     Held {
         /// The request.
@@ -163,7 +163,7 @@
         upstream: ShortHash,
         began_at: BootInstant,
         now: BootInstant,
-    ) -> (NextStep, Vec<HoldChange>) {
+    ) -> (NextStep, Vec<QuarantineChange>) {
         let had = now.saturating_duration_since(began_at).as_millis();
         let had_ms = u16::try_from(had).unwrap_or(u16::MAX);
         let mut state = self.lock();
@@ -189,7 +189,7 @@
         upstream: ShortHash,
         listening: Listening,
         now: BootInstant,
-    ) -> Vec<HoldChange> {
+    ) -> Vec<QuarantineChange> {
         let mut state = self.lock();
         let life = state.life(upstream, now);
         match listening {
@@ -210,7 +210,7 @@
         &self,
         request: RequestDigest,
         now: BootInstant,
-    ) -> Vec<HoldChange> {
+    ) -> Vec<QuarantineChange> {
         let mut state = self.lock();
         make_room(&mut state.ran_whole, WELL_MOST, |at| *at);
         state.ran_whole.insert(request, now);
@@ -227,7 +227,7 @@
         observations: &[RequestObservation],
         source: Source,
         now: BootInstant,
-    ) -> Vec<HoldChange> {
+    ) -> Vec<QuarantineChange> {
         if observations.is_empty() {
             return Vec::new();
         }
@@ -274,7 +274,7 @@
     }
 
     /// Forgets what is too old.
-    pub(crate) fn sweep(&self, now: BootInstant) -> Vec<HoldChange> {
+    pub(crate) fn sweep(&self, now: BootInstant) -> Vec<QuarantineChange> {
         let mut state = self.lock();
         state
             .lives
@@ -401,19 +401,21 @@
     }
 
     /// Finds anew what is held back.
-    fn judge(&mut self) -> Vec<HoldChange> {
+    fn judge(&mut self) -> Vec<QuarantineChange> {
         let suspects = self.suspects.iter();
         let ends =
             suspects.map(|(request, suspect)| (*request, &suspect.ends));
         let held = attribution::culprits(ends, &self.firmly_held);
         let released = self.held.difference(&held);
-        let mut changes: Vec<HoldChange> =
-            released.map(|request| HoldChange::Released(*request)).collect();
-        let new =
-            held.difference(&self.held).map(|request| HoldChange::Held {
+        let mut changes: Vec<QuarantineChange> = released
+            .map(|request| QuarantineChange::Released(*request))
+            .collect();
+        let new = held.difference(&self.held).map(|request| {
+            QuarantineChange::Held {
                 request: *request,
                 ends: self.suspects.get(request).map_or(0, |s| s.ends.len()),
-            });
+            }
+        });
         changes.extend(new);
         self.firmly_held.clone_from(&held);
         self.held = held;
--- a/src/crashes/tracker/tests.rs
+++ b/src/crashes/tracker/tests.rs
@@ -35,7 +35,7 @@
     assert!(!record.is_held(DEADLY, now));
     record.note_lost(DEADLY, life(3), now - HAD, now);
     let changes = record.settle(life(3), Listening::No, now);
-    assert_eq!(changes, [HoldChange::Held { request: DEADLY, ends: 3 }]);
+    assert_eq!(changes, [QuarantineChange::Held { request: DEADLY, ends: 3 }]);
     assert!(record.is_held(DEADLY, now));
 }
 
@@ -97,11 +97,11 @@
     other.hear(&record.to_tell(Audience::OwnHall), Source::OwnHall, now);
     assert!(record.is_held(DEADLY, now) && other.is_held(DEADLY, now));
     let changes = other.note_ran_whole(DEADLY, now);
-    assert_eq!(changes, [HoldChange::Released(DEADLY)]);
+    assert_eq!(changes, [QuarantineChange::Released(DEADLY)]);
     let told = other.to_tell(Audience::OwnHall);
     assert_eq!(
         record.hear(&told, Source::OwnHall, now),
-        [HoldChange::Released(DEADLY)]
+        [QuarantineChange::Released(DEADLY)]
     );
     // What comes afterwards, here and for a while, is a coincidence.
     end_under(&other, DEADLY, 4..=9, now);
@@ -122,7 +122,10 @@
     let told: Vec<RequestObservation> =
         (1..=4).map(|n| crash(DEADLY, n)).collect();
     let changes = record.hear(&told, Source::OwnHall, now);
-    assert!(changes.contains(&HoldChange::Released(OTHER)), "{changes:?}");
+    assert!(
+        changes.contains(&QuarantineChange::Released(OTHER)),
+        "{changes:?}"
+    );
     assert!(record.is_held(DEADLY, now) && !record.is_held(OTHER, now));
 }
 
@@ -135,7 +138,7 @@
     assert!(record.sweep(now + REMEMBERED).is_empty());
     assert!(record.is_held(DEADLY, now));
     let changes = record.sweep(half + REMEMBERED);
-    assert_eq!(changes, [HoldChange::Released(DEADLY)]);
+    assert_eq!(changes, [QuarantineChange::Released(DEADLY)]);
 }
 
 #[test]
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -23,7 +23,7 @@
     crashes::{
         broadcast_queue::Source,
         sighting::RequestObservation,
-        tracker::{CrashTracker, HoldChange},
+        tracker::{CrashTracker, QuarantineChange},
     },
     event::Event,
     facts::{
@@ -407,17 +407,17 @@
     }
 
     /// Logs which requests are held back from now on, or no longer.
-    pub(crate) fn note_crash_changes(&self, changes: &[HoldChange]) {
+    pub(crate) fn note_crash_changes(&self, changes: &[QuarantineChange]) {
         for change in changes {
             match change {
-                HoldChange::Held { request, ends } => {
+                QuarantineChange::Held { request, ends } => {
                     self.metrics.requests_held.inc();
                     Event::RequestHeld.record(fields(json!({
                         "request": request.to_string(),
                         "upstreams_ended": ends,
                     })));
                 }
-                HoldChange::Released(request) => {
+                QuarantineChange::Released(request) => {
                     self.metrics.requests_held.dec();
                     Event::RequestReleased.record(fields(
                         json!({ "request": request.to_string() }),
