--- a/src/crashes/tracker.rs
+++ b/src/crashes/tracker.rs
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QuarantineChange {
     /// It crashes what runs it.
-    Held {
+    Added {
         /// The request.
         request: RequestDigest,
         /// Upstreams that have ended under it.
@@ -411,7 +411,7 @@
             .map(|request| QuarantineChange::Released(*request))
             .collect();
         let new = held.difference(&self.held).map(|request| {
-            QuarantineChange::Held {
+            QuarantineChange::Added {
                 request: *request,
                 ends: self.suspects.get(request).map_or(0, |s| s.ends.len()),
             }
--- a/src/crashes/tracker/tests.rs
+++ b/src/crashes/tracker/tests.rs
@@ -35,7 +35,10 @@
     assert!(!record.is_held(DEADLY, now));
     record.note_lost(DEADLY, life(3), now - HAD, now);
     let changes = record.settle(life(3), Listening::No, now);
-    assert_eq!(changes, [QuarantineChange::Held { request: DEADLY, ends: 3 }]);
+    assert_eq!(
+        changes,
+        [QuarantineChange::Added { request: DEADLY, ends: 3 }]
+    );
     assert!(record.is_held(DEADLY, now));
 }
 
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -410,7 +410,7 @@
     pub(crate) fn note_crash_changes(&self, changes: &[QuarantineChange]) {
         for change in changes {
             match change {
-                QuarantineChange::Held { request, ends } => {
+                QuarantineChange::Added { request, ends } => {
                     self.metrics.requests_held.inc();
                     Event::RequestHeld.record(fields(json!({
                         "request": request.to_string(),
