--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -22,7 +22,7 @@
     clock::{BootInstant, SharedClock},
     crashes::{
         broadcast_queue::Source,
-        sighting::RequestObservation,
+        observation::RequestObservation,
         tracker::{CrashTracker, QuarantineChange},
     },
     event::Event,
