--- a/src/crashes/crash_check.rs
+++ b/src/crashes/crash_check.rs
@@ -38,7 +38,7 @@
         return;
     }
     let (next, changes) =
-        gateway.crashes.note_lost(request, life, began_at, now);
+        gateway.crashes.record_lost_attempt(request, life, began_at, now);
     gateway.note_crash_changes(&changes);
     match next {
         NextStep::Nothing => gateway.early_beat.wake(),
--- a/src/crashes/replay.rs
+++ b/src/crashes/replay.rs
@@ -309,7 +309,7 @@
             let crashes = &self.fleet.vms[run.vm].crashes;
             let began_at = now - Duration::from_millis(now_ms - run.began_ms);
             let (next, _) =
-                crashes.note_lost(run.request, life, began_at, now);
+                crashes.record_lost_attempt(run.request, life, began_at, now);
             if next == NextStep::Check {
                 crashes.settle(life, Listening::No, now);
             }
--- a/src/crashes/tracker.rs
+++ b/src/crashes/tracker.rs
@@ -157,7 +157,7 @@
     }
 
     /// Takes in that an attempt was lost that had begun at `began_at`.
-    pub(crate) fn note_lost(
+    pub(crate) fn record_lost_attempt(
         &self,
         request: RequestDigest,
         upstream: ShortHash,
--- a/src/crashes/tracker/tests.rs
+++ b/src/crashes/tracker/tests.rs
@@ -23,7 +23,7 @@
     now: BootInstant,
 ) {
     for number in upstreams {
-        record.note_lost(request, life(number), now - HAD, now);
+        record.record_lost_attempt(request, life(number), now - HAD, now);
         record.settle(life(number), Listening::No, now);
     }
 }
@@ -33,7 +33,7 @@
     let (record, now) = (CrashTracker::default(), BootInstant::now());
     end_under(&record, DEADLY, 1..=2, now);
     assert!(!record.is_held(DEADLY, now));
-    record.note_lost(DEADLY, life(3), now - HAD, now);
+    record.record_lost_attempt(DEADLY, life(3), now - HAD, now);
     let changes = record.settle(life(3), Listening::No, now);
     assert_eq!(
         changes,
@@ -47,9 +47,11 @@
 fn a_lost_attempt_counts_only_where_its_upstream_has_ended() {
     let (record, now) = (CrashTracker::default(), BootInstant::now());
     for number in 1..=5 {
-        let first = record.note_lost(DEADLY, life(number), now - HAD, now);
+        let first =
+            record.record_lost_attempt(DEADLY, life(number), now - HAD, now);
         assert_eq!(first, (NextStep::Check, Vec::new()));
-        let second = record.note_lost(DEADLY, life(number), now - HAD, now);
+        let second =
+            record.record_lost_attempt(DEADLY, life(number), now - HAD, now);
         assert_eq!(second, (NextStep::Nothing, Vec::new()), "one asks");
         let listening = match number % 2 {
             0 => Listening::Yes,
@@ -73,7 +75,8 @@
     let (record, now) = (CrashTracker::default(), BootInstant::now());
     end_under(&record, OTHER, 1..=2, now);
     for number in 1..=2 {
-        let lost = record.note_lost(DEADLY, life(number), now - HAD, now);
+        let lost =
+            record.record_lost_attempt(DEADLY, life(number), now - HAD, now);
         assert_eq!(lost.0, NextStep::Nothing);
     }
     record.hear(&[crash(DEADLY, 3)], Source::OwnHall, now);
@@ -200,7 +203,8 @@
     let later = now + Duration::from_secs(2);
     for number in 1..=3 {
         // It began after the end that is known.
-        let lost = record.note_lost(OTHER, life(number), later, later);
+        let lost =
+            record.record_lost_attempt(OTHER, life(number), later, later);
         assert_eq!(lost.0, NextStep::Check);
         record.settle(life(number), Listening::No, later);
     }
@@ -216,7 +220,7 @@
 #[test]
 fn an_end_that_another_vm_tells_first_is_not_counted_anew() {
     let (record, now) = (CrashTracker::default(), BootInstant::now());
-    record.note_lost(DEADLY, life(1), now - HAD, now);
+    record.record_lost_attempt(DEADLY, life(1), now - HAD, now);
     record.hear(&[crash(OTHER, 1)], Source::OwnHall, now);
     record.settle(life(1), Listening::No, now);
     end_under(&record, DEADLY, 2..=2, now);
@@ -227,13 +231,13 @@
 #[test]
 fn what_stayed_open_for_too_long_is_asked_anew() {
     let (record, now) = (CrashTracker::default(), BootInstant::now());
-    record.note_lost(DEADLY, life(1), now - HAD, now);
+    record.record_lost_attempt(DEADLY, life(1), now - HAD, now);
     record.settle(life(1), Listening::Unknown, now);
     let soon = now + Duration::from_secs(1);
-    let lost = record.note_lost(DEADLY, life(1), soon - HAD, soon);
+    let lost = record.record_lost_attempt(DEADLY, life(1), soon - HAD, soon);
     assert_eq!(lost.0, NextStep::Nothing, "another VM may tell");
     let later = now + OPEN_FOR;
-    let lost = record.note_lost(OTHER, life(1), later - HAD, later);
+    let lost = record.record_lost_attempt(OTHER, life(1), later - HAD, later);
     assert_eq!(lost.0, NextStep::Check);
     record.settle(life(1), Listening::No, later);
     // What was lost before is too old to have been there.
--- a/src/gateway/wake_tests.rs
+++ b/src/gateway/wake_tests.rs
@@ -89,7 +89,7 @@
         }
         Act::End(number) => {
             let life = ShortHash(number);
-            gateway.crashes.note_lost(REQUEST, life, now, now);
+            gateway.crashes.record_lost_attempt(REQUEST, life, now, now);
             gateway.crashes.settle(life, Listening::No, now);
         }
         Act::Completed => {
