--- a/src/crashes/crash_check.rs
+++ b/src/crashes/crash_check.rs
@@ -67,7 +67,7 @@
     }
     let now = gateway.clock.now();
     let life = member.upstream.short;
-    let changes = gateway.crashes.settle(life, listening, now);
+    let changes = gateway.crashes.record_probe(life, listening, now);
     gateway.note_crash_changes(&changes);
 }
 
@@ -80,7 +80,7 @@
     gateway.metrics.upstreams_ended.inc();
     let now = gateway.clock.now();
     let life = member.upstream.short;
-    let changes = gateway.crashes.settle(life, Listening::No, now);
+    let changes = gateway.crashes.record_probe(life, Listening::No, now);
     gateway.note_crash_changes(&changes);
     gateway.early_beat.wake();
 }
--- a/src/crashes/replay.rs
+++ b/src/crashes/replay.rs
@@ -311,7 +311,7 @@
             let (next, _) =
                 crashes.record_lost_attempt(run.request, life, began_at, now);
             if next == NextStep::Check {
-                crashes.settle(life, Listening::No, now);
+                crashes.record_probe(life, Listening::No, now);
             }
             self.fleet.beat_early(run.vm);
         }
--- a/src/crashes/tracker.rs
+++ b/src/crashes/tracker.rs
@@ -184,7 +184,7 @@
     }
 
     /// Takes in what became of an upstream at which attempts were lost.
-    pub(crate) fn settle(
+    pub(crate) fn record_probe(
         &self,
         upstream: ShortHash,
         listening: Listening,
--- a/src/crashes/tracker/tests.rs
+++ b/src/crashes/tracker/tests.rs
@@ -24,7 +24,7 @@
 ) {
     for number in upstreams {
         record.record_lost_attempt(request, life(number), now - HAD, now);
-        record.settle(life(number), Listening::No, now);
+        record.record_probe(life(number), Listening::No, now);
     }
 }
 
@@ -34,7 +34,7 @@
     end_under(&record, DEADLY, 1..=2, now);
     assert!(!record.is_held(DEADLY, now));
     record.record_lost_attempt(DEADLY, life(3), now - HAD, now);
-    let changes = record.settle(life(3), Listening::No, now);
+    let changes = record.record_probe(life(3), Listening::No, now);
     assert_eq!(
         changes,
         [QuarantineChange::Added { request: DEADLY, ends: 3 }]
@@ -57,7 +57,7 @@
             0 => Listening::Yes,
             _ => Listening::Unknown,
         };
-        record.settle(life(number), listening, now);
+        record.record_probe(life(number), listening, now);
     }
     assert!(!record.is_held(DEADLY, now));
     // Three of which this VM could not find out have ended by the word of
@@ -206,7 +206,7 @@
         let lost =
             record.record_lost_attempt(OTHER, life(number), later, later);
         assert_eq!(lost.0, NextStep::Check);
-        record.settle(life(number), Listening::No, later);
+        record.record_probe(life(number), Listening::No, later);
     }
     assert!(record.is_held(DEADLY, later) && record.is_held(OTHER, later));
     // Another VM that is told of both counts them apart as well.
@@ -222,7 +222,7 @@
     let (record, now) = (CrashTracker::default(), BootInstant::now());
     record.record_lost_attempt(DEADLY, life(1), now - HAD, now);
     record.hear(&[crash(OTHER, 1)], Source::OwnHall, now);
-    record.settle(life(1), Listening::No, now);
+    record.record_probe(life(1), Listening::No, now);
     end_under(&record, DEADLY, 2..=2, now);
     assert!(!record.is_held(DEADLY, now));
 }
@@ -232,14 +232,14 @@
 fn what_stayed_open_for_too_long_is_asked_anew() {
     let (record, now) = (CrashTracker::default(), BootInstant::now());
     record.record_lost_attempt(DEADLY, life(1), now - HAD, now);
-    record.settle(life(1), Listening::Unknown, now);
+    record.record_probe(life(1), Listening::Unknown, now);
     let soon = now + Duration::from_secs(1);
     let lost = record.record_lost_attempt(DEADLY, life(1), soon - HAD, soon);
     assert_eq!(lost.0, NextStep::Nothing, "another VM may tell");
     let later = now + OPEN_FOR;
     let lost = record.record_lost_attempt(OTHER, life(1), later - HAD, later);
     assert_eq!(lost.0, NextStep::Check);
-    record.settle(life(1), Listening::No, later);
+    record.record_probe(life(1), Listening::No, later);
     // What was lost before is too old to have been there.
     assert_eq!(record.lock().suspects.len(), 1);
 }
--- a/src/gateway/wake_tests.rs
+++ b/src/gateway/wake_tests.rs
@@ -90,7 +90,7 @@
         Act::End(number) => {
             let life = ShortHash(number);
             gateway.crashes.record_lost_attempt(REQUEST, life, now, now);
-            gateway.crashes.settle(life, Listening::No, now);
+            gateway.crashes.record_probe(life, Listening::No, now);
         }
         Act::Completed => {
             gateway.crashes.note_ran_whole(REQUEST, now);
