--- a/src/crashes/replay.rs
+++ b/src/crashes/replay.rs
@@ -291,7 +291,7 @@
             let now = self.fleet.clock.now();
             for run in over {
                 let crashes = &self.fleet.vms[run.vm].crashes;
-                crashes.note_ran_whole(run.request, now);
+                crashes.record_completed(run.request, now);
             }
         }
     }
--- a/src/crashes/tracker.rs
+++ b/src/crashes/tracker.rs
@@ -206,7 +206,7 @@
     }
 
     /// Takes in that an upstream ran a request to its end.
-    pub(crate) fn note_ran_whole(
+    pub(crate) fn record_completed(
         &self,
         request: RequestDigest,
         now: BootInstant,
--- a/src/crashes/tracker/tests.rs
+++ b/src/crashes/tracker/tests.rs
@@ -102,7 +102,7 @@
     end_under(&record, DEADLY, 1..=3, now);
     other.hear(&record.to_tell(Audience::OwnHall), Source::OwnHall, now);
     assert!(record.is_held(DEADLY, now) && other.is_held(DEADLY, now));
-    let changes = other.note_ran_whole(DEADLY, now);
+    let changes = other.record_completed(DEADLY, now);
     assert_eq!(changes, [QuarantineChange::Released(DEADLY)]);
     let told = other.to_tell(Audience::OwnHall);
     assert_eq!(
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -365,7 +365,7 @@
     pub(crate) fn note_ran_whole(&self) {
         let now = self.gateway.clock.now();
         let crashes = &self.gateway.crashes;
-        let changes = crashes.note_ran_whole(self.digest(), now);
+        let changes = crashes.record_completed(self.digest(), now);
         self.gateway.note_crash_changes(&changes);
     }
 
--- a/src/gateway/wake_tests.rs
+++ b/src/gateway/wake_tests.rs
@@ -93,7 +93,7 @@
             gateway.crashes.record_probe(life, Listening::No, now);
         }
         Act::Completed => {
-            gateway.crashes.note_ran_whole(REQUEST, now);
+            gateway.crashes.record_completed(REQUEST, now);
         }
         Act::List => {
             gateway.pool.set(entry(), now);
