--- a/src/crashes/tracker.rs
+++ b/src/crashes/tracker.rs
@@ -222,7 +222,7 @@
     }
 
     /// Takes in what another VM tells, or what was kept.
-    pub(crate) fn hear(
+    pub(crate) fn merge_observations(
         &self,
         observations: &[RequestObservation],
         source: Source,
--- a/src/crashes/tracker/tests.rs
+++ b/src/crashes/tracker/tests.rs
@@ -64,7 +64,7 @@
     // another VM, which had other requests there.
     let told = [(2, 1), (3, 3), (4, 5)]
         .map(|(request, number)| crash(RequestDigest(request), number));
-    record.hear(&told, Source::OwnHall, now);
+    record.merge_observations(&told, Source::OwnHall, now);
     let held = record.held();
     assert_eq!(held.len(), 1);
     assert_eq!((held[0].0, held[0].1.len()), (DEADLY, 3));
@@ -79,7 +79,7 @@
             record.record_lost_attempt(DEADLY, life(number), now - HAD, now);
         assert_eq!(lost.0, NextStep::Nothing);
     }
-    record.hear(&[crash(DEADLY, 3)], Source::OwnHall, now);
+    record.merge_observations(&[crash(DEADLY, 3)], Source::OwnHall, now);
     assert!(record.is_held(DEADLY, now));
 }
 
@@ -89,7 +89,11 @@
     let (record, now) = (CrashTracker::default(), BootInstant::now());
     end_under(&record, DEADLY, 1..=2, now);
     for source in [Source::OwnHall, Source::OtherHall, Source::Kept] {
-        record.hear(&[crash(DEADLY, 1), crash(DEADLY, 2)], source, now);
+        record.merge_observations(
+            &[crash(DEADLY, 1), crash(DEADLY, 2)],
+            source,
+            now,
+        );
     }
     assert!(!record.is_held(DEADLY, now));
 }
@@ -100,13 +104,17 @@
     let (other, told_late) =
         (CrashTracker::default(), CrashTracker::default());
     end_under(&record, DEADLY, 1..=3, now);
-    other.hear(&record.to_tell(Audience::OwnHall), Source::OwnHall, now);
+    other.merge_observations(
+        &record.to_tell(Audience::OwnHall),
+        Source::OwnHall,
+        now,
+    );
     assert!(record.is_held(DEADLY, now) && other.is_held(DEADLY, now));
     let changes = other.record_completed(DEADLY, now);
     assert_eq!(changes, [QuarantineChange::Released(DEADLY)]);
     let told = other.to_tell(Audience::OwnHall);
     assert_eq!(
-        record.hear(&told, Source::OwnHall, now),
+        record.merge_observations(&told, Source::OwnHall, now),
         [QuarantineChange::Released(DEADLY)]
     );
     // What comes afterwards, here and for a while, is a coincidence.
@@ -127,7 +135,7 @@
     assert!(record.is_held(OTHER, now));
     let told: Vec<RequestObservation> =
         (1..=4).map(|n| crash(DEADLY, n)).collect();
-    let changes = record.hear(&told, Source::OwnHall, now);
+    let changes = record.merge_observations(&told, Source::OwnHall, now);
     assert!(
         changes.contains(&QuarantineChange::Released(OTHER)),
         "{changes:?}"
@@ -151,9 +159,9 @@
 fn each_vm_tells_its_hall_and_passes_on_what_other_halls_tell() {
     let (record, now) = (CrashTracker::default(), BootInstant::now());
     end_under(&record, DEADLY, 1..=1, now);
-    record.hear(&[crash(DEADLY, 2)], Source::OwnHall, now);
-    record.hear(&[crash(DEADLY, 3)], Source::OtherHall, now);
-    record.hear(&[crash(DEADLY, 4)], Source::Kept, now);
+    record.merge_observations(&[crash(DEADLY, 2)], Source::OwnHall, now);
+    record.merge_observations(&[crash(DEADLY, 3)], Source::OtherHall, now);
+    record.merge_observations(&[crash(DEADLY, 4)], Source::Kept, now);
     let own_hall = record.to_tell(Audience::OwnHall);
     assert_eq!(own_hall, [crash(DEADLY, 1), crash(DEADLY, 3)]);
     let others = record.to_tell(Audience::OtherHalls);
@@ -188,7 +196,7 @@
     let told: Vec<RequestObservation> = (0..SUSPECTS_MOST as u64 + 500)
         .map(|number| crash(RequestDigest(1000 + number), 77))
         .collect();
-    record.hear(&told, Source::OwnHall, now);
+    record.merge_observations(&told, Source::OwnHall, now);
     assert!(record.is_held(DEADLY, now));
     assert_eq!(record.lock().suspects.len(), SUSPECTS_MOST);
     assert_eq!(record.all_held().len(), 3);
@@ -212,7 +220,7 @@
     // Another VM that is told of both counts them apart as well.
     let told = record.to_tell(Audience::OwnHall);
     let other = CrashTracker::default();
-    other.hear(&told, Source::OwnHall, later);
+    other.merge_observations(&told, Source::OwnHall, later);
     assert!(other.is_held(DEADLY, later) && other.is_held(OTHER, later));
 }
 
@@ -221,7 +229,7 @@
 fn an_end_that_another_vm_tells_first_is_not_counted_anew() {
     let (record, now) = (CrashTracker::default(), BootInstant::now());
     record.record_lost_attempt(DEADLY, life(1), now - HAD, now);
-    record.hear(&[crash(OTHER, 1)], Source::OwnHall, now);
+    record.merge_observations(&[crash(OTHER, 1)], Source::OwnHall, now);
     record.record_probe(life(1), Listening::No, now);
     end_under(&record, DEADLY, 2..=2, now);
     assert!(!record.is_held(DEADLY, now));
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -399,7 +399,7 @@
         source: Source,
     ) {
         let now = self.clock.now();
-        let changes = self.crashes.hear(told, source, now);
+        let changes = self.crashes.merge_observations(told, source, now);
         self.note_crash_changes(&changes);
         if !changes.is_empty() {
             self.early_beat.wake();
