--- a/src/crashes/tracker.rs
+++ b/src/crashes/tracker.rs
@@ -253,7 +253,7 @@
     }
 
     /// What the next beat to these VMs tells.
-    pub(crate) fn to_tell(
+    pub(crate) fn next_broadcasts(
         &self,
         audience: Audience,
     ) -> Vec<RequestObservation> {
--- a/src/crashes/tracker/tests.rs
+++ b/src/crashes/tracker/tests.rs
@@ -105,14 +105,14 @@
         (CrashTracker::default(), CrashTracker::default());
     end_under(&record, DEADLY, 1..=3, now);
     other.merge_observations(
-        &record.to_tell(Audience::OwnHall),
+        &record.next_broadcasts(Audience::OwnHall),
         Source::OwnHall,
         now,
     );
     assert!(record.is_held(DEADLY, now) && other.is_held(DEADLY, now));
     let changes = other.record_completed(DEADLY, now);
     assert_eq!(changes, [QuarantineChange::Released(DEADLY)]);
-    let told = other.to_tell(Audience::OwnHall);
+    let told = other.next_broadcasts(Audience::OwnHall);
     assert_eq!(
         record.merge_observations(&told, Source::OwnHall, now),
         [QuarantineChange::Released(DEADLY)]
@@ -162,16 +162,16 @@
     record.merge_observations(&[crash(DEADLY, 2)], Source::OwnHall, now);
     record.merge_observations(&[crash(DEADLY, 3)], Source::OtherHall, now);
     record.merge_observations(&[crash(DEADLY, 4)], Source::Kept, now);
-    let own_hall = record.to_tell(Audience::OwnHall);
+    let own_hall = record.next_broadcasts(Audience::OwnHall);
     assert_eq!(own_hall, [crash(DEADLY, 1), crash(DEADLY, 3)]);
-    let others = record.to_tell(Audience::OtherHalls);
+    let others = record.next_broadcasts(Audience::OtherHalls);
     assert_eq!(others.len(), 3);
     for _ in 1..TOLD_ROUNDS {
-        assert!(!record.to_tell(Audience::OwnHall).is_empty());
-        assert!(!record.to_tell(Audience::OtherHalls).is_empty());
+        assert!(!record.next_broadcasts(Audience::OwnHall).is_empty());
+        assert!(!record.next_broadcasts(Audience::OtherHalls).is_empty());
     }
-    assert!(record.to_tell(Audience::OwnHall).is_empty());
-    assert!(record.to_tell(Audience::OtherHalls).is_empty());
+    assert!(record.next_broadcasts(Audience::OwnHall).is_empty());
+    assert!(record.next_broadcasts(Audience::OtherHalls).is_empty());
 }
 
 /// A rack ends with all that it had; the culprit's ends are told first.
@@ -182,7 +182,7 @@
         end_under(&record, RequestDigest(request), 1..=1, now);
     }
     end_under(&record, DEADLY, 1..=2, now);
-    let told = record.to_tell(Audience::OwnHall);
+    let told = record.next_broadcasts(Audience::OwnHall);
     assert_eq!(told.len(), TOLD_MOST);
     assert_eq!(told[..2], [crash(DEADLY, 1), crash(DEADLY, 2)]);
 }
@@ -218,7 +218,7 @@
     }
     assert!(record.is_held(DEADLY, later) && record.is_held(OTHER, later));
     // Another VM that is told of both counts them apart as well.
-    let told = record.to_tell(Audience::OwnHall);
+    let told = record.next_broadcasts(Audience::OwnHall);
     let other = CrashTracker::default();
     other.merge_observations(&told, Source::OwnHall, later);
     assert!(other.is_held(DEADLY, later) && other.is_held(OTHER, later));
--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -126,11 +126,13 @@
         let rollouts = &gateway.rollouts;
         let for_others = ForOthers {
             hall_evidence: rollouts.hall_evidence(hall, &beat.evidence, now),
-            observations: gateway.crashes.to_tell(Audience::OtherHalls),
+            observations: gateway
+                .crashes
+                .next_broadcasts(Audience::OtherHalls),
             rate_limits: gateway.pool.take_limits(false, now),
         };
         beat.hall_evidence = rollouts.relays(&beat.evidence, now);
-        beat.observations = gateway.crashes.to_tell(Audience::OwnHall);
+        beat.observations = gateway.crashes.next_broadcasts(Audience::OwnHall);
         let receivers = gateway.peers.receivers(now);
         Round {
             beat,
