--- a/src/crashes/tracker.rs
+++ b/src/crashes/tracker.rs
@@ -265,7 +265,7 @@
     }
 
     /// What another VM is handed that asks for all that is known.
-    pub(crate) fn all_held(&self) -> Vec<RequestObservation> {
+    pub(crate) fn quarantine_observations(&self) -> Vec<RequestObservation> {
         let held = self.held().into_iter();
         held.flat_map(|(request, crashes)| {
             RequestObservation::of_crashes(request, crashes)
--- a/src/crashes/tracker/tests.rs
+++ b/src/crashes/tracker/tests.rs
@@ -199,7 +199,7 @@
     record.merge_observations(&told, Source::OwnHall, now);
     assert!(record.is_held(DEADLY, now));
     assert_eq!(record.lock().suspects.len(), SUSPECTS_MOST);
-    assert_eq!(record.all_held().len(), 3);
+    assert_eq!(record.quarantine_observations().len(), 3);
 }
 
 /// The store is away: an upstream starts and ends again before this VM hears
--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -413,7 +413,7 @@
                     as_of: as_of.0,
                     packed: packed.to_vec(),
                     proof_age_ms: age.as_millis() as u32 + 1,
-                    observations: self.crashes.all_held(),
+                    observations: self.crashes.quarantine_observations(),
                 }
             }
             PeerRequest::KnowledgeDelta { digest_before, as_of, items } => {
