--- a/src/crashes/persistence.rs
+++ b/src/crashes/persistence.rs
@@ -58,7 +58,7 @@
 
 /// What this VM is to write: nothing, unless it is the steward.
 fn due(gateway: &Gateway, now: BootInstant) -> Vec<NewValue> {
-    if !gateway.crashes.holds_any() {
+    if !gateway.crashes.has_quarantined() {
         return Vec::new();
     }
     let own_proof = gateway.knowledge.proof_age(now);
--- a/src/crashes/tracker.rs
+++ b/src/crashes/tracker.rs
@@ -135,7 +135,7 @@
 
 impl CrashTracker {
     /// Whether any request is held back.
-    pub(crate) fn holds_any(&self) -> bool {
+    pub(crate) fn has_quarantined(&self) -> bool {
         !self.lock().held.is_empty()
     }
 
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -350,7 +350,7 @@
     /// VM and each new try would begin at zero without this.
     fn check_not_held(&self) -> Result<(), Error> {
         let crashes = &self.gateway.crashes;
-        if !crashes.holds_any() {
+        if !crashes.has_quarantined() {
             return Ok(());
         }
         let digest = self.digest();
