--- a/src/crashes/replay.rs
+++ b/src/crashes/replay.rs
@@ -228,7 +228,7 @@
         let is_culprit = self.is_culprit(request);
         let now_ms = self.fleet.passed_ms;
         let now = self.fleet.clock.now();
-        let is_held = self.fleet.vms[vm].crashes.is_held(request, now);
+        let is_held = self.fleet.vms[vm].crashes.is_quarantined(request, now);
         if is_held && left > 0 {
             self.note_refused(request);
             return;
--- a/src/crashes/tracker.rs
+++ b/src/crashes/tracker.rs
@@ -140,7 +140,7 @@
     }
 
     /// Whether a request is held back.
-    pub(crate) fn is_held(
+    pub(crate) fn is_quarantined(
         &self,
         request: RequestDigest,
         now: BootInstant,
--- a/src/crashes/tracker/tests.rs
+++ b/src/crashes/tracker/tests.rs
@@ -32,14 +32,14 @@
 fn three_ends_are_enough_and_are_told_as_one_change() {
     let (record, now) = (CrashTracker::default(), BootInstant::now());
     end_under(&record, DEADLY, 1..=2, now);
-    assert!(!record.is_held(DEADLY, now));
+    assert!(!record.is_quarantined(DEADLY, now));
     record.record_lost_attempt(DEADLY, life(3), now - HAD, now);
     let changes = record.record_probe(life(3), Listening::No, now);
     assert_eq!(
         changes,
         [QuarantineChange::Added { request: DEADLY, ends: 3 }]
     );
-    assert!(record.is_held(DEADLY, now));
+    assert!(record.is_quarantined(DEADLY, now));
 }
 
 /// A reset says nothing, and nor does silence.
@@ -59,7 +59,7 @@
         };
         record.record_probe(life(number), listening, now);
     }
-    assert!(!record.is_held(DEADLY, now));
+    assert!(!record.is_quarantined(DEADLY, now));
     // Three of which this VM could not find out have ended by the word of
     // another VM, which had other requests there.
     let told = [(2, 1), (3, 3), (4, 5)]
@@ -80,7 +80,7 @@
         assert_eq!(lost.0, NextStep::Nothing);
     }
     record.merge_observations(&[crash(DEADLY, 3)], Source::OwnHall, now);
-    assert!(record.is_held(DEADLY, now));
+    assert!(record.is_quarantined(DEADLY, now));
 }
 
 /// Two VMs see one end, and each is told of it by several.
@@ -95,7 +95,7 @@
             now,
         );
     }
-    assert!(!record.is_held(DEADLY, now));
+    assert!(!record.is_quarantined(DEADLY, now));
 }
 
 #[test]
@@ -109,7 +109,10 @@
         Source::OwnHall,
         now,
     );
-    assert!(record.is_held(DEADLY, now) && other.is_held(DEADLY, now));
+    assert!(
+        record.is_quarantined(DEADLY, now)
+            && other.is_quarantined(DEADLY, now)
+    );
     let changes = other.record_completed(DEADLY, now);
     assert_eq!(changes, [QuarantineChange::Released(DEADLY)]);
     let told = other.next_broadcasts(Audience::OwnHall);
@@ -119,20 +122,20 @@
     );
     // What comes afterwards, here and for a while, is a coincidence.
     end_under(&other, DEADLY, 4..=9, now);
-    assert!(!other.is_held(DEADLY, now));
+    assert!(!other.is_quarantined(DEADLY, now));
     end_under(&told_late, DEADLY, 4..=9, now);
-    assert!(told_late.is_held(DEADLY, now));
+    assert!(told_late.is_quarantined(DEADLY, now));
     let later = now + WELL_REMEMBERED;
     other.sweep(later);
     end_under(&other, DEADLY, 10..=12, later);
-    assert!(other.is_held(DEADLY, now));
+    assert!(other.is_quarantined(DEADLY, now));
 }
 
 #[test]
 fn another_that_explains_the_ends_releases_a_bystander() {
     let (record, now) = (CrashTracker::default(), BootInstant::now());
     end_under(&record, OTHER, 1..=3, now);
-    assert!(record.is_held(OTHER, now));
+    assert!(record.is_quarantined(OTHER, now));
     let told: Vec<RequestObservation> =
         (1..=4).map(|n| crash(DEADLY, n)).collect();
     let changes = record.merge_observations(&told, Source::OwnHall, now);
@@ -140,7 +143,10 @@
         changes.contains(&QuarantineChange::Released(OTHER)),
         "{changes:?}"
     );
-    assert!(record.is_held(DEADLY, now) && !record.is_held(OTHER, now));
+    assert!(
+        record.is_quarantined(DEADLY, now)
+            && !record.is_quarantined(OTHER, now)
+    );
 }
 
 #[test]
@@ -150,7 +156,7 @@
     let half = now + REMEMBERED / 2;
     end_under(&record, DEADLY, 4..=4, half);
     assert!(record.sweep(now + REMEMBERED).is_empty());
-    assert!(record.is_held(DEADLY, now));
+    assert!(record.is_quarantined(DEADLY, now));
     let changes = record.sweep(half + REMEMBERED);
     assert_eq!(changes, [QuarantineChange::Released(DEADLY)]);
 }
@@ -197,7 +203,7 @@
         .map(|number| crash(RequestDigest(1000 + number), 77))
         .collect();
     record.merge_observations(&told, Source::OwnHall, now);
-    assert!(record.is_held(DEADLY, now));
+    assert!(record.is_quarantined(DEADLY, now));
     assert_eq!(record.lock().suspects.len(), SUSPECTS_MOST);
     assert_eq!(record.quarantine_observations().len(), 3);
 }
@@ -216,12 +222,18 @@
         assert_eq!(lost.0, NextStep::Check);
         record.record_probe(life(number), Listening::No, later);
     }
-    assert!(record.is_held(DEADLY, later) && record.is_held(OTHER, later));
+    assert!(
+        record.is_quarantined(DEADLY, later)
+            && record.is_quarantined(OTHER, later)
+    );
     // Another VM that is told of both counts them apart as well.
     let told = record.next_broadcasts(Audience::OwnHall);
     let other = CrashTracker::default();
     other.merge_observations(&told, Source::OwnHall, later);
-    assert!(other.is_held(DEADLY, later) && other.is_held(OTHER, later));
+    assert!(
+        other.is_quarantined(DEADLY, later)
+            && other.is_quarantined(OTHER, later)
+    );
 }
 
 /// Two VMs look at once whether an upstream has ended.
@@ -232,7 +244,7 @@
     record.merge_observations(&[crash(OTHER, 1)], Source::OwnHall, now);
     record.record_probe(life(1), Listening::No, now);
     end_under(&record, DEADLY, 2..=2, now);
-    assert!(!record.is_held(DEADLY, now));
+    assert!(!record.is_quarantined(DEADLY, now));
 }
 
 /// The way to an upstream was cut when it was asked whether it has ended.
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -354,7 +354,7 @@
             return Ok(());
         }
         let digest = self.digest();
-        if !crashes.is_held(digest, self.gateway.clock.now()) {
+        if !crashes.is_quarantined(digest, self.gateway.clock.now()) {
             return Ok(());
         }
         Err(Error::new(ErrorKind::CrashesUpstreams)
--- a/src/gateway/wake_tests.rs
+++ b/src/gateway/wake_tests.rs
@@ -128,7 +128,7 @@
     vec![
         ("accepts keys", gateway.may_accept_keys(now)),
         ("is ready", gateway.is_ready()),
-        ("holds back", gateway.crashes.is_held(REQUEST, now)),
+        ("holds back", gateway.crashes.is_quarantined(REQUEST, now)),
         ("may retry", gateway.has_retry(&service())),
         ("has an upstream", picked.is_ok()),
         ("is cold", picked.is_ok_and(|member| member.is_cold(now))),
