--- a/src/crashes/persistence.rs
+++ b/src/crashes/persistence.rs
@@ -65,7 +65,7 @@
     if !gateway.peers.is_steward(own_proof, now) {
         return Vec::new();
     }
-    let held = gateway.crashes.held().into_iter();
+    let held = gateway.crashes.quarantined().into_iter();
     let missing = held.filter_map(|(request, crashes)| {
         let key = document::crashing_key(request);
         if gateway.knowledge.version_of(&key).is_some() {
--- a/src/crashes/tracker.rs
+++ b/src/crashes/tracker.rs
@@ -150,7 +150,7 @@
     }
 
     /// The requests that are held back, with the ends that they explain.
-    pub(crate) fn held(&self) -> Vec<(RequestDigest, Vec<Crash>)> {
+    pub(crate) fn quarantined(&self) -> Vec<(RequestDigest, Vec<Crash>)> {
         let state = self.lock();
         let held = state.held.iter();
         held.map(|request| (*request, state.crashes(*request))).collect()
@@ -266,7 +266,7 @@
 
     /// What another VM is handed that asks for all that is known.
     pub(crate) fn quarantine_observations(&self) -> Vec<RequestObservation> {
-        let held = self.held().into_iter();
+        let held = self.quarantined().into_iter();
         held.flat_map(|(request, crashes)| {
             RequestObservation::of_crashes(request, crashes)
         })
--- a/src/crashes/tracker/tests.rs
+++ b/src/crashes/tracker/tests.rs
@@ -65,7 +65,7 @@
     let told = [(2, 1), (3, 3), (4, 5)]
         .map(|(request, number)| crash(RequestDigest(request), number));
     record.merge_observations(&told, Source::OwnHall, now);
-    let held = record.held();
+    let held = record.quarantined();
     assert_eq!(held.len(), 1);
     assert_eq!((held[0].0, held[0].1.len()), (DEADLY, 3));
 }
