--- a/src/crashes/persistence.rs
+++ b/src/crashes/persistence.rs
@@ -33,7 +33,7 @@
     loop {
         task::sleep(LOOK_PERIOD).await;
         let now = gateway.clock.now();
-        let changes = gateway.crashes.sweep(now);
+        let changes = gateway.crashes.expire(now);
         gateway.note_crash_changes(&changes);
         let due = due(&gateway, now);
         if due.is_empty() {
--- a/src/crashes/tracker.rs
+++ b/src/crashes/tracker.rs
@@ -274,7 +274,7 @@
     }
 
     /// Forgets what is too old.
-    pub(crate) fn sweep(&self, now: BootInstant) -> Vec<QuarantineChange> {
+    pub(crate) fn expire(&self, now: BootInstant) -> Vec<QuarantineChange> {
         let mut state = self.lock();
         state
             .lives
@@ -424,7 +424,7 @@
 }
 
 /// Whether something was known at a time that is not too long ago. Whatever
-/// decides asks this, and does not wait for [`CrashTracker::sweep`]: that has
+/// decides asks this, and does not wait for [`CrashTracker::expire`]: that has
 /// not run when a VM is woken.
 fn is_recent(at: BootInstant, limit: Duration, now: BootInstant) -> bool {
     now.saturating_duration_since(at) < limit
--- a/src/crashes/tracker/tests.rs
+++ b/src/crashes/tracker/tests.rs
@@ -126,7 +126,7 @@
     end_under(&told_late, DEADLY, 4..=9, now);
     assert!(told_late.is_quarantined(DEADLY, now));
     let later = now + WELL_REMEMBERED;
-    other.sweep(later);
+    other.expire(later);
     end_under(&other, DEADLY, 10..=12, later);
     assert!(other.is_quarantined(DEADLY, now));
 }
@@ -155,9 +155,9 @@
     end_under(&record, DEADLY, 1..=3, now);
     let half = now + REMEMBERED / 2;
     end_under(&record, DEADLY, 4..=4, half);
-    assert!(record.sweep(now + REMEMBERED).is_empty());
+    assert!(record.expire(now + REMEMBERED).is_empty());
     assert!(record.is_quarantined(DEADLY, now));
-    let changes = record.sweep(half + REMEMBERED);
+    let changes = record.expire(half + REMEMBERED);
     assert_eq!(changes, [QuarantineChange::Released(DEADLY)]);
 }
 
--- a/src/gateway/wake_tests.rs
+++ b/src/gateway/wake_tests.rs
@@ -113,7 +113,7 @@
 /// What the timers of a VM do.
 fn run_timers(gateway: &Gateway) {
     let now = gateway.clock.now();
-    gateway.crashes.sweep(now);
+    gateway.crashes.expire(now);
     gateway.pool.sweep(now);
     gateway.peers.sweep(now);
     gateway.note_freshness();
