--- a/src/crashes/crash_check.rs
+++ b/src/crashes/crash_check.rs
@@ -24,7 +24,7 @@
 
 /// Takes in that an attempt was lost at an upstream where it began at
 /// `began_at`.
-pub(crate) fn note_lost(
+pub(crate) fn record_lost_attempt(
     gateway: &Arc<Gateway>,
     member: &Arc<Member>,
     request: RequestDigest,
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -631,7 +631,7 @@
         let gateway = &self.gateway;
         let now = gateway.clock.now();
         if verdict == Verdict::Lost {
-            crash_check::note_lost(
+            crash_check::record_lost_attempt(
                 gateway,
                 &attempt.member,
                 self.digest(),
