--- a/src/crashes/broadcast_queue.rs
+++ b/src/crashes/broadcast_queue.rs
@@ -24,7 +24,7 @@
     /// A VM of another data hall.
     OtherHall,
     /// The platform's store, or another VM that was asked for all it knows.
-    Kept,
+    Snapshot,
 }
 
 /// Whom a beat goes to.
@@ -49,7 +49,7 @@
         let (own_hall_left, other_halls_left) = match source {
             Source::Own | Source::OtherHall => (TOLD_ROUNDS, TOLD_ROUNDS),
             Source::OwnHall => (0, TOLD_ROUNDS),
-            Source::Kept => (0, 0),
+            Source::Snapshot => (0, 0),
         };
         Broadcast { observation, own_hall_left, other_halls_left }
     }
--- a/src/crashes/tracker/tests.rs
+++ b/src/crashes/tracker/tests.rs
@@ -88,7 +88,7 @@
 fn one_end_counts_once() {
     let (record, now) = (CrashTracker::default(), BootInstant::now());
     end_under(&record, DEADLY, 1..=2, now);
-    for source in [Source::OwnHall, Source::OtherHall, Source::Kept] {
+    for source in [Source::OwnHall, Source::OtherHall, Source::Snapshot] {
         record.merge_observations(
             &[crash(DEADLY, 1), crash(DEADLY, 2)],
             source,
@@ -167,7 +167,7 @@
     end_under(&record, DEADLY, 1..=1, now);
     record.merge_observations(&[crash(DEADLY, 2)], Source::OwnHall, now);
     record.merge_observations(&[crash(DEADLY, 3)], Source::OtherHall, now);
-    record.merge_observations(&[crash(DEADLY, 4)], Source::Kept, now);
+    record.merge_observations(&[crash(DEADLY, 4)], Source::Snapshot, now);
     let own_hall = record.next_broadcasts(Audience::OwnHall);
     assert_eq!(own_hall, [crash(DEADLY, 1), crash(DEADLY, 3)]);
     let others = record.next_broadcasts(Audience::OtherHalls);
--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -369,7 +369,7 @@
     else {
         return false;
     };
-    gateway.hear_sightings(&observations, Source::Kept);
+    gateway.hear_sightings(&observations, Source::Snapshot);
     if StoreVersion(as_of) <= gateway.knowledge.as_of() {
         return true;
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -379,7 +379,7 @@
             Fact::CrashingRequest(request, crashes) => {
                 let told: Vec<RequestObservation> =
                     RequestObservation::of_crashes(request, crashes).collect();
-                self.hear_sightings(&told, Source::Kept);
+                self.hear_sightings(&told, Source::Snapshot);
             }
             Fact::Peer(vm, record) => {
                 self.pool.add_vm(&vm, &record.data_hall);
