--- a/src/facts/knowledge.rs
+++ b/src/facts/knowledge.rs
@@ -32,7 +32,7 @@
         store::{Item, Items},
     },
     rendezvous,
-    rollouts::rollout::{Order, Status},
+    rollouts::rollout::{RolloutOrder, Status},
     unit::Mbps,
 };
 
@@ -54,7 +54,7 @@
     /// The operator's configuration.
     Configuration(RouteTable),
     /// A roll-out was ordered.
-    RolloutOrdered(ServiceId, Order),
+    RolloutOrdered(ServiceId, RolloutOrder),
     /// The order of a roll-out was removed.
     RolloutOver(ServiceId),
     /// How far a roll-out is.
--- a/src/rollouts/fleet_tests.rs
+++ b/src/rollouts/fleet_tests.rs
@@ -33,7 +33,7 @@
         member::{UpstreamEntry, UpstreamState},
         pool::VersionRule,
     },
-    rollouts::rollout::{Order, Progress, Status},
+    rollouts::rollout::{Progress, RolloutOrder, Status},
 };
 
 const HALLS: usize = 6;
@@ -58,8 +58,8 @@
     name.parse().unwrap()
 }
 
-fn order() -> Order {
-    Order { target: version("v2"), time_allowed: ALLOWED }
+fn order() -> RolloutOrder {
+    RolloutOrder { target: version("v2"), time_allowed: ALLOWED }
 }
 
 /// The fleet, in which a new version is rolled out.
--- a/src/rollouts/registry.rs
+++ b/src/rollouts/registry.rs
@@ -10,7 +10,7 @@
     rollouts::{
         choice::VersionChoice,
         evidence::{Evidence, HallEvidence},
-        rollout::{Order, Progress, Rollout, Status},
+        rollout::{Progress, Rollout, RolloutOrder, Status},
         sessions::Sessions,
         told::Way,
     },
@@ -61,7 +61,7 @@
     pub fn order(
         &self,
         service: ServiceId,
-        order: Order,
+        order: RolloutOrder,
         now: BootInstant,
     ) -> bool {
         let mut rollouts = self.running.lock().expect("rollouts lock");
--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -91,7 +91,7 @@
 
 /// An operator's order to roll a version out.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Order {
+pub struct RolloutOrder {
     /// The version.
     pub target: VersionId,
     /// The time within which it is to be done.
@@ -131,7 +131,7 @@
 /// One roll-out as this VM sees it.
 #[derive(Debug)]
 pub(super) struct Rollout {
-    pub(super) order: Order,
+    pub(super) order: RolloutOrder,
     session_lifetime: Duration,
     /// When this VM learned of the order.
     learned_at: BootInstant,
@@ -156,7 +156,7 @@
 
 impl Rollout {
     pub(super) fn new(
-        order: Order,
+        order: RolloutOrder,
         session_lifetime: Duration,
         now: BootInstant,
     ) -> Rollout {
--- a/src/rollouts/rollout/tests.rs
+++ b/src/rollouts/rollout/tests.rs
@@ -19,7 +19,7 @@
 
 fn running(now: BootInstant) -> Rollouts {
     let rollouts = Rollouts::new(SESSION_TIME);
-    let order = Order { target: version("v2"), time_allowed: ALLOWED };
+    let order = RolloutOrder { target: version("v2"), time_allowed: ALLOWED };
     assert!(rollouts.order(service(), order, now));
     let status = Status { target: version("v2"), progress: Progress::Running };
     rollouts.set_status(&service(), &status);
@@ -120,7 +120,7 @@
         there.begin_session(&service(), name, &old, now);
         there.end_session(&service(), name, now);
     }
-    let order = Order { target: version("v2"), time_allowed: ALLOWED };
+    let order = RolloutOrder { target: version("v2"), time_allowed: ALLOWED };
     for rollouts in [&here, &there] {
         rollouts.order(service(), order.clone(), now);
     }
@@ -320,8 +320,8 @@
     rollouts.set_status(&service(), &reverted);
     assert!(!rollouts.any_running());
     assert_eq!(rollouts.due(true, |_, _| 0, &[], now), []);
-    let order = Order { target: version("v2"), time_allowed: ALLOWED };
+    let order = RolloutOrder { target: version("v2"), time_allowed: ALLOWED };
     assert!(!rollouts.order(service(), order, now), "the same order");
-    let order = Order { target: version("v3"), time_allowed: ALLOWED };
+    let order = RolloutOrder { target: version("v3"), time_allowed: ALLOWED };
     assert!(rollouts.order(service(), order, now), "another order");
 }
