--- a/src/facts/knowledge.rs
+++ b/src/facts/knowledge.rs
@@ -32,7 +32,7 @@
         store::{Item, Items},
     },
     rendezvous,
-    rollouts::rollout::{RolloutOrder, Status},
+    rollouts::rollout::{RolloutOrder, RolloutStatus},
     unit::Mbps,
 };
 
@@ -58,7 +58,7 @@
     /// The order of a roll-out was removed.
     RolloutOver(ServiceId),
     /// How far a roll-out is.
-    RolloutStatus(ServiceId, Status),
+    RolloutStatus(ServiceId, RolloutStatus),
     /// The upstreams of a data hall are to get no requests.
     EvacuationOrdered(DataHallId),
     /// They may get requests again.
--- a/src/gateway/steward.rs
+++ b/src/gateway/steward.rs
@@ -21,7 +21,7 @@
     },
     rollouts::{
         registry::Due,
-        rollout::{Progress, Status},
+        rollout::{Progress, RolloutStatus},
     },
     task,
 };
@@ -115,7 +115,7 @@
 }
 
 /// Whether the state held is not to be replaced by `wanted`.
-fn stands(held: &Status, wanted: &Status) -> bool {
+fn stands(held: &RolloutStatus, wanted: &RolloutStatus) -> bool {
     held.target == wanted.target
         && (held == wanted || held.progress != Progress::Running)
 }
--- a/src/rollouts/fleet_tests.rs
+++ b/src/rollouts/fleet_tests.rs
@@ -33,7 +33,7 @@
         member::{UpstreamEntry, UpstreamState},
         pool::VersionRule,
     },
-    rollouts::rollout::{Progress, RolloutOrder, Status},
+    rollouts::rollout::{Progress, RolloutOrder, RolloutStatus},
 };
 
 const HALLS: usize = 6;
@@ -82,8 +82,10 @@
 
     /// Has all VMs hear of the operator's order.
     fn order(&self) {
-        let running =
-            Status { target: version("v2"), progress: Progress::Running };
+        let running = RolloutStatus {
+            target: version("v2"),
+            progress: Progress::Running,
+        };
         for vm in &self.vms {
             vm.rollouts.order(service(), order(), self.clock.now());
             vm.rollouts.set_status(&service(), &running);
--- a/src/rollouts/registry.rs
+++ b/src/rollouts/registry.rs
@@ -10,7 +10,7 @@
     rollouts::{
         choice::VersionChoice,
         evidence::{Evidence, HallEvidence},
-        rollout::{Progress, Rollout, RolloutOrder, Status},
+        rollout::{Progress, Rollout, RolloutOrder, RolloutStatus},
         sessions::Sessions,
         told::Way,
     },
@@ -28,7 +28,7 @@
     /// The service.
     pub service: ServiceId,
     /// What is to be recorded.
-    pub status: Status,
+    pub status: RolloutStatus,
 }
 
 /// All roll-outs that this VM knows of.
@@ -77,7 +77,7 @@
     }
 
     /// Takes in the state that stands in the store.
-    pub fn set_status(&self, service: &ServiceId, status: &Status) {
+    pub fn set_status(&self, service: &ServiceId, status: &RolloutStatus) {
         let mut rollouts = self.running.lock().expect("rollouts lock");
         let Some(rollout) = rollouts.get_mut(service) else {
             if status.progress == Progress::Reverted {
@@ -305,7 +305,7 @@
             let progress = rollout.due(is_steward, old, other_halls, now);
             if let Some(progress) = progress {
                 let target = rollout.order.target.clone();
-                let status = Status { target, progress };
+                let status = RolloutStatus { target, progress };
                 due.push(Due { service: service.clone(), status });
             }
         }
--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -121,7 +121,7 @@
 
 /// The state of a roll-out as it stands in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Status {
+pub struct RolloutStatus {
     /// The version.
     pub target: VersionId,
     /// How far it is.
--- a/src/rollouts/rollout/tests.rs
+++ b/src/rollouts/rollout/tests.rs
@@ -21,7 +21,8 @@
     let rollouts = Rollouts::new(SESSION_TIME);
     let order = RolloutOrder { target: version("v2"), time_allowed: ALLOWED };
     assert!(rollouts.order(service(), order, now));
-    let status = Status { target: version("v2"), progress: Progress::Running };
+    let status =
+        RolloutStatus { target: version("v2"), progress: Progress::Running };
     rollouts.set_status(&service(), &status);
     rollouts
 }
@@ -316,7 +317,7 @@
     let now = BootInstant::now();
     let rollouts = running(now);
     let reverted =
-        Status { target: version("v2"), progress: Progress::Reverted };
+        RolloutStatus { target: version("v2"), progress: Progress::Reverted };
     rollouts.set_status(&service(), &reverted);
     assert!(!rollouts.any_running());
     assert_eq!(rollouts.due(true, |_, _| 0, &[], now), []);
