--- a/src/gateway/steward.rs
+++ b/src/gateway/steward.rs
@@ -21,7 +21,7 @@
     },
     rollouts::{
         registry::Due,
-        rollout::{Progress, RolloutStatus},
+        rollout::{RolloutProgress, RolloutStatus},
     },
     task,
 };
@@ -117,5 +117,5 @@
 /// Whether the state held is not to be replaced by `wanted`.
 fn stands(held: &RolloutStatus, wanted: &RolloutStatus) -> bool {
     held.target == wanted.target
-        && (held == wanted || held.progress != Progress::Running)
+        && (held == wanted || held.progress != RolloutProgress::Running)
 }
--- a/src/rollouts/fleet_tests.rs
+++ b/src/rollouts/fleet_tests.rs
@@ -33,7 +33,7 @@
         member::{UpstreamEntry, UpstreamState},
         pool::VersionRule,
     },
-    rollouts::rollout::{Progress, RolloutOrder, RolloutStatus},
+    rollouts::rollout::{RolloutOrder, RolloutProgress, RolloutStatus},
 };
 
 const HALLS: usize = 6;
@@ -84,7 +84,7 @@
     fn order(&self) {
         let running = RolloutStatus {
             target: version("v2"),
-            progress: Progress::Running,
+            progress: RolloutProgress::Running,
         };
         for vm in &self.vms {
             vm.rollouts.order(service(), order(), self.clock.now());
@@ -109,9 +109,9 @@
                 vm.knowledge.prove(now);
                 vm.rollouts.judge(now);
                 let due = steward::due(vm, now);
-                let completes = due
-                    .iter()
-                    .any(|due| due.status.progress == Progress::Completed);
+                let completes = due.iter().any(|due| {
+                    due.status.progress == RolloutProgress::Completed
+                });
                 if completes {
                     halls.insert(self.hall_name(number));
                 }
--- a/src/rollouts/registry.rs
+++ b/src/rollouts/registry.rs
@@ -10,7 +10,7 @@
     rollouts::{
         choice::VersionChoice,
         evidence::{Evidence, HallEvidence},
-        rollout::{Progress, Rollout, RolloutOrder, RolloutStatus},
+        rollout::{Rollout, RolloutOrder, RolloutProgress, RolloutStatus},
         sessions::Sessions,
         told::Way,
     },
@@ -80,7 +80,7 @@
     pub fn set_status(&self, service: &ServiceId, status: &RolloutStatus) {
         let mut rollouts = self.running.lock().expect("rollouts lock");
         let Some(rollout) = rollouts.get_mut(service) else {
-            if status.progress == Progress::Reverted {
+            if status.progress == RolloutProgress::Reverted {
                 self.withdraw(service, status.target.clone());
             }
             return;
--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -100,7 +100,7 @@
 
 /// How far a roll-out is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Progress {
+pub enum RolloutProgress {
     /// Under way.
     Running,
     /// The new version has everything.
@@ -109,12 +109,12 @@
     Reverted,
 }
 
-impl fmt::Display for Progress {
+impl fmt::Display for RolloutProgress {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Progress::Running => "running",
-            Progress::Completed => "completed",
-            Progress::Reverted => "reverted",
+            RolloutProgress::Running => "running",
+            RolloutProgress::Completed => "completed",
+            RolloutProgress::Reverted => "reverted",
         })
     }
 }
@@ -125,7 +125,7 @@
     /// The version.
     pub target: VersionId,
     /// How far it is.
-    pub progress: Progress,
+    pub progress: RolloutProgress,
 }
 
 /// One roll-out as this VM sees it.
@@ -137,7 +137,7 @@
     learned_at: BootInstant,
     /// When it was given, as far as any VM knows.
     started_at: BootInstant,
-    pub(super) progress: Option<Progress>,
+    pub(super) progress: Option<RolloutProgress>,
     stopped_at: Option<BootInstant>,
     /// How long it had been running when the trial ended. All VMs go by the
     /// first that ended it, so that a session that moved with one of them
@@ -178,14 +178,14 @@
     /// is the only one left, whatever this VM has seen of it.
     pub(super) fn is_taken_back(&self) -> bool {
         match self.progress {
-            Some(Progress::Reverted) => true,
-            Some(Progress::Completed) => false,
-            Some(Progress::Running) | None => self.stopped_at.is_some(),
+            Some(RolloutProgress::Reverted) => true,
+            Some(RolloutProgress::Completed) => false,
+            Some(RolloutProgress::Running) | None => self.stopped_at.is_some(),
         }
     }
 
     pub(super) fn is_running(&self) -> bool {
-        matches!(self.progress, None | Some(Progress::Running))
+        matches!(self.progress, None | Some(RolloutProgress::Running))
     }
 
     /// Part of the allowed time that has passed.
@@ -248,11 +248,11 @@
     ) -> (VersionRule, ChoiceReason) {
         let target = self.order.target.clone();
         if self.stopped_at.is_some()
-            || self.progress == Some(Progress::Reverted)
+            || self.progress == Some(RolloutProgress::Reverted)
         {
             return (VersionRule::Never(target), ChoiceReason::Stopped);
         }
-        if self.progress == Some(Progress::Completed) {
+        if self.progress == Some(RolloutProgress::Completed) {
             return (VersionRule::Prefer(target), ChoiceReason::Completed);
         }
         let subject = ShortHash::of(session.unwrap_or(request_id));
@@ -467,20 +467,22 @@
         old_in_flight: u32,
         other_halls: &[ShortHash],
         now: BootInstant,
-    ) -> Option<Progress> {
+    ) -> Option<RolloutProgress> {
         if !self.is_running() {
             return None;
         }
         if let Some(stopped_at) = self.stopped_at {
             let passed = now.saturating_duration_since(stopped_at);
             let is_due = is_steward || passed >= RECORD_ANYWAY;
-            return is_due.then_some(Progress::Reverted);
+            return is_due.then_some(RolloutProgress::Reverted);
         }
         match self.progress {
-            Some(Progress::Completed | Progress::Reverted) => return None,
+            Some(RolloutProgress::Completed | RolloutProgress::Reverted) => {
+                return None;
+            }
             _ if !is_steward => return None,
-            None => return Some(Progress::Running),
-            Some(Progress::Running) => {}
+            None => return Some(RolloutProgress::Running),
+            Some(RolloutProgress::Running) => {}
         }
         let passed = self.passed(now);
         let left = old_in_flight + self.told.near_in_flight(now);
@@ -491,7 +493,8 @@
         });
         let is_done =
             is_moved && left == 0 && self.told.are_idle(other_halls, now);
-        (is_done || passed > COMPLETE_ANYWAY).then_some(Progress::Completed)
+        (is_done || passed > COMPLETE_ANYWAY)
+            .then_some(RolloutProgress::Completed)
     }
 }
 
--- a/src/rollouts/rollout/tests.rs
+++ b/src/rollouts/rollout/tests.rs
@@ -21,8 +21,10 @@
     let rollouts = Rollouts::new(SESSION_TIME);
     let order = RolloutOrder { target: version("v2"), time_allowed: ALLOWED };
     assert!(rollouts.order(service(), order, now));
-    let status =
-        RolloutStatus { target: version("v2"), progress: Progress::Running };
+    let status = RolloutStatus {
+        target: version("v2"),
+        progress: RolloutProgress::Running,
+    };
     rollouts.set_status(&service(), &status);
     rollouts
 }
@@ -90,7 +92,7 @@
     unasked.judge(at(TRIAL_END_LATEST));
     assert_eq!(share(&unasked, at(TRIAL_END_LATEST + 0.001 + PART_TIME)), 1.0);
     let due = unasked.due(true, |_, _| 0, &[], at(COMPLETE_ANYWAY));
-    assert_eq!(due[0].status.progress, Progress::Completed);
+    assert_eq!(due[0].status.progress, RolloutProgress::Completed);
 }
 
 #[test]
@@ -156,7 +158,7 @@
     let rule = here.rule(&service(), None, "r", at).rule;
     assert_eq!(rule, VersionRule::Never(version("v2")));
     let due = here.due(true, |_, _| 0, &[], now);
-    assert_eq!(due[0].status.progress, Progress::Reverted);
+    assert_eq!(due[0].status.progress, RolloutProgress::Reverted);
     // The other VM stops as soon as it hears of it.
     there.hear("vm-1", &here.evidence(|_, _| 0, now), now);
     let rule = there.rule(&service(), None, "r", at).rule;
@@ -280,10 +282,10 @@
     assert_eq!(rollouts.due(true, |_, _| 1, &[], at), []);
     assert_eq!(rollouts.due(false, |_, _| 0, &[], at), []);
     let due = rollouts.due(true, |_, _| 0, &[], at);
-    assert_eq!(due[0].status.progress, Progress::Completed);
+    assert_eq!(due[0].status.progress, RolloutProgress::Completed);
     let late = now + ALLOWED.mul_f64(0.95);
     let due = rollouts.due(true, |_, _| 1, &[], late);
-    assert_eq!(due[0].status.progress, Progress::Completed);
+    assert_eq!(due[0].status.progress, RolloutProgress::Completed);
 }
 
 #[test]
@@ -316,8 +318,10 @@
 fn a_roll_out_that_has_ended_stays_ended() {
     let now = BootInstant::now();
     let rollouts = running(now);
-    let reverted =
-        RolloutStatus { target: version("v2"), progress: Progress::Reverted };
+    let reverted = RolloutStatus {
+        target: version("v2"),
+        progress: RolloutProgress::Reverted,
+    };
     rollouts.set_status(&service(), &reverted);
     assert!(!rollouts.any_running());
     assert_eq!(rollouts.due(true, |_, _| 0, &[], now), []);
