--- a/src/gateway/steward.rs
+++ b/src/gateway/steward.rs
@@ -20,7 +20,7 @@
         store::{Committed, NewValue},
     },
     rollouts::{
-        registry::Due,
+        registry::PendingStatus,
         rollout::{RolloutProgress, RolloutStatus},
     },
     task,
@@ -75,7 +75,7 @@
 }
 
 /// What this VM is to record in the store.
-pub(crate) fn due(gateway: &Gateway, now: BootInstant) -> Vec<Due> {
+pub(crate) fn due(gateway: &Gateway, now: BootInstant) -> Vec<PendingStatus> {
     let own_proof = gateway.knowledge.proof_age(now);
     let is_steward = gateway.peers.is_steward(own_proof, now);
     let old =
@@ -88,7 +88,10 @@
 
 /// Writes a state over the one that stands there, unless that has ended the
 /// same roll-out; what stands there afterwards is taken in.
-async fn record(gateway: &Gateway, due: &Due) -> Result<(), StoreError> {
+async fn record(
+    gateway: &Gateway,
+    due: &PendingStatus,
+) -> Result<(), StoreError> {
     let key = document::status_key(&due.service);
     let held = gateway.store.read(&key).await?;
     let expected = held.as_ref().map(|item| item.version);
--- a/src/rollouts/registry.rs
+++ b/src/rollouts/registry.rs
@@ -24,7 +24,7 @@
 
 /// A step that a roll-out is due for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Due {
+pub struct PendingStatus {
     /// The service.
     pub service: ServiceId,
     /// What is to be recorded.
@@ -297,7 +297,7 @@
         old_in_flight: impl Fn(&ServiceId, &VersionId) -> u32,
         other_halls: &[ShortHash],
         now: BootInstant,
-    ) -> Vec<Due> {
+    ) -> Vec<PendingStatus> {
         let rollouts = self.running.lock().expect("rollouts lock");
         let mut due = Vec::new();
         for (service, rollout) in rollouts.iter() {
@@ -306,7 +306,7 @@
             if let Some(progress) = progress {
                 let target = rollout.order.target.clone();
                 let status = RolloutStatus { target, progress };
-                due.push(Due { service: service.clone(), status });
+                due.push(PendingStatus { service: service.clone(), status });
             }
         }
         due
