--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -25,7 +25,7 @@
     metrics::Metrics,
     peer::PeerService,
     platform::store::{Item, Items},
-    rollouts::{evidence::HallEvidence, told::Way},
+    rollouts::{evidence::HallEvidence, peer_evidence::Way},
     task,
 };
 
--- a/src/rollouts/mod.rs
+++ b/src/rollouts/mod.rs
@@ -5,16 +5,16 @@
 //! * [`choice`]: which version a request goes to, and why.
 //! * [`comparison`]: whether its answers are worse than the old one's.
 //! * [`evidence`]: what VMs tell each other of it.
-//! * `told`: what others have told, and what of that is passed on.
+//! * `peer_evidence`: what others have told, and what of that is passed on.
 //! * `sessions`: which version each session is at.
 
 pub mod choice;
 pub mod comparison;
 pub mod evidence;
+pub(crate) mod peer_evidence;
 pub mod registry;
 pub mod rollout;
 pub(crate) mod sessions;
-pub(crate) mod told;
 
 #[cfg(test)]
 mod fleet_tests;
--- a/src/rollouts/told.rs
+++ b/src/rollouts/peer_evidence.rs
@@ -45,7 +45,7 @@
 
 /// What other VMs have told of one roll-out.
 #[derive(Debug, Default)]
-pub(super) struct Told {
+pub(super) struct PeerEvidence {
     /// The VMs of this hall.
     vms: HashMap<String, (BootInstant, Evidence)>,
     halls: HashMap<ShortHash, Hall>,
@@ -78,7 +78,7 @@
     is_relayed: bool,
 }
 
-impl Told {
+impl PeerEvidence {
     /// Takes in what a VM of this hall tells.
     pub(super) fn hear_vm(
         &mut self,
--- a/src/rollouts/registry.rs
+++ b/src/rollouts/registry.rs
@@ -10,9 +10,9 @@
     rollouts::{
         choice::VersionChoice,
         evidence::{Evidence, HallEvidence},
+        peer_evidence::Way,
         rollout::{Rollout, RolloutOrder, RolloutProgress, RolloutStatus},
         sessions::Sessions,
-        told::Way,
     },
 };
 
--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -25,8 +25,8 @@
         choice::ChoiceReason,
         comparison::{Answers, is_worse},
         evidence::{Evidence, HallEvidence, ToldSession},
+        peer_evidence::{ByRoute, PeerEvidence, Way, listed, told_session},
         sessions::Sessions,
-        told::{ByRoute, Told, Way, listed, told_session},
     },
 };
 
@@ -145,7 +145,7 @@
     trial_ended: Option<Duration>,
     own: ByRoute,
     first_part_s: HashMap<ShortHash, f64>,
-    pub(super) told: Told,
+    pub(super) told: PeerEvidence,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -170,7 +170,7 @@
             trial_ended: None,
             own: HashMap::new(),
             first_part_s: HashMap::new(),
-            told: Told::default(),
+            told: PeerEvidence::default(),
         }
     }
 
