--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -25,7 +25,7 @@
     metrics::Metrics,
     peer::PeerService,
     platform::store::{Item, Items},
-    rollouts::{evidence::HallEvidence, peer_evidence::Way},
+    rollouts::{evidence::HallEvidence, peer_evidence::Delivery},
     task,
 };
 
@@ -263,7 +263,7 @@
     if is_near {
         rollouts.hear(&beat.vm, &beat.evidence, now);
     }
-    let way = if is_near { Way::Relayed } else { Way::Direct };
+    let way = if is_near { Delivery::Relayed } else { Delivery::Direct };
     for sum in &beat.hall_evidence {
         // One of this hall comes from a VM that took it for another.
         if sum.data_hall != own_hall {
--- a/src/rollouts/peer_evidence.rs
+++ b/src/rollouts/peer_evidence.rs
@@ -36,7 +36,7 @@
 
 /// How the sum of another data hall came here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Way {
+pub(crate) enum Delivery {
     /// From a VM there, to this VM alone.
     Direct,
     /// From a VM of this hall, which tells all of it.
@@ -94,13 +94,13 @@
     pub(super) fn hear_hall(
         &mut self,
         told: &HallEvidence,
-        way: Way,
+        way: Delivery,
         now: BootInstant,
     ) {
         let age = Duration::from_millis(told.age_ms.into());
         let at = now.checked_sub(age).unwrap_or(now);
         let sum = &told.evidence;
-        let is_relayed = way == Way::Relayed;
+        let is_relayed = way == Delivery::Relayed;
         let hall = Some(told.data_hall);
         self.note_sessions(&sum.old_sessions, hall, at, is_relayed);
         let held = self.halls.entry(told.data_hall).or_insert_with(|| Hall {
@@ -113,8 +113,8 @@
         });
         held.take(sum, at);
         match way {
-            Way::Direct => held.is_fresh = true,
-            Way::Relayed => held.relayed_at = Some(now),
+            Delivery::Direct => held.is_fresh = true,
+            Delivery::Relayed => held.relayed_at = Some(now),
         }
     }
 
--- a/src/rollouts/registry.rs
+++ b/src/rollouts/registry.rs
@@ -10,7 +10,7 @@
     rollouts::{
         choice::VersionChoice,
         evidence::{Evidence, HallEvidence},
-        peer_evidence::Way,
+        peer_evidence::Delivery,
         rollout::{Rollout, RolloutOrder, RolloutProgress, RolloutStatus},
         sessions::Sessions,
     },
@@ -263,7 +263,7 @@
     pub(crate) fn hear_hall(
         &self,
         told: &HallEvidence,
-        way: Way,
+        way: Delivery,
         now: BootInstant,
     ) {
         let mut rollouts = self.running.lock().expect("rollouts lock");
--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -25,7 +25,9 @@
         choice::ChoiceReason,
         comparison::{Answers, is_worse},
         evidence::{Evidence, HallEvidence, ToldSession},
-        peer_evidence::{ByRoute, PeerEvidence, Way, listed, told_session},
+        peer_evidence::{
+            ByRoute, Delivery, PeerEvidence, listed, told_session,
+        },
         sessions::Sessions,
     },
 };
@@ -421,7 +423,7 @@
     pub(super) fn hear_hall(
         &mut self,
         told: &HallEvidence,
-        way: Way,
+        way: Delivery,
         now: BootInstant,
     ) {
         self.follow(&told.evidence, now);
