--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -19,7 +19,7 @@
     http_client::Exchange,
     id::ModelId,
     placing::{
-        cascade::{Doubt, Snapshot, larger_model},
+        cascade::{Doubt, Kept, larger_model},
         health::Verdict,
         member::Member,
     },
@@ -215,7 +215,7 @@
         attempt: &Attempt,
         model: &ModelId,
         confidence: Percent,
-    ) -> Result<ModelId, Snapshot> {
+    ) -> Result<ModelId, Kept> {
         let now = self.gateway.clock.now();
         let doubt = Doubt {
             route: &self.route,
@@ -230,7 +230,7 @@
         // An answer that is at hand is better than one that nobody gives.
         match self.can_ask_again(now) {
             true => Ok(larger),
-            false => Err(Snapshot::NoUpstream),
+            false => Err(Kept::NoUpstream),
         }
     }
 
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -16,7 +16,7 @@
     id::{ModelId, OrganisationId},
     metrics::{Metrics, OTHER},
     placing::{
-        cascade::Snapshot,
+        cascade::Kept,
         member::Member,
         pool::VersionRule,
         statement::{RateLimit, Rest, Statement},
@@ -45,7 +45,7 @@
     /// The rate limit that the upstream named.
     rate_limit: Option<RateLimit>,
     confidence: Option<u8>,
-    kept: Option<Snapshot>,
+    kept: Option<Kept>,
 }
 
 /// How a request ended.
@@ -190,7 +190,7 @@
     pub(crate) fn note_confidence(
         &mut self,
         confidence: Percent,
-        kept: Option<Snapshot>,
+        kept: Option<Kept>,
     ) {
         if let Some(last) = self.attempts.last_mut() {
             last.confidence = Some(confidence.value());
