--- a/src/gateway/steward.rs
+++ b/src/gateway/steward.rs
@@ -50,7 +50,7 @@
             continue;
         }
         let now = gateway.clock.now();
-        for (service, reason) in gateway.rollouts.judge(now) {
+        for (service, reason) in gateway.rollouts.evaluate(now) {
             Event::RolloutStopped.record(fields(json!({
                 "service": service,
                 "reason": reason,
--- a/src/rollouts/fleet_tests.rs
+++ b/src/rollouts/fleet_tests.rs
@@ -107,7 +107,7 @@
             let now = self.clock.now();
             for (number, vm) in self.vms.iter().enumerate() {
                 vm.knowledge.prove(now);
-                vm.rollouts.judge(now);
+                vm.rollouts.evaluate(now);
                 let due = steward::due(vm, now);
                 let completes = due.iter().any(|due| {
                     due.status.progress == RolloutProgress::Completed
--- a/src/rollouts/registry.rs
+++ b/src/rollouts/registry.rs
@@ -274,11 +274,11 @@
 
     /// Judges the running roll-outs; returns those that were stopped just
     /// now, with the reason.
-    pub fn judge(&self, now: BootInstant) -> Vec<(ServiceId, String)> {
+    pub fn evaluate(&self, now: BootInstant) -> Vec<(ServiceId, String)> {
         let mut rollouts = self.running.lock().expect("rollouts lock");
         let mut stopped = Vec::new();
         for (service, rollout) in rollouts.iter_mut() {
-            if let Some(reason) = rollout.judge(now) {
+            if let Some(reason) = rollout.evaluate(now) {
                 stopped.push((service.clone(), reason));
             }
         }
--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -448,7 +448,7 @@
     }
 
     /// Stops the version if its answers are worse than the old one's.
-    pub(super) fn judge(&mut self, now: BootInstant) -> Option<String> {
+    pub(super) fn evaluate(&mut self, now: BootInstant) -> Option<String> {
         if self.stopped_at.is_some() || !self.is_running() {
             return None;
         }
--- a/src/rollouts/rollout/tests.rs
+++ b/src/rollouts/rollout/tests.rs
@@ -47,10 +47,10 @@
     let on_trial = share(&rollouts, now + ALLOWED / 4);
     assert!((0.06..0.1).contains(&on_trial), "{on_trial}");
     answer(&rollouts, TRIAL_ANSWERS);
-    rollouts.judge(now + ALLOWED / 4);
+    rollouts.evaluate(now + ALLOWED / 4);
     let still = share(&rollouts, now + ALLOWED / 2);
     assert!((0.06..0.1).contains(&still), "{still}");
-    rollouts.judge(now + ALLOWED.mul_f64(TRIAL_END));
+    rollouts.evaluate(now + ALLOWED.mul_f64(TRIAL_END));
     let part = share(&rollouts, now + ALLOWED.mul_f64(TRIAL_END + 0.01));
     assert!((0.3..0.5).contains(&part), "{part}");
     assert_eq!(share(&rollouts, now + ALLOWED.mul_f64(0.7)), 1.0);
@@ -73,11 +73,11 @@
     let rollouts = running(now);
     let at = |part: f64| now + ALLOWED.mul_f64(part);
     answer(&rollouts, TRIAL_ANSWERS - 1);
-    rollouts.judge(at(0.7));
+    rollouts.evaluate(at(0.7));
     let on_trial = share(&rollouts, at(0.7));
     assert!((0.06..0.1).contains(&on_trial), "{on_trial}");
     answer(&rollouts, 1);
-    rollouts.judge(at(0.71));
+    rollouts.evaluate(at(0.71));
     let moved = at(0.711 + PART_TIME);
     assert_eq!(share(&rollouts, moved), 1.0);
     // A VM that has seen less goes by what the first one found.
@@ -86,10 +86,10 @@
     assert_eq!(share(&other, moved), 1.0);
 
     let unasked = running(now);
-    unasked.judge(at(TRIAL_END_LATEST - 0.01));
+    unasked.evaluate(at(TRIAL_END_LATEST - 0.01));
     let on_trial = share(&unasked, at(TRIAL_END_LATEST - 0.01));
     assert!((0.06..0.1).contains(&on_trial), "{on_trial}");
-    unasked.judge(at(TRIAL_END_LATEST));
+    unasked.evaluate(at(TRIAL_END_LATEST));
     assert_eq!(share(&unasked, at(TRIAL_END_LATEST + 0.001 + PART_TIME)), 1.0);
     let due = unasked.due(true, |_, _| 0, &[], at(COMPLETE_ANYWAY));
     assert_eq!(due[0].status.progress, RolloutProgress::Completed);
@@ -151,9 +151,9 @@
             rollouts.record(&service(), &new, "a", Verdict::Failed, None);
         }
     }
-    assert_eq!(here.judge(now), []);
+    assert_eq!(here.evaluate(now), []);
     here.hear("vm-2", &there.evidence(|_, _| 0, now), now);
-    assert_eq!(here.judge(now).len(), 1);
+    assert_eq!(here.evaluate(now).len(), 1);
     let at = now + ALLOWED / 4;
     let rule = here.rule(&service(), None, "r", at).rule;
     assert_eq!(rule, VersionRule::Never(version("v2")));
@@ -180,11 +180,11 @@
     record("v1", Verdict::Lost, 30);
     record("v2", Verdict::Good, 2);
     record("v2", Verdict::Lost, 8);
-    assert_eq!(rollouts.judge(now), []);
+    assert_eq!(rollouts.evaluate(now), []);
     // Only the new version goes on losing answers.
     record("v1", Verdict::Good, 300);
     record("v2", Verdict::Lost, 30);
-    assert_eq!(rollouts.judge(now).len(), 1);
+    assert_eq!(rollouts.evaluate(now).len(), 1);
 }
 
 #[test]
@@ -195,7 +195,7 @@
         let new = version("v2");
         rollouts.record(&service(), &new, "a", Verdict::Failed, None);
     }
-    assert_eq!(rollouts.judge(now).len(), 1);
+    assert_eq!(rollouts.evaluate(now).len(), 1);
     assert_eq!(rollouts.due(false, |_, _| 0, &[], now), []);
     assert_eq!(rollouts.due(true, |_, _| 0, &[], now).len(), 1);
     let later = now + RECORD_ANYWAY;
@@ -216,7 +216,7 @@
             rollouts.record(&service(), &version, "a", verdict, None);
         }
     }
-    assert_eq!(rollouts.judge(now), []);
+    assert_eq!(rollouts.evaluate(now), []);
 }
 
 #[test]
@@ -242,7 +242,7 @@
     for _ in 0..6 {
         record("v2", "b", 400);
     }
-    assert_eq!(rollouts.judge(now).len(), 1);
+    assert_eq!(rollouts.evaluate(now).len(), 1);
 }
 
 /// Prompts differ in length, so a part of any version's answers takes far
@@ -269,7 +269,7 @@
     for number in 0..19 {
         record("v2", number);
     }
-    assert_eq!(rollouts.judge(now), []);
+    assert_eq!(rollouts.evaluate(now), []);
 }
 
 #[test]
@@ -277,7 +277,7 @@
     let now = BootInstant::now();
     let rollouts = running(now);
     answer(&rollouts, TRIAL_ANSWERS);
-    rollouts.judge(now + ALLOWED.mul_f64(TRIAL_END));
+    rollouts.evaluate(now + ALLOWED.mul_f64(TRIAL_END));
     let at = now + ALLOWED.mul_f64(0.7);
     assert_eq!(rollouts.due(true, |_, _| 1, &[], at), []);
     assert_eq!(rollouts.due(false, |_, _| 0, &[], at), []);
@@ -293,7 +293,7 @@
     let now = BootInstant::now();
     let old = running(now);
     answer(&old, TRIAL_ANSWERS);
-    old.judge(now + ALLOWED.mul_f64(TRIAL_END));
+    old.evaluate(now + ALLOWED.mul_f64(TRIAL_END));
     let at = now + ALLOWED.mul_f64(0.7);
     let restarted = running(at);
     assert!(share(&restarted, at) < 0.2);
