--- a/src/gateway/steward.rs
+++ b/src/gateway/steward.rs
@@ -83,7 +83,7 @@
     let halls = gateway.peers.other_halls();
     let halls: Vec<ShortHash> =
         halls.iter().map(|hall| ShortHash::of(hall.as_str())).collect();
-    gateway.rollouts.due(is_steward, old, &halls, now)
+    gateway.rollouts.pending_statuses(is_steward, old, &halls, now)
 }
 
 /// Writes a state over the one that stands there, unless that has ended the
--- a/src/rollouts/registry.rs
+++ b/src/rollouts/registry.rs
@@ -291,7 +291,7 @@
     /// records only that a version was stopped, and a little later. A version
     /// is completed once no VM of this hall nor of `other_halls` works at the
     /// old one, whose upstreams then stop.
-    pub fn due(
+    pub fn pending_statuses(
         &self,
         is_steward: bool,
         old_in_flight: impl Fn(&ServiceId, &VersionId) -> u32,
@@ -302,7 +302,8 @@
         let mut due = Vec::new();
         for (service, rollout) in rollouts.iter() {
             let old = old_in_flight(service, &rollout.order.target);
-            let progress = rollout.due(is_steward, old, other_halls, now);
+            let progress =
+                rollout.pending_statuses(is_steward, old, other_halls, now);
             if let Some(progress) = progress {
                 let target = rollout.order.target.clone();
                 let status = RolloutStatus { target, progress };
--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -463,7 +463,7 @@
         ))
     }
 
-    pub(super) fn due(
+    pub(super) fn pending_statuses(
         &self,
         is_steward: bool,
         old_in_flight: u32,
--- a/src/rollouts/rollout/tests.rs
+++ b/src/rollouts/rollout/tests.rs
@@ -91,7 +91,8 @@
     assert!((0.06..0.1).contains(&on_trial), "{on_trial}");
     unasked.evaluate(at(TRIAL_END_LATEST));
     assert_eq!(share(&unasked, at(TRIAL_END_LATEST + 0.001 + PART_TIME)), 1.0);
-    let due = unasked.due(true, |_, _| 0, &[], at(COMPLETE_ANYWAY));
+    let due =
+        unasked.pending_statuses(true, |_, _| 0, &[], at(COMPLETE_ANYWAY));
     assert_eq!(due[0].status.progress, RolloutProgress::Completed);
 }
 
@@ -157,7 +158,7 @@
     let at = now + ALLOWED / 4;
     let rule = here.rule(&service(), None, "r", at).rule;
     assert_eq!(rule, VersionRule::Never(version("v2")));
-    let due = here.due(true, |_, _| 0, &[], now);
+    let due = here.pending_statuses(true, |_, _| 0, &[], now);
     assert_eq!(due[0].status.progress, RolloutProgress::Reverted);
     // The other VM stops as soon as it hears of it.
     there.hear("vm-1", &here.evidence(|_, _| 0, now), now);
@@ -196,10 +197,13 @@
         rollouts.record(&service(), &new, "a", Verdict::Failed, None);
     }
     assert_eq!(rollouts.evaluate(now).len(), 1);
-    assert_eq!(rollouts.due(false, |_, _| 0, &[], now), []);
-    assert_eq!(rollouts.due(true, |_, _| 0, &[], now).len(), 1);
+    assert_eq!(rollouts.pending_statuses(false, |_, _| 0, &[], now), []);
+    assert_eq!(rollouts.pending_statuses(true, |_, _| 0, &[], now).len(), 1);
     let later = now + RECORD_ANYWAY;
-    assert_eq!(rollouts.due(false, |_, _| 0, &[], later).len(), 1);
+    assert_eq!(
+        rollouts.pending_statuses(false, |_, _| 0, &[], later).len(),
+        1
+    );
 }
 
 #[test]
@@ -279,12 +283,12 @@
     answer(&rollouts, TRIAL_ANSWERS);
     rollouts.evaluate(now + ALLOWED.mul_f64(TRIAL_END));
     let at = now + ALLOWED.mul_f64(0.7);
-    assert_eq!(rollouts.due(true, |_, _| 1, &[], at), []);
-    assert_eq!(rollouts.due(false, |_, _| 0, &[], at), []);
-    let due = rollouts.due(true, |_, _| 0, &[], at);
+    assert_eq!(rollouts.pending_statuses(true, |_, _| 1, &[], at), []);
+    assert_eq!(rollouts.pending_statuses(false, |_, _| 0, &[], at), []);
+    let due = rollouts.pending_statuses(true, |_, _| 0, &[], at);
     assert_eq!(due[0].status.progress, RolloutProgress::Completed);
     let late = now + ALLOWED.mul_f64(0.95);
-    let due = rollouts.due(true, |_, _| 1, &[], late);
+    let due = rollouts.pending_statuses(true, |_, _| 1, &[], late);
     assert_eq!(due[0].status.progress, RolloutProgress::Completed);
 }
 
@@ -324,7 +328,7 @@
     };
     rollouts.set_status(&service(), &reverted);
     assert!(!rollouts.any_running());
-    assert_eq!(rollouts.due(true, |_, _| 0, &[], now), []);
+    assert_eq!(rollouts.pending_statuses(true, |_, _| 0, &[], now), []);
     let order = RolloutOrder { target: version("v2"), time_allowed: ALLOWED };
     assert!(!rollouts.order(service(), order, now), "the same order");
     let order = RolloutOrder { target: version("v3"), time_allowed: ALLOWED };
