--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -245,7 +245,7 @@
     fn version_choice(&self, now: BootInstant) -> VersionChoice {
         let session = self.inbound.session.as_deref();
         let id = &self.inbound.id;
-        self.gateway.rollouts.rule(&self.service, session, id, now)
+        self.gateway.rollouts.choose_version(&self.service, session, id, now)
     }
 
     /// What the request asks of the choice among those not `tried`.
--- a/src/rollouts/fleet_tests.rs
+++ b/src/rollouts/fleet_tests.rs
@@ -124,7 +124,8 @@
     fn ask(&self, vm: usize, session: &str) -> VersionId {
         let now = self.clock.now();
         let rollouts = &self.vms[vm].rollouts;
-        let choice = rollouts.rule(&service(), Some(session), "r", now);
+        let choice =
+            rollouts.choose_version(&service(), Some(session), "r", now);
         let software = match choice.rule {
             VersionRule::Prefer(version) => version,
             _ => version("v1"),
--- a/src/rollouts/registry.rs
+++ b/src/rollouts/registry.rs
@@ -128,7 +128,7 @@
     }
 
     /// Which version may answer a request.
-    pub fn rule(
+    pub fn choose_version(
         &self,
         service: &ServiceId,
         session: Option<&str>,
@@ -146,7 +146,8 @@
             let session = ShortHash::of(session);
             of_service.version(session, self.session_lifetime, now)
         });
-        let (rule, reason) = rollout.rule(session, own, request_id, now);
+        let (rule, reason) =
+            rollout.choose_version(session, own, request_id, now);
         VersionChoice { rule, reason: Some(reason), withdrawn }
     }
 
--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -241,7 +241,7 @@
         pooled
     }
 
-    pub(super) fn rule(
+    pub(super) fn choose_version(
         &mut self,
         session: Option<&str>,
         own: Option<(&VersionId, Duration)>,
--- a/src/rollouts/rollout/tests.rs
+++ b/src/rollouts/rollout/tests.rs
@@ -33,7 +33,8 @@
 fn share(rollouts: &Rollouts, now: BootInstant) -> f64 {
     let new = (0..10_000).filter(|number| {
         let session = format!("session-{number}");
-        let choice = rollouts.rule(&service(), Some(&session), "r", now);
+        let choice =
+            rollouts.choose_version(&service(), Some(&session), "r", now);
         choice.rule == VersionRule::Prefer(version("v2"))
     });
     new.count() as f64 / 10_000.0
@@ -107,7 +108,9 @@
         rollouts.begin_session(&service(), &session, &old, at);
         rollouts.end_session(&service(), &session, at);
         let later = at + Duration::from_secs(4);
-        let rule = rollouts.rule(&service(), Some(&session), "r", later).rule;
+        let rule = rollouts
+            .choose_version(&service(), Some(&session), "r", later)
+            .rule;
         assert_eq!(rule, VersionRule::Avoid(version("v2")));
     }
 }
@@ -132,7 +135,7 @@
     here.hear("vm-2", &told, now);
     let at = now + Duration::from_secs(3);
     for name in &names {
-        let rule = here.rule(&service(), Some(name), "r", at).rule;
+        let rule = here.choose_version(&service(), Some(name), "r", at).rule;
         assert_eq!(rule, VersionRule::Avoid(version("v2")), "{name}");
     }
 }
@@ -156,13 +159,13 @@
     here.hear("vm-2", &there.evidence(|_, _| 0, now), now);
     assert_eq!(here.evaluate(now).len(), 1);
     let at = now + ALLOWED / 4;
-    let rule = here.rule(&service(), None, "r", at).rule;
+    let rule = here.choose_version(&service(), None, "r", at).rule;
     assert_eq!(rule, VersionRule::Never(version("v2")));
     let due = here.pending_statuses(true, |_, _| 0, &[], now);
     assert_eq!(due[0].status.progress, RolloutProgress::Reverted);
     // The other VM stops as soon as it hears of it.
     there.hear("vm-1", &here.evidence(|_, _| 0, now), now);
-    let rule = there.rule(&service(), None, "r", at).rule;
+    let rule = there.choose_version(&service(), None, "r", at).rule;
     assert_eq!(rule, VersionRule::Never(version("v2")));
 }
 
