--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -261,7 +261,7 @@
     let rollouts = &gateway.rollouts;
     let own_hall = ShortHash::of(gateway.settings.data_hall.as_str());
     if is_near {
-        rollouts.hear(&beat.vm, &beat.evidence, now);
+        rollouts.merge_evidence(&beat.vm, &beat.evidence, now);
     }
     let way = if is_near { Delivery::Relayed } else { Delivery::Direct };
     for sum in &beat.hall_evidence {
--- a/src/rollouts/registry.rs
+++ b/src/rollouts/registry.rs
@@ -251,11 +251,16 @@
     }
 
     /// Takes in what another VM of this data hall tells.
-    pub fn hear(&self, vm: &str, told: &[Evidence], now: BootInstant) {
+    pub fn merge_evidence(
+        &self,
+        vm: &str,
+        told: &[Evidence],
+        now: BootInstant,
+    ) {
         let mut rollouts = self.running.lock().expect("rollouts lock");
         for told in told {
             if let Some(rollout) = find(&mut rollouts, told) {
-                rollout.hear(vm, told.clone(), now);
+                rollout.merge_evidence(vm, told.clone(), now);
             }
         }
     }
--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -415,7 +415,12 @@
         }
     }
 
-    pub(super) fn hear(&mut self, vm: &str, told: Evidence, now: BootInstant) {
+    pub(super) fn merge_evidence(
+        &mut self,
+        vm: &str,
+        told: Evidence,
+        now: BootInstant,
+    ) {
         self.follow(&told, now);
         self.told.hear_vm(vm, told, now);
     }
--- a/src/rollouts/rollout/tests.rs
+++ b/src/rollouts/rollout/tests.rs
@@ -83,7 +83,7 @@
     assert_eq!(share(&rollouts, moved), 1.0);
     // A VM that has seen less goes by what the first one found.
     let other = running(now);
-    other.hear("vm-2", &rollouts.evidence(|_, _| 0, moved), moved);
+    other.merge_evidence("vm-2", &rollouts.evidence(|_, _| 0, moved), moved);
     assert_eq!(share(&other, moved), 1.0);
 
     let unasked = running(now);
@@ -132,7 +132,7 @@
         rollouts.order(service(), order.clone(), now);
     }
     let told = there.evidence(|_, _| 0, now);
-    here.hear("vm-2", &told, now);
+    here.merge_evidence("vm-2", &told, now);
     let at = now + Duration::from_secs(3);
     for name in &names {
         let rule = here.choose_version(&service(), Some(name), "r", at).rule;
@@ -156,7 +156,7 @@
         }
     }
     assert_eq!(here.evaluate(now), []);
-    here.hear("vm-2", &there.evidence(|_, _| 0, now), now);
+    here.merge_evidence("vm-2", &there.evidence(|_, _| 0, now), now);
     assert_eq!(here.evaluate(now).len(), 1);
     let at = now + ALLOWED / 4;
     let rule = here.choose_version(&service(), None, "r", at).rule;
@@ -164,7 +164,7 @@
     let due = here.pending_statuses(true, |_, _| 0, &[], now);
     assert_eq!(due[0].status.progress, RolloutProgress::Reverted);
     // The other VM stops as soon as it hears of it.
-    there.hear("vm-1", &here.evidence(|_, _| 0, now), now);
+    there.merge_evidence("vm-1", &here.evidence(|_, _| 0, now), now);
     let rule = there.choose_version(&service(), None, "r", at).rule;
     assert_eq!(rule, VersionRule::Never(version("v2")));
 }
@@ -304,7 +304,7 @@
     let at = now + ALLOWED.mul_f64(0.7);
     let restarted = running(at);
     assert!(share(&restarted, at) < 0.2);
-    restarted.hear("vm-2", &old.evidence(|_, _| 0, at), at);
+    restarted.merge_evidence("vm-2", &old.evidence(|_, _| 0, at), at);
     assert_eq!(share(&restarted, at), 1.0);
 }
 
@@ -316,7 +316,7 @@
     let other = running(now);
     let at = now + ALLOWED / 4;
     let late = running(at);
-    late.hear("vm-2", &other.evidence(|_, _| 0, at), at);
+    late.merge_evidence("vm-2", &other.evidence(|_, _| 0, at), at);
     assert_eq!(share(&late, at), 0.0);
     assert!(share(&late, at + LISTEN_TIME) > 0.06);
 }
