--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -267,7 +267,7 @@
     for sum in &beat.hall_evidence {
         // One of this hall comes from a VM that took it for another.
         if sum.data_hall != own_hall {
-            rollouts.hear_hall(sum, way, now);
+            rollouts.merge_hall_evidence(sum, way, now);
         }
     }
 }
--- a/src/rollouts/registry.rs
+++ b/src/rollouts/registry.rs
@@ -266,7 +266,7 @@
     }
 
     /// Takes in what all VMs of another data hall tell.
-    pub(crate) fn hear_hall(
+    pub(crate) fn merge_hall_evidence(
         &self,
         told: &HallEvidence,
         way: Delivery,
@@ -274,7 +274,7 @@
     ) {
         let mut rollouts = self.running.lock().expect("rollouts lock");
         if let Some(rollout) = find(&mut rollouts, &told.evidence) {
-            rollout.hear_hall(told, way, now);
+            rollout.merge_hall_evidence(told, way, now);
         }
     }
 
--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -425,14 +425,14 @@
         self.told.hear_vm(vm, told, now);
     }
 
-    pub(super) fn hear_hall(
+    pub(super) fn merge_hall_evidence(
         &mut self,
         told: &HallEvidence,
         way: Delivery,
         now: BootInstant,
     ) {
         self.follow(&told.evidence, now);
-        self.told.hear_hall(told, way, now);
+        self.told.merge_hall_evidence(told, way, now);
     }
 
     /// Takes in how far another VM has come.
