--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -347,7 +347,7 @@
             Fact::RolloutOrdered(service, order) => {
                 let target = order.target.clone();
                 let allowed_ms = order.time_allowed.as_millis() as u64;
-                if self.rollouts.order(service.clone(), order, now) {
+                if self.rollouts.apply_order(service.clone(), order, now) {
                     Event::RolloutOrdered.record(fields(json!({
                         "service": service,
                         "target": target,
--- a/src/rollouts/fleet_tests.rs
+++ b/src/rollouts/fleet_tests.rs
@@ -87,7 +87,7 @@
             progress: RolloutProgress::Running,
         };
         for vm in &self.vms {
-            vm.rollouts.order(service(), order(), self.clock.now());
+            vm.rollouts.apply_order(service(), order(), self.clock.now());
             vm.rollouts.set_status(&service(), &running);
         }
     }
--- a/src/rollouts/registry.rs
+++ b/src/rollouts/registry.rs
@@ -58,7 +58,7 @@
     }
 
     /// Takes in an order; returns whether it is a new one.
-    pub fn order(
+    pub fn apply_order(
         &self,
         service: ServiceId,
         order: RolloutOrder,
--- a/src/rollouts/rollout/tests.rs
+++ b/src/rollouts/rollout/tests.rs
@@ -20,7 +20,7 @@
 fn running(now: BootInstant) -> Rollouts {
     let rollouts = Rollouts::new(SESSION_TIME);
     let order = RolloutOrder { target: version("v2"), time_allowed: ALLOWED };
-    assert!(rollouts.order(service(), order, now));
+    assert!(rollouts.apply_order(service(), order, now));
     let status = RolloutStatus {
         target: version("v2"),
         progress: RolloutProgress::Running,
@@ -129,7 +129,7 @@
     }
     let order = RolloutOrder { target: version("v2"), time_allowed: ALLOWED };
     for rollouts in [&here, &there] {
-        rollouts.order(service(), order.clone(), now);
+        rollouts.apply_order(service(), order.clone(), now);
     }
     let told = there.evidence(|_, _| 0, now);
     here.merge_evidence("vm-2", &told, now);
@@ -333,7 +333,7 @@
     assert!(!rollouts.any_running());
     assert_eq!(rollouts.pending_statuses(true, |_, _| 0, &[], now), []);
     let order = RolloutOrder { target: version("v2"), time_allowed: ALLOWED };
-    assert!(!rollouts.order(service(), order, now), "the same order");
+    assert!(!rollouts.apply_order(service(), order, now), "the same order");
     let order = RolloutOrder { target: version("v3"), time_allowed: ALLOWED };
-    assert!(rollouts.order(service(), order, now), "another order");
+    assert!(rollouts.apply_order(service(), order, now), "another order");
 }
