--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -367,7 +367,7 @@
                         .record(fields(json!({ "data_hall": hall })));
                 }
             }
-            Fact::RolloutOver(service) => self.rollouts.forget(&service),
+            Fact::RolloutOver(service) => self.rollouts.remove(&service),
             Fact::RolloutStatus(service, status) => {
                 self.rollouts.set_status(&service, &status);
                 Event::RolloutRecorded.record(fields(json!({
--- a/src/rollouts/registry.rs
+++ b/src/rollouts/registry.rs
@@ -91,7 +91,7 @@
     }
 
     /// Forgets a roll-out whose order is gone.
-    pub fn forget(&self, service: &ServiceId) {
+    pub fn remove(&self, service: &ServiceId) {
         let mut rollouts = self.running.lock().expect("rollouts lock");
         let over = rollouts.remove(service);
         self.note_over(service, over.as_ref());
