--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -645,7 +645,7 @@
         if says_nothing_of_version || ended {
             return;
         }
-        gateway.rollouts.record(
+        gateway.rollouts.record_answer(
             &self.service,
             &attempt.member.entry.software,
             &self.route.name,
--- a/src/rollouts/fleet_tests.rs
+++ b/src/rollouts/fleet_tests.rs
@@ -226,7 +226,7 @@
     for vm in &fleet.vms {
         let new = version("v2");
         let good = Verdict::Good;
-        vm.rollouts.record(&service(), &new, "write", good, None);
+        vm.rollouts.record_answer(&service(), &new, "write", good, None);
     }
     // The new version has everything after 0.64 of the time allowed, and is
     // completed in any case after 0.93 of it.
--- a/src/rollouts/registry.rs
+++ b/src/rollouts/registry.rs
@@ -180,7 +180,7 @@
     }
 
     /// Takes in how an answer of a version on a route was.
-    pub fn record(
+    pub fn record_answer(
         &self,
         service: &ServiceId,
         software: &VersionId,
@@ -190,7 +190,7 @@
     ) {
         let mut rollouts = self.running.lock().expect("rollouts lock");
         if let Some(rollout) = rollouts.get_mut(service) {
-            rollout.record(software, route, verdict, first_part);
+            rollout.record_answer(software, route, verdict, first_part);
         }
     }
 
--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -326,7 +326,7 @@
         }
     }
 
-    pub(super) fn record(
+    pub(super) fn record_answer(
         &mut self,
         software: &VersionId,
         route: &str,
--- a/src/rollouts/rollout/tests.rs
+++ b/src/rollouts/rollout/tests.rs
@@ -62,7 +62,7 @@
     let new = version("v2");
     for _ in 0..count {
         let verdict = Verdict::Good;
-        rollouts.record(&service(), &new, "write", verdict, None);
+        rollouts.record_answer(&service(), &new, "write", verdict, None);
     }
 }
 
@@ -148,11 +148,17 @@
     for rollouts in [&here, &there] {
         for _ in 0..40 {
             let old = version("v1");
-            rollouts.record(&service(), &old, "a", Verdict::Good, None);
+            rollouts.record_answer(&service(), &old, "a", Verdict::Good, None);
         }
         for _ in 0..2 {
             let new = version("v2");
-            rollouts.record(&service(), &new, "a", Verdict::Failed, None);
+            rollouts.record_answer(
+                &service(),
+                &new,
+                "a",
+                Verdict::Failed,
+                None,
+            );
         }
     }
     assert_eq!(here.evaluate(now), []);
@@ -176,17 +182,17 @@
     let record = |software: &str, verdict, count| {
         for _ in 0..count {
             let software = version(software);
-            rollouts.record(&service(), &software, "a", verdict, None);
+            rollouts.record_answer(&service(), &software, "a", verdict, None);
         }
     };
     // A quarter of all machines is lost, and of the new version's three two.
-    record("v1", Verdict::Good, 100);
+    record_answer("v1", Verdict::Good, 100);
     record("v1", Verdict::Lost, 30);
     record("v2", Verdict::Good, 2);
     record("v2", Verdict::Lost, 8);
     assert_eq!(rollouts.evaluate(now), []);
     // Only the new version goes on losing answers.
-    record("v1", Verdict::Good, 300);
+    record_answer("v1", Verdict::Good, 300);
     record("v2", Verdict::Lost, 30);
     assert_eq!(rollouts.evaluate(now).len(), 1);
 }
@@ -197,7 +203,7 @@
     let rollouts = running(now);
     for _ in 0..BAD_ANSWERS {
         let new = version("v2");
-        rollouts.record(&service(), &new, "a", Verdict::Failed, None);
+        rollouts.record_answer(&service(), &new, "a", Verdict::Failed, None);
     }
     assert_eq!(rollouts.evaluate(now).len(), 1);
     assert_eq!(rollouts.pending_statuses(false, |_, _| 0, &[], now), []);
@@ -220,7 +226,7 @@
                 _ => Verdict::Good,
             };
             let version = version(name);
-            rollouts.record(&service(), &version, "a", verdict, None);
+            rollouts.record_answer(&service(), &version, "a", verdict, None);
         }
     }
     assert_eq!(rollouts.evaluate(now), []);
@@ -233,7 +239,7 @@
     let record = |name: &str, route: &str, ms: u64| {
         let first_part = Some(Duration::from_millis(ms));
         let version = version(name);
-        rollouts.record(
+        rollouts.record_answer(
             &service(),
             &version,
             route,
@@ -268,7 +274,7 @@
         let ms = if number.is_multiple_of(5) { 5000 } else { 50 };
         let first_part = Some(Duration::from_millis(ms));
         let (version, good) = (version(name), Verdict::Good);
-        rollouts.record(&service(), &version, "a", good, first_part);
+        rollouts.record_answer(&service(), &version, "a", good, first_part);
     };
     for number in 0..317 {
         record("v1", number);
