--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -131,7 +131,7 @@
                 .next_broadcasts(Audience::OtherHalls),
             rate_limits: gateway.pool.take_limits(false, now),
         };
-        beat.hall_evidence = rollouts.relays(&beat.evidence, now);
+        beat.hall_evidence = rollouts.relayed_evidence(&beat.evidence, now);
         beat.observations = gateway.crashes.next_broadcasts(Audience::OwnHall);
         let receivers = gateway.peers.receivers(now);
         Round {
--- a/src/rollouts/registry.rs
+++ b/src/rollouts/registry.rs
@@ -232,7 +232,7 @@
 
     /// What other data halls have told of the roll-outs that are running and
     /// the VMs of this one are to be told now; `own` is this VM's evidence.
-    pub fn relays(
+    pub fn relayed_evidence(
         &self,
         own: &[Evidence],
         now: BootInstant,
