--- a/src/rollouts/peer_evidence.rs
+++ b/src/rollouts/peer_evidence.rs
@@ -80,7 +80,7 @@
 
 impl PeerEvidence {
     /// Takes in what a VM of this hall tells.
-    pub(super) fn hear_vm(
+    pub(super) fn merge_vm(
         &mut self,
         vm: &str,
         told: Evidence,
@@ -91,7 +91,7 @@
     }
 
     /// Takes in the sum of another hall.
-    pub(super) fn hear_hall(
+    pub(super) fn merge_hall(
         &mut self,
         told: &HallEvidence,
         way: Delivery,
--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -422,7 +422,7 @@
         now: BootInstant,
     ) {
         self.follow(&told, now);
-        self.told.hear_vm(vm, told, now);
+        self.told.merge_vm(vm, told, now);
     }
 
     pub(super) fn merge_hall_evidence(
@@ -432,7 +432,7 @@
         now: BootInstant,
     ) {
         self.follow(&told.evidence, now);
-        self.told.merge_hall_evidence(told, way, now);
+        self.told.merge_hall(told, way, now);
     }
 
     /// Takes in how far another VM has come.
--- a/src/rollouts/rollout/tests.rs
+++ b/src/rollouts/rollout/tests.rs
@@ -186,13 +186,13 @@
         }
     };
     // A quarter of all machines is lost, and of the new version's three two.
-    record_answer("v1", Verdict::Good, 100);
+    record("v1", Verdict::Good, 100);
     record("v1", Verdict::Lost, 30);
     record("v2", Verdict::Good, 2);
     record("v2", Verdict::Lost, 8);
     assert_eq!(rollouts.evaluate(now), []);
     // Only the new version goes on losing answers.
-    record_answer("v1", Verdict::Good, 300);
+    record("v1", Verdict::Good, 300);
     record("v2", Verdict::Lost, 30);
     assert_eq!(rollouts.evaluate(now).len(), 1);
 }
