--- a/src/chains/claims.rs
+++ b/src/chains/claims.rs
@@ -289,7 +289,7 @@
                 self.forget(slot, candidate);
                 Asked::Unreached
             }
-            Err(PeerError::Broken(_)) => {
+            Err(PeerError::OutcomeUnknown(_)) => {
                 self.forget(slot, candidate);
                 self.silent.note(candidate, vm.clock.now());
                 Asked::Broken
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -36,14 +36,16 @@
     /// Nothing can have arrived there.
     NotSent(String),
     /// It may have been carried out there.
-    Broken(String),
+    OutcomeUnknown(String),
 }
 
 impl fmt::Display for PeerError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             PeerError::NotSent(reason) => write!(f, "not sent: {reason}"),
-            PeerError::Broken(reason) => write!(f, "broken: {reason}"),
+            PeerError::OutcomeUnknown(reason) => {
+                write!(f, "outcome unknown: {reason}")
+            }
         }
     }
 }
@@ -103,7 +105,9 @@
             }
             None => {
                 self.forget(address, &link).await;
-                Err(PeerError::Broken(format!("no reply in {limit:?}")))
+                Err(PeerError::OutcomeUnknown(format!(
+                    "no reply in {limit:?}"
+                )))
             }
         }
     }
@@ -127,7 +131,8 @@
             Err(_) => None,
         };
         link.pending.lock().expect("pending lock").remove(&number);
-        reply.ok_or_else(|| PeerError::Broken("connection lost".into()))
+        reply
+            .ok_or_else(|| PeerError::OutcomeUnknown("connection lost".into()))
     }
 
     async fn link(&self, address: SocketAddr) -> io::Result<Arc<Link>> {
