--- a/src/chat_face/gossip.rs
+++ b/src/chat_face/gossip.rs
@@ -88,7 +88,7 @@
         for attempt in 0..2 {
             if attempt > 0 {
                 task::sleep(NOTICE_REPEAT).await;
-                notice = notice.after(NOTICE_REPEAT);
+                notice = notice.aged_by(NOTICE_REPEAT);
             }
             for peer in vm.view.live_hall_peers() {
                 let datagram = Datagram::Notice(notice);
--- a/src/message.rs
+++ b/src/message.rs
@@ -173,7 +173,7 @@
 
 impl UpstreamNotice {
     /// The same, told again some time later.
-    pub(crate) fn after(self, time: Duration) -> UpstreamNotice {
+    pub(crate) fn aged_by(self, time: Duration) -> UpstreamNotice {
         match self {
             UpstreamNotice::Leaving(_) => self,
             UpstreamNotice::RateLimit(told) => {
