--- a/src/crashes/observation.rs
+++ b/src/crashes/observation.rs
@@ -52,7 +52,7 @@
     /// The request.
     pub request: RequestDigest,
     /// What was seen of it.
-    pub seen: RequestOutcome,
+    pub outcome: RequestOutcome,
 }
 
 impl RequestObservation {
@@ -64,7 +64,7 @@
         let crashes = crashes.into_iter();
         crashes.map(move |crash| RequestObservation {
             request,
-            seen: RequestOutcome::Crashed(crash),
+            outcome: RequestOutcome::Crashed(crash),
         })
     }
 }
--- a/src/crashes/tracker.rs
+++ b/src/crashes/tracker.rs
@@ -232,8 +232,8 @@
             return Vec::new();
         }
         let mut state = self.lock();
-        for RequestObservation { request, seen } in observations {
-            match seen {
+        for RequestObservation { request, outcome } in observations {
+            match outcome {
                 RequestOutcome::Crashed(crash) => {
                     state.end(crash.end, now);
                     state.take(*request, *crash, source, now);
@@ -374,10 +374,11 @@
     fn tell(
         &mut self,
         request: RequestDigest,
-        seen: RequestOutcome,
+        outcome: RequestOutcome,
         source: Source,
     ) {
-        self.broadcast_queue.add(RequestObservation { request, seen }, source);
+        self.broadcast_queue
+            .add(RequestObservation { request, outcome }, source);
     }
 
     /// Forgets the ends that a request saw; returns whether there were any.
--- a/src/crashes/tracker/tests.rs
+++ b/src/crashes/tracker/tests.rs
@@ -12,7 +12,7 @@
 fn crash(request: RequestDigest, upstream: u32) -> RequestObservation {
     let end = End { upstream: life(upstream), number: 0 };
     let crash = Crash { end, had_ms: 50 };
-    RequestObservation { request, seen: RequestOutcome::Crashed(crash) }
+    RequestObservation { request, outcome: RequestOutcome::Crashed(crash) }
 }
 
 /// Has upstreams end under a request.
