--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -26,7 +26,7 @@
     clock::{SharedClock, SystemClock},
     error::{Error, ErrorKind},
     event::Event,
-    message::Notice,
+    message::UpstreamNotice,
     peer,
     settings::Settings,
     task::{self, Task, within},
@@ -270,7 +270,7 @@
                     log_leaving(&upstream, "by the platform's list");
                     Gossiper::notify(
                         &vm,
-                        Notice::Leaving(upstream.short_hash),
+                        UpstreamNotice::Leaving(upstream.short_hash),
                     )
                     .await;
                 }
--- a/src/api/statement.rs
+++ b/src/api/statement.rs
@@ -8,7 +8,7 @@
         gossip::{Gossiper, log_leaving},
         request::RequestContext,
     },
-    message::{Notice, ShortHash, ToldLimit},
+    message::{RateLimitReport, ShortHash, UpstreamNotice},
     placing::signals::{
         RateLimit, ReportedChange, RetryAfter, UpstreamSignals,
     },
@@ -67,12 +67,19 @@
 }
 
 /// What the other VMs of the data hall are to know at once.
-fn notice_of(news: &ReportedChange, upstream: ShortHash) -> Option<Notice> {
+fn notice_of(
+    news: &ReportedChange,
+    upstream: ShortHash,
+) -> Option<UpstreamNotice> {
     let limit = |rate: Option<RequestRate>| {
-        Notice::RateLimit(ToldLimit { upstream, rate, age_ms: 0 })
+        UpstreamNotice::RateLimit(RateLimitReport {
+            upstream,
+            rate,
+            age_ms: 0,
+        })
     };
     match news {
-        ReportedChange::Leaving => Some(Notice::Leaving(upstream)),
+        ReportedChange::Leaving => Some(UpstreamNotice::Leaving(upstream)),
         ReportedChange::RateLimited(rate) => Some(limit(Some(*rate))),
         ReportedChange::RateLimitLifted => Some(limit(None)),
         _ => None,
--- a/src/api/vm.rs
+++ b/src/api/vm.rs
@@ -422,8 +422,8 @@
                 PeerReply::Decision(self.decisions.get(&id).map(Box::new))
             }
             PeerRequest::Knowledge
-            | PeerRequest::Look { .. }
-            | PeerRequest::News { .. } => {
+            | PeerRequest::PullKnowledge { .. }
+            | PeerRequest::KnowledgeDelta { .. } => {
                 refused("this VM follows no platform's store")
             }
         }
--- a/src/chains/claims.rs
+++ b/src/chains/claims.rs
@@ -292,7 +292,7 @@
                 self.forget(slot, candidate);
                 Asked::Unreached
             }
-            Err(PeerError::Broken(_)) => {
+            Err(PeerError::OutcomeUnknown(_)) => {
                 self.forget(slot, candidate);
                 self.unresponsive.mark(candidate, vm.clock.now());
                 Asked::Broken
--- a/src/crashes/tellings.rs
+++ b/src/crashes/broadcast_queue.rs
@@ -2,7 +2,7 @@
 
 use std::cmp::Reverse;
 
-use crate::crashes::sighting::Sighting;
+use crate::crashes::observation::RequestObservation;
 
 /// Rounds of beats in which a VM tells the same: each goes to all of its data
 /// hall, and one datagram in thirty is lost at worst.
@@ -24,7 +24,7 @@
     /// A VM of another data hall.
     OtherHall,
     /// The platform's store, or another VM that was asked for all it knows.
-    Kept,
+    Snapshot,
 }
 
 /// Whom a beat goes to.
@@ -38,20 +38,20 @@
 
 /// Something to tell in the next rounds of beats.
 #[derive(Debug)]
-struct Telling {
-    sighting: Sighting,
+struct Broadcast {
+    observation: RequestObservation,
     own_hall_left: u8,
     other_halls_left: u8,
 }
 
-impl Telling {
-    fn new(sighting: Sighting, source: Source) -> Telling {
+impl Broadcast {
+    fn new(observation: RequestObservation, source: Source) -> Broadcast {
         let (own_hall_left, other_halls_left) = match source {
             Source::Own | Source::OtherHall => (TOLD_ROUNDS, TOLD_ROUNDS),
             Source::OwnHall => (0, TOLD_ROUNDS),
-            Source::Kept => (0, 0),
+            Source::Snapshot => (0, 0),
         };
-        Telling { sighting, own_hall_left, other_halls_left }
+        Broadcast { observation, own_hall_left, other_halls_left }
     }
 
     fn is_over(&self) -> bool {
@@ -68,14 +68,19 @@
 
 /// Everything that is still to be told.
 #[derive(Debug, Default)]
-pub(crate) struct Tellings(Vec<Telling>);
+pub(crate) struct BroadcastQueue(Vec<Broadcast>);
 
-impl Tellings {
+impl BroadcastQueue {
     /// Adds something that comes from `source`, unless all others have it or
     /// it is being told already.
-    pub(crate) fn add(&mut self, sighting: Sighting, source: Source) {
-        let is_told = self.0.iter().any(|told| told.sighting == sighting);
-        let telling = Telling::new(sighting, source);
+    pub(crate) fn add(
+        &mut self,
+        observation: RequestObservation,
+        source: Source,
+    ) {
+        let is_told =
+            self.0.iter().any(|told| told.observation == observation);
+        let telling = Broadcast::new(observation, source);
         if !is_told && !telling.is_over() {
             self.0.push(telling);
         }
@@ -85,16 +90,16 @@
     pub(crate) fn take(
         &mut self,
         audience: Audience,
-        rank: impl Fn(&Sighting) -> usize,
-    ) -> Vec<Sighting> {
-        self.0.sort_by_key(|telling| Reverse(rank(&telling.sighting)));
+        rank: impl Fn(&RequestObservation) -> usize,
+    ) -> Vec<RequestObservation> {
+        self.0.sort_by_key(|telling| Reverse(rank(&telling.observation)));
         let mut told = Vec::new();
         for telling in &mut self.0 {
-            let sighting = telling.sighting;
+            let observation = telling.observation;
             let left = telling.left(audience);
             if *left > 0 && told.len() < TOLD_MOST {
                 *left -= 1;
-                told.push(sighting);
+                told.push(observation);
             }
         }
         self.0.retain(|telling| !telling.is_over());
--- a/src/crashes/end_check.rs
+++ b/src/crashes/crash_check.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     clock::BootInstant,
-    crashes::{digest::RequestDigest, record::NextStep},
+    crashes::{digest::RequestDigest, tracker::NextStep},
     event::Event,
     gateway::{Gateway, fields},
     http_client::Listening,
@@ -24,7 +24,7 @@
 
 /// Takes in that an attempt was lost at an upstream where it began at
 /// `began_at`.
-pub(crate) fn note_lost(
+pub(crate) fn record_lost_attempt(
     gateway: &Arc<Gateway>,
     member: &Arc<Member>,
     request: RequestDigest,
@@ -38,7 +38,7 @@
         return;
     }
     let (next, changes) =
-        gateway.crashes.note_lost(request, life, began_at, now);
+        gateway.crashes.record_lost_attempt(request, life, began_at, now);
     gateway.note_crash_changes(&changes);
     match next {
         NextStep::Nothing => gateway.early_heartbeat.wake(),
@@ -67,7 +67,7 @@
     }
     let now = gateway.clock.now();
     let life = member.upstream.short_hash;
-    let changes = gateway.crashes.settle(life, listening, now);
+    let changes = gateway.crashes.record_probe(life, listening, now);
     gateway.note_crash_changes(&changes);
 }
 
@@ -80,7 +80,7 @@
     gateway.metrics.upstreams_ended.inc();
     let now = gateway.clock.now();
     let life = member.upstream.short_hash;
-    let changes = gateway.crashes.settle(life, Listening::No, now);
+    let changes = gateway.crashes.record_probe(life, Listening::No, now);
     gateway.note_crash_changes(&changes);
     gateway.early_heartbeat.wake();
 }
--- a/src/crashes/record.rs
+++ b/src/crashes/tracker.rs
@@ -3,7 +3,7 @@
 //!
 //! An attempt that is lost says nothing yet. Once its upstream is known to
 //! have ended, everything that it had is a suspect, and what explains three
-//! ends is held back ([`verdict`](crate::crashes::verdict)). What has run
+//! ends is held back ([`attribution`](crate::crashes::attribution)). What has run
 //! whole anywhere is none.
 
 use std::{
@@ -16,10 +16,10 @@
 use crate::{
     clock::BootInstant,
     crashes::{
+        attribution::{self, Ends},
+        broadcast_queue::{Audience, BroadcastQueue, Source},
         digest::RequestDigest,
-        sighting::{Crash, End, Seen, Sighting},
-        tellings::{Audience, Source, Tellings},
-        verdict::{self, Ends},
+        observation::{Crash, End, RequestObservation, RequestOutcome},
     },
     http_client::Listening,
     message::ShortHash,
@@ -61,9 +61,9 @@
 
 /// A request that is held back from now on, or no longer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum HoldChange {
+pub(crate) enum QuarantineChange {
     /// It crashes what runs it.
-    Held {
+    Added {
         /// The request.
         request: RequestDigest,
         /// Upstreams that have ended under it.
@@ -121,7 +121,7 @@
     lives: HashMap<ShortHash, Life>,
     suspects: HashMap<RequestDigest, Suspect>,
     ran_whole: HashMap<RequestDigest, BootInstant>,
-    tellings: Tellings,
+    broadcast_queue: BroadcastQueue,
     held: BTreeSet<RequestDigest>,
     /// Those of them of which nothing was forgotten since.
     firmly_held: BTreeSet<RequestDigest>,
@@ -129,18 +129,18 @@
 
 /// The record of one VM.
 #[derive(Debug, Default)]
-pub(crate) struct CrashRecord {
+pub(crate) struct CrashTracker {
     state: Mutex<State>,
 }
 
-impl CrashRecord {
+impl CrashTracker {
     /// Whether any request is held back.
-    pub(crate) fn holds_any(&self) -> bool {
+    pub(crate) fn has_quarantined(&self) -> bool {
         !self.lock().held.is_empty()
     }
 
     /// Whether a request is held back.
-    pub(crate) fn is_held(
+    pub(crate) fn is_quarantined(
         &self,
         request: RequestDigest,
         now: BootInstant,
@@ -150,20 +150,20 @@
     }
 
     /// The requests that are held back, with the ends that they explain.
-    pub(crate) fn held(&self) -> Vec<(RequestDigest, Vec<Crash>)> {
+    pub(crate) fn quarantined(&self) -> Vec<(RequestDigest, Vec<Crash>)> {
         let state = self.lock();
         let held = state.held.iter();
         held.map(|request| (*request, state.crashes(*request))).collect()
     }
 
     /// Takes in that an attempt was lost that had begun at `began_at`.
-    pub(crate) fn note_lost(
+    pub(crate) fn record_lost_attempt(
         &self,
         request: RequestDigest,
         upstream: ShortHash,
         began_at: BootInstant,
         now: BootInstant,
-    ) -> (NextStep, Vec<HoldChange>) {
+    ) -> (NextStep, Vec<QuarantineChange>) {
         let had = now.saturating_duration_since(began_at).as_millis();
         let had_ms = u16::try_from(had).unwrap_or(u16::MAX);
         let mut state = self.lock();
@@ -184,12 +184,12 @@
     }
 
     /// Takes in what became of an upstream at which attempts were lost.
-    pub(crate) fn settle(
+    pub(crate) fn record_probe(
         &self,
         upstream: ShortHash,
         listening: Listening,
         now: BootInstant,
-    ) -> Vec<HoldChange> {
+    ) -> Vec<QuarantineChange> {
         let mut state = self.lock();
         let life = state.life(upstream, now);
         match listening {
@@ -206,41 +206,45 @@
     }
 
     /// Takes in that an upstream ran a request to its end.
-    pub(crate) fn note_ran_whole(
+    pub(crate) fn record_completed(
         &self,
         request: RequestDigest,
         now: BootInstant,
-    ) -> Vec<HoldChange> {
+    ) -> Vec<QuarantineChange> {
         let mut state = self.lock();
         make_room(&mut state.ran_whole, WELL_MOST, |at| *at);
         state.ran_whole.insert(request, now);
         if !state.forget(request) {
             return Vec::new();
         }
-        state.tell(request, Seen::RanWhole, Source::Own);
+        state.tell(request, RequestOutcome::Completed, Source::Own);
         state.judge()
     }
 
     /// Takes in what another VM tells, or what was kept.
-    pub(crate) fn hear(
+    pub(crate) fn merge_observations(
         &self,
-        sightings: &[Sighting],
+        observations: &[RequestObservation],
         source: Source,
         now: BootInstant,
-    ) -> Vec<HoldChange> {
-        if sightings.is_empty() {
+    ) -> Vec<QuarantineChange> {
+        if observations.is_empty() {
             return Vec::new();
         }
         let mut state = self.lock();
-        for Sighting { request, seen } in sightings {
-            match seen {
-                Seen::Crashed(crash) => {
+        for RequestObservation { request, outcome } in observations {
+            match outcome {
+                RequestOutcome::Crashed(crash) => {
                     state.end(crash.end, now);
                     state.take(*request, *crash, source, now);
                 }
-                Seen::RanWhole => {
+                RequestOutcome::Completed => {
                     if state.forget(*request) {
-                        state.tell(*request, Seen::RanWhole, source);
+                        state.tell(
+                            *request,
+                            RequestOutcome::Completed,
+                            source,
+                        );
                     }
                 }
             }
@@ -249,25 +253,28 @@
     }
 
     /// What the next beat to these VMs tells.
-    pub(crate) fn to_tell(&self, audience: Audience) -> Vec<Sighting> {
+    pub(crate) fn next_broadcasts(
+        &self,
+        audience: Audience,
+    ) -> Vec<RequestObservation> {
         let mut state = self.lock();
-        let State { tellings, suspects, .. } = &mut *state;
-        tellings.take(audience, |told| {
+        let State { broadcast_queue, suspects, .. } = &mut *state;
+        broadcast_queue.take(audience, |told| {
             suspects.get(&told.request).map_or(0, |s| s.ends.len())
         })
     }
 
     /// What another VM is handed that asks for all that is known.
-    pub(crate) fn all_held(&self) -> Vec<Sighting> {
-        let held = self.held().into_iter();
+    pub(crate) fn quarantine_observations(&self) -> Vec<RequestObservation> {
+        let held = self.quarantined().into_iter();
         held.flat_map(|(request, crashes)| {
-            Sighting::of_crashes(request, crashes)
+            RequestObservation::of_crashes(request, crashes)
         })
         .collect()
     }
 
     /// Forgets what is too old.
-    pub(crate) fn sweep(&self, now: BootInstant) -> Vec<HoldChange> {
+    pub(crate) fn expire(&self, now: BootInstant) -> Vec<QuarantineChange> {
         let mut state = self.lock();
         state
             .lives
@@ -345,7 +352,7 @@
         let ran_at = self.ran_whole.get(&request);
         if ran_at.is_some_and(|at| is_recent(*at, WELL_REMEMBERED, now)) {
             // Who has not had it yet takes it for a culprit.
-            self.tell(request, Seen::RanWhole, Source::Own);
+            self.tell(request, RequestOutcome::Completed, Source::Own);
             return;
         }
         if !self.is_suspect(request, now) {
@@ -361,11 +368,17 @@
         }
         ends.insert(crash.end, crash.had_ms);
         suspect.heard_at = now;
-        self.tell(request, Seen::Crashed(crash), source);
+        self.tell(request, RequestOutcome::Crashed(crash), source);
     }
 
-    fn tell(&mut self, request: RequestDigest, seen: Seen, source: Source) {
-        self.tellings.add(Sighting { request, seen }, source);
+    fn tell(
+        &mut self,
+        request: RequestDigest,
+        outcome: RequestOutcome,
+        source: Source,
+    ) {
+        self.broadcast_queue
+            .add(RequestObservation { request, outcome }, source);
     }
 
     /// Forgets the ends that a request saw; returns whether there were any.
@@ -389,19 +402,21 @@
     }
 
     /// Finds anew what is held back.
-    fn judge(&mut self) -> Vec<HoldChange> {
+    fn judge(&mut self) -> Vec<QuarantineChange> {
         let suspects = self.suspects.iter();
         let ends =
             suspects.map(|(request, suspect)| (*request, &suspect.ends));
-        let held = verdict::culprits(ends, &self.firmly_held);
+        let held = attribution::culprits(ends, &self.firmly_held);
         let released = self.held.difference(&held);
-        let mut changes: Vec<HoldChange> =
-            released.map(|request| HoldChange::Released(*request)).collect();
-        let new =
-            held.difference(&self.held).map(|request| HoldChange::Held {
+        let mut changes: Vec<QuarantineChange> = released
+            .map(|request| QuarantineChange::Released(*request))
+            .collect();
+        let new = held.difference(&self.held).map(|request| {
+            QuarantineChange::Added {
                 request: *request,
                 ends: self.suspects.get(request).map_or(0, |s| s.ends.len()),
-            });
+            }
+        });
         changes.extend(new);
         self.firmly_held.clone_from(&held);
         self.held = held;
@@ -410,7 +425,7 @@
 }
 
 /// Whether something was known at a time that is not too long ago. Whatever
-/// decides asks this, and does not wait for [`CrashRecord::sweep`]: that has
+/// decides asks this, and does not wait for [`CrashTracker::expire`]: that has
 /// not run when a VM is woken.
 fn is_recent(at: BootInstant, limit: Duration, now: BootInstant) -> bool {
     now.saturating_duration_since(at) < limit
--- a/src/facts/knowledge.rs
+++ b/src/facts/knowledge.rs
@@ -20,7 +20,7 @@
 use crate::{
     chains::store::StoreVersion,
     clock::BootInstant,
-    crashes::{digest::RequestDigest, sighting::Crash},
+    crashes::{digest::RequestDigest, observation::Crash},
     facts::{
         knowledge_pack,
         route::{RouteTable, TableVersion},
@@ -32,7 +32,7 @@
         store::{StoreItem, StoreItems},
     },
     rendezvous,
-    rollouts::rollout::{Order, Status},
+    rollouts::rollout::{RolloutOrder, RolloutStatus},
     unit::Mbps,
 };
 
@@ -54,11 +54,11 @@
     /// The operator's configuration.
     Configuration(RouteTable),
     /// A roll-out was ordered.
-    RolloutOrdered(ServiceId, Order),
+    RolloutOrdered(ServiceId, RolloutOrder),
     /// The order of a roll-out was removed.
     RolloutOver(ServiceId),
     /// How far a roll-out is.
-    RolloutStatus(ServiceId, Status),
+    RolloutStatus(ServiceId, RolloutStatus),
     /// The upstreams of a data hall are to get no requests.
     EvacuationOrdered(DataHallId),
     /// They may get requests again.
--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -15,17 +15,17 @@
 use crate::{
     chains::store::StoreVersion,
     crashes::{
-        sighting::Sighting,
-        tellings::{Audience, Source},
+        broadcast_queue::{Audience, Source},
+        observation::RequestObservation,
     },
     event::Event,
     facts::{knowledge::ChangedItem, knowledge_pack, peers::Receiver},
     gateway::{Gateway, fields},
-    message::{PeerReply, PeerRequest, ShortHash, ToldLimit, VmBeat},
+    message::{Heartbeat, PeerReply, PeerRequest, RateLimitReport, ShortHash},
     metrics::Metrics,
     peer::PeerService,
     platform::store::{StoreItem, StoreItems},
-    rollouts::{evidence::HallEvidence, told::Way},
+    rollouts::{evidence::HallEvidence, peer_evidence::Delivery},
     task,
 };
 
@@ -104,7 +104,7 @@
 /// The beats of one round: one for the VMs of the own data hall and one for
 /// those of others, which differ only in their echo.
 pub(crate) struct Round {
-    beat: VmBeat,
+    beat: Heartbeat,
     /// What only other halls are told, until the first of them is reached.
     for_others: Option<ForOthers>,
     receivers: std::vec::IntoIter<Receiver>,
@@ -114,8 +114,8 @@
 /// own one are.
 struct ForOthers {
     hall_evidence: Vec<HallEvidence>,
-    sightings: Vec<Sighting>,
-    rate_limits: Vec<ToldLimit>,
+    observations: Vec<RequestObservation>,
+    rate_limits: Vec<RateLimitReport>,
 }
 
 impl Round {
@@ -127,11 +127,13 @@
         let rollouts = &gateway.rollouts;
         let for_others = ForOthers {
             hall_evidence: rollouts.hall_evidence(hall, &beat.evidence, now),
-            sightings: gateway.crashes.to_tell(Audience::OtherHalls),
+            observations: gateway
+                .crashes
+                .next_broadcasts(Audience::OtherHalls),
             rate_limits: gateway.pool.take_rate_limits(false, now),
         };
-        beat.hall_evidence = rollouts.relays(&beat.evidence, now);
-        beat.sightings = gateway.crashes.to_tell(Audience::OwnHall);
+        beat.hall_evidence = rollouts.relayed_evidence(&beat.evidence, now);
+        beat.observations = gateway.crashes.next_broadcasts(Audience::OwnHall);
         let receivers = gateway.peers.receivers(now);
         Round {
             beat,
@@ -141,14 +143,14 @@
     }
 
     /// The next beat, and the VM that it goes to.
-    pub(crate) fn next_beat(&mut self) -> Option<(SocketAddr, &VmBeat)> {
+    pub(crate) fn next_beat(&mut self) -> Option<(SocketAddr, &Heartbeat)> {
         let receiver = self.receivers.next()?;
         if !receiver.is_near
             && let Some(told) = self.for_others.take()
         {
             self.beat.evidence = Vec::new();
             self.beat.hall_evidence = told.hall_evidence;
-            self.beat.sightings = told.sightings;
+            self.beat.observations = told.observations;
             self.beat.rate_limits = told.rate_limits;
         }
         self.beat.echo = receiver.echo;
@@ -157,7 +159,7 @@
 }
 
 /// What a VM has to tell the others now.
-fn beat(gateway: &Gateway) -> VmBeat {
+fn beat(gateway: &Gateway) -> Heartbeat {
     let peers = &gateway.peers;
     let now = gateway.clock.now();
     let number = peers.next_number(now);
@@ -165,28 +167,32 @@
         gateway.in_flight_at_other_versions(service, target)
     };
     let age = gateway.knowledge.proof_age(now);
-    VmBeat {
+    Heartbeat {
         vm: peers.vm().to_owned(),
         data_hall: gateway.settings.data_hall.clone(),
         link_mbps: gateway.settings.link_rate,
-        peers: gateway.settings.peer_address,
+        peer_address: gateway.settings.peer_address,
         incarnation: gateway.incarnation,
         number,
         echo: None,
         leaving: gateway.is_stopping(),
         as_of: gateway.knowledge.as_of().0,
         digest: gateway.knowledge.digest(),
-        table: gateway.knowledge.table_version().unwrap_or_default().0,
+        configuration_version: gateway
+            .knowledge
+            .table_version()
+            .unwrap_or_default()
+            .0,
         // Rounded up, so that a proof never seems younger than it is.
         proof_age_ms: age.map(|age| age.as_millis() as u32 + 1),
         can_watch: peers.can_watch(now),
-        work: gateway.pool.local_work(),
-        stated: gateway.pool.take_loads(now),
+        in_flight: gateway.pool.local_work(),
+        load_reports: gateway.pool.take_loads(now),
         failures: gateway.pool.take_failures(now),
         leaving_upstreams: gateway.pool.take_leaving(now),
         rate_limits: gateway.pool.take_rate_limits(true, now),
         evidence: gateway.rollouts.evidence(old, now),
-        sightings: Vec::new(),
+        observations: Vec::new(),
         hall_evidence: Vec::new(),
     }
 }
@@ -199,7 +205,7 @@
             task::sleep(Duration::from_millis(50)).await;
             continue;
         };
-        match gateway.peers.codec.open::<VmBeat>(&buffer[..length]) {
+        match gateway.peers.codec.open::<Heartbeat>(&buffer[..length]) {
             Ok(beat) => hear(&gateway, &beat),
             Err(fault) => {
                 let dropped = &gateway.metrics.frames_dropped;
@@ -210,7 +216,7 @@
 }
 
 /// Takes in a beat.
-pub(crate) fn hear(gateway: &Arc<Gateway>, beat: &VmBeat) {
+pub(crate) fn hear(gateway: &Arc<Gateway>, beat: &Heartbeat) {
     if beat.vm == gateway.peers.vm() {
         return;
     }
@@ -220,8 +226,8 @@
         gateway.peers.note_agreed(&beat.vm, now);
     }
     gateway.pool.record_hall_heartbeat(&beat.data_hall, now);
-    gateway.pool.set_peer_work(&beat.vm, &beat.work, now);
-    gateway.pool.apply_peer_loads(&beat.stated, now);
+    gateway.pool.set_peer_work(&beat.vm, &beat.in_flight, now);
+    gateway.pool.apply_peer_loads(&beat.load_reports, now);
     let is_near = beat.data_hall == gateway.settings.data_hall;
     gateway.merge_leaving_upstreams(&beat.vm, &beat.leaving_upstreams);
     gateway.merge_rate_limits(&beat.vm, &beat.rate_limits, is_near);
@@ -235,14 +241,14 @@
     }
     hear_evidence(gateway, beat, is_near);
     let source = if is_near { Source::OwnHall } else { Source::OtherHall };
-    gateway.merge_sightings(&beat.sightings, source);
+    gateway.merge_sightings(&beat.observations, source);
     if !knows_more {
         return;
     }
     gateway.peers.note_behind(now);
     let age = gateway.knowledge.proof_age(now);
     if age.is_none_or(|age| age > BEHIND_AFTER) {
-        let (gateway, from) = (gateway.clone(), beat.peers);
+        let (gateway, from) = (gateway.clone(), beat.peer_address);
         let work = async move {
             // If it fails, the next beat says again that this VM is behind.
             let _ = fetch(&gateway, from).await;
@@ -252,18 +258,18 @@
 }
 
 /// Takes in what a beat tells of the roll-outs that are running.
-fn hear_evidence(gateway: &Gateway, beat: &VmBeat, is_near: bool) {
+fn hear_evidence(gateway: &Gateway, beat: &Heartbeat, is_near: bool) {
     let now = gateway.clock.now();
     let rollouts = &gateway.rollouts;
     let own_hall = ShortHash::of(gateway.settings.data_hall.as_str());
     if is_near {
-        rollouts.hear(&beat.vm, &beat.evidence, now);
+        rollouts.merge_evidence(&beat.vm, &beat.evidence, now);
     }
-    let way = if is_near { Way::Relayed } else { Way::Direct };
+    let way = if is_near { Delivery::Relayed } else { Delivery::Direct };
     for sum in &beat.hall_evidence {
         // One of this hall comes from a VM that took it for another.
         if sum.data_hall != own_hall {
-            rollouts.hear_hall(sum, way, now);
+            rollouts.merge_hall_evidence(sum, way, now);
         }
     }
 }
@@ -299,14 +305,14 @@
 ) -> PeerRequest {
     let bytes = |item: &StoreItem| item.value.as_ref().map_or(0, Vec::len);
     if changes.items.iter().any(|item| bytes(item) > TOLD_BYTES) {
-        return PeerRequest::Look { from: own };
+        return PeerRequest::PullKnowledge { from: own };
     }
     let items = changes.items.iter().map(|item| ChangedItem {
         key: item.key.clone(),
         value: item.value.clone(),
         version: item.version.0,
     });
-    PeerRequest::News {
+    PeerRequest::KnowledgeDelta {
         digest_before,
         as_of: changes.as_of.0,
         items: items.collect(),
@@ -364,12 +370,12 @@
     let client = &gateway.peers.client;
     let reply =
         client.call(from, PeerRequest::Knowledge, KNOWLEDGE_LIMIT).await;
-    let Ok(PeerReply::Knowledge { as_of, packed, proof_age_ms, sightings }) =
+    let Ok(PeerReply::Knowledge { as_of, packed, proof_age_ms, observations }) =
         reply
     else {
         return false;
     };
-    gateway.merge_sightings(&sightings, Source::Kept);
+    gateway.merge_sightings(&observations, Source::Snapshot);
     if StoreVersion(as_of) <= gateway.knowledge.as_of() {
         return true;
     }
@@ -414,10 +420,10 @@
                     as_of: as_of.0,
                     packed: packed.to_vec(),
                     proof_age_ms: age.as_millis() as u32 + 1,
-                    sightings: self.crashes.all_held(),
+                    observations: self.crashes.quarantine_observations(),
                 }
             }
-            PeerRequest::News { digest_before, as_of, items } => {
+            PeerRequest::KnowledgeDelta { digest_before, as_of, items } => {
                 let items = items.into_iter().map(|item| StoreItem {
                     key: item.key,
                     value: item.value,
@@ -430,7 +436,7 @@
                 self.apply_news(news);
                 PeerReply::Done
             }
-            PeerRequest::Look { from } => {
+            PeerRequest::PullKnowledge { from } => {
                 task::spawn(take_or_look(self, from)).detach();
                 PeerReply::Done
             }
--- a/src/facts/peers.rs
+++ b/src/facts/peers.rs
@@ -22,7 +22,7 @@
     frame::FrameCodec,
     gateway::settings::GatewaySettings,
     id::{DataHallId, Incarnation},
-    message::{Echo, VmBeat},
+    message::{Heartbeat, HeartbeatEcho},
     metrics::Metrics,
     peer::PeerClient,
     rendezvous,
@@ -159,7 +159,7 @@
     /// Lives are told apart by the time of day at which they began, which may
     /// have been set back meanwhile; a life that has fallen silent gives way
     /// to any other.
-    fn is_after(&self, beat: &VmBeat, now: BootInstant) -> bool {
+    fn is_after(&self, beat: &Heartbeat, now: BootInstant) -> bool {
         let silent = now.saturating_duration_since(self.at);
         if self.incarnation != beat.incarnation && silent > LIFE_OPEN_AFTER {
             return false;
@@ -167,12 +167,12 @@
         (self.incarnation, self.number) >= (beat.incarnation, beat.number)
     }
 
-    fn echo(&self, now: BootInstant) -> Echo {
+    fn echo(&self, now: BootInstant) -> HeartbeatEcho {
         let held = now.saturating_duration_since(self.at);
-        Echo {
+        HeartbeatEcho {
             incarnation: self.incarnation,
             number: self.number,
-            held_ms: held.as_millis() as u32,
+            elapsed_ms: held.as_millis() as u32,
         }
     }
 }
@@ -183,7 +183,7 @@
     /// Where it listens.
     pub(crate) address: SocketAddr,
     /// Its last beat that arrived.
-    pub(crate) echo: Option<Echo>,
+    pub(crate) echo: Option<HeartbeatEcho>,
     /// Whether it is known to stand in the sender's data hall.
     pub(crate) is_near: bool,
 }
@@ -574,13 +574,13 @@
     /// whether its sender knows more.
     pub(crate) fn hear(
         &self,
-        beat: &VmBeat,
+        beat: &Heartbeat,
         knowledge: &Knowledge,
         now: BootInstant,
     ) -> bool {
         let mut known = self.known.lock().expect("peers lock");
         let peer = known.entry(beat.vm.clone()).or_insert_with(|| Peer {
-            address: beat.peers,
+            address: beat.peer_address,
             data_hall: beat.data_hall.clone(),
             link: beat.link_mbps,
             is_recorded: false,
@@ -589,7 +589,7 @@
         if peer.heard.as_ref().is_some_and(|heard| heard.is_after(beat, now)) {
             return false;
         }
-        peer.address = beat.peers;
+        peer.address = beat.peer_address;
         peer.link = beat.link_mbps;
         let proven_at = self.proven_at(beat);
         peer.heard = Some(Heard {
@@ -602,26 +602,28 @@
         });
         drop(known);
         if let Some(proven_at) = proven_at
-            && knowledge.table_version() == Some(TableVersion(beat.table))
+            && knowledge.table_version()
+                == Some(TableVersion(beat.configuration_version))
         {
             knowledge.prove(proven_at);
         }
         let table = knowledge.table_version().unwrap_or_default();
         beat.digest != knowledge.digest()
-            && (beat.as_of > knowledge.as_of().0 || beat.table > table.0)
+            && (beat.as_of > knowledge.as_of().0
+                || beat.configuration_version > table.0)
     }
 
     /// When what the sender knows was current, by this VM's clock.
     ///
     /// The beat was made once the echoed one had been there for as long as it
     /// says, and the echoed one arrived after it was sent from here.
-    fn proven_at(&self, beat: &VmBeat) -> Option<BootInstant> {
+    fn proven_at(&self, beat: &Heartbeat) -> Option<BootInstant> {
         let echo = beat.echo?;
         if echo.incarnation != self.incarnation {
             return None;
         }
         let sent_at = self.sent_at(echo.number)?;
-        let held = Duration::from_millis(echo.held_ms.into());
+        let held = Duration::from_millis(echo.elapsed_ms.into());
         let age = Duration::from_millis(beat.proof_age_ms?.into());
         (sent_at + held).checked_sub(age)
     }
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     clock::BootInstant,
-    crashes::{digest::RequestDigest, end_check},
+    crashes::{crash_check, digest::RequestDigest},
     error::{Error, ErrorKind},
     facts::route::{Organisation, Repeat, Route},
     gateway::{
@@ -245,7 +245,7 @@
     fn version_choice(&self, now: BootInstant) -> VersionChoice {
         let session = self.inbound.session.as_deref();
         let id = &self.inbound.id;
-        self.gateway.rollouts.rule(&self.service, session, id, now)
+        self.gateway.rollouts.choose_version(&self.service, session, id, now)
     }
 
     /// What the request asks of the choice among those not `tried`.
@@ -353,11 +353,11 @@
     /// VM and each new try would begin at zero without this.
     fn check_not_held(&self) -> Result<(), Error> {
         let crashes = &self.gateway.crashes;
-        if !crashes.holds_any() {
+        if !crashes.has_quarantined() {
             return Ok(());
         }
         let digest = self.digest();
-        if !crashes.is_held(digest, self.gateway.clock.now()) {
+        if !crashes.is_quarantined(digest, self.gateway.clock.now()) {
             return Ok(());
         }
         Err(Error::new(ErrorKind::CrashesUpstreams)
@@ -368,7 +368,7 @@
     pub(crate) fn note_ran_whole(&self) {
         let now = self.gateway.clock.now();
         let crashes = &self.gateway.crashes;
-        let changes = crashes.note_ran_whole(self.digest(), now);
+        let changes = crashes.record_completed(self.digest(), now);
         self.gateway.note_crash_changes(&changes);
     }
 
@@ -635,7 +635,7 @@
         let gateway = &self.gateway;
         let now = gateway.clock.now();
         if verdict == AttemptOutcome::Lost {
-            end_check::note_lost(
+            crash_check::record_lost_attempt(
                 gateway,
                 &attempt.member,
                 self.digest(),
@@ -650,7 +650,7 @@
         if says_nothing_of_version || ended {
             return;
         }
-        gateway.rollouts.record(
+        gateway.rollouts.record_answer(
             &self.service,
             &attempt.member.entry.software,
             &self.route.name,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -21,9 +21,9 @@
 use crate::{
     clock::{BootInstant, SharedClock},
     crashes::{
-        record::{CrashRecord, HoldChange},
-        sighting::Sighting,
-        tellings::Source,
+        broadcast_queue::Source,
+        observation::RequestObservation,
+        tracker::{CrashTracker, QuarantineChange},
     },
     event::Event,
     facts::{
@@ -118,7 +118,7 @@
     pub(crate) knowledge: Knowledge,
     pub(crate) pool: Pool,
     pub(crate) rollouts: Rollouts,
-    pub(crate) crashes: CrashRecord,
+    pub(crate) crashes: CrashTracker,
     pub(crate) read_times: PrefillTimes,
     pub(crate) service_times: ServiceTimes,
     pub(crate) peers: Peers,
@@ -151,7 +151,7 @@
                 settings.warm_up_slack,
             ),
             rollouts: Rollouts::new(settings.session_timeout),
-            crashes: CrashRecord::default(),
+            crashes: CrashTracker::default(),
             read_times: PrefillTimes::default(),
             service_times: ServiceTimes::default(),
             peers: Peers::new(
@@ -351,7 +351,7 @@
             Fact::RolloutOrdered(service, order) => {
                 let target = order.target.clone();
                 let allowed_ms = order.time_allowed.as_millis() as u64;
-                if self.rollouts.order(service.clone(), order, now) {
+                if self.rollouts.apply_order(service.clone(), order, now) {
                     Event::RolloutOrdered.record(fields(json!({
                         "service": service,
                         "target": target,
@@ -371,7 +371,7 @@
                         .record(fields(json!({ "data_hall": hall })));
                 }
             }
-            Fact::RolloutOver(service) => self.rollouts.forget(&service),
+            Fact::RolloutOver(service) => self.rollouts.remove(&service),
             Fact::RolloutStatus(service, status) => {
                 self.rollouts.set_status(&service, &status);
                 Event::RolloutRecorded.record(fields(json!({
@@ -381,9 +381,9 @@
                 })));
             }
             Fact::CrashingRequest(request, crashes) => {
-                let told: Vec<Sighting> =
-                    Sighting::of_crashes(request, crashes).collect();
-                self.merge_sightings(&told, Source::Kept);
+                let told: Vec<RequestObservation> =
+                    RequestObservation::of_crashes(request, crashes).collect();
+                self.merge_sightings(&told, Source::Snapshot);
             }
             Fact::Peer(vm, record) => {
                 self.pool.add_vm(&vm, &record.data_hall);
@@ -397,9 +397,13 @@
     }
 
     /// Takes in what was seen elsewhere of requests and crashes.
-    pub(crate) fn merge_sightings(&self, told: &[Sighting], source: Source) {
+    pub(crate) fn merge_sightings(
+        &self,
+        told: &[RequestObservation],
+        source: Source,
+    ) {
         let now = self.clock.now();
-        let changes = self.crashes.hear(told, source, now);
+        let changes = self.crashes.merge_observations(told, source, now);
         self.note_crash_changes(&changes);
         if !changes.is_empty() {
             self.early_heartbeat.wake();
@@ -407,17 +411,17 @@
     }
 
     /// Logs which requests are held back from now on, or no longer.
-    pub(crate) fn note_crash_changes(&self, changes: &[HoldChange]) {
+    pub(crate) fn note_crash_changes(&self, changes: &[QuarantineChange]) {
         for change in changes {
             match change {
-                HoldChange::Held { request, ends } => {
+                QuarantineChange::Added { request, ends } => {
                     self.metrics.requests_held.inc();
                     Event::RequestHeld.record(fields(json!({
                         "request": request.to_string(),
                         "upstreams_ended": ends,
                     })));
                 }
-                HoldChange::Released(request) => {
+                QuarantineChange::Released(request) => {
                     self.metrics.requests_held.dec();
                     Event::RequestReleased.record(fields(
                         json!({ "request": request.to_string() }),
--- a/src/gateway/rollout_status.rs
+++ b/src/gateway/rollout_status.rs
@@ -20,8 +20,8 @@
         store::{ConditionalWrite, WriteOutcome},
     },
     rollouts::{
-        registry::Due,
-        rollout::{Progress, Status},
+        registry::PendingStatus,
+        rollout::{RolloutProgress, RolloutStatus},
     },
     task,
 };
@@ -50,7 +50,7 @@
             continue;
         }
         let now = gateway.clock.now();
-        for (service, reason) in gateway.rollouts.judge(now) {
+        for (service, reason) in gateway.rollouts.evaluate(now) {
             Event::RolloutStopped.record(fields(json!({
                 "service": service,
                 "reason": reason,
@@ -75,7 +75,10 @@
 }
 
 /// What this VM is to record in the store.
-pub(crate) fn due_records(gateway: &Gateway, now: BootInstant) -> Vec<Due> {
+pub(crate) fn due_records(
+    gateway: &Gateway,
+    now: BootInstant,
+) -> Vec<PendingStatus> {
     let own_proof = gateway.knowledge.proof_age(now);
     let is_steward = gateway.peers.is_steward(own_proof, now);
     let old = |service: &_, target: &_| {
@@ -84,12 +87,15 @@
     let halls = gateway.peers.other_halls();
     let halls: Vec<ShortHash> =
         halls.iter().map(|hall| ShortHash::of(hall.as_str())).collect();
-    gateway.rollouts.due(is_steward, old, &halls, now)
+    gateway.rollouts.pending_statuses(is_steward, old, &halls, now)
 }
 
 /// Writes a state over the one that stands there, unless that has ended the
 /// same roll-out; what stands there afterwards is taken in.
-async fn record(gateway: &Gateway, due: &Due) -> Result<(), StoreError> {
+async fn record(
+    gateway: &Gateway,
+    due: &PendingStatus,
+) -> Result<(), StoreError> {
     let key = document::status_key(&due.service);
     let held = gateway.store.read(&key).await?;
     let expected = held.as_ref().map(|item| item.version);
@@ -118,7 +124,7 @@
 }
 
 /// Whether the state held is not to be replaced by `wanted`.
-fn stands(held: &Status, wanted: &Status) -> bool {
+fn stands(held: &RolloutStatus, wanted: &RolloutStatus) -> bool {
     held.target == wanted.target
-        && (held == wanted || held.progress != Progress::Running)
+        && (held == wanted || held.progress != RolloutProgress::Running)
 }
--- a/src/gateway/wake_tests.rs
+++ b/src/gateway/wake_tests.rs
@@ -38,7 +38,7 @@
     Prove,
     Retry,
     End(u32),
-    RanWhole,
+    Completed,
     List,
     Vanish,
     Hear,
@@ -50,7 +50,7 @@
         Just(Act::Retry),
         (0..6_u32).prop_map(Act::End),
         (0..6_u32).prop_map(Act::End),
-        Just(Act::RanWhole),
+        Just(Act::Completed),
         Just(Act::List),
         Just(Act::Vanish),
         Just(Act::Hear),
@@ -89,11 +89,11 @@
         }
         Act::End(number) => {
             let life = ShortHash(number);
-            gateway.crashes.note_lost(REQUEST, life, now, now);
-            gateway.crashes.settle(life, Listening::No, now);
+            gateway.crashes.record_lost_attempt(REQUEST, life, now, now);
+            gateway.crashes.record_probe(life, Listening::No, now);
         }
-        Act::RanWhole => {
-            gateway.crashes.note_ran_whole(REQUEST, now);
+        Act::Completed => {
+            gateway.crashes.record_completed(REQUEST, now);
         }
         Act::List => {
             gateway.pool.set(entry(), now);
@@ -113,7 +113,7 @@
 /// What the timers of a VM do.
 fn run_timers(gateway: &Gateway) {
     let now = gateway.clock.now();
-    gateway.crashes.sweep(now);
+    gateway.crashes.expire(now);
     gateway.pool.sweep(now);
     gateway.peers.sweep(now);
     gateway.note_freshness();
@@ -128,7 +128,7 @@
     vec![
         ("accepts keys", gateway.may_accept_keys(now)),
         ("is ready", gateway.is_ready()),
-        ("holds back", gateway.crashes.is_held(REQUEST, now)),
+        ("holds back", gateway.crashes.is_quarantined(REQUEST, now)),
         ("may retry", gateway.has_retry(&service())),
         ("has an upstream", picked.is_ok()),
         ("is cold", picked.is_ok_and(|member| member.is_cold(now))),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -46,7 +46,6 @@
 
 mod answer;
 pub mod api;
-mod bucket;
 pub mod chains;
 pub mod cli;
 pub mod clock;
@@ -74,4 +73,5 @@
 mod sse;
 mod story;
 mod task;
+mod token_bucket;
 pub mod unit;
--- a/src/message.rs
+++ b/src/message.rs
@@ -18,7 +18,7 @@
         claim::{ClaimOutcome, ClaimRequest, ClaimVerdict, OfflineClaim},
         configuration::Change,
     },
-    crashes::sighting::Sighting,
+    crashes::observation::RequestObservation,
     facts::knowledge::ChangedItem,
     id::{DataHallId, Incarnation, RequestId, Revision, VmId},
     placing::health::AttemptOutcome,
@@ -53,17 +53,17 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize,
 )]
-pub struct Work {
+pub struct InFlightWork {
     /// Requests.
     pub requests: u16,
     /// Time that the prompts take which are being read, in milliseconds.
-    pub reading_ms: u16,
+    pub prefill_ms: u16,
 }
 
 /// A failure at an upstream, as one VM tells it to the others of its data
 /// hall.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldFailure {
+pub struct UpstreamFailureReport {
     /// The upstream.
     pub upstream: ShortHash,
     /// How the attempt ended.
@@ -72,7 +72,7 @@
 
 /// The rate limit that an upstream named, as one VM tells it to the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldLimit {
+pub struct RateLimitReport {
     /// The life of the upstream.
     pub upstream: ShortHash,
     /// The rate; `None` where it named none any more.
@@ -83,7 +83,7 @@
 
 /// What an upstream stated of its load, as one VM tells it to the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StatedLoad {
+pub struct UpstreamLoadReport {
     /// The upstream.
     pub upstream: ShortHash,
     /// Requests that it worked on.
@@ -96,7 +96,7 @@
 
 /// A sign of life of one VM, passed on by others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct HeartbeatEntry {
     /// The VM.
     pub vm: ShortHash,
     /// Its life.
@@ -149,13 +149,13 @@
     /// Its life.
     pub incarnation: Incarnation,
     /// Where it listens for other VMs.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// The configuration revision in force there.
     pub revision: Revision,
     /// The age of the last proof that this revision is current.
     pub proof_age_ms: Option<u32>,
     /// Signs of life.
-    pub beats: Vec<Beat>,
+    pub heartbeats: Vec<HeartbeatEntry>,
     /// Loads.
     pub loads: Vec<LoadEntry>,
     /// Sums over data halls.
@@ -164,23 +164,23 @@
 
 /// What a VM has heard from an upstream that its data hall is to know at once.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Notice {
+pub enum UpstreamNotice {
     /// It is leaving.
     Leaving(ShortHash),
     /// It has begun to name a rate limit, or names none any more.
-    RateLimit(ToldLimit),
+    RateLimit(RateLimitReport),
 }
 
-impl Notice {
+impl UpstreamNotice {
     /// The same, told again some time later.
-    pub(crate) fn after(self, time: Duration) -> Notice {
+    pub(crate) fn aged_by(self, time: Duration) -> UpstreamNotice {
         match self {
-            Notice::Leaving(_) => self,
-            Notice::RateLimit(told) => {
+            UpstreamNotice::Leaving(_) => self,
+            UpstreamNotice::RateLimit(told) => {
                 let later_ms = u16::try_from(time.as_millis());
                 let later_ms = later_ms.unwrap_or(u16::MAX);
                 let age_ms = told.age_ms.saturating_add(later_ms);
-                Notice::RateLimit(ToldLimit { age_ms, ..told })
+                UpstreamNotice::RateLimit(RateLimitReport { age_ms, ..told })
             }
         }
     }
@@ -192,9 +192,9 @@
     /// A gossip round.
     Gossip(Gossip),
     /// An upstream has said something of itself.
-    Notice(Notice),
+    Notice(UpstreamNotice),
     /// One VM's own sums, for the VM that adds up its data hall.
-    Report {
+    TallyReport {
         /// The sender.
         vm: VmId,
         /// Its sums.
@@ -204,13 +204,13 @@
 
 /// The last beat that a VM has had from another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Echo {
+pub struct HeartbeatEcho {
     /// The other VM's life.
     pub incarnation: Incarnation,
     /// The number of the beat.
     pub number: u32,
     /// How long it has been here.
-    pub held_ms: u32,
+    pub elapsed_ms: u32,
 }
 
 /// What a VM before a platform tells each other VM a few times a second.
@@ -218,7 +218,7 @@
 /// It carries an echo of the receiver's last beat, so that the receiver knows
 /// that everything in it is younger than that beat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct VmBeat {
+pub struct Heartbeat {
     /// The sender.
     pub vm: String,
     /// Its data hall.
@@ -226,13 +226,13 @@
     /// The rate of its network link.
     pub link_mbps: Mbps,
     /// Where it listens for other VMs.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Its life.
     pub incarnation: Incarnation,
     /// A number that grows while it lives.
     pub number: u32,
     /// The receiver's last beat that arrived.
-    pub echo: Option<Echo>,
+    pub echo: Option<HeartbeatEcho>,
     /// Whether it is in a planned stop.
     pub leaving: bool,
     /// The version of the platform's store up to which it knows all.
@@ -240,28 +240,28 @@
     /// A digest of all that it knows.
     pub digest: u64,
     /// The version of the configuration in force there.
-    pub table: u64,
+    pub configuration_version: u64,
     /// The age of the last proof that this configuration is current.
     pub proof_age_ms: Option<u32>,
     /// Whether the platform's store answers it, as far as it knows.
     pub can_watch: bool,
     /// What it has at each upstream that has any of it.
-    pub work: Vec<(ShortHash, Work)>,
+    pub in_flight: Vec<(ShortHash, InFlightWork)>,
     /// What upstreams have stated to it since its last beat.
-    pub stated: Vec<StatedLoad>,
+    pub load_reports: Vec<UpstreamLoadReport>,
     /// Upstreams at which its attempts have failed lately, for the VMs of its
     /// data hall.
-    pub failures: Vec<ToldFailure>,
+    pub failures: Vec<UpstreamFailureReport>,
     /// Lives of upstreams that have said lately that they are leaving.
     pub leaving_upstreams: Vec<ShortHash>,
     /// Rate limits that upstreams have named lately: to it, for the VMs of its
     /// data hall; to any VM that it has heard, for those of other halls.
-    pub rate_limits: Vec<ToldLimit>,
+    pub rate_limits: Vec<RateLimitReport>,
     /// What it has seen of the roll-outs that are running, for the VMs of its
     /// data hall.
     pub evidence: Vec<Evidence>,
     /// What was seen lately of requests and of upstreams that ended.
-    pub sightings: Vec<Sighting>,
+    pub observations: Vec<RequestObservation>,
     /// What the VMs of a whole data hall have seen: of its own for the VMs of
     /// other halls, and of other halls, which it was told, for those of its
     /// own.
@@ -309,12 +309,12 @@
     Knowledge,
     /// Take everything from the sender, which knows more than it can tell
     /// every VM unasked.
-    Look {
+    PullKnowledge {
         /// Where the sender listens for other VMs.
         from: SocketAddr,
     },
     /// Take in what has changed in the platform's store.
-    News {
+    KnowledgeDelta {
         /// The digest of what was known before.
         digest_before: u64,
         /// The version of the store up to which it holds.
@@ -351,7 +351,7 @@
         /// The age of the proof that they are current.
         proof_age_ms: u32,
         /// The requests that are held back, and why.
-        sightings: Vec<Sighting>,
+        observations: Vec<RequestObservation>,
     },
     /// The receiver cannot or may not do it.
     Refused(String),
--- a/src/placing/member.rs
+++ b/src/placing/member.rs
@@ -14,9 +14,10 @@
 use crate::{
     clock::BootInstant,
     id::{
-        DataHallId, ServiceId, StartMs, UpstreamId, UpstreamLife, VersionId,
+        DataHallId, ServiceId, StartMs, UpstreamId, UpstreamIncarnation,
+        VersionId,
     },
-    message::{ShortHash, Work},
+    message::{InFlightWork, ShortHash},
     placing::{
         hall_way::HallWay,
         health::Health,
@@ -85,8 +86,8 @@
 
 impl UpstreamEntry {
     /// The life that it is of.
-    pub fn life(&self) -> UpstreamLife {
-        UpstreamLife { id: self.id.clone(), started: self.started }
+    pub fn life(&self) -> UpstreamIncarnation {
+        UpstreamIncarnation { id: self.id.clone(), started: self.started }
     }
 
     /// How it stands to an entry that was told before.
@@ -171,7 +172,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct PeerCount {
-    work: Work,
+    work: InFlightWork,
     at: BootInstant,
 }
 
@@ -185,7 +186,7 @@
     fn reading_left_ms(&self, now: BootInstant) -> u32 {
         let age = now.saturating_duration_since(self.at).as_millis();
         let age_ms = u32::try_from(age).unwrap_or(u32::MAX);
-        u32::from(self.work.reading_ms).saturating_sub(age_ms)
+        u32::from(self.work.prefill_ms).saturating_sub(age_ms)
     }
 }
 
@@ -396,9 +397,14 @@
     }
 
     /// Takes in what another VM has there.
-    pub fn set_peer_work(&self, vm: &str, work: Work, now: BootInstant) {
+    pub fn set_peer_work(
+        &self,
+        vm: &str,
+        work: InFlightWork,
+        now: BootInstant,
+    ) {
         let mut counts = self.counts.lock().expect("counts lock");
-        if work == Work::default() {
+        if work == InFlightWork::default() {
             counts.remove(vm);
         } else {
             counts.insert(vm.to_owned(), PeerCount { work, at: now });
@@ -426,7 +432,7 @@
         self.others.store(requests.sum(), Ordering::Relaxed);
         let left_ms = counts.values().map(|c| c.reading_left_ms(now)).sum();
         let told_ms =
-            counts.values().map(|c| u32::from(c.work.reading_ms)).sum();
+            counts.values().map(|c| u32::from(c.work.prefill_ms)).sum();
         let told = ToldReading { left_ms, told_ms, at: now };
         *self.others_reading.lock().expect("told lock") = told;
     }
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -9,7 +9,10 @@
 use crate::{
     clock::BootInstant,
     id::UpstreamId,
-    message::{ShortHash, StatedLoad, ToldFailure, ToldLimit, Work},
+    message::{
+        InFlightWork, RateLimitReport, ShortHash, UpstreamFailureReport,
+        UpstreamLoadReport,
+    },
     placing::{
         health::AttemptOutcome,
         member::{LoadReport, Member},
@@ -65,7 +68,7 @@
         &self,
         for_own_hall: bool,
         now: BootInstant,
-    ) -> Vec<ToldLimit> {
+    ) -> Vec<RateLimitReport> {
         self.seen
             .lock()
             .expect("seen lock")
@@ -76,7 +79,7 @@
     /// returns what is news.
     pub(crate) fn apply_peer_rate_limits(
         &self,
-        told: &[ToldLimit],
+        told: &[RateLimitReport],
         is_near: bool,
         now: BootInstant,
     ) -> Vec<(Arc<Member>, ReportedChange)> {
@@ -155,12 +158,16 @@
     }
 
     /// Takes what upstreams have stated to this VM since it was last taken.
-    pub fn take_loads(&self, now: BootInstant) -> Vec<StatedLoad> {
+    pub fn take_loads(&self, now: BootInstant) -> Vec<UpstreamLoadReport> {
         self.seen.lock().expect("seen lock").take_loads(now)
     }
 
     /// Takes in what upstreams have stated to another VM.
-    pub fn apply_peer_loads(&self, stated: &[StatedLoad], now: BootInstant) {
+    pub fn apply_peer_loads(
+        &self,
+        stated: &[UpstreamLoadReport],
+        now: BootInstant,
+    ) {
         let each = self.mean_reading();
         let members = self.read();
         for told in stated {
@@ -194,7 +201,10 @@
     }
 
     /// Takes the failures that the others are to hear of.
-    pub fn take_failures(&self, now: BootInstant) -> Vec<ToldFailure> {
+    pub fn take_failures(
+        &self,
+        now: BootInstant,
+    ) -> Vec<UpstreamFailureReport> {
         self.seen.lock().expect("seen lock").take_failures(now)
     }
 
@@ -202,7 +212,7 @@
     /// returns the upstreams that are unfit by now.
     pub fn apply_peer_failures(
         &self,
-        told: &[ToldFailure],
+        told: &[UpstreamFailureReport],
         now: BootInstant,
     ) -> Vec<UpstreamId> {
         let members = self.read();
@@ -219,16 +229,16 @@
     }
 
     /// What this VM has at each upstream that has any of it.
-    pub fn local_work(&self) -> Vec<(ShortHash, Work)> {
+    pub fn local_work(&self) -> Vec<(ShortHash, InFlightWork)> {
         let members = self.read();
         let bounded = |n: u32| u16::try_from(n).unwrap_or(u16::MAX);
         let work = members.by_id.values().filter_map(|member| {
             let reading_ms = member.reading_ms.load(Ordering::Relaxed);
-            let work = Work {
+            let work = InFlightWork {
                 requests: bounded(member.upstream.in_flight()),
-                reading_ms: bounded(reading_ms),
+                prefill_ms: bounded(reading_ms),
             };
-            let has_any = work != Work::default();
+            let has_any = work != InFlightWork::default();
             has_any.then_some((member.upstream.short_hash, work))
         });
         work.collect()
@@ -238,12 +248,12 @@
     pub fn set_peer_work(
         &self,
         vm: &str,
-        work: &[(ShortHash, Work)],
+        work: &[(ShortHash, InFlightWork)],
         now: BootInstant,
     ) {
         let members = self.read();
         let mut told = self.told.lock().expect("told lock");
-        let set = |upstream: &ShortHash, there: Work| {
+        let set = |upstream: &ShortHash, there: InFlightWork| {
             if let Some(member) = members.by_short.get(upstream) {
                 member.set_peer_work(vm, there, now);
             }
@@ -255,7 +265,7 @@
             work.iter().map(|(upstream, _)| *upstream).collect();
         let before = told.at.get(vm).map_or(&[][..], Vec::as_slice);
         for upstream in before.iter().filter(|u| !upstreams.contains(u)) {
-            set(upstream, Work::default());
+            set(upstream, InFlightWork::default());
         }
         told.at.insert(vm.to_owned(), upstreams.into_iter().collect());
         if told.is_due(now) {
--- a/src/placing/seen.rs
+++ b/src/placing/seen.rs
@@ -5,7 +5,9 @@
 
 use crate::{
     clock::BootInstant,
-    message::{ShortHash, StatedLoad, ToldFailure, ToldLimit},
+    message::{
+        RateLimitReport, ShortHash, UpstreamFailureReport, UpstreamLoadReport,
+    },
     placing::{health::AttemptOutcome, member::LoadReport},
     unit::RequestRate,
 };
@@ -132,7 +134,7 @@
         &mut self,
         for_own_hall: bool,
         now: BootInstant,
-    ) -> Vec<ToldLimit> {
+    ) -> Vec<RateLimitReport> {
         let age = |at: BootInstant| now.saturating_duration_since(at);
         self.limits.retain(|_, seen| age(seen.stated_at) < LIMIT_TOLD_FAR);
         let is_told = |seen: &SeenLimit| {
@@ -140,24 +142,27 @@
             !for_own_hall || seen.near_from.is_some_and(is_new)
         };
         let told = self.limits.iter().filter(|(_, seen)| is_told(seen));
-        let told = told.map(|(upstream, seen)| ToldLimit {
+        let told = told.map(|(upstream, seen)| RateLimitReport {
             upstream: *upstream,
             rate: seen.rate,
             age_ms: u16::try_from(age(seen.stated_at).as_millis())
                 .unwrap_or(u16::MAX),
         });
-        let mut told: Vec<ToldLimit> = told.collect();
+        let mut told: Vec<RateLimitReport> = told.collect();
         told.sort_by_key(|limit| limit.age_ms);
         told.truncate(LIMITS_MOST);
         told
     }
 
     /// Takes what upstreams have stated since this was last asked.
-    pub(crate) fn take_loads(&mut self, now: BootInstant) -> Vec<StatedLoad> {
+    pub(crate) fn take_loads(
+        &mut self,
+        now: BootInstant,
+    ) -> Vec<UpstreamLoadReport> {
         let bounded = |n: u32| u16::try_from(n).unwrap_or(u16::MAX);
         let taken = self.stated.drain().map(|(upstream, (load, at))| {
             let age = now.saturating_duration_since(at).as_millis();
-            StatedLoad {
+            UpstreamLoadReport {
                 upstream,
                 running: bounded(load.running),
                 waiting: bounded(load.waiting),
@@ -174,7 +179,7 @@
     pub(crate) fn take_failures(
         &mut self,
         now: BootInstant,
-    ) -> Vec<ToldFailure> {
+    ) -> Vec<UpstreamFailureReport> {
         let failed = std::mem::take(&mut self.failed);
         let is_well = self.answered_at.is_some_and(|at| is_recent(at, now));
         if !is_well {
@@ -184,9 +189,12 @@
         self.told_at.extend(told_now);
         self.told_at.retain(|_, at| is_recent(*at, now));
         let told = failed.into_iter();
-        told.map(|(upstream, verdict)| ToldFailure { upstream, verdict })
-            .take(FAILURES_MOST)
-            .collect()
+        told.map(|(upstream, verdict)| UpstreamFailureReport {
+            upstream,
+            verdict,
+        })
+        .take(FAILURES_MOST)
+        .collect()
     }
 }
 
--- a/src/rollouts/fleet_tests.rs
+++ b/src/rollouts/fleet_tests.rs
@@ -33,7 +33,7 @@
         member::{UpstreamEntry, UpstreamState},
         pool::VersionRule,
     },
-    rollouts::rollout::{Order, Progress, Status},
+    rollouts::rollout::{RolloutOrder, RolloutProgress, RolloutStatus},
 };
 
 const HALLS: usize = 6;
@@ -58,8 +58,8 @@
     name.parse().unwrap()
 }
 
-fn order() -> Order {
-    Order { target: version("v2"), time_allowed: ALLOWED }
+fn order() -> RolloutOrder {
+    RolloutOrder { target: version("v2"), time_allowed: ALLOWED }
 }
 
 /// The fleet, in which a new version is rolled out.
@@ -82,10 +82,12 @@
 
     /// Has all VMs hear of the operator's order.
     fn order(&self) {
-        let running =
-            Status { target: version("v2"), progress: Progress::Running };
+        let running = RolloutStatus {
+            target: version("v2"),
+            progress: RolloutProgress::Running,
+        };
         for vm in &self.vms {
-            vm.rollouts.order(service(), order(), self.clock.now());
+            vm.rollouts.apply_order(service(), order(), self.clock.now());
             vm.rollouts.set_status(&service(), &running);
         }
     }
@@ -105,11 +107,11 @@
             let now = self.clock.now();
             for (number, vm) in self.vms.iter().enumerate() {
                 vm.knowledge.prove(now);
-                vm.rollouts.judge(now);
+                vm.rollouts.evaluate(now);
                 let due = rollout_status::due_records(vm, now);
-                let completes = due
-                    .iter()
-                    .any(|due| due.status.progress == Progress::Completed);
+                let completes = due.iter().any(|due| {
+                    due.status.progress == RolloutProgress::Completed
+                });
                 if completes {
                     halls.insert(self.hall_name(number));
                 }
@@ -122,7 +124,8 @@
     fn ask(&self, vm: usize, session: &str) -> VersionId {
         let now = self.clock.now();
         let rollouts = &self.vms[vm].rollouts;
-        let choice = rollouts.rule(&service(), Some(session), "r", now);
+        let choice =
+            rollouts.choose_version(&service(), Some(session), "r", now);
         let software = match choice.rule {
             VersionRule::Prefer(version) => version,
             _ => version("v1"),
@@ -223,7 +226,7 @@
     for vm in &fleet.vms {
         let new = version("v2");
         let good = AttemptOutcome::Success;
-        vm.rollouts.record(&service(), &new, "write", good, None);
+        vm.rollouts.record_answer(&service(), &new, "write", good, None);
     }
     // The new version has everything after 0.64 of the time allowed, and is
     // completed in any case after 0.93 of it.
--- a/src/rollouts/told.rs
+++ b/src/rollouts/peer_evidence.rs
@@ -36,7 +36,7 @@
 
 /// How the sum of another data hall came here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Way {
+pub(crate) enum Delivery {
     /// From a VM there, to this VM alone.
     Direct,
     /// From a VM of this hall, which tells all of it.
@@ -45,7 +45,7 @@
 
 /// What other VMs have told of one roll-out.
 #[derive(Debug, Default)]
-pub(super) struct Told {
+pub(super) struct PeerEvidence {
     /// The VMs of this hall.
     vms: HashMap<String, (BootInstant, Evidence)>,
     halls: HashMap<ShortHash, Hall>,
@@ -78,9 +78,9 @@
     is_relayed: bool,
 }
 
-impl Told {
+impl PeerEvidence {
     /// Takes in what a VM of this hall tells.
-    pub(super) fn hear_vm(
+    pub(super) fn merge_vm(
         &mut self,
         vm: &str,
         told: Evidence,
@@ -91,16 +91,16 @@
     }
 
     /// Takes in the sum of another hall.
-    pub(super) fn hear_hall(
+    pub(super) fn merge_hall(
         &mut self,
         told: &HallEvidence,
-        way: Way,
+        way: Delivery,
         now: BootInstant,
     ) {
         let age = Duration::from_millis(told.age_ms.into());
         let at = now.checked_sub(age).unwrap_or(now);
         let sum = &told.evidence;
-        let is_relayed = way == Way::Relayed;
+        let is_relayed = way == Delivery::Relayed;
         let hall = Some(told.data_hall);
         self.note_sessions(&sum.old_sessions, hall, at, is_relayed);
         let held = self.halls.entry(told.data_hall).or_insert_with(|| Hall {
@@ -113,8 +113,8 @@
         });
         held.take(sum, at);
         match way {
-            Way::Direct => held.is_fresh = true,
-            Way::Relayed => held.relayed_at = Some(now),
+            Delivery::Direct => held.is_fresh = true,
+            Delivery::Relayed => held.relayed_at = Some(now),
         }
     }
 
--- a/src/rollouts/registry.rs
+++ b/src/rollouts/registry.rs
@@ -10,9 +10,9 @@
     rollouts::{
         choice::VersionChoice,
         evidence::{Evidence, HallEvidence},
-        rollout::{Order, Progress, Rollout, Status},
+        peer_evidence::Delivery,
+        rollout::{Rollout, RolloutOrder, RolloutProgress, RolloutStatus},
         sessions::Sessions,
-        told::Way,
     },
 };
 
@@ -24,11 +24,11 @@
 
 /// A step that a roll-out is due for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Due {
+pub struct PendingStatus {
     /// The service.
     pub service: ServiceId,
     /// What is to be recorded.
-    pub status: Status,
+    pub status: RolloutStatus,
 }
 
 /// All roll-outs that this VM knows of.
@@ -58,10 +58,10 @@
     }
 
     /// Takes in an order; returns whether it is a new one.
-    pub fn order(
+    pub fn apply_order(
         &self,
         service: ServiceId,
-        order: Order,
+        order: RolloutOrder,
         now: BootInstant,
     ) -> bool {
         let mut rollouts = self.running.lock().expect("rollouts lock");
@@ -77,10 +77,10 @@
     }
 
     /// Takes in the state that stands in the store.
-    pub fn set_status(&self, service: &ServiceId, status: &Status) {
+    pub fn set_status(&self, service: &ServiceId, status: &RolloutStatus) {
         let mut rollouts = self.running.lock().expect("rollouts lock");
         let Some(rollout) = rollouts.get_mut(service) else {
-            if status.progress == Progress::Reverted {
+            if status.progress == RolloutProgress::Reverted {
                 self.withdraw(service, status.target.clone());
             }
             return;
@@ -91,7 +91,7 @@
     }
 
     /// Forgets a roll-out whose order is gone.
-    pub fn forget(&self, service: &ServiceId) {
+    pub fn remove(&self, service: &ServiceId) {
         let mut rollouts = self.running.lock().expect("rollouts lock");
         let over = rollouts.remove(service);
         self.note_over(service, over.as_ref());
@@ -128,7 +128,7 @@
     }
 
     /// Which version may answer a request.
-    pub fn rule(
+    pub fn choose_version(
         &self,
         service: &ServiceId,
         session: Option<&str>,
@@ -146,7 +146,8 @@
             let session = ShortHash::of(session);
             of_service.version(session, self.session_lifetime, now)
         });
-        let (rule, reason) = rollout.rule(session, own, request_id, now);
+        let (rule, reason) =
+            rollout.choose_version(session, own, request_id, now);
         VersionChoice { rule, reason: Some(reason), withdrawn }
     }
 
@@ -179,7 +180,7 @@
     }
 
     /// Takes in how an answer of a version on a route was.
-    pub fn record(
+    pub fn record_answer(
         &self,
         service: &ServiceId,
         software: &VersionId,
@@ -189,7 +190,7 @@
     ) {
         let mut rollouts = self.running.lock().expect("rollouts lock");
         if let Some(rollout) = rollouts.get_mut(service) {
-            rollout.record(software, route, verdict, first_part);
+            rollout.record_answer(software, route, verdict, first_part);
         }
     }
 
@@ -231,7 +232,7 @@
 
     /// What other data halls have told of the roll-outs that are running and
     /// the VMs of this one are to be told now; `own` is this VM's evidence.
-    pub fn relays(
+    pub fn relayed_evidence(
         &self,
         own: &[Evidence],
         now: BootInstant,
@@ -250,35 +251,40 @@
     }
 
     /// Takes in what another VM of this data hall tells.
-    pub fn hear(&self, vm: &str, told: &[Evidence], now: BootInstant) {
+    pub fn merge_evidence(
+        &self,
+        vm: &str,
+        told: &[Evidence],
+        now: BootInstant,
+    ) {
         let mut rollouts = self.running.lock().expect("rollouts lock");
         for told in told {
             if let Some(rollout) = find(&mut rollouts, told) {
-                rollout.hear(vm, told.clone(), now);
+                rollout.merge_evidence(vm, told.clone(), now);
             }
         }
     }
 
     /// Takes in what all VMs of another data hall tell.
-    pub(crate) fn hear_hall(
+    pub(crate) fn merge_hall_evidence(
         &self,
         told: &HallEvidence,
-        way: Way,
+        way: Delivery,
         now: BootInstant,
     ) {
         let mut rollouts = self.running.lock().expect("rollouts lock");
         if let Some(rollout) = find(&mut rollouts, &told.evidence) {
-            rollout.hear_hall(told, way, now);
+            rollout.merge_hall_evidence(told, way, now);
         }
     }
 
     /// Judges the running roll-outs; returns those that were stopped just
     /// now, with the reason.
-    pub fn judge(&self, now: BootInstant) -> Vec<(ServiceId, String)> {
+    pub fn evaluate(&self, now: BootInstant) -> Vec<(ServiceId, String)> {
         let mut rollouts = self.running.lock().expect("rollouts lock");
         let mut stopped = Vec::new();
         for (service, rollout) in rollouts.iter_mut() {
-            if let Some(reason) = rollout.judge(now) {
+            if let Some(reason) = rollout.evaluate(now) {
                 stopped.push((service.clone(), reason));
             }
         }
@@ -291,22 +297,23 @@
     /// records only that a version was stopped, and a little later. A version
     /// is completed once no VM of this hall nor of `other_halls` works at the
     /// old one, whose upstreams then stop.
-    pub fn due(
+    pub fn pending_statuses(
         &self,
         is_steward: bool,
         old_in_flight: impl Fn(&ServiceId, &VersionId) -> u32,
         other_halls: &[ShortHash],
         now: BootInstant,
-    ) -> Vec<Due> {
+    ) -> Vec<PendingStatus> {
         let rollouts = self.running.lock().expect("rollouts lock");
         let mut due = Vec::new();
         for (service, rollout) in rollouts.iter() {
             let old = old_in_flight(service, &rollout.order.target);
-            let progress = rollout.due(is_steward, old, other_halls, now);
+            let progress =
+                rollout.pending_statuses(is_steward, old, other_halls, now);
             if let Some(progress) = progress {
                 let target = rollout.order.target.clone();
-                let status = Status { target, progress };
-                due.push(Due { service: service.clone(), status });
+                let status = RolloutStatus { target, progress };
+                due.push(PendingStatus { service: service.clone(), status });
             }
         }
         due
