--- a/src/placing/admission/tests.rs
+++ b/src/placing/admission/tests.rs
@@ -8,8 +8,8 @@
 
 const REPLICAS: usize = 6;
 const SLOTS: usize = 6;
-const AIM_MS: u64 = 300;
-const TAKES: Duration = Duration::from_millis(60);
+const LATENCY_TARGET_MS: u64 = 300;
+const SERVICE_TIME: Duration = Duration::from_millis(60);
 
 /// Milliseconds of the burst.
 const BURST_MS: u64 = 3000;
@@ -20,7 +20,7 @@
 /// A way to turn callers away.
 struct Way {
     utilization_limit: f64,
-    /// When they come back, in milliseconds, by a draw from 0 to 1.
+    /// When they come back, in milliseconds, by a jitter from 0 to 1.
     return_ms: fn(f64) -> u64,
 }
 
@@ -32,8 +32,8 @@
     refused: f64,
 }
 
-fn return_ms(draw: f64) -> u64 {
-    retry_after(Some(TAKES), draw).as_millis() as u64
+fn return_ms(jitter: f64) -> u64 {
+    retry_after(Some(SERVICE_TIME), jitter).as_millis() as u64
 }
 
 /// One replica: when each of its slots is free, and what it held lately.
@@ -66,7 +66,7 @@
     let mut random = StdRng::seed_from_u64(5);
     let mut replicas: Vec<Replica> =
         (0..REPLICAS).map(|_| Replica::default()).collect();
-    let capacity = (REPLICAS * SLOTS) as f64 / TAKES.as_millis() as f64;
+    let capacity = (REPLICAS * SLOTS) as f64 / SERVICE_TIME.as_millis() as f64;
     // When a call comes, when its caller first came, and whether it is back.
     let mut calls: BinaryHeap<Reverse<(u64, u64, bool)>> = BinaryHeap::new();
     for now_ms in 0..BURST_MS {
@@ -90,7 +90,7 @@
         if fill < way.utilization_limit {
             let work_ms = random.random_range(30..90);
             let end_ms = chosen.take(now_ms, work_ms);
-            match end_ms - first_ms <= AIM_MS {
+            match end_ms - first_ms <= LATENCY_TARGET_MS {
                 true => in_time += 1,
                 false => late += 1,
             }
@@ -112,42 +112,51 @@
 /// everybody is let in, and comes late.
 #[test]
 fn a_short_line_serves_more_callers_in_time() {
-    let limit = utilization_limit(Duration::from_millis(AIM_MS), Some(TAKES));
-    let by_slots = Way { utilization_limit: FILL_LEAST, return_ms: |_| 400 };
+    let limit = utilization_limit(
+        Duration::from_millis(LATENCY_TARGET_MS),
+        Some(SERVICE_TIME),
+    );
+    let by_slots =
+        Way { utilization_limit: MIN_UTILIZATION_LIMIT, return_ms: |_| 400 };
     let by_aim = Way { utilization_limit: limit, return_ms };
     let unlimited = Way { utilization_limit: f64::MAX, return_ms };
     for (load, gain) in [(0.9, 0.02), (1.0, 0.1), (1.1, 0.04), (1.4, 0.02)] {
         let slots = play(load, &by_slots);
-        let aim = play(load, &by_aim);
+        let latency_target = play(load, &by_aim);
         let all = play(load, &unlimited);
-        println!("load {load}: {slots:?}, {aim:?}, {all:?}");
-        assert!(aim.in_time > slots.in_time + gain);
-        assert!(aim.in_time > all.in_time - 0.01);
-        assert!(aim.late + aim.refused < slots.late + slots.refused);
+        println!("load {load}: {slots:?}, {latency_target:?}, {all:?}");
+        assert!(latency_target.in_time > slots.in_time + gain);
+        assert!(latency_target.in_time > all.in_time - 0.01);
+        assert!(
+            latency_target.late + latency_target.refused
+                < slots.late + slots.refused
+        );
     }
 }
 
 #[test]
 fn the_limit_follows_what_a_request_takes() {
-    let aim = Duration::from_millis(150);
-    let limit = |ms| utilization_limit(aim, Some(Duration::from_millis(ms)));
-    assert_eq!(utilization_limit(aim, None), FILL_LEAST);
-    assert_eq!(limit(0), FILL_LEAST);
+    let latency_target = Duration::from_millis(150);
+    let limit = |ms| {
+        utilization_limit(latency_target, Some(Duration::from_millis(ms)))
+    };
+    assert_eq!(utilization_limit(latency_target, None), MIN_UTILIZATION_LIMIT);
+    assert_eq!(limit(0), MIN_UTILIZATION_LIMIT);
     assert!((limit(30) - 2.0).abs() < 1e-9);
-    assert_eq!(limit(1), FILL_MOST);
-    assert_eq!(limit(3000), FILL_LEAST);
-    assert_eq!(queue_wait(0.5, Some(TAKES)), Duration::ZERO);
-    assert_eq!(queue_wait(3.0, Some(TAKES)), TAKES * 2);
+    assert_eq!(limit(1), MAX_UTILIZATION_LIMIT);
+    assert_eq!(limit(3000), MIN_UTILIZATION_LIMIT);
+    assert_eq!(queue_wait(0.5, Some(SERVICE_TIME)), Duration::ZERO);
+    assert_eq!(queue_wait(3.0, Some(SERVICE_TIME)), SERVICE_TIME * 2);
     assert_eq!(queue_wait(3.0, None), Duration::ZERO);
 }
 
 #[test]
 fn callers_come_back_when_places_are_free_and_not_together() {
-    assert_eq!(retry_after(Some(TAKES), 0.0), TAKES / 2);
-    assert_eq!(retry_after(Some(TAKES), 1.0), TAKES * 3 / 2);
-    assert_eq!(retry_after(None, 0.0), RETURN_MOST);
+    assert_eq!(retry_after(Some(SERVICE_TIME), 0.0), SERVICE_TIME / 2);
+    assert_eq!(retry_after(Some(SERVICE_TIME), 1.0), SERVICE_TIME * 3 / 2);
+    assert_eq!(retry_after(None, 0.0), MAX_RETRY_AFTER);
     let stream = Some(Duration::from_secs(4));
-    assert_eq!(retry_after(stream, 0.5), RETURN_MOST);
+    assert_eq!(retry_after(stream, 0.5), MAX_RETRY_AFTER);
 }
 
 #[test]
@@ -155,11 +164,11 @@
     let times = ServiceTimes::default();
     let service: ServiceId = "portal".parse().unwrap();
     assert_eq!(times.of(&service), None);
-    times.record(&service, TAKES);
-    assert_eq!(times.of(&service), Some(TAKES));
+    times.record(&service, SERVICE_TIME);
+    assert_eq!(times.of(&service), Some(SERVICE_TIME));
     for _ in 0..200 {
-        times.record(&service, TAKES * 2);
+        times.record(&service, SERVICE_TIME * 2);
     }
     let learned = times.of(&service).unwrap();
-    assert!(learned > TAKES.mul_f64(1.99), "{learned:?}");
+    assert!(learned > SERVICE_TIME.mul_f64(1.99), "{learned:?}");
 }
--- a/src/placing/cascade.rs
+++ b/src/placing/cascade.rs
@@ -21,35 +21,35 @@
 /// 0.670 for 0.661 on a third customer's site (25 days), 0.630 for 0.626 and
 /// 0.644 for 0.638 on two others (10 each), and 0.543 for 0.544 on a fourth
 /// (20); with 44 it was 0.669 and, on the fourth, 0.529 (15 and 12 days).
-const ENOUGH_CONFIDENCE: u8 = 50;
+const MIN_CONFIDENCE: u8 = 50;
 
 /// Part of the aim up to which the expected time to the largest model's first
 /// event does not matter. From there on, the less time is left, the more
 /// doubtful an answer must be for the largest model to be asked: it may come
 /// late, and holds up others when upstreams are busy.
-const EASY_PART: f64 = 0.5;
+const RELAXED_SHARE: f64 = 0.5;
 
 /// Milliseconds that a token of a prompt takes to be read until something
 /// has been learned.
-const USUAL_READ_MS: f64 = 0.02;
+const DEFAULT_TOKEN_MS: f64 = 0.02;
 
 /// What a measured time still counts when one more has come.
-const FADE: f64 = 0.97;
+const DECAY: f64 = 0.97;
 
 /// Prompts shorter than this say little about the time for a token.
-const LEAST_TOKENS: u64 = 300;
+const MIN_TOKENS: u64 = 300;
 
 /// Time to the first event of the shortest prompt.
-const FIRST_EVENT: Duration = Duration::from_millis(10);
+const MIN_FIRST_EVENT: Duration = Duration::from_millis(10);
 
 /// What is known of the models' speeds, learned from answers.
 #[derive(Debug, Default)]
-pub(crate) struct PrefillTimes(Mutex<HashMap<ModelId, Read>>);
+pub(crate) struct PrefillTimes(Mutex<HashMap<ModelId, PrefillSum>>);
 
 /// What was read, and how long it took. Sums rather than a mean of ratios, so
 /// that a short prompt that had to wait says little.
 #[derive(Clone, Copy, Debug, Default)]
-struct Read {
+struct PrefillSum {
     ms: f64,
     tokens: f64,
 }
@@ -63,9 +63,9 @@
     ) -> Duration {
         let times = self.0.lock().expect("times lock");
         let known = model.and_then(|model| times.get(model));
-        let token_ms = known.map_or(USUAL_READ_MS, |r| r.ms / r.tokens);
+        let token_ms = known.map_or(DEFAULT_TOKEN_MS, |r| r.ms / r.tokens);
         let ms = token_ms * tokens as f64;
-        FIRST_EVENT + Duration::from_secs_f64(ms / 1000.0)
+        MIN_FIRST_EVENT + Duration::from_secs_f64(ms / 1000.0)
     }
 
     /// Takes in how long a model took until the first event, when nothing
@@ -76,14 +76,14 @@
         tokens: u64,
         first_event: Duration,
     ) {
-        if tokens < LEAST_TOKENS {
+        if tokens < MIN_TOKENS {
             return;
         }
-        let reading = first_event.saturating_sub(FIRST_EVENT);
+        let reading = first_event.saturating_sub(MIN_FIRST_EVENT);
         let mut times = self.0.lock().expect("times lock");
         let known = times.entry(model.clone()).or_default();
-        known.ms = known.ms * FADE + reading.as_secs_f64() * 1000.0;
-        known.tokens = known.tokens * FADE + tokens as f64;
+        known.ms = known.ms * DECAY + reading.as_secs_f64() * 1000.0;
+        known.tokens = known.tokens * DECAY + tokens as f64;
     }
 }
 
@@ -114,7 +114,7 @@
     /// No larger model is left.
     Largest,
     /// The model is sure enough.
-    Sure,
+    Confident,
     /// The larger model would come too late.
     NoTime,
     /// No attempt is left.
@@ -128,7 +128,7 @@
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             NoEscalation::Largest => "largest",
-            NoEscalation::Sure => "sure",
+            NoEscalation::Confident => "sure",
             NoEscalation::NoTime => "no_time",
             NoEscalation::NoAttempt => "no_attempt",
             NoEscalation::NoUpstream => "no_upstream",
@@ -142,29 +142,29 @@
 ///
 /// Why the answer at hand is passed on.
 pub(crate) fn escalation_target(
-    doubt: &EscalationInput<'_>,
+    input: &EscalationInput<'_>,
     times: &PrefillTimes,
     waiting: Duration,
     now: BootInstant,
 ) -> Result<ModelId, NoEscalation> {
-    let largest = doubt.route.sizes.last().ok_or(NoEscalation::Largest)?;
-    if doubt.model == largest {
+    let largest = input.route.sizes.last().ok_or(NoEscalation::Largest)?;
+    if input.model == largest {
         return Err(NoEscalation::Largest);
     }
-    let confidence = f64::from(doubt.confidence.value());
-    let enough = f64::from(ENOUGH_CONFIDENCE);
+    let confidence = f64::from(input.confidence.value());
+    let enough = f64::from(MIN_CONFIDENCE);
     if confidence >= enough {
-        return Err(NoEscalation::Sure);
+        return Err(NoEscalation::Confident);
     }
-    if !doubt.has_attempt {
+    if !input.has_attempt {
         return Err(NoEscalation::NoAttempt);
     }
-    let passed = now.saturating_duration_since(doubt.started_at);
-    let reading = times.expected(Some(largest), doubt.tokens);
+    let passed = now.saturating_duration_since(input.started_at);
+    let reading = times.expected(Some(largest), input.tokens);
     let expected = passed + waiting + reading;
-    let used = expected.as_secs_f64() / doubt.route.aim.as_secs_f64();
-    let ease = ((1.0 - used) / (1.0 - EASY_PART)).clamp(0.0, 1.0);
-    if confidence >= enough * ease {
+    let used = expected.as_secs_f64() / input.route.aim.as_secs_f64();
+    let headroom = ((1.0 - used) / (1.0 - RELAXED_SHARE)).clamp(0.0, 1.0);
+    if confidence >= enough * headroom {
         return Err(NoEscalation::NoTime);
     }
     Ok(largest.clone())
--- a/src/placing/cascade/tests.rs
+++ b/src/placing/cascade/tests.rs
@@ -29,7 +29,7 @@
     has_attempt: bool,
 ) -> Result<ModelId, NoEscalation> {
     let now = BootInstant::now();
-    let doubt = EscalationInput {
+    let input = EscalationInput {
         route: &route(),
         model: &"small".parse().unwrap(),
         confidence: Percent::new(confidence).unwrap(),
@@ -37,20 +37,20 @@
         has_attempt,
         tokens: 1000,
     };
-    escalation_target(&doubt, &PrefillTimes::default(), waiting, now)
+    escalation_target(&input, &PrefillTimes::default(), waiting, now)
 }
 
 /// The largest confidence at which another model is asked, given time.
-const DOUBTFUL: u8 = ENOUGH_CONFIDENCE - 1;
+const MAX_ESCALATED_CONFIDENCE: u8 = MIN_CONFIDENCE - 1;
 
 #[test]
 fn only_a_doubtful_answer_is_asked_again() {
     let large = "large".parse().unwrap();
     assert_eq!(decide(10, Duration::ZERO, true), Ok(large));
-    assert!(decide(DOUBTFUL, Duration::ZERO, true).is_ok());
-    let sure = decide(ENOUGH_CONFIDENCE, Duration::ZERO, true);
-    assert_eq!(sure, Err(NoEscalation::Sure));
-    assert_eq!(decide(90, Duration::ZERO, true), Err(NoEscalation::Sure));
+    assert!(decide(MAX_ESCALATED_CONFIDENCE, Duration::ZERO, true).is_ok());
+    let sure = decide(MIN_CONFIDENCE, Duration::ZERO, true);
+    assert_eq!(sure, Err(NoEscalation::Confident));
+    assert_eq!(decide(90, Duration::ZERO, true), Err(NoEscalation::Confident));
     assert_eq!(
         decide(10, Duration::ZERO, false),
         Err(NoEscalation::NoAttempt)
@@ -60,7 +60,10 @@
 #[test]
 fn the_less_time_is_left_the_more_doubtful_it_must_be() {
     let near = Duration::from_millis(1500);
-    assert_eq!(decide(DOUBTFUL, near, true), Err(NoEscalation::NoTime));
+    assert_eq!(
+        decide(MAX_ESCALATED_CONFIDENCE, near, true),
+        Err(NoEscalation::NoTime)
+    );
     assert!(decide(5, near, true).is_ok());
     let gone = Duration::from_secs(2);
     assert_eq!(decide(0, gone, true), Err(NoEscalation::NoTime));
@@ -69,7 +72,7 @@
 #[test]
 fn the_largest_model_has_the_last_word() {
     let now = BootInstant::now();
-    let doubt = EscalationInput {
+    let input = EscalationInput {
         route: &route(),
         model: &"large".parse().unwrap(),
         confidence: Percent::new(0).unwrap(),
@@ -78,7 +81,7 @@
         tokens: 1000,
     };
     let times = PrefillTimes::default();
-    let kept = escalation_target(&doubt, &times, Duration::ZERO, now);
+    let kept = escalation_target(&input, &times, Duration::ZERO, now);
     assert_eq!(kept, Err(NoEscalation::Largest));
 }
 
--- a/src/placing/health/tests.rs
+++ b/src/placing/health/tests.rs
@@ -12,7 +12,7 @@
         Some(HealthChange::Unhealthy)
     );
     assert!(!health.is_healthy(now));
-    assert!(health.is_healthy(now + PAUSE));
+    assert!(health.is_healthy(now + BASE_EJECTION));
 }
 
 #[test]
@@ -28,12 +28,12 @@
     let now = BootInstant::now();
     let health = Health::new(now);
     let changes = (0..20).filter_map(|number| {
-        let verdict = if number % 5 < 2 {
+        let outcome = if number % 5 < 2 {
             AttemptOutcome::Failed
         } else {
             AttemptOutcome::Success
         };
-        health.record(verdict, now)
+        health.record(outcome, now)
     });
     assert!(changes.collect::<Vec<_>>().contains(&HealthChange::Unhealthy));
 }
@@ -43,10 +43,10 @@
     let now = BootInstant::now();
     let health = Health::new(now);
     health.record(AttemptOutcome::Unreachable, now);
-    // An answer from before the pause's end is old news.
+    // An answer from before the ejection's end is old news.
     assert_eq!(health.record(AttemptOutcome::Success, now), None);
     assert!(!health.is_healthy(now));
-    let later = now + PAUSE;
+    let later = now + BASE_EJECTION;
     let change = health.record(AttemptOutcome::Success, later);
     assert_eq!(change, Some(HealthChange::Healthy));
     assert!(health.is_healthy(later));
@@ -57,10 +57,10 @@
     let now = BootInstant::now();
     let health = Health::new(now);
     health.record(AttemptOutcome::Unreachable, now);
-    let later = now + PAUSE;
+    let later = now + BASE_EJECTION;
     health.record(AttemptOutcome::Unreachable, later);
-    assert!(!health.is_healthy(later + PAUSE));
-    assert!(health.is_healthy(later + PAUSE * 2));
+    assert!(!health.is_healthy(later + BASE_EJECTION));
+    assert!(health.is_healthy(later + BASE_EJECTION * 2));
 }
 
 #[test]
@@ -69,9 +69,9 @@
     let health = Health::new(now);
     assert_eq!(health.failure_chance(now), 0.0);
     for _ in 0..3 {
-        assert_eq!(health.hear(AttemptOutcome::Lost, now), None);
+        assert_eq!(health.record_from_peer(AttemptOutcome::Lost, now), None);
     }
-    let change = health.hear(AttemptOutcome::Lost, now);
+    let change = health.record_from_peer(AttemptOutcome::Lost, now);
     assert_eq!(change, Some(HealthChange::Unhealthy));
     assert!(!health.is_healthy(now));
     let later = now + HALF_LIFE * 10;
@@ -80,10 +80,10 @@
     // Answers that others tell of keep it fit.
     let answering = Health::new(now);
     for _ in 0..12 {
-        answering.hear(AttemptOutcome::Success, now);
+        answering.record_from_peer(AttemptOutcome::Success, now);
     }
-    let changes =
-        (0..5).filter_map(|_| answering.hear(AttemptOutcome::Lost, now));
+    let changes = (0..5)
+        .filter_map(|_| answering.record_from_peer(AttemptOutcome::Lost, now));
     assert_eq!(changes.count(), 0);
     assert!(answering.is_healthy(now));
 }
@@ -92,8 +92,11 @@
 fn two_that_cannot_connect_tell_enough() {
     let now = BootInstant::now();
     let health = Health::new(now);
-    assert_eq!(health.hear(AttemptOutcome::Unreachable, now), None);
-    let change = health.hear(AttemptOutcome::Unreachable, now);
+    assert_eq!(
+        health.record_from_peer(AttemptOutcome::Unreachable, now),
+        None
+    );
+    let change = health.record_from_peer(AttemptOutcome::Unreachable, now);
     assert_eq!(change, Some(HealthChange::Unhealthy));
 }
 
--- a/src/placing/member.rs
+++ b/src/placing/member.rs
@@ -19,24 +19,24 @@
     },
     message::{InFlightWork, ShortHash},
     placing::{
-        hall_way::HallWay,
+        hall_link::HallLink,
         health::Health,
         reported_state::ReportedState,
         upstream::{Serves, Upstream, UpstreamRecord},
-        warm_up::SentLately,
+        warm_up::SendWindow,
     },
 };
 
 /// Age at which what another VM told of its requests counts no more.
-pub(super) const PEER_COUNT_LIFETIME: Duration = Duration::from_millis(2500);
+pub(super) const PEER_WORK_LIFETIME: Duration = Duration::from_millis(2500);
 
 /// Time that an upstream whose record vanished while the store was away
 /// may still be used; a live one is back within about two seconds.
 pub(super) const VANISHED_GRACE: Duration = Duration::from_millis(1500);
 
-/// Time in which what an upstream stated of its requests loses half of its
+/// Time in which what an upstream reported of its requests loses half of its
 /// weight; short calls come and go meanwhile.
-const STATED_HALF_LIFE: Duration = Duration::from_millis(200);
+const REPORTED_LOAD_HALF_LIFE: Duration = Duration::from_millis(200);
 
 /// Whether an upstream takes new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -72,7 +72,7 @@
 
 /// How an entry stands to one that was told before under the same name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Succession {
+pub(super) enum EntryRelation {
     /// It is of the same life.
     Same,
     /// It has changed what no life changes, or is ready again after it was
@@ -91,26 +91,26 @@
     }
 
     /// How it stands to an entry that was told before.
-    pub(super) fn succession(&self, held: &UpstreamEntry) -> Succession {
-        if let (Some(own), Some(held)) = (self.started, held.started)
-            && own != held
+    pub(super) fn relation_to(&self, known: &UpstreamEntry) -> EntryRelation {
+        if let (Some(own), Some(known)) = (self.started, known.started)
+            && own != known
         {
-            return match own > held {
-                true => Succession::Later,
-                false => Succession::Earlier,
+            return match own > known {
+                true => EntryRelation::Later,
+                false => EntryRelation::Earlier,
             };
         }
         let is_back = self.started.is_none()
-            && held.state == UpstreamState::Leaving
+            && known.state == UpstreamState::Leaving
             && self.state == UpstreamState::Ready;
-        let is_alike = self.service == held.service
-            && self.address == held.address
-            && self.data_hall == held.data_hall
-            && self.software == held.software
-            && self.slots == held.slots;
+        let is_alike = self.service == known.service
+            && self.address == known.address
+            && self.data_hall == known.data_hall
+            && self.software == known.software
+            && self.slots == known.slots;
         match is_alike && !is_back {
-            true => Succession::Same,
-            false => Succession::Changed,
+            true => EntryRelation::Same,
+            false => EntryRelation::Changed,
         }
     }
 }
@@ -133,16 +133,16 @@
     pub upstream: Arc<Upstream>,
     /// How it has been answering.
     pub health: Health,
-    pub(super) way: Arc<HallWay>,
-    pub(super) reading_ms: AtomicU32,
-    others: AtomicU32,
-    others_reading: Mutex<ToldReading>,
-    counts: Mutex<HashMap<String, PeerCount>>,
+    pub(super) link: Arc<HallLink>,
+    pub(super) prefill_ms: AtomicU32,
+    peer_requests: AtomicU32,
+    peer_prefill: Mutex<PeerPrefill>,
+    peer_work: Mutex<HashMap<String, PeerWork>>,
     pub(super) vanished_at: Mutex<Option<BootInstant>>,
-    heard_at: Mutex<BootInstant>,
+    active_at: Mutex<BootInstant>,
     cold_until: Mutex<Option<BootInstant>>,
-    pub(super) sent_cold: Mutex<SentLately>,
-    stated: Mutex<Option<Stated>>,
+    pub(super) cold_sends: Mutex<SendWindow>,
+    reported_load: Mutex<Option<ReportedLoad>>,
     /// Whether a later life has taken its place.
     is_superseded: AtomicBool,
     /// Whether one did although it was not leaving.
@@ -151,39 +151,39 @@
 
 /// Time that the prompts of the other VMs take to be read, as of some moment.
 #[derive(Clone, Copy, Debug)]
-struct ToldReading {
+struct PeerPrefill {
     /// What is left of it.
     left_ms: u32,
     /// All of it, as it was told.
-    told_ms: u32,
+    reported_ms: u32,
     at: BootInstant,
 }
 
 /// What an upstream's own word says that it had.
 #[derive(Clone, Copy, Debug)]
-struct Stated {
+struct ReportedLoad {
     /// When it said so.
     at: BootInstant,
     /// Requests of other VMs.
-    others: u32,
+    peer_requests: u32,
     /// The time that the prompts take which it had still to read.
-    reading: Duration,
+    prefill: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct PeerCount {
+struct PeerWork {
     work: InFlightWork,
     at: BootInstant,
 }
 
-impl PeerCount {
+impl PeerWork {
     /// What is left of the reading that was told: an upstream goes on with it
     /// while nothing more is heard, and beats of other data halls are rare.
     ///
     /// In the replay of 32 VMs before 32 engines that are busy for half of
     /// the time, prompts wait for 47 ms with this and for 76 ms without; busy
     /// for 0.7 of it, for 95 and 195 ms.
-    fn reading_left_ms(&self, now: BootInstant) -> u32 {
+    fn prefill_left_ms(&self, now: BootInstant) -> u32 {
         let age = now.saturating_duration_since(self.at).as_millis();
         let age_ms = u32::try_from(age).unwrap_or(u32::MAX);
         u32::from(self.work.prefill_ms).saturating_sub(age_ms)
@@ -194,7 +194,7 @@
     pub(super) fn new(
         entry: UpstreamEntry,
         reported_state: Arc<ReportedState>,
-        way: Arc<HallWay>,
+        link: Arc<HallLink>,
         now: BootInstant,
     ) -> Member {
         let record = UpstreamRecord {
@@ -206,25 +206,30 @@
             checks_fence: false,
         };
         let short = ShortHash::of(&entry.life().to_string());
-        let upstream =
-            Upstream::with_word(record, short, reported_state, false, now);
+        let upstream = Upstream::with_reported_state(
+            record,
+            short,
+            reported_state,
+            false,
+            now,
+        );
         Member {
             upstream: Arc::new(upstream),
             health: Health::new(now),
-            way,
-            reading_ms: AtomicU32::new(0),
-            others: AtomicU32::new(0),
-            others_reading: Mutex::new(ToldReading {
+            link,
+            prefill_ms: AtomicU32::new(0),
+            peer_requests: AtomicU32::new(0),
+            peer_prefill: Mutex::new(PeerPrefill {
                 left_ms: 0,
-                told_ms: 0,
+                reported_ms: 0,
                 at: now,
             }),
-            counts: Mutex::default(),
+            peer_work: Mutex::default(),
             vanished_at: Mutex::new(None),
-            heard_at: Mutex::new(now),
+            active_at: Mutex::new(now),
             cold_until: Mutex::new(Some(now + entry.warm_up_left)),
-            sent_cold: Mutex::default(),
-            stated: Mutex::default(),
+            cold_sends: Mutex::default(),
+            reported_load: Mutex::default(),
             is_superseded: AtomicBool::new(false),
             has_crashed: AtomicBool::new(false),
             entry,
@@ -241,14 +246,14 @@
     }
 
     /// How long it is to get no request of this VM; zero if it may have one.
-    pub fn rest_left(&self, now: BootInstant) -> Duration {
-        self.upstream.reported_state.rest_left(now)
+    pub fn backoff_left(&self, now: BootInstant) -> Duration {
+        self.upstream.reported_state.backoff_left(now)
     }
 
     /// Its record with the state that was recorded last. What the upstream
     /// itself has said is left out: a record that still says `ready` would
     /// look like its return.
-    pub(super) fn told(&self) -> UpstreamEntry {
+    pub(super) fn recorded_entry(&self) -> UpstreamEntry {
         let state = match self.upstream.is_marked_leaving() {
             true => UpstreamState::Leaving,
             false => UpstreamState::Ready,
@@ -257,16 +262,16 @@
     }
 
     /// Takes in a newer record of the same life.
-    pub(super) fn take(&self, entry: &UpstreamEntry, now: BootInstant) {
+    pub(super) fn update(&self, entry: &UpstreamEntry, now: BootInstant) {
         *self.vanished_at.lock().expect("vanished lock") = None;
-        self.note_cold(now + entry.warm_up_left);
+        self.mark_cold_until(now + entry.warm_up_left);
         if entry.state == UpstreamState::Leaving {
             self.upstream.mark_leaving();
         }
     }
 
     /// Notes that a later life has taken its place.
-    pub(super) fn note_over(&self) {
+    pub(super) fn mark_superseded(&self) {
         self.is_superseded.store(true, Ordering::Relaxed);
         // Whoever had said so has ended as planned.
         if self.upstream.mark_leaving() {
@@ -286,16 +291,17 @@
     }
 
     /// Requests that it probably holds, of all VMs: those of the others by
-    /// what they have told, or by what the upstream has stated as long as
+    /// what they have told, or by what the upstream has reported as long as
     /// that is fresh.
     pub fn requests(&self, now: BootInstant) -> u32 {
-        let told = f64::from(self.others.load(Ordering::Relaxed));
-        let stated = *self.stated.lock().expect("stated lock");
-        let others = stated.map_or(told, |stated| {
-            let age = now.saturating_duration_since(stated.at);
-            let halves = age.as_secs_f64() / STATED_HALF_LIFE.as_secs_f64();
+        let told = f64::from(self.peer_requests.load(Ordering::Relaxed));
+        let reported = *self.reported_load.lock().expect("reported load lock");
+        let others = reported.map_or(told, |reported| {
+            let age = now.saturating_duration_since(reported.at);
+            let halves =
+                age.as_secs_f64() / REPORTED_LOAD_HALF_LIFE.as_secs_f64();
             let weight = 0.5_f64.powf(halves);
-            f64::from(stated.others) * weight + told * (1.0 - weight)
+            f64::from(reported.peer_requests) * weight + told * (1.0 - weight)
         });
         self.upstream.in_flight() + others.round() as u32
     }
@@ -312,76 +318,78 @@
     }
 
     /// Notes that it is cold until then, if not for longer already.
-    pub(super) fn note_cold(&self, until: BootInstant) {
+    pub(super) fn mark_cold_until(&self, until: BootInstant) {
         let mut held = self.cold_until.lock().expect("cold lock");
         *held = Some(held.map_or(until, |held| held.max(until)));
     }
 
     /// Notes that something came from it.
     pub fn record_activity(&self, now: BootInstant) {
-        *self.heard_at.lock().expect("heard lock") = now;
-        self.way.record_activity(now);
+        *self.active_at.lock().expect("activity lock") = now;
+        self.link.record_activity(now);
     }
 
     /// Notes that no connection to it could be opened.
     pub fn record_connect_failure(&self, now: BootInstant) {
-        self.way.record_connect_failure(now);
+        self.link.record_connect_failure(now);
     }
 
     /// How long nothing has come from it.
     pub fn silence(&self, now: BootInstant) -> Duration {
-        let heard_at = *self.heard_at.lock().expect("heard lock");
-        now.saturating_duration_since(heard_at)
+        let active_at = *self.active_at.lock().expect("activity lock");
+        now.saturating_duration_since(active_at)
     }
 
     /// Time that the prompts take which are being read there, or wait to be,
-    /// by what the VMs have told each other or by what the upstream has stated
+    /// by what the VMs have told each other or by what the upstream has reported
     /// of all of them, whichever is more.
     ///
     /// VMs of other data halls are heard rarely in a large fleet, and what
     /// they send there is not known here: in the same replay prompts wait for
     /// 44 ms with what engines state and 47 ms without, and 78 and 95 ms.
     pub fn prefill_backlog(&self, now: BootInstant) -> Duration {
-        let own = self.reading_ms.load(Ordering::Relaxed);
-        let others = *self.others_reading.lock().expect("told lock");
+        let own = self.prefill_ms.load(Ordering::Relaxed);
+        let others = *self.peer_prefill.lock().expect("peer prefill lock");
         let passed = now.saturating_duration_since(others.at);
         let others = Duration::from_millis(others.left_ms.into());
         let told =
             Duration::from_millis(own.into()) + others.saturating_sub(passed);
-        let stated = *self.stated.lock().expect("stated lock");
-        let stated = stated.map_or(Duration::ZERO, |stated| {
-            let passed = now.saturating_duration_since(stated.at);
-            stated.reading.saturating_sub(passed)
+        let reported = *self.reported_load.lock().expect("reported load lock");
+        let reported = reported.map_or(Duration::ZERO, |reported| {
+            let passed = now.saturating_duration_since(reported.at);
+            reported.prefill.saturating_sub(passed)
         });
-        told.max(stated)
+        told.max(reported)
     }
 
     /// The most that it may still have to read: what other VMs have told may
     /// take longer than expected, or more may have come after it.
     pub fn max_prefill_backlog(&self, now: BootInstant) -> Duration {
-        let own = self.reading_ms.load(Ordering::Relaxed);
-        let told = self.others_reading.lock().expect("told lock").told_ms;
+        let own = self.prefill_ms.load(Ordering::Relaxed);
+        let told =
+            self.peer_prefill.lock().expect("peer prefill lock").reported_ms;
         let told = Duration::from_millis(u64::from(own) + u64::from(told));
         told.max(self.prefill_backlog(now))
     }
 
-    /// Takes in what the upstream stated at that time, where each request
+    /// Takes in what the upstream reported at that time, where each request
     /// that waits takes `each` to read; returns whether that is news.
-    pub(super) fn note_stated(
+    pub(super) fn update_reported_load(
         &self,
         load: LoadReport,
         each: Duration,
         at: BootInstant,
     ) -> bool {
-        let mut stated = self.stated.lock().expect("stated lock");
-        if stated.is_some_and(|stated| stated.at >= at) {
+        let mut reported =
+            self.reported_load.lock().expect("reported load lock");
+        if reported.is_some_and(|reported| reported.at >= at) {
             return false;
         }
         let all = load.running + load.waiting;
-        *stated = Some(Stated {
+        *reported = Some(ReportedLoad {
             at,
-            others: all.saturating_sub(self.upstream.in_flight()),
-            reading: each.saturating_mul(load.waiting),
+            peer_requests: all.saturating_sub(self.upstream.in_flight()),
+            prefill: each.saturating_mul(load.waiting),
         });
         true
     }
@@ -392,7 +400,7 @@
         expected: Duration,
     ) -> PrefillGuard {
         let ms = u32::try_from(expected.as_millis()).unwrap_or(u32::MAX);
-        self.reading_ms.fetch_add(ms, Ordering::Relaxed);
+        self.prefill_ms.fetch_add(ms, Ordering::Relaxed);
         PrefillGuard { member: self.clone(), ms }
     }
 
@@ -403,38 +411,38 @@
         work: InFlightWork,
         now: BootInstant,
     ) {
-        let mut counts = self.counts.lock().expect("counts lock");
+        let mut counts = self.peer_work.lock().expect("peer work lock");
         if work == InFlightWork::default() {
             counts.remove(vm);
         } else {
-            counts.insert(vm.to_owned(), PeerCount { work, at: now });
+            counts.insert(vm.to_owned(), PeerWork { work, at: now });
         }
-        self.sum_up(&mut counts, now);
+        self.update_peer_totals(&mut counts, now);
     }
 
     /// Leaves out what was told too long ago.
-    pub(super) fn forget_old_work(&self, now: BootInstant) {
-        let mut counts = self.counts.lock().expect("counts lock");
+    pub(super) fn expire_peer_work(&self, now: BootInstant) {
+        let mut counts = self.peer_work.lock().expect("peer work lock");
         if !counts.is_empty() {
-            self.sum_up(&mut counts, now);
+            self.update_peer_totals(&mut counts, now);
         }
     }
 
-    fn sum_up(
+    fn update_peer_totals(
         &self,
-        counts: &mut HashMap<String, PeerCount>,
+        counts: &mut HashMap<String, PeerWork>,
         now: BootInstant,
     ) {
         counts.retain(|_, count| {
-            now.saturating_duration_since(count.at) < PEER_COUNT_LIFETIME
+            now.saturating_duration_since(count.at) < PEER_WORK_LIFETIME
         });
         let requests = counts.values().map(|c| u32::from(c.work.requests));
-        self.others.store(requests.sum(), Ordering::Relaxed);
-        let left_ms = counts.values().map(|c| c.reading_left_ms(now)).sum();
-        let told_ms =
+        self.peer_requests.store(requests.sum(), Ordering::Relaxed);
+        let left_ms = counts.values().map(|c| c.prefill_left_ms(now)).sum();
+        let reported_ms =
             counts.values().map(|c| u32::from(c.work.prefill_ms)).sum();
-        let told = ToldReading { left_ms, told_ms, at: now };
-        *self.others_reading.lock().expect("told lock") = told;
+        let told = PeerPrefill { left_ms, reported_ms, at: now };
+        *self.peer_prefill.lock().expect("peer prefill lock") = told;
     }
 }
 
@@ -447,6 +455,6 @@
 
 impl Drop for PrefillGuard {
     fn drop(&mut self) {
-        self.member.reading_ms.fetch_sub(self.ms, Ordering::Relaxed);
+        self.member.prefill_ms.fetch_sub(self.ms, Ordering::Relaxed);
     }
 }
--- a/src/placing/owners.rs
+++ b/src/placing/owners.rs
@@ -23,13 +23,13 @@
 
 impl RecordedVm {
     /// Its place in the order of an upstream's owners; the lowest is first.
-    fn order(
+    fn rank(
         &self,
         upstream: ShortHash,
         hall: &DataHallId,
     ) -> (bool, Reverse<u64>) {
-        let weight = rendezvous::mix(u64::from(upstream.0), self.hash);
-        (self.data_hall != *hall, Reverse(weight))
+        let score = rendezvous::mix(u64::from(upstream.0), self.hash);
+        (self.data_hall != *hall, Reverse(score))
     }
 }
 
@@ -55,13 +55,13 @@
         vm: &str,
         upstream: ShortHash,
         hall: &DataHallId,
-        most: usize,
+        max: usize,
     ) -> Option<usize> {
-        let own = self.0.get(vm)?.order(upstream, hall);
+        let own = self.0.get(vm)?.rank(upstream, hall);
         let others = self.0.values();
-        let before = others.filter(|other| other.order(upstream, hall) < own);
-        let is_owner = before.take(most).count() < most;
-        is_owner.then(|| self.0.len().min(most))
+        let before = others.filter(|other| other.rank(upstream, hall) < own);
+        let is_owner = before.take(max).count() < max;
+        is_owner.then(|| self.0.len().min(max))
     }
 
     /// The same among the VMs of the upstream's data hall alone.
@@ -70,14 +70,14 @@
         vm: &str,
         upstream: ShortHash,
         hall: &DataHallId,
-        most: usize,
+        max: usize,
     ) -> Option<usize> {
         if self.0.get(vm)?.data_hall != *hall {
             return None;
         }
-        self.owners(vm, upstream, hall, most)?;
+        self.owners(vm, upstream, hall, max)?;
         let there = self.0.values().filter(|other| other.data_hall == *hall);
-        Some(there.count().min(most))
+        Some(there.count().min(max))
     }
 }
 
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -18,14 +18,15 @@
     id::{DataHallId, ServiceId, UpstreamId, VersionId},
     message::ShortHash,
     placing::{
-        admission::FILL_LEAST,
-        hall_way::HallWay,
+        admission::MIN_UTILIZATION_LIMIT,
+        gossip_outbox::GossipOutbox,
+        hall_link::HallLink,
         member::{
-            Member, Succession, UpstreamEntry, UpstreamState, VANISHED_GRACE,
+            EntryRelation, Member, UpstreamEntry, UpstreamState,
+            VANISHED_GRACE,
         },
         owners::Roster,
-        reported_state::UnlistedWords,
-        seen::SeenLately,
+        reported_state::UnlistedStates,
         warm_up::{self, WarmUp, WarmUpSlack},
     },
     rendezvous,
@@ -33,19 +34,19 @@
 
 /// Added to the fill of an upstream in another data hall: the way there
 /// costs a few milliseconds and bytes between halls.
-const OTHER_HALL_FILL: f64 = 0.05;
+const OTHER_HALL_UTILIZATION: f64 = 0.05;
 
 /// Time that a running request adds to the reading of a prompt beside it,
 /// for each millisecond of reading.
-const RUNNING_SLOWS: Duration = Duration::from_micros(600);
+const RUNNING_REQUEST_COST: Duration = Duration::from_micros(600);
 
 /// Part of the saved reading that counts for the second upstream in a
 /// prompt's order, which gets it when the first is busy.
-const SECOND_HOME_PART: f64 = 0.5;
+const SECOND_CHOICE_MISS_SHARE: f64 = 0.5;
 
 /// Silence of an upstream in a data hall that is cut off after which its
 /// streams are given up.
-const CUT_SILENCE: Duration = Duration::from_millis(250);
+const PARTITION_SILENCE: Duration = Duration::from_millis(250);
 
 /// What a failed attempt costs a request, as a wait that is worth taking to
 /// be spared it: an attempt of the retry budget, and the time until the
@@ -57,13 +58,13 @@
 
 /// The same where the least full upstream is chosen, in requests for each
 /// slot.
-const FAILURE_FILL: f64 = 1.0;
+const FAILURE_UTILIZATION: f64 = 1.0;
 
 /// Time between two looks for what VMs have told that fell silent since.
-const FORGET_PERIOD: Duration = Duration::from_millis(500);
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Weight of one more prompt in the mean time that one takes to be read.
-const MEAN_READING_WEIGHT: f64 = 0.05;
+const MEAN_PREFILL_WEIGHT: f64 = 0.05;
 
 /// Which versions of a service's software may answer a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -111,7 +112,7 @@
             affinity: None,
             withdrawn: &[],
             tried: &[],
-            max_utilization: FILL_LEAST,
+            max_utilization: MIN_UTILIZATION_LIMIT,
         }
     }
 }
@@ -143,19 +144,19 @@
 /// is taken in without a look at every upstream: before 3,000 of them, a beat
 /// is taken in within 10 µs in place of 285 (loop in a release build).
 #[derive(Debug, Default)]
-struct ToldWork {
-    at: HashMap<String, Vec<ShortHash>>,
-    forgotten_at: Option<BootInstant>,
+struct PeerWorkIndex {
+    upstreams_by_vm: HashMap<String, Vec<ShortHash>>,
+    expired_at: Option<BootInstant>,
 }
 
-impl ToldWork {
+impl PeerWorkIndex {
     /// Whether what is old is to be forgotten once more.
     fn is_due(&mut self, now: BootInstant) -> bool {
-        let is_due = self.forgotten_at.is_none_or(|at| {
-            now.saturating_duration_since(at) >= FORGET_PERIOD
+        let is_due = self.expired_at.is_none_or(|at| {
+            now.saturating_duration_since(at) >= EXPIRY_INTERVAL
         });
         if is_due {
-            self.forgotten_at = Some(now);
+            self.expired_at = Some(now);
         }
         is_due
     }
@@ -173,14 +174,14 @@
     members: RwLock<Arc<Members>>,
     /// Data halls whose upstreams are to get no requests.
     evacuated: RwLock<HashSet<DataHallId>>,
-    ways: Mutex<HashMap<DataHallId, Arc<HallWay>>>,
+    links: Mutex<HashMap<DataHallId, Arc<HallLink>>>,
     /// The mean time that a prompt takes to be read, in microseconds.
-    mean_reading_us: AtomicU32,
+    mean_prefill_us: AtomicU32,
     /// What the other VMs are to hear of.
-    seen: Mutex<SeenLately>,
-    told: Mutex<ToldWork>,
+    outbox: Mutex<GossipOutbox>,
+    peer_work: Mutex<PeerWorkIndex>,
     /// What lives that are not listed have said of themselves.
-    unlisted: Mutex<UnlistedWords>,
+    unlisted: Mutex<UnlistedStates>,
 }
 
 impl Pool {
@@ -194,10 +195,10 @@
             roster: RwLock::default(),
             members: RwLock::default(),
             evacuated: RwLock::default(),
-            ways: Mutex::default(),
-            mean_reading_us: AtomicU32::new(0),
-            seen: Mutex::default(),
-            told: Mutex::default(),
+            links: Mutex::default(),
+            mean_prefill_us: AtomicU32::new(0),
+            outbox: Mutex::default(),
+            peer_work: Mutex::default(),
             unlisted: Mutex::default(),
         }
     }
@@ -208,36 +209,36 @@
     /// Nothing that is known of one life is kept for the next. An earlier one
     /// is never believed again, however late it is told of.
     pub fn set(&self, entry: UpstreamEntry, now: BootInstant) -> bool {
-        let held = self.member(&entry.id);
-        let Some(held) = held else {
-            self.begin_life(entry, now);
+        let known = self.member(&entry.id);
+        let Some(known) = known else {
+            self.add_incarnation(entry, now);
             return true;
         };
-        match entry.succession(&held.told()) {
-            Succession::Earlier => return false,
-            Succession::Same => {
-                held.take(&entry, now);
+        match entry.relation_to(&known.recorded_entry()) {
+            EntryRelation::Earlier => return false,
+            EntryRelation::Same => {
+                known.update(&entry, now);
                 return false;
             }
-            Succession::Changed => {
-                held.upstream.mark_leaving();
+            EntryRelation::Changed => {
+                known.upstream.mark_leaving();
             }
-            Succession::Later => held.note_over(),
+            EntryRelation::Later => known.mark_superseded(),
         }
-        self.begin_life(entry, now);
+        self.add_incarnation(entry, now);
         true
     }
 
-    fn begin_life(&self, entry: UpstreamEntry, now: BootInstant) {
-        let way = self.way(&entry.data_hall);
+    fn add_incarnation(&self, entry: UpstreamEntry, now: BootInstant) {
+        let link = self.link(&entry.data_hall);
         let life = ShortHash::of(&entry.life().to_string());
         let reported_state =
-            self.unlisted.lock().expect("words lock").take(life);
-        let member = Arc::new(Member::new(entry, reported_state, way, now));
+            self.unlisted.lock().expect("unlisted lock").take(life);
+        let member = Arc::new(Member::new(entry, reported_state, link, now));
         if member.entry.state == UpstreamState::Leaving {
             member.upstream.mark_leaving();
         }
-        self.change(|by_id| {
+        self.update_members(|by_id| {
             by_id.insert(member.entry.id.clone(), member.clone());
         });
     }
@@ -251,10 +252,10 @@
         if is_sure {
             member.upstream.mark_leaving();
             // Its record may only have lapsed.
-            let word = member.upstream.reported_state.clone();
-            let mut unlisted = self.unlisted.lock().expect("words lock");
-            unlisted.keep(member.upstream.short_hash, word, now);
-            self.change(|by_id| {
+            let state = member.upstream.reported_state.clone();
+            let mut unlisted = self.unlisted.lock().expect("unlisted lock");
+            unlisted.keep(member.upstream.short_hash, state, now);
+            self.update_members(|by_id| {
                 by_id.remove(id);
             });
             return;
@@ -285,7 +286,7 @@
     /// Notes that a VM of a data hall was heard, so that the way there is open
     /// and failures to connect are the upstreams' own.
     pub fn record_hall_heartbeat(&self, hall: &DataHallId, now: BootInstant) {
-        self.way(hall).note_beat(now);
+        self.link(hall).record_heartbeat(now);
     }
 
     /// Sends no more requests to the upstreams of a data hall; returns
@@ -307,7 +308,7 @@
             let there = members.iter().filter(|m| m.entry.data_hall == *hall);
             for member in there {
                 if let Some(warm_up) = self.warm_up(&member.entry.service) {
-                    member.note_cold(now + warm_up.time);
+                    member.mark_cold_until(now + warm_up.time);
                 }
             }
         }
@@ -336,7 +337,7 @@
     }
 
     /// Whether an upstream that is cold may have one more request of this VM.
-    fn has_cold_room(
+    fn may_send_cold(
         &self,
         member: &Member,
         warm_up: WarmUp,
@@ -345,33 +346,38 @@
         let roster = self.roster.read().expect("roster lock");
         let (short, hall) =
             (member.upstream.short_hash, &member.entry.data_hall);
-        let most = warm_up.most(self.slack);
-        let part = warm_up::part(&roster, &self.vm, short, hall, most);
-        member.sent_cold.lock().expect("sent lock").has_room(part, now)
+        let most = warm_up.max_requests(self.slack);
+        let share = warm_up::vm_share(&roster, &self.vm, short, hall, most);
+        member
+            .cold_sends
+            .lock()
+            .expect("cold sends lock")
+            .has_capacity(share, now)
     }
 
     /// How long an upstream is to get no request of this VM, by what it has
     /// asked for; zero if it may have one.
     pub fn backoff(&self, member: &Member, now: BootInstant) -> Duration {
-        member.rest_left(now).max(self.rate_limit_wait(member, now))
+        member.backoff_left(now).max(self.rate_limit_wait(member, now))
     }
 
     fn rate_limit_wait(&self, member: &Member, now: BootInstant) -> Duration {
         let (short, hall) =
             (member.upstream.short_hash, &member.entry.data_hall);
-        let word = &member.upstream.reported_state;
-        word.rate_limit_wait(&self.roster, &self.vm, short, hall, now)
+        let state = &member.upstream.reported_state;
+        state.rate_limit_wait(&self.roster, &self.vm, short, hall, now)
     }
 
-    fn way(&self, hall: &DataHallId) -> Arc<HallWay> {
-        let mut ways = self.ways.lock().expect("ways lock");
-        ways.entry(hall.clone()).or_default().clone()
+    fn link(&self, hall: &DataHallId) -> Arc<HallLink> {
+        let mut links = self.links.lock().expect("links lock");
+        links.entry(hall.clone()).or_default().clone()
     }
 
     /// Whether the data hall of an upstream seems cut off. This VM's own never
     /// does: when its upstreams cannot be reached, they are at fault.
-    fn is_cut_off(&self, member: &Member, now: BootInstant) -> bool {
-        member.entry.data_hall != self.data_hall && member.way.is_cut_off(now)
+    fn is_partitioned(&self, member: &Member, now: BootInstant) -> bool {
+        member.entry.data_hall != self.data_hall
+            && member.link.is_partitioned(now)
     }
 
     /// Whether an upstream, of which something has been awaited for `waited`,
@@ -384,8 +390,8 @@
         limit: Duration,
         now: BootInstant,
     ) -> bool {
-        let limit = match self.is_cut_off(member, now) {
-            true => limit.min(CUT_SILENCE),
+        let limit = match self.is_partitioned(member, now) {
+            true => limit.min(PARTITION_SILENCE),
             false => limit,
         };
         // One that nothing was asked of has a right to be silent.
@@ -394,17 +400,17 @@
 
     /// One upstream.
     pub fn member(&self, id: &UpstreamId) -> Option<Arc<Member>> {
-        self.read().by_id.get(id).cloned()
+        self.members().by_id.get(id).cloned()
     }
 
     /// All upstreams.
     pub fn all(&self) -> Vec<Arc<Member>> {
-        self.read().by_id.values().cloned().collect()
+        self.members().by_id.values().cloned().collect()
     }
 
     /// The upstreams of a service.
     pub fn of_service(&self, service: &ServiceId) -> Vec<Arc<Member>> {
-        self.read().by_service.get(service).cloned().unwrap_or_default()
+        self.members().by_service.get(service).cloned().unwrap_or_default()
     }
 
     /// Chooses the upstream for one attempt.
@@ -415,17 +421,17 @@
     pub fn pick(
         &self,
         service: &ServiceId,
-        want: &PickCriteria<'_>,
+        criteria: &PickCriteria<'_>,
         now: BootInstant,
     ) -> Result<Arc<Member>, PickError> {
-        let members = self.read();
-        let open = self.candidates(&members, service, want, now)?;
-        let chosen = match want.affinity {
-            Some(prompt) => self.soonest(prompt, &open, now),
-            None => self.emptiest(&open, now),
+        let members = self.members();
+        let eligible = self.candidates(&members, service, criteria, now)?;
+        let chosen = match criteria.affinity {
+            Some(prompt) => self.shortest_wait(prompt, &eligible, now),
+            None => self.least_utilized(&eligible, now),
         };
         if chosen.is_cold(now) {
-            chosen.sent_cold.lock().expect("sent lock").count(now);
+            chosen.cold_sends.lock().expect("cold sends lock").record(now);
         }
         chosen.upstream.reported_state.record_sent(now);
         Ok(chosen.clone())
@@ -435,10 +441,10 @@
     pub fn can_pick(
         &self,
         service: &ServiceId,
-        want: &PickCriteria<'_>,
+        criteria: &PickCriteria<'_>,
         now: BootInstant,
     ) -> bool {
-        self.candidates(&self.read(), service, want, now).is_ok()
+        self.candidates(&self.members(), service, criteria, now).is_ok()
     }
 
     /// The upstreams among which an attempt may choose.
@@ -446,63 +452,64 @@
         &self,
         members: &'a Members,
         service: &ServiceId,
-        want: &PickCriteria<'_>,
+        criteria: &PickCriteria<'_>,
         now: BootInstant,
     ) -> Result<Vec<&'a Arc<Member>>, PickError> {
         let all = members.by_service.get(service);
         let all = all.map_or(&[][..], Vec::as_slice);
-        let open = self.open_to(all, service, want, now)?;
-        if open
+        let eligible = self.eligible(all, service, criteria, now)?;
+        if eligible
             .iter()
-            .all(|member| member.utilization(now) >= want.max_utilization)
+            .all(|member| member.utilization(now) >= criteria.max_utilization)
         {
             return Err(PickError::Full);
         }
-        Ok(open)
+        Ok(eligible)
     }
 
     /// The upstreams of `all` that may take a request, the sound ones if there
     /// are any.
-    fn open_to<'a>(
+    fn eligible<'a>(
         &self,
         all: &'a [Arc<Member>],
         service: &ServiceId,
-        want: &PickCriteria<'_>,
+        criteria: &PickCriteria<'_>,
         now: BootInstant,
     ) -> Result<Vec<&'a Arc<Member>>, PickError> {
         let may_answer =
-            |m: &&Arc<Member>| !want.withdrawn.contains(&m.entry.software);
-        let open: Vec<&Arc<Member>> = all
+            |m: &&Arc<Member>| !criteria.withdrawn.contains(&m.entry.software);
+        let eligible: Vec<&Arc<Member>> = all
             .iter()
-            .filter(|m| is_open(m, want.tried, now))
+            .filter(|m| is_eligible(m, criteria.tried, now))
             .filter(may_answer)
             .collect();
-        if open.is_empty() {
+        if eligible.is_empty() {
             return Err(PickError::NoCandidate);
         }
-        let open = self.without_evacuated(open);
-        if open.is_empty() {
+        let eligible = self.without_evacuated(eligible);
+        if eligible.is_empty() {
             return Err(PickError::Evacuated);
         }
         // Before what is open only for now: a version on trial gets its share
         // also while the others can take no more.
-        let open = without_avoided(open, &want.rule);
-        if open.is_empty() {
+        let eligible = without_avoided(eligible, &criteria.rule);
+        if eligible.is_empty() {
             return Err(PickError::NoCandidate);
         }
-        let open =
-            self.without_backoff(open, now).map_err(PickError::BackingOff)?;
-        let open = self.without_cold(open, service, now);
-        if open.is_empty() {
+        let eligible = self
+            .without_backoff(eligible, now)
+            .map_err(PickError::BackingOff)?;
+        let eligible = self.without_cold(eligible, service, now);
+        if eligible.is_empty() {
             return Err(PickError::Cold);
         }
-        let open = preferred(open, &want.rule);
+        let eligible = preferred(eligible, &criteria.rule);
         let is_healthy = |member: &&Arc<Member>| {
-            member.health.is_healthy(now) && !self.is_cut_off(member, now)
+            member.health.is_healthy(now) && !self.is_partitioned(member, now)
         };
         let sound: Vec<&Arc<Member>> =
-            open.iter().copied().filter(is_healthy).collect();
-        Ok(if sound.is_empty() { open } else { sound })
+            eligible.iter().copied().filter(is_healthy).collect();
+        Ok(if sound.is_empty() { eligible } else { sound })
     }
 
     /// Whether an upstream whose life is not among `tried` may take a request.
@@ -512,11 +519,11 @@
         tried: &[ShortHash],
         now: BootInstant,
     ) -> bool {
-        let members = self.read();
+        let members = self.members();
         let all = members.by_service.get(service);
         let evacuated = self.evacuated.read().expect("halls lock");
         all.into_iter().flatten().any(|member| {
-            is_open(member, tried, now)
+            is_eligible(member, tried, now)
                 && self.backoff(member, now).is_zero()
                 && !evacuated.contains(&member.entry.data_hall)
         })
@@ -529,7 +536,7 @@
         service: &ServiceId,
         now: BootInstant,
     ) -> Option<Duration> {
-        let members = self.read();
+        let members = self.members();
         let all = members.by_service.get(service)?.iter();
         let taking = all.filter(|m| m.takes_requests(now)).collect();
         self.without_backoff(self.without_evacuated(taking), now).err()
@@ -539,12 +546,12 @@
     /// the first of them has left if none else is there.
     fn without_backoff<'a>(
         &self,
-        open: Vec<&'a Arc<Member>>,
+        eligible: Vec<&'a Arc<Member>>,
         now: BootInstant,
     ) -> Result<Vec<&'a Arc<Member>>, Duration> {
-        let mut free = Vec::with_capacity(open.len());
+        let mut free = Vec::with_capacity(eligible.len());
         let mut soonest: Option<Duration> = None;
-        for member in open {
+        for member in eligible {
             let left = self.backoff(member, now);
             if left.is_zero() {
                 free.push(member);
@@ -561,47 +568,47 @@
     /// Leaves out the upstreams of data halls that are evacuated.
     fn without_evacuated<'a>(
         &self,
-        open: Vec<&'a Arc<Member>>,
+        eligible: Vec<&'a Arc<Member>>,
     ) -> Vec<&'a Arc<Member>> {
         let evacuated = self.evacuated.read().expect("halls lock");
         let is_left = |member: &&Arc<Member>| {
             !evacuated.contains(&member.entry.data_hall)
         };
-        open.into_iter().filter(is_left).collect()
+        eligible.into_iter().filter(is_left).collect()
     }
 
     /// Leaves out the upstreams that are cold and not to get one more request
     /// of this VM.
     fn without_cold<'a>(
         &self,
-        open: Vec<&'a Arc<Member>>,
+        eligible: Vec<&'a Arc<Member>>,
         service: &ServiceId,
         now: BootInstant,
     ) -> Vec<&'a Arc<Member>> {
-        let Some(warm_up) = self.warm_up(service) else { return open };
+        let Some(warm_up) = self.warm_up(service) else { return eligible };
         let may_take = |member: &&Arc<Member>| {
-            !member.is_cold(now) || self.has_cold_room(member, warm_up, now)
+            !member.is_cold(now) || self.may_send_cold(member, warm_up, now)
         };
-        open.into_iter().filter(may_take).collect()
+        eligible.into_iter().filter(may_take).collect()
     }
 
     /// The least full, another data hall counting as a little fuller.
-    fn emptiest<'a>(
+    fn least_utilized<'a>(
         &self,
-        open: &[&'a Arc<Member>],
+        eligible: &[&'a Arc<Member>],
         now: BootInstant,
     ) -> &'a Arc<Member> {
         let fill = |member: &Arc<Member>| {
             let is_near = member.entry.data_hall == self.data_hall;
-            let way = if is_near { 0.0 } else { OTHER_HALL_FILL };
+            let way = if is_near { 0.0 } else { OTHER_HALL_UTILIZATION };
             // Slightly shuffled, so that VMs that know the same do not all
             // go to the same place.
-            let risk = member.health.failure_chance(now) * FAILURE_FILL;
+            let risk = member.health.failure_chance(now) * FAILURE_UTILIZATION;
             member.utilization(now) + risk + way + rand::random::<f64>() * 0.02
         };
-        let filled = open.iter().map(|member| (fill(member), *member));
+        let filled = eligible.iter().map(|member| (fill(member), *member));
         let least = filled.min_by(|a, b| a.0.total_cmp(&b.0));
-        least.expect("there is an open upstream").1
+        least.expect("there is an eligible upstream").1
     }
 
     /// The one that can begin with the prompt first: what others have it
@@ -609,13 +616,13 @@
     ///
     /// Every VM finds the same order of upstreams for a prompt, so the first
     /// of them is likely to have it.
-    fn soonest<'a>(
+    fn shortest_wait<'a>(
         &self,
         prompt: PrefixAffinity,
-        open: &[&'a Arc<Member>],
+        eligible: &[&'a Arc<Member>],
         now: BootInstant,
     ) -> &'a Arc<Member> {
-        let mut order: Vec<&'a Arc<Member>> = open.to_vec();
+        let mut order: Vec<&'a Arc<Member>> = eligible.to_vec();
         order.sort_by_cached_key(|member| {
             let id = u64::from(member.upstream.short_hash.0);
             std::cmp::Reverse(rendezvous::mix(prompt.prefix_hash, id))
@@ -624,10 +631,10 @@
         let wait = |place: usize, member: &Arc<Member>| {
             let read = match place {
                 0 => Duration::ZERO,
-                1 => away.mul_f64(SECOND_HOME_PART),
+                1 => away.mul_f64(SECOND_CHOICE_MISS_SHARE),
                 _ => away,
             };
-            let running = RUNNING_SLOWS * member.requests(now);
+            let running = RUNNING_REQUEST_COST * member.requests(now);
             let risk = FAILURE_COST.mul_f64(member.health.failure_chance(now));
             member.prefill_backlog(now) + running + read + risk
         };
@@ -636,25 +643,25 @@
             .enumerate()
             .map(|(place, member)| (wait(place, member), *member));
         let least = waits.min_by_key(|(wait, _)| *wait);
-        least.expect("there is an open upstream").1
+        least.expect("there is an eligible upstream").1
     }
 
     /// Takes in the time that one more prompt is expected to take to be read.
     pub fn record_expected_prefill(&self, expected: Duration) {
         let us = u32::try_from(expected.as_micros()).unwrap_or(u32::MAX);
-        let held = self.mean_reading_us.load(Ordering::Relaxed);
+        let held = self.mean_prefill_us.load(Ordering::Relaxed);
         let mean = match held {
             0 => f64::from(us),
             held => {
                 let held = f64::from(held);
-                held + (f64::from(us) - held) * MEAN_READING_WEIGHT
+                held + (f64::from(us) - held) * MEAN_PREFILL_WEIGHT
             }
         };
-        self.mean_reading_us.store(mean as u32, Ordering::Relaxed);
+        self.mean_prefill_us.store(mean as u32, Ordering::Relaxed);
     }
 
-    fn mean_reading(&self) -> Duration {
-        let us = self.mean_reading_us.load(Ordering::Relaxed);
+    fn mean_prefill(&self) -> Duration {
+        let us = self.mean_prefill_us.load(Ordering::Relaxed);
         Duration::from_micros(us.into())
     }
 
@@ -678,11 +685,11 @@
         suspects.count() * 2 < alike.len()
     }
 
-    fn read(&self) -> Arc<Members> {
+    fn members(&self) -> Arc<Members> {
         self.members.read().expect("members lock").clone()
     }
 
-    fn change(
+    fn update_members(
         &self,
         change: impl FnOnce(&mut HashMap<UpstreamId, Arc<Member>>),
     ) {
@@ -703,52 +710,56 @@
 }
 
 /// Whether an upstream takes requests and was not asked.
-fn is_open(member: &Member, tried: &[ShortHash], now: BootInstant) -> bool {
+fn is_eligible(
+    member: &Member,
+    tried: &[ShortHash],
+    now: BootInstant,
+) -> bool {
     member.takes_requests(now) && !tried.contains(&member.upstream.short_hash)
 }
 
 /// Leaves out the upstreams whose software is to be avoided.
 fn without_avoided<'a>(
-    open: Vec<&'a Arc<Member>>,
+    eligible: Vec<&'a Arc<Member>>,
     rule: &VersionRule,
 ) -> Vec<&'a Arc<Member>> {
     let (VersionRule::Avoid(version) | VersionRule::Never(version)) = rule
     else {
-        return open;
+        return eligible;
     };
-    let kept = of_version(&open, version, false);
+    let kept = of_version(&eligible, version, false);
     let or_else_all = matches!(rule, VersionRule::Avoid(_));
-    if kept.is_empty() && or_else_all { open } else { kept }
+    if kept.is_empty() && or_else_all { eligible } else { kept }
 }
 
 /// Keeps the upstreams whose software is preferred, if there are any.
 fn preferred<'a>(
-    open: Vec<&'a Arc<Member>>,
+    eligible: Vec<&'a Arc<Member>>,
     rule: &VersionRule,
 ) -> Vec<&'a Arc<Member>> {
-    let VersionRule::Prefer(version) = rule else { return open };
-    let kept = of_version(&open, version, true);
-    if kept.is_empty() { open } else { kept }
+    let VersionRule::Prefer(version) = rule else { return eligible };
+    let kept = of_version(&eligible, version, true);
+    if kept.is_empty() { eligible } else { kept }
 }
 
 /// The upstreams that run a version, or those that don't.
 fn of_version<'a>(
-    open: &[&'a Arc<Member>],
+    eligible: &[&'a Arc<Member>],
     version: &VersionId,
     is_wanted: bool,
 ) -> Vec<&'a Arc<Member>> {
     let is_kept = |member: &&Arc<Member>| {
         (member.entry.software == *version) == is_wanted
     };
-    open.iter().copied().filter(is_kept).collect()
+    eligible.iter().copied().filter(is_kept).collect()
 }
 
-mod told;
+mod gossip;
 
 #[cfg(test)]
-mod replay;
+mod backoff_replay;
 #[cfg(test)]
-mod rest_replay;
+mod replay;
 #[cfg(test)]
 mod signals_tests;
 #[cfg(test)]
--- a/src/placing/pool/rest_replay.rs
+++ b/src/placing/pool/backoff_replay.rs
@@ -309,11 +309,11 @@
         (0..300).map(|_| ReportedState::default()).collect();
     for word in &words {
         let rest = RetryAfter::For(REST);
-        word.take_rest(Some(&rest), rand::random(), now, now);
+        word.apply_retry_after(Some(&rest), rand::random(), now, now);
     }
     let back = |at: Duration| {
         let is_back =
-            |word: &&ReportedState| word.rest_left(now + at).is_zero();
+            |word: &&ReportedState| word.backoff_left(now + at).is_zero();
         words.iter().filter(is_back).count()
     };
     assert_eq!(back(REST - STEP), 0);
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/gossip.rs
@@ -32,14 +32,14 @@
     ) -> Vec<ReportedChange> {
         let life = member.upstream.short_hash;
         let was_leaving = member.upstream.is_leaving();
-        let word = &member.upstream.reported_state;
-        let mut news = word.apply(statement, rand::random(), sent_at, now);
+        let state = &member.upstream.reported_state;
+        let mut news = state.apply(statement, rand::random(), sent_at, now);
         if news.contains(&ReportedChange::Leaving) {
-            self.tell_leaving(life, now);
+            self.report_leaving(life, now);
         }
         // Its record or another VM may have said so before.
         news.retain(|one| *one != ReportedChange::Leaving || !was_leaving);
-        self.tell_limit(life, statement, &news, now);
+        self.report_rate_limit(life, statement, &news, now);
         if let Some(load) = statement.load {
             self.note_load(member, load, now);
         }
@@ -48,7 +48,7 @@
 
     /// Has the other VMs told of a rate limit, each time that it is named and
     /// when it has ended.
-    fn tell_limit(
+    fn report_rate_limit(
         &self,
         life: ShortHash,
         statement: &UpstreamSignals,
@@ -57,8 +57,8 @@
     ) {
         let rate = statement.rate_limit.as_ref().and_then(RateLimit::rate);
         if rate.is_some() || news.contains(&ReportedChange::RateLimitLifted) {
-            let mut seen = self.seen.lock().expect("seen lock");
-            seen.note_limit(life, rate, now, true, now);
+            let mut outbox = self.outbox.lock().expect("outbox lock");
+            outbox.add_rate_limit(life, rate, now, true, now);
         }
     }
 
@@ -69,9 +69,9 @@
         for_own_hall: bool,
         now: BootInstant,
     ) -> Vec<RateLimitReport> {
-        self.seen
+        self.outbox
             .lock()
-            .expect("seen lock")
+            .expect("outbox lock")
             .take_rate_limits(for_own_hall, now)
     }
 
@@ -83,37 +83,44 @@
         is_near: bool,
         now: BootInstant,
     ) -> Vec<(Arc<Member>, ReportedChange)> {
-        let members = self.read();
+        let members = self.members();
         let mut news = Vec::new();
         for one in told {
             let age = Duration::from_millis(one.age_ms.into());
             let Some(at) = now.checked_sub(age) else { continue };
             let Some(member) = members.by_short.get(&one.upstream) else {
-                let mut unlisted = self.unlisted.lock().expect("words lock");
-                unlisted.note(one.upstream, now, |word| {
-                    word.update_rate_limit(one.rate, at, rand::random(), now);
+                let mut unlisted =
+                    self.unlisted.lock().expect("unlisted lock");
+                unlisted.note(one.upstream, now, |state| {
+                    state.update_rate_limit(one.rate, at, rand::random(), now);
                 });
                 continue;
             };
-            let word = &member.upstream.reported_state;
+            let state = &member.upstream.reported_state;
             let change =
-                word.update_rate_limit(one.rate, at, rand::random(), now);
+                state.update_rate_limit(one.rate, at, rand::random(), now);
             // A VM of the own hall has told all of it.
             let for_own_hall = change.is_some() && !is_near;
-            let mut seen = self.seen.lock().expect("seen lock");
-            seen.note_limit(one.upstream, one.rate, at, for_own_hall, now);
+            let mut outbox = self.outbox.lock().expect("outbox lock");
+            outbox.add_rate_limit(
+                one.upstream,
+                one.rate,
+                at,
+                for_own_hall,
+                now,
+            );
             news.extend(change.map(|change| (member.clone(), change)));
         }
         news
     }
 
-    fn tell_leaving(&self, life: ShortHash, now: BootInstant) {
-        self.seen.lock().expect("seen lock").note_leaving(life, now);
+    fn report_leaving(&self, life: ShortHash, now: BootInstant) {
+        self.outbox.lock().expect("outbox lock").add_leaving(life, now);
     }
 
     /// The lives that are leaving which the other VMs are to hear of.
     pub fn take_leaving(&self, now: BootInstant) -> Vec<ShortHash> {
-        self.seen.lock().expect("seen lock").take_leaving(now)
+        self.outbox.lock().expect("outbox lock").take_leaving(now)
     }
 
     /// Takes in which lives have said to another VM that they are leaving, and
@@ -123,19 +130,20 @@
         told: &[ShortHash],
         now: BootInstant,
     ) -> Vec<Arc<Member>> {
-        let members = self.read();
+        let members = self.members();
         let mut news = Vec::new();
         for life in told {
             let Some(member) = members.by_short.get(life) else {
-                let mut unlisted = self.unlisted.lock().expect("words lock");
-                unlisted.note(*life, now, |word| {
-                    word.note_leaving();
+                let mut unlisted =
+                    self.unlisted.lock().expect("unlisted lock");
+                unlisted.note(*life, now, |state| {
+                    state.mark_leaving();
                 });
                 continue;
             };
             let was_leaving = member.upstream.is_leaving();
-            if member.upstream.reported_state.note_leaving() {
-                self.tell_leaving(*life, now);
+            if member.upstream.reported_state.mark_leaving() {
+                self.report_leaving(*life, now);
             }
             if !was_leaving {
                 news.push(member.clone());
@@ -151,15 +159,18 @@
         load: LoadReport,
         now: BootInstant,
     ) {
-        if member.note_stated(load, self.mean_reading(), now) {
+        if member.update_reported_load(load, self.mean_prefill(), now) {
             let short = member.upstream.short_hash;
-            self.seen.lock().expect("seen lock").note_load(short, load, now);
+            self.outbox
+                .lock()
+                .expect("outbox lock")
+                .add_load(short, load, now);
         }
     }
 
     /// Takes what upstreams have stated to this VM since it was last taken.
     pub fn take_loads(&self, now: BootInstant) -> Vec<UpstreamLoadReport> {
-        self.seen.lock().expect("seen lock").take_loads(now)
+        self.outbox.lock().expect("outbox lock").take_loads(now)
     }
 
     /// Takes in what upstreams have stated to another VM.
@@ -168,8 +179,8 @@
         stated: &[UpstreamLoadReport],
         now: BootInstant,
     ) {
-        let each = self.mean_reading();
-        let members = self.read();
+        let each = self.mean_prefill();
+        let members = self.members();
         for told in stated {
             let member = members.by_short.get(&told.upstream);
             let age = Duration::from_millis(told.age_ms.into());
@@ -178,8 +189,10 @@
                     running: told.running.into(),
                     waiting: told.waiting.into(),
                 };
-                if member.note_stated(load, each, at) {
-                    member.health.hear(AttemptOutcome::Success, now);
+                if member.update_reported_load(load, each, at) {
+                    member
+                        .health
+                        .record_from_peer(AttemptOutcome::Success, now);
                 }
             }
         }
@@ -190,14 +203,14 @@
     pub fn record_outcome(
         &self,
         member: &Member,
-        verdict: AttemptOutcome,
+        outcome: AttemptOutcome,
         now: BootInstant,
     ) -> bool {
         let short = member.upstream.short_hash;
-        self.seen
+        self.outbox
             .lock()
-            .expect("seen lock")
-            .record_outcome(short, verdict, now)
+            .expect("outbox lock")
+            .record_outcome(short, outcome, now)
     }
 
     /// Takes the failures that the others are to hear of.
@@ -205,7 +218,7 @@
         &self,
         now: BootInstant,
     ) -> Vec<UpstreamFailureReport> {
-        self.seen.lock().expect("seen lock").take_failures(now)
+        self.outbox.lock().expect("outbox lock").take_failures(now)
     }
 
     /// Takes in the failures that another VM of the data hall has seen;
@@ -215,13 +228,13 @@
         told: &[UpstreamFailureReport],
         now: BootInstant,
     ) -> Vec<UpstreamId> {
-        let members = self.read();
+        let members = self.members();
         let mut unfit = Vec::new();
         for failure in told {
             let Some(member) = members.by_short.get(&failure.upstream) else {
                 continue;
             };
-            if member.health.hear(failure.verdict, now).is_some() {
+            if member.health.record_from_peer(failure.verdict, now).is_some() {
                 unfit.push(member.entry.id.clone());
             }
         }
@@ -230,13 +243,13 @@
 
     /// What this VM has at each upstream that has any of it.
     pub fn local_work(&self) -> Vec<(ShortHash, InFlightWork)> {
-        let members = self.read();
+        let members = self.members();
         let bounded = |n: u32| u16::try_from(n).unwrap_or(u16::MAX);
         let work = members.by_id.values().filter_map(|member| {
-            let reading_ms = member.reading_ms.load(Ordering::Relaxed);
+            let prefill_ms = member.prefill_ms.load(Ordering::Relaxed);
             let work = InFlightWork {
                 requests: bounded(member.upstream.in_flight()),
-                prefill_ms: bounded(reading_ms),
+                prefill_ms: bounded(prefill_ms),
             };
             let has_any = work != InFlightWork::default();
             has_any.then_some((member.upstream.short_hash, work))
@@ -251,8 +264,8 @@
         work: &[(ShortHash, InFlightWork)],
         now: BootInstant,
     ) {
-        let members = self.read();
-        let mut told = self.told.lock().expect("told lock");
+        let members = self.members();
+        let mut index = self.peer_work.lock().expect("peer work lock");
         let set = |upstream: &ShortHash, there: InFlightWork| {
             if let Some(member) = members.by_short.get(upstream) {
                 member.set_peer_work(vm, there, now);
@@ -263,14 +276,17 @@
         }
         let upstreams: HashSet<ShortHash> =
             work.iter().map(|(upstream, _)| *upstream).collect();
-        let before = told.at.get(vm).map_or(&[][..], Vec::as_slice);
+        let before =
+            index.upstreams_by_vm.get(vm).map_or(&[][..], Vec::as_slice);
         for upstream in before.iter().filter(|u| !upstreams.contains(u)) {
             set(upstream, InFlightWork::default());
         }
-        told.at.insert(vm.to_owned(), upstreams.into_iter().collect());
-        if told.is_due(now) {
+        index
+            .upstreams_by_vm
+            .insert(vm.to_owned(), upstreams.into_iter().collect());
+        if index.is_due(now) {
             for member in members.by_id.values() {
-                member.forget_old_work(now);
+                member.expire_peer_work(now);
             }
         }
     }
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::id::StartMs;
 use crate::message::InFlightWork;
-use crate::placing::member::{LoadReport, PEER_COUNT_LIFETIME};
-use crate::placing::{hall_way::CUT_PAUSE, health::AttemptOutcome};
+use crate::placing::member::{LoadReport, PEER_WORK_LIFETIME};
+use crate::placing::{hall_link::PARTITION_PAUSE, health::AttemptOutcome};
 
 pub(super) const SLACK: WarmUpSlack =
     WarmUpSlack { overshoot: 1.5, tolerance: 5.0 };
@@ -122,7 +122,7 @@
     pool.set_peer_work("vm-2", &[(busy.upstream.short_hash, work)], now);
     assert_eq!(busy.requests(now), 9);
     assert_eq!(picks(&pool, &PickCriteria::default(), now), ["i-2"]);
-    let later = now + PEER_COUNT_LIFETIME;
+    let later = now + PEER_WORK_LIFETIME;
     pool.set_peer_work("vm-3", &[], later);
     assert_eq!(busy.requests(later), 0);
 }
@@ -179,10 +179,10 @@
     assert_eq!(picks(&pool, &PickCriteria::default(), now), ["i-1"]);
     let other = pool.member(&"i-4".parse().unwrap()).unwrap();
     let limit = Duration::from_secs(1);
-    let silent = now + CUT_SILENCE;
-    assert!(pool.seems_dead(&other, CUT_SILENCE, limit, silent));
+    let silent = now + PARTITION_SILENCE;
+    assert!(pool.seems_dead(&other, PARTITION_SILENCE, limit, silent));
     assert!(!pool.seems_dead(&other, Duration::ZERO, limit, silent));
-    let later = now + CUT_PAUSE / 2;
+    let later = now + PARTITION_PAUSE / 2;
     assert_eq!(picks(&pool, &PickCriteria::default(), later), ["i-1"]);
     other.record_activity(now);
     let near = pool.member(&"i-1".parse().unwrap()).unwrap();
@@ -206,11 +206,11 @@
     for id in ["i-1", "i-2"] {
         member(id).record_connect_failure(now);
     }
-    assert!(pool.is_cut_off(&member("i-3"), now));
+    assert!(pool.is_partitioned(&member("i-3"), now));
     pool.record_hall_heartbeat(&"b".parse().unwrap(), now);
-    assert!(!pool.is_cut_off(&member("i-3"), now));
+    assert!(!pool.is_partitioned(&member("i-3"), now));
     member("i-1").record_connect_failure(now);
-    assert!(!pool.is_cut_off(&member("i-3"), now), "one says nothing");
+    assert!(!pool.is_partitioned(&member("i-3"), now), "one says nothing");
 }
 
 #[test]
--- a/src/placing/rate_limit/tests.rs
+++ b/src/placing/rate_limit/tests.rs
@@ -20,14 +20,19 @@
 fn sent_by_owners(
     rate: RequestRate,
     vms: usize,
-    draws: &[f64],
+    jitters: &[f64],
 ) -> Vec<Duration> {
     let start = BootInstant::now();
-    let owners = owners_most(rate.per_s()).min(vms);
+    let owners = max_owners(rate.per_s()).min(vms);
     let mut sent = Vec::new();
     for number in 0..owners {
         let limit = LimitState::default();
-        limit.take(Some(rate), start, draws[number % draws.len()], start);
+        limit.update(
+            Some(rate),
+            start,
+            jitters[number % jitters.len()],
+            start,
+        );
         let mut passed = Duration::ZERO;
         while passed < SECOND * 20 {
             let now = start + passed;
@@ -57,11 +62,11 @@
     fn owners_together_stay_within_the_bound(
         milli_per_s in 0_u32..50_000,
         vms in 1_usize..300,
-        draws in prop::collection::vec(0.0..=1.0_f64, 1..8),
+        jitters in prop::collection::vec(0.0..=1.0_f64, 1..8),
     ) {
         let per_s = f64::from(milli_per_s) / 1000.0;
         let rate: RequestRate = per_s.to_string().parse().unwrap();
-        let sent = sent_by_owners(rate, vms, &draws);
+        let sent = sent_by_owners(rate, vms, &jitters);
         let allowed = per_s * WINDOW.as_secs_f64() * FACTOR + TOLERANCE;
         let most = most_in_window(&sent);
         prop_assert!(most as f64 <= allowed, "{} of {}", most, allowed);
@@ -88,7 +93,7 @@
             let age = Duration::from_millis(age_ms.into());
             let stated_at = now.checked_sub(age).unwrap_or(now);
             let rate = text.map(|text| text.parse().unwrap());
-            limit.take(rate, stated_at, 0.5, now);
+            limit.update(rate, stated_at, 0.5, now);
             let per_s = limit.per_s(now);
             prop_assert!(per_s.is_none_or(|per_s| per_s > 0.0));
             limit.record_sent(now);
@@ -103,31 +108,31 @@
 fn the_newest_word_counts() {
     let now = BootInstant::now();
     let limit = LimitState::default();
-    let begun = limit.take(rate("2"), now, 0.0, now);
-    assert_eq!(begun, Some(LimitChange::Begun("2".parse().unwrap())));
+    let started = limit.update(rate("2"), now, 0.0, now);
+    assert_eq!(started, Some(LimitChange::Started("2".parse().unwrap())));
     // What another VM was told before.
     let before = now.checked_sub(SECOND).unwrap();
-    assert_eq!(limit.take(None, before, 0.0, now), None);
+    assert_eq!(limit.update(None, before, 0.0, now), None);
     assert_eq!(limit.per_s(now), Some(2.0));
-    assert_eq!(limit.take(rate("3"), now + SECOND, 0.0, now + SECOND), None);
+    assert_eq!(limit.update(rate("3"), now + SECOND, 0.0, now + SECOND), None);
     assert_eq!(limit.per_s(now + SECOND), Some(3.0));
     let later = now + SECOND * 2;
-    let ended = limit.take(None, later, 0.0, later);
+    let ended = limit.update(None, later, 0.0, later);
     assert_eq!(ended, Some(LimitChange::Ended));
-    assert_eq!(limit.take(rate("3"), now + SECOND, 0.0, later), None);
+    assert_eq!(limit.update(rate("3"), now + SECOND, 0.0, later), None);
 }
 
 #[test]
 fn a_limit_ends_once_and_may_begin_again() {
     let now = BootInstant::now();
     let limit = LimitState::default();
-    limit.take(rate("1"), now, 0.0, now);
+    limit.update(rate("1"), now, 0.0, now);
     let at = |seconds: u32| now + SECOND * seconds;
-    let ended = limit.take(None, at(1), 0.0, at(1));
+    let ended = limit.update(None, at(1), 0.0, at(1));
     assert_eq!(ended, Some(LimitChange::Ended));
     assert_eq!(limit.per_s(at(1)), None);
-    assert_eq!(limit.take(None, at(2), 0.0, at(2)), None);
-    assert!(limit.take(rate("1"), at(3), 0.0, at(3)).is_some());
+    assert_eq!(limit.update(None, at(2), 0.0, at(2)), None);
+    assert!(limit.update(rate("1"), at(3), 0.0, at(3)).is_some());
     assert_eq!(limit.per_s(at(3)), Some(1.0));
 }
 
@@ -135,9 +140,9 @@
 fn a_limit_that_nobody_is_told_again_is_forgotten() {
     let now = BootInstant::now();
     let limit = LimitState::default();
-    limit.take(rate("1"), now, 0.0, now);
-    assert!(limit.per_s(now + BELIEVED_FOR - SECOND).is_some());
-    assert_eq!(limit.per_s(now + BELIEVED_FOR), None);
+    limit.update(rate("1"), now, 0.0, now);
+    assert!(limit.per_s(now + LIMIT_LIFETIME - SECOND).is_some());
+    assert_eq!(limit.per_s(now + LIMIT_LIFETIME), None);
 }
 
 /// Whether it takes requests again shows in its answers only.
@@ -146,7 +151,7 @@
     let now = BootInstant::now();
     for text in ["0", "1e-9"] {
         let limit = LimitState::default();
-        limit.take(rate(text), now, 1.0, now);
+        limit.update(rate(text), now, 1.0, now);
         let gap = SECOND * 30;
         assert!(!limit.wait(Some(3), now + gap - SECOND).is_zero());
         assert!(limit.wait(Some(3), now + gap).is_zero());
@@ -157,7 +162,7 @@
 fn callers_are_told_when_the_next_request_of_any_owner_is_due() {
     let now = BootInstant::now();
     let limit = LimitState::default();
-    limit.take(rate("0.5"), now, 1.0, now);
+    limit.update(rate("0.5"), now, 1.0, now);
     assert_eq!(limit.wait(None, now), SECOND * 2);
     assert_eq!(limit.wait(Some(4), now), SECOND * 2);
     assert_eq!(limit.wait(Some(4), now + SECOND * 7), SECOND);
--- a/src/placing/reported_state.rs
+++ b/src/placing/reported_state.rs
@@ -27,16 +27,16 @@
 };
 
 /// Longest rest that is kept; one who asks for more is tried again by then.
-const REST_MOST: Duration = Duration::from_secs(600);
+const MAX_BACKOFF: Duration = Duration::from_secs(600);
 
 /// Part of a rest over which the VMs that were told together spread their
 /// return, and the most that one adds.
-const RETURN_SPREAD_PART: f64 = 0.15;
-const RETURN_SPREAD_MOST: Duration = Duration::from_secs(1);
+const JITTER_RATIO: f64 = 0.15;
+const MAX_JITTER: Duration = Duration::from_secs(1);
 
 /// Time between two requests after a rest until the first is answered: one
 /// that is turned away again is so within it.
-const TRY_GAP: Duration = Duration::from_millis(100);
+const PROBE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time for which the word of a life is kept that is not listed. An upstream
 /// that leaves ends within seconds, and a record that lapsed is back within
@@ -44,7 +44,7 @@
 const UNLISTED_LIFETIME: Duration = Duration::from_secs(600);
 
 /// Lives that are not listed whose words are kept.
-const UNLISTED_MOST: usize = 4096;
+const MAX_UNLISTED: usize = 4096;
 
 /// What an upstream has said of itself.
 #[derive(Debug, Default)]
@@ -52,10 +52,10 @@
     is_leaving: AtomicBool,
     /// Whether there is a rest, so that a choice among hundreds of upstreams
     /// takes the lock of few.
-    has_rest: AtomicBool,
-    rest: Mutex<Option<Resting>>,
+    has_backoff: AtomicBool,
+    backoff: Mutex<Option<Backoff>>,
     /// Whether it has asked for rest by a text that is no time.
-    was_unreadable: AtomicBool,
+    was_retry_after_unreadable: AtomicBool,
     limit: LimitState,
     /// Whether it has named a rate limit by a text that is no rate.
     was_limit_unreadable: AtomicBool,
@@ -63,23 +63,23 @@
 
 /// A rest that is not known to be over.
 #[derive(Clone, Copy, Debug)]
-struct Resting {
+struct Backoff {
     until: BootInstant,
     /// When the request was sent that finds out whether it takes any again.
-    tried_at: Option<BootInstant>,
+    probed_at: Option<BootInstant>,
 }
 
-impl Resting {
+impl Backoff {
     fn left(&self, now: BootInstant) -> Duration {
-        let tried_at = self.tried_at.filter(|at| *at >= self.until);
-        let until = tried_at.map_or(self.until, |at| at + TRY_GAP);
+        let probed_at = self.probed_at.filter(|at| *at >= self.until);
+        let until = probed_at.map_or(self.until, |at| at + PROBE_INTERVAL);
         until.saturating_duration_since(now)
     }
 }
 
 impl ReportedState {
     /// Takes in that it is leaving; returns whether that is news.
-    pub fn note_leaving(&self) -> bool {
+    pub fn mark_leaving(&self) -> bool {
         !self.is_leaving.swap(true, Ordering::Relaxed)
     }
 
@@ -91,36 +91,41 @@
     /// Takes in what it says in its answer to what was sent at `sent_at`;
     /// returns what is news.
     ///
-    /// `draw`, from 0 to 1, spreads what the VMs that were told in one moment
+    /// `jitter`, from 0 to 1, spreads what the VMs that were told in one moment
     /// do next.
     pub fn apply(
         &self,
         statement: &UpstreamSignals,
-        draw: f64,
+        jitter: f64,
         sent_at: BootInstant,
         now: BootInstant,
     ) -> Vec<ReportedChange> {
-        let is_news = statement.is_leaving && self.note_leaving();
+        let is_news = statement.is_leaving && self.mark_leaving();
         let leaving = is_news.then_some(ReportedChange::Leaving);
-        let rest =
-            self.take_rest(statement.retry_after.as_ref(), draw, sent_at, now);
+        let rest = self.apply_retry_after(
+            statement.retry_after.as_ref(),
+            jitter,
+            sent_at,
+            now,
+        );
         let limit = statement.rate_limit.as_ref();
-        let limit = limit.and_then(|limit| self.take_limit(limit, draw, now));
+        let limit =
+            limit.and_then(|limit| self.apply_rate_limit(limit, jitter, now));
         [leaving, rest, limit].into_iter().flatten().collect()
     }
 
-    fn take_limit(
+    fn apply_rate_limit(
         &self,
         limit: &RateLimit,
-        draw: f64,
+        jitter: f64,
         now: BootInstant,
     ) -> Option<ReportedChange> {
         match limit {
             RateLimit::Unlimited => {
-                self.update_rate_limit(None, now, draw, now)
+                self.update_rate_limit(None, now, jitter, now)
             }
             RateLimit::At(rate) => {
-                self.update_rate_limit(Some(*rate), now, draw, now)
+                self.update_rate_limit(Some(*rate), now, jitter, now)
             }
             RateLimit::Unreadable(text) => {
                 let was = &self.was_limit_unreadable;
@@ -137,12 +142,12 @@
         &self,
         rate: Option<RequestRate>,
         stated_at: BootInstant,
-        draw: f64,
+        jitter: f64,
         now: BootInstant,
     ) -> Option<ReportedChange> {
-        let change = self.limit.take(rate, stated_at, draw, now)?;
+        let change = self.limit.update(rate, stated_at, jitter, now)?;
         Some(match change {
-            LimitChange::Begun(rate) => ReportedChange::RateLimited(rate),
+            LimitChange::Started(rate) => ReportedChange::RateLimited(rate),
             LimitChange::Ended => ReportedChange::RateLimitLifted,
         })
     }
@@ -158,7 +163,7 @@
         now: BootInstant,
     ) -> Duration {
         let Some(per_s) = self.limit.per_s(now) else { return Duration::ZERO };
-        let most = rate_limit::owners_most(per_s);
+        let most = rate_limit::max_owners(per_s);
         let roster = roster.read().expect("roster lock");
         let owners = roster.owners(vm, upstream, hall, most);
         self.limit.wait(owners, now)
@@ -172,22 +177,24 @@
 
     /// Takes in the rest that it asks for in its answer to what was sent at
     /// `sent_at`, or that it asks for none; returns what is news.
-    pub(super) fn take_rest(
+    pub(super) fn apply_retry_after(
         &self,
         rest: Option<&RetryAfter>,
-        draw: f64,
+        jitter: f64,
         sent_at: BootInstant,
         now: BootInstant,
     ) -> Option<ReportedChange> {
         match rest {
-            Some(RetryAfter::For(time)) => self
-                .note_rest(*time, draw, now)
-                .then(|| ReportedChange::BackoffStarted(self.rest_left(now))),
+            Some(RetryAfter::For(time)) => {
+                self.begin_backoff(*time, jitter, now).then(|| {
+                    ReportedChange::BackoffStarted(self.backoff_left(now))
+                })
+            }
             Some(RetryAfter::Unreadable(text)) => self
-                .note_unreadable()
+                .mark_retry_after_unreadable()
                 .then(|| ReportedChange::RetryAfterUnreadable(text.clone())),
             None => self
-                .note_taken(sent_at)
+                .record_served(sent_at)
                 .then_some(ReportedChange::BackoffEnded),
         }
     }
@@ -196,34 +203,39 @@
     /// was not at rest.
     ///
     /// A longer rest that it has asked for before still holds.
-    fn note_rest(&self, time: Duration, draw: f64, now: BootInstant) -> bool {
+    fn begin_backoff(
+        &self,
+        time: Duration,
+        jitter: f64,
+        now: BootInstant,
+    ) -> bool {
         if time.is_zero() {
             return false;
         }
-        let time = time.min(REST_MOST);
-        let spread = time.mul_f64(RETURN_SPREAD_PART).min(RETURN_SPREAD_MOST);
-        let until = now + time + spread.mul_f64(draw);
-        let mut held = self.rest.lock().expect("rest lock");
+        let time = time.min(MAX_BACKOFF);
+        let spread = time.mul_f64(JITTER_RATIO).min(MAX_JITTER);
+        let until = now + time + spread.mul_f64(jitter);
+        let mut held = self.backoff.lock().expect("backoff lock");
         let held_until = held.map(|rest| rest.until);
         let is_news = held_until.is_none_or(|held| held <= now);
         let until = held_until.map_or(until, |held| held.max(until));
-        *held = Some(Resting { until, tried_at: None });
-        self.has_rest.store(true, Ordering::Relaxed);
+        *held = Some(Backoff { until, probed_at: None });
+        self.has_backoff.store(true, Ordering::Relaxed);
         is_news
     }
 
     /// Takes in that it asks for rest by a text that is no time; returns
     /// whether that is news, as it may do so in every answer.
-    fn note_unreadable(&self) -> bool {
-        !self.was_unreadable.swap(true, Ordering::Relaxed)
+    fn mark_retry_after_unreadable(&self) -> bool {
+        !self.was_retry_after_unreadable.swap(true, Ordering::Relaxed)
     }
 
     /// How long it is to get no request; zero if it may have one.
-    pub fn rest_left(&self, now: BootInstant) -> Duration {
-        if !self.has_rest.load(Ordering::Relaxed) {
+    pub fn backoff_left(&self, now: BootInstant) -> Duration {
+        if !self.has_backoff.load(Ordering::Relaxed) {
             return Duration::ZERO;
         }
-        let rest = *self.rest.lock().expect("rest lock");
+        let rest = *self.backoff.lock().expect("backoff lock");
         rest.map_or(Duration::ZERO, |rest| rest.left(now))
     }
 
@@ -232,33 +244,33 @@
     /// at once.
     pub fn record_sent(&self, now: BootInstant) {
         self.limit.record_sent(now);
-        if !self.has_rest.load(Ordering::Relaxed) {
+        if !self.has_backoff.load(Ordering::Relaxed) {
             return;
         }
-        if let Some(rest) = &mut *self.rest.lock().expect("rest lock") {
-            rest.tried_at = Some(now);
+        if let Some(rest) = &mut *self.backoff.lock().expect("backoff lock") {
+            rest.probed_at = Some(now);
         }
     }
 
     /// Takes in that it has answered, without asking for rest, what was sent
     /// at `sent_at`; returns whether a rest is over with that.
-    fn note_taken(&self, sent_at: BootInstant) -> bool {
-        if !self.has_rest.load(Ordering::Relaxed) {
+    fn record_served(&self, sent_at: BootInstant) -> bool {
+        if !self.has_backoff.load(Ordering::Relaxed) {
             return false;
         }
-        let mut held = self.rest.lock().expect("rest lock");
+        let mut held = self.backoff.lock().expect("backoff lock");
         let is_over = held.is_some_and(|rest| sent_at >= rest.until);
         if is_over {
             *held = None;
-            self.has_rest.store(false, Ordering::Relaxed);
+            self.has_backoff.store(false, Ordering::Relaxed);
         }
         is_over
     }
 
     /// Whether anything of it still holds.
-    pub fn holds(&self, now: BootInstant) -> bool {
+    pub fn is_in_force(&self, now: BootInstant) -> bool {
         self.is_leaving()
-            || !self.rest_left(now).is_zero()
+            || !self.backoff_left(now).is_zero()
             || self.rate_limit_per_s(now).is_some()
     }
 }
@@ -266,7 +278,7 @@
 /// The words of lives that are not listed: their records have lapsed, or are
 /// still to come.
 #[derive(Debug, Default)]
-pub(super) struct UnlistedWords(HashMap<ShortHash, Unlisted>);
+pub(super) struct UnlistedStates(HashMap<ShortHash, Unlisted>);
 
 #[derive(Debug)]
 struct Unlisted {
@@ -274,7 +286,7 @@
     since: BootInstant,
 }
 
-impl UnlistedWords {
+impl UnlistedStates {
     /// Keeps the word of a life whose record is gone.
     pub(super) fn keep(
         &mut self,
@@ -285,7 +297,7 @@
         self.0.retain(|_, kept| {
             now.saturating_duration_since(kept.since) < UNLISTED_LIFETIME
         });
-        if self.0.len() < UNLISTED_MOST && word.holds(now) {
+        if self.0.len() < MAX_UNLISTED && word.is_in_force(now) {
             self.0.insert(life, Unlisted { word, since: now });
         }
     }
--- a/src/placing/retry_window.rs
+++ b/src/placing/retry_window.rs
@@ -2,7 +2,7 @@
 //!
 //! All VMs together may send a service no more further attempts than a share
 //! of its requests and a few besides, within any window. Each VM keeps to the
-//! share of its own requests and to its part of the rest, so that the bound
+//! share of its own requests and to its bucket of the rest, so that the bound
 //! holds whether or not the VMs can hear each other.
 
 use std::{sync::Mutex, time::Duration};
@@ -10,14 +10,14 @@
 use crate::clock::BootInstant;
 
 /// Parts that a window is counted in.
-const PARTS: u64 = 100;
+const BUCKETS: u64 = 100;
 
-/// Part of the allowed share that is used; the rest covers a window that
-/// begins within a part.
-const USED_SHARE: f64 = 0.98;
+/// Bucket of the allowed share that is used; the rest covers a window that
+/// begins within a bucket.
+const SHARE_FACTOR: f64 = 0.98;
 
-/// Part of the allowed extra attempts that is used, for the same reason.
-const USED_EXTRA: f64 = 0.9;
+/// Bucket of the allowed extra attempts that is used, for the same reason.
+const EXTRA_FACTOR: f64 = 0.9;
 
 /// What a platform allows.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -31,7 +31,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Part {
+struct Bucket {
     number: u64,
     requests: u32,
     retries: u32,
@@ -42,7 +42,7 @@
 pub struct RetryWindow {
     bound: RetryBound,
     since: BootInstant,
-    parts: Mutex<[Part; PARTS as usize + 1]>,
+    buckets: Mutex<[Bucket; BUCKETS as usize + 1]>,
 }
 
 impl RetryWindow {
@@ -51,34 +51,34 @@
         RetryWindow {
             bound,
             since: now,
-            parts: Mutex::new([Part::default(); PARTS as usize + 1]),
+            buckets: Mutex::new([Bucket::default(); BUCKETS as usize + 1]),
         }
     }
 
     /// Counts a request.
     pub fn count_request(&self, now: BootInstant) {
-        self.with_part(now, |part| part.requests += 1);
+        self.with_bucket(now, |bucket| bucket.requests += 1);
     }
 
     /// Counts a further attempt, whether or not one was left.
     pub fn count_retry(&self, now: BootInstant) {
-        self.with_part(now, |part| part.retries += 1);
+        self.with_bucket(now, |bucket| bucket.retries += 1);
     }
 
     /// Whether a further attempt may be made by one of `vms` VMs.
     pub fn allows_retry(&self, vms: usize, now: BootInstant) -> bool {
-        let number = self.number(now);
-        let parts = self.parts.lock().expect("parts lock");
-        let recent = |part: &&Part| part.number + PARTS >= number;
+        let number = self.bucket_number(now);
+        let buckets = self.buckets.lock().expect("buckets lock");
+        let recent = |bucket: &&Bucket| bucket.number + BUCKETS >= number;
         let retries: u32 =
-            parts.iter().filter(recent).map(|p| p.retries).sum();
-        // The oldest part is only partly within the window, so its requests
+            buckets.iter().filter(recent).map(|p| p.retries).sum();
+        // The oldest bucket is only partly within the window, so its requests
         // are left out while its retries count.
-        let within = |part: &&Part| part.number + PARTS > number;
+        let within = |bucket: &&Bucket| bucket.number + BUCKETS > number;
         let requests: u32 =
-            parts.iter().filter(within).map(|p| p.requests).sum();
-        let share = self.bound.share * USED_SHARE * f64::from(requests);
-        let extra = self.bound.extra * USED_EXTRA / vms.max(1) as f64;
+            buckets.iter().filter(within).map(|p| p.requests).sum();
+        let share = self.bound.share * SHARE_FACTOR * f64::from(requests);
+        let extra = self.bound.extra * EXTRA_FACTOR / vms.max(1) as f64;
         f64::from(retries) + 1.0 <= share + extra
     }
 
@@ -91,21 +91,21 @@
         allows_retry
     }
 
-    /// The number of the part that `now` falls in; the first is 1.
-    fn number(&self, now: BootInstant) -> u64 {
+    /// The number of the bucket that `now` falls in; the first is 1.
+    fn bucket_number(&self, now: BootInstant) -> u64 {
         let passed = now.saturating_duration_since(self.since);
-        let part = self.bound.window.as_secs_f64() / PARTS as f64;
-        (passed.as_secs_f64() / part) as u64 + 1
+        let bucket = self.bound.window.as_secs_f64() / BUCKETS as f64;
+        (passed.as_secs_f64() / bucket) as u64 + 1
     }
 
-    fn with_part(&self, now: BootInstant, count: impl FnOnce(&mut Part)) {
-        let number = self.number(now);
-        let mut parts = self.parts.lock().expect("parts lock");
-        let at = (number % (PARTS + 1)) as usize;
-        if parts[at].number != number {
-            parts[at] = Part { number, ..Part::default() };
+    fn with_bucket(&self, now: BootInstant, count: impl FnOnce(&mut Bucket)) {
+        let number = self.bucket_number(now);
+        let mut buckets = self.buckets.lock().expect("buckets lock");
+        let at = (number % (BUCKETS + 1)) as usize;
+        if buckets[at].number != number {
+            buckets[at] = Bucket { number, ..Bucket::default() };
         }
-        count(&mut parts[at]);
+        count(&mut buckets[at]);
     }
 }
 
--- a/src/placing/upstream.rs
+++ b/src/placing/upstream.rs
@@ -19,19 +19,19 @@
 };
 
 /// Failures in a row after which an upstream gets only trial requests.
-const BREAKER_LIMIT: u32 = 3;
+const BREAKER_THRESHOLD: u32 = 3;
 
 /// First pause of an open breaker; it doubles with each failed trial.
 const BREAKER_PAUSE: Duration = Duration::from_millis(500);
 
 /// Longest pause of an open breaker.
-const BREAKER_PAUSE_MOST: Duration = Duration::from_secs(15);
+const MAX_BREAKER_PAUSE: Duration = Duration::from_secs(15);
 
 /// Time over which a new upstream comes up to its full share.
 const SLOW_START: Duration = Duration::from_secs(10);
 
 /// Share of its slots that a new upstream gets at first.
-const SLOW_START_LEAST: f64 = 0.2;
+const MIN_SLOW_START_SHARE: f64 = 0.2;
 
 /// Age at which a load figure says nothing any more.
 const LOAD_LIFETIME: Duration = Duration::from_secs(10);
@@ -83,7 +83,7 @@
 enum Breaker {
     Closed { failures: u32 },
     Open { until: BootInstant, pause: Duration },
-    Trial { pause: Duration },
+    HalfOpen { pause: Duration },
 }
 
 /// A change of the breaker worth logging.
@@ -105,10 +105,10 @@
     pub short_hash: ShortHash,
     /// What it has said of itself.
     pub reported_state: Arc<ReportedState>,
-    seen_at: BootInstant,
+    added_at: BootInstant,
     in_flight: AtomicU32,
     /// Whether the platform says that it is leaving, or a VM that was told.
-    leaving: AtomicBool,
+    is_marked_leaving: AtomicBool,
     load: Mutex<Option<Load>>,
     breaker: Mutex<Breaker>,
 }
@@ -155,12 +155,18 @@
         now: BootInstant,
     ) -> Upstream {
         let short_hash = ShortHash::of(record.id.as_str());
-        Upstream::with_word(record, short_hash, Arc::default(), is_new, now)
+        Upstream::with_reported_state(
+            record,
+            short_hash,
+            Arc::default(),
+            is_new,
+            now,
+        )
     }
 
     /// The same, with the short hash that it is told by and what it has said
     /// of itself before.
-    pub fn with_word(
+    pub fn with_reported_state(
         record: UpstreamRecord,
         short_hash: ShortHash,
         reported_state: Arc<ReportedState>,
@@ -172,9 +178,9 @@
             short_hash,
             record,
             reported_state,
-            seen_at: if is_new { now } else { long_ago },
+            added_at: if is_new { now } else { long_ago },
             in_flight: AtomicU32::new(0),
-            leaving: AtomicBool::new(false),
+            is_marked_leaving: AtomicBool::new(false),
             load: Mutex::new(None),
             breaker: Mutex::new(Breaker::Closed { failures: 0 }),
         }
@@ -193,18 +199,18 @@
 
     /// Marks it as leaving by another's word; returns whether that is news.
     pub fn mark_leaving(&self) -> bool {
-        !self.leaving.swap(true, Ordering::Relaxed)
+        !self.is_marked_leaving.swap(true, Ordering::Relaxed)
             && !self.reported_state.is_leaving()
     }
 
     /// Whether another says that it is leaving.
     pub fn is_marked_leaving(&self) -> bool {
-        self.leaving.load(Ordering::Relaxed)
+        self.is_marked_leaving.load(Ordering::Relaxed)
     }
 
     /// Takes back the mark, when the platform lists it as live again.
-    pub fn mark_staying(&self) {
-        self.leaving.store(false, Ordering::Relaxed);
+    pub fn clear_leaving_mark(&self) {
+        self.is_marked_leaving.store(false, Ordering::Relaxed);
     }
 
     /// Whether it is leaving, by anybody's word.
@@ -221,7 +227,7 @@
         at: BootInstant,
     ) -> bool {
         let mut load = self.load.lock().expect("load lock");
-        if load.as_ref().is_some_and(|held| held.at >= at) {
+        if load.as_ref().is_some_and(|known| known.at >= at) {
             return false;
         }
         let own_in_flight = self.in_flight();
@@ -240,10 +246,10 @@
         let mut breaker = self.breaker.lock().expect("breaker lock");
         match *breaker {
             Breaker::Closed { .. } => true,
-            Breaker::Trial { .. } => false,
+            Breaker::HalfOpen { .. } => false,
             Breaker::Open { until, .. } if now < until => false,
             Breaker::Open { pause, .. } => {
-                *breaker = Breaker::Trial { pause };
+                *breaker = Breaker::HalfOpen { pause };
                 true
             }
         }
@@ -261,7 +267,9 @@
     pub fn record_failure(&self, now: BootInstant) -> Option<BreakerChange> {
         let mut breaker = self.breaker.lock().expect("breaker lock");
         let (next, change) = match *breaker {
-            Breaker::Closed { failures } if failures + 1 < BREAKER_LIMIT => {
+            Breaker::Closed { failures }
+                if failures + 1 < BREAKER_THRESHOLD =>
+            {
                 (Breaker::Closed { failures: failures + 1 }, None)
             }
             Breaker::Closed { .. } => (
@@ -271,8 +279,8 @@
                 },
                 Some(BreakerChange::Opened),
             ),
-            Breaker::Open { pause, .. } | Breaker::Trial { pause } => {
-                let pause = (pause * 2).min(BREAKER_PAUSE_MOST);
+            Breaker::Open { pause, .. } | Breaker::HalfOpen { pause } => {
+                let pause = (pause * 2).min(MAX_BREAKER_PAUSE);
                 (Breaker::Open { until: now + pause, pause }, None)
             }
         };
@@ -301,10 +309,10 @@
             short_hash: self.short_hash,
             local: self.record.data_hall == *own_hall,
             leaving: self.is_leaving(),
-            breaker_open: self.is_broken(now),
-            backoff: self.reported_state.rest_left(now),
+            breaker_open: self.is_breaker_open(now),
+            backoff: self.reported_state.backoff_left(now),
             requests,
-            slots: f64::from(self.record.slots) * self.warmth(now),
+            slots: f64::from(self.record.slots) * self.slow_start_share(now),
             load_age: load.map(|load| now.saturating_duration_since(load.at)),
             // What is loaded changes rarely, so an old word on it holds.
             versions: held
@@ -314,18 +322,18 @@
         }
     }
 
-    fn is_broken(&self, now: BootInstant) -> bool {
+    fn is_breaker_open(&self, now: BootInstant) -> bool {
         match *self.breaker.lock().expect("breaker lock") {
             Breaker::Closed { .. } => false,
-            Breaker::Trial { .. } => true,
+            Breaker::HalfOpen { .. } => true,
             Breaker::Open { until, .. } => now < until,
         }
     }
 
-    fn warmth(&self, now: BootInstant) -> f64 {
-        let age = now.saturating_duration_since(self.seen_at);
+    fn slow_start_share(&self, now: BootInstant) -> f64 {
+        let age = now.saturating_duration_since(self.added_at);
         let share = age.as_secs_f64() / SLOW_START.as_secs_f64();
-        share.clamp(SLOW_START_LEAST, 1.0)
+        share.clamp(MIN_SLOW_START_SHARE, 1.0)
     }
 }
 
@@ -376,7 +384,7 @@
     fn the_breaker_opens_tries_once_and_closes() {
         let now = BootInstant::now();
         let upstream = upstream(now);
-        for _ in 1..BREAKER_LIMIT {
+        for _ in 1..BREAKER_THRESHOLD {
             assert_eq!(upstream.record_failure(now), None);
         }
         assert_eq!(upstream.record_failure(now), Some(BreakerChange::Opened));
--- a/src/placing/warm_up.rs
+++ b/src/placing/warm_up.rs
@@ -59,14 +59,14 @@
 
 impl WarmUp {
     /// Requests that a cold upstream may have within a second, of all VMs.
-    pub(super) fn most(&self, slack: WarmUpSlack) -> usize {
+    pub(super) fn max_requests(&self, slack: WarmUpSlack) -> usize {
         (self.per_s * slack.overshoot + slack.tolerance) as usize
     }
 }
 
 /// Requests that a VM may send within a second to a cold upstream of `hall`;
 /// none if it does not own it.
-pub(crate) fn part(
+pub(crate) fn vm_share(
     roster: &Roster,
     vm: &str,
     upstream: ShortHash,
@@ -79,11 +79,15 @@
 
 /// What this VM has sent to one upstream within the last second.
 #[derive(Debug, Default)]
-pub(crate) struct SentLately(VecDeque<BootInstant>);
+pub(crate) struct SendWindow(VecDeque<BootInstant>);
 
-impl SentLately {
+impl SendWindow {
     /// Whether less than `most` was sent.
-    pub(crate) fn has_room(&mut self, most: usize, now: BootInstant) -> bool {
+    pub(crate) fn has_capacity(
+        &mut self,
+        most: usize,
+        now: BootInstant,
+    ) -> bool {
         while self
             .0
             .front()
@@ -95,7 +99,7 @@
     }
 
     /// Counts a request.
-    pub(crate) fn count(&mut self, now: BootInstant) {
+    pub(crate) fn record(&mut self, now: BootInstant) {
         self.0.push_back(now);
     }
 }
--- a/src/placing/warm_up/tests.rs
+++ b/src/placing/warm_up/tests.rs
@@ -37,12 +37,12 @@
         let roster = roster(&vms);
         for upstream in 0..200 {
             let part = |vm: &String| {
-                super::part(
+                super::vm_share(
                     &roster,
                     vm,
                     ShortHash(upstream),
                     &own_hall(),
-                    WARM_UP.most(SLACK),
+                    WARM_UP.max_requests(SLACK),
                 )
             };
             let parts: Vec<usize> = vms.iter().map(part).collect();
@@ -57,12 +57,12 @@
 fn a_vm_that_is_not_recorded_owns_nothing() {
     let vms = names(5);
     let roster = roster(&vms);
-    let part = super::part(
+    let part = super::vm_share(
         &roster,
         "vm-new",
         ShortHash(7),
         &own_hall(),
-        WARM_UP.most(SLACK),
+        WARM_UP.max_requests(SLACK),
     );
     assert_eq!(part, 0);
 }
@@ -83,12 +83,12 @@
                 _ if n == 7 => &newest,
                 _ => &new,
             };
-            part(
+            vm_share(
                 knows,
                 vm,
                 ShortHash(upstream),
                 &own_hall(),
-                WARM_UP.most(SLACK),
+                WARM_UP.max_requests(SLACK),
             )
         });
         assert!(parts.sum::<usize>() <= 18, "upstream {upstream}");
@@ -99,14 +99,14 @@
 fn what_was_sent_counts_for_a_second() {
     let start = BootInstant::now();
     let after = |ms| start + Duration::from_millis(ms);
-    let mut sent = SentLately::default();
+    let mut sent = SendWindow::default();
     for ms in [0, 100, 200] {
-        assert!(sent.has_room(3, after(ms)));
-        sent.count(after(ms));
+        assert!(sent.has_capacity(3, after(ms)));
+        sent.record(after(ms));
     }
-    assert!(!sent.has_room(3, after(999)));
-    assert!(sent.has_room(3, after(1000)));
-    assert!(!sent.has_room(0, after(5000)));
+    assert!(!sent.has_capacity(3, after(999)));
+    assert!(sent.has_capacity(3, after(1000)));
+    assert!(!sent.has_capacity(0, after(5000)));
 }
 
 fn cold(id: usize) -> UpstreamEntry {
