--- a/src/placing/member.rs
+++ b/src/placing/member.rs
@@ -1,5 +1,5 @@
-//! One upstream as this VM sees it: its record, its load by the word of all,
-//! and whether it is cold or gone.
+//! A member of the upstream pool: one incarnation of an upstream with its
+//! record, the load on it, and whether it is cold or gone.
 
 use std::{
     collections::HashMap,
@@ -27,70 +27,71 @@
     },
 };
 
-/// Age at which what another VM told of its requests counts no more.
+/// Age at which the work that another VM has reported no longer counts.
 pub(super) const PEER_WORK_LIFETIME: Duration = Duration::from_millis(2500);
 
-/// Time that an upstream whose record vanished while the store was away
-/// may still be used; a live one is back within about two seconds.
+/// How long an upstream may still be used after its record vanished during a
+/// store outage; the record of a live one returns within about two seconds.
 pub(super) const VANISHED_GRACE: Duration = Duration::from_millis(1500);
 
-/// Time in which what an upstream reported of its requests loses half of its
-/// weight; short calls come and go meanwhile.
+/// Half-life of the weight of the request counts that an upstream reports;
+/// short requests come and go meanwhile.
 const REPORTED_LOAD_HALF_LIFE: Duration = Duration::from_millis(200);
 
 /// Whether an upstream takes new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamState {
-    /// It does.
+    /// It takes new requests.
     Ready,
-    /// It is leaving, and gets none.
+    /// It is about to stop, and gets no new requests.
     Leaving,
 }
 
-/// An upstream as the platform records it.
+/// The record of an upstream in the platform's store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamEntry {
-    /// Its name, which no other upstream has.
+    /// The unique name of the upstream.
     pub id: UpstreamId,
-    /// When it started; `None` where upstreams do not tell that.
+    /// When it started; `None` if the platform does not record that.
     pub started: Option<StartMs>,
-    /// The service it belongs to.
+    /// The service that it belongs to.
     pub service: ServiceId,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// Its data hall.
+    /// The data hall in which it runs.
     pub data_hall: DataHallId,
     /// The version of its software.
     pub software: VersionId,
-    /// Requests that it works on at once.
+    /// How many requests it processes concurrently.
     pub slots: u16,
     /// Whether it takes new requests.
     pub state: UpstreamState,
-    /// How much longer it is cold.
+    /// How much longer it stays cold.
     pub warm_up_left: Duration,
 }
 
-/// How an entry stands to one that was told before under the same name.
+/// How a record relates to the one that is known under the same name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EntryRelation {
-    /// It is of the same life.
+    /// Both describe the same incarnation.
     Same,
-    /// It has changed what no life changes, or is ready again after it was
-    /// leaving, but tells no later start: what was begun may still end well.
+    /// A property that is fixed for one incarnation has changed, or the
+    /// upstream is ready again after leaving, but no later start is recorded.
+    /// Requests in flight may still complete.
     Changed,
-    /// It is of a later life.
+    /// The record describes a later incarnation.
     Later,
-    /// It is of an earlier life.
+    /// The record describes an earlier incarnation.
     Earlier,
 }
 
 impl UpstreamEntry {
-    /// The life that it is of.
+    /// Identifies the incarnation that this record describes.
     pub fn life(&self) -> UpstreamIncarnation {
         UpstreamIncarnation { id: self.id.clone(), started: self.started }
     }
 
-    /// How it stands to an entry that was told before.
+    /// Compares this record with the one that is known.
     pub(super) fn relation_to(&self, known: &UpstreamEntry) -> EntryRelation {
         if let (Some(own), Some(known)) = (self.started, known.started)
             && own != known
@@ -115,23 +116,24 @@
     }
 }
 
-/// The load that an upstream states in its answers.
+/// The load that an upstream reports in its responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests that it works on.
+    /// Requests that it is processing.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests that wait in its queue.
     pub waiting: u32,
 }
 
-/// One upstream, with its record and what this VM has seen of it.
+/// One incarnation of an upstream, with its record and what this VM has
+/// observed of it.
 #[derive(Debug)]
 pub struct Member {
     /// Its record.
     pub entry: UpstreamEntry,
-    /// Its load.
+    /// Its load and circuit breaker.
     pub upstream: Arc<Upstream>,
-    /// How it has been answering.
+    /// Its recent health.
     pub health: Health,
     pub(super) link: Arc<HallLink>,
     pub(super) prefill_ms: AtomicU32,
@@ -143,30 +145,30 @@
     cold_until: Mutex<Option<BootInstant>>,
     pub(super) cold_sends: Mutex<SendWindow>,
     reported_load: Mutex<Option<ReportedLoad>>,
-    /// Whether a later life has taken its place.
+    /// Whether a later incarnation has replaced it.
     is_superseded: AtomicBool,
-    /// Whether one did although it was not leaving.
+    /// Whether it was replaced without having announced that it was leaving.
     has_crashed: AtomicBool,
 }
 
-/// Time that the prompts of the other VMs take to be read, as of some moment.
+/// The prefill work of the other VMs at an upstream, as of one moment.
 #[derive(Clone, Copy, Debug)]
 struct PeerPrefill {
-    /// What is left of it.
+    /// What was left of it then, in milliseconds.
     left_ms: u32,
-    /// All of it, as it was told.
+    /// All of it as reported, in milliseconds.
     reported_ms: u32,
     at: BootInstant,
 }
 
-/// What an upstream's own word says that it had.
+/// The load that the upstream itself has reported, less this VM's share.
 #[derive(Clone, Copy, Debug)]
 struct ReportedLoad {
-    /// When it said so.
+    /// When it was reported.
     at: BootInstant,
-    /// Requests of other VMs.
+    /// Requests of the other VMs.
     peer_requests: u32,
-    /// The time that the prompts take which it had still to read.
+    /// Time for the prefills that were still queued.
     prefill: Duration,
 }
 
@@ -177,12 +179,13 @@
 }
 
 impl PeerWork {
-    /// What is left of the reading that was told: an upstream goes on with it
-    /// while nothing more is heard, and beats of other data halls are rare.
+    /// What is left of the reported prefill time: the upstream keeps working
+    /// on it between two reports, and heartbeats from other data halls are
+    /// rare.
     ///
-    /// In the replay of 32 VMs before 32 engines that are busy for half of
-    /// the time, prompts wait for 47 ms with this and for 76 ms without; busy
-    /// for 0.7 of it, for 95 and 195 ms.
+    /// In the simulation in `pool::replay` (32 VMs, 32 engines), prompts wait
+    /// for 47 ms with this and 76 ms without at a load of 0.5, and for 95 and
+    /// 195 ms at a load of 0.7.
     fn prefill_left_ms(&self, now: BootInstant) -> u32 {
         let age = now.saturating_duration_since(self.at).as_millis();
         let age_ms = u32::try_from(age).unwrap_or(u32::MAX);
@@ -236,7 +239,7 @@
         }
     }
 
-    /// Whether new requests may go there.
+    /// Whether new requests may be sent to it.
     pub fn takes_requests(&self, now: BootInstant) -> bool {
         let vanished = *self.vanished_at.lock().expect("vanished lock");
         let is_there = vanished.is_none_or(|at| {
@@ -245,13 +248,14 @@
         is_there && !self.upstream.is_leaving()
     }
 
-    /// How long it is to get no request of this VM; zero if it may have one.
+    /// How long its `Retry-After` keeps this VM from sending it a request;
+    /// zero if it may be sent one now.
     pub fn backoff_left(&self, now: BootInstant) -> Duration {
         self.upstream.reported_state.backoff_left(now)
     }
 
-    /// Its record with the state that was recorded last. What the upstream
-    /// itself has said is left out: a record that still says `ready` would
+    /// Its record with the last recorded state. What the upstream itself has
+    /// reported is left out: otherwise a record that still says `ready` would
     /// look like its return.
     pub(super) fn recorded_entry(&self) -> UpstreamEntry {
         let state = match self.upstream.is_marked_leaving() {
@@ -261,7 +265,7 @@
         UpstreamEntry { state, ..self.entry.clone() }
     }
 
-    /// Takes in a newer record of the same life.
+    /// Applies a newer record of the same incarnation.
     pub(super) fn update(&self, entry: &UpstreamEntry, now: BootInstant) {
         *self.vanished_at.lock().expect("vanished lock") = None;
         self.mark_cold_until(now + entry.warm_up_left);
@@ -270,90 +274,93 @@
         }
     }
 
-    /// Notes that a later life has taken its place.
+    /// Marks it as replaced by a later incarnation.
     pub(super) fn mark_superseded(&self) {
         self.is_superseded.store(true, Ordering::Relaxed);
-        // Whoever had said so has ended as planned.
+        // An upstream that announced its end has stopped as planned.
         if self.upstream.mark_leaving() {
             self.has_crashed.store(true, Ordering::Relaxed);
         }
     }
 
-    /// Whether a later life has taken its place although it was not leaving.
+    /// Whether a later incarnation has replaced it without an announced end.
     pub fn has_crashed(&self) -> bool {
         self.has_crashed.load(Ordering::Relaxed)
     }
 
-    /// Whether a later life has taken its place: nothing more comes from it,
-    /// and what failed with it says nothing of its version.
+    /// Whether a later incarnation has replaced it. Nothing more will come
+    /// from this one, and its failures are no evidence against its version.
     pub fn is_superseded(&self) -> bool {
         self.is_superseded.load(Ordering::Relaxed)
     }
 
-    /// Requests that it probably holds, of all VMs: those of the others by
-    /// what they have told, or by what the upstream has reported as long as
-    /// that is fresh.
+    /// Estimates the requests of all VMs that it holds. The share of the other
+    /// VMs is what they have reported, or what the upstream itself has
+    /// reported while that is fresh.
     pub fn requests(&self, now: BootInstant) -> u32 {
-        let told = f64::from(self.peer_requests.load(Ordering::Relaxed));
+        let by_peers = f64::from(self.peer_requests.load(Ordering::Relaxed));
         let reported = *self.reported_load.lock().expect("reported load lock");
-        let others = reported.map_or(told, |reported| {
+        let others = reported.map_or(by_peers, |reported| {
             let age = now.saturating_duration_since(reported.at);
             let halves =
                 age.as_secs_f64() / REPORTED_LOAD_HALF_LIFE.as_secs_f64();
             let weight = 0.5_f64.powf(halves);
-            f64::from(reported.peer_requests) * weight + told * (1.0 - weight)
+            f64::from(reported.peer_requests) * weight
+                + by_peers * (1.0 - weight)
         });
         self.upstream.in_flight() + others.round() as u32
     }
 
-    /// How full it is: requests for each slot.
+    /// Its utilization in requests per slot; above 1, requests wait in its
+    /// queue.
     pub fn utilization(&self, now: BootInstant) -> f64 {
         f64::from(self.requests(now)) / f64::from(self.entry.slots.max(1))
     }
 
-    /// Whether it bears only few requests for now.
+    /// Whether it is still warming up and can take only few requests.
     pub fn is_cold(&self, now: BootInstant) -> bool {
         let until = *self.cold_until.lock().expect("cold lock");
         until.is_some_and(|until| now < until)
     }
 
-    /// Notes that it is cold until then, if not for longer already.
+    /// Marks it as cold until a time, unless it is marked for longer already.
     pub(super) fn mark_cold_until(&self, until: BootInstant) {
-        let mut held = self.cold_until.lock().expect("cold lock");
-        *held = Some(held.map_or(until, |held| held.max(until)));
+        let mut known = self.cold_until.lock().expect("cold lock");
+        *known = Some(known.map_or(until, |known| known.max(until)));
     }
 
-    /// Notes that something came from it.
+    /// Records that data was received from it.
     pub fn record_activity(&self, now: BootInstant) {
         *self.active_at.lock().expect("activity lock") = now;
         self.link.record_activity(now);
     }
 
-    /// Notes that no connection to it could be opened.
+    /// Records that no connection to it could be opened.
     pub fn record_connect_failure(&self, now: BootInstant) {
         self.link.record_connect_failure(now);
     }
 
-    /// How long nothing has come from it.
+    /// How long nothing has been received from it.
     pub fn silence(&self, now: BootInstant) -> Duration {
         let active_at = *self.active_at.lock().expect("activity lock");
         now.saturating_duration_since(active_at)
     }
 
-    /// Time that the prompts take which are being read there, or wait to be,
-    /// by what the VMs have told each other or by what the upstream has reported
-    /// of all of them, whichever is more.
+    /// Estimates the time for the prefills that it is working on or has
+    /// queued: the larger of what all VMs know of each other and what the
+    /// upstream itself has reported.
     ///
-    /// VMs of other data halls are heard rarely in a large fleet, and what
-    /// they send there is not known here: in the same replay prompts wait for
-    /// 44 ms with what engines state and 47 ms without, and 78 and 95 ms.
+    /// In a large fleet, VMs of other data halls report rarely, so their
+    /// recent requests are unknown here. In the simulation in `pool::replay`,
+    /// prompts wait for 44 ms with the reports of upstreams and 47 ms without
+    /// at a load of 0.5, and for 78 and 95 ms at a load of 0.7.
     pub fn prefill_backlog(&self, now: BootInstant) -> Duration {
         let own = self.prefill_ms.load(Ordering::Relaxed);
-        let others = *self.peer_prefill.lock().expect("peer prefill lock");
-        let passed = now.saturating_duration_since(others.at);
-        let others = Duration::from_millis(others.left_ms.into());
-        let told =
-            Duration::from_millis(own.into()) + others.saturating_sub(passed);
+        let peers = *self.peer_prefill.lock().expect("peer prefill lock");
+        let passed = now.saturating_duration_since(peers.at);
+        let peers_left = Duration::from_millis(peers.left_ms.into());
+        let told = Duration::from_millis(own.into())
+            + peers_left.saturating_sub(passed);
         let reported = *self.reported_load.lock().expect("reported load lock");
         let reported = reported.map_or(Duration::ZERO, |reported| {
             let passed = now.saturating_duration_since(reported.at);
@@ -362,8 +369,8 @@
         told.max(reported)
     }
 
-    /// The most that it may still have to read: what other VMs have told may
-    /// take longer than expected, or more may have come after it.
+    /// An upper bound of the prefill backlog: prefills reported by other VMs
+    /// may take longer than expected, or more may have arrived after them.
     pub fn max_prefill_backlog(&self, now: BootInstant) -> Duration {
         let own = self.prefill_ms.load(Ordering::Relaxed);
         let told =
@@ -372,8 +379,9 @@
         told.max(self.prefill_backlog(now))
     }
 
-    /// Takes in what the upstream reported at that time, where each request
-    /// that waits takes `each` to read; returns whether that is news.
+    /// Applies the load that the upstream reported at a time, with `each` as
+    /// the prefill time of a queued request; returns whether it is newer than
+    /// the last one.
     pub(super) fn update_reported_load(
         &self,
         load: LoadReport,
@@ -394,7 +402,7 @@
         true
     }
 
-    /// Counts a prompt as being read there while the guard lives.
+    /// Counts a prompt as being prefilled until the guard is dropped.
     pub fn begin_prefill(
         self: &Arc<Self>,
         expected: Duration,
@@ -404,49 +412,49 @@
         PrefillGuard { member: self.clone(), ms }
     }
 
-    /// Takes in what another VM has there.
+    /// Replaces the work that another VM has reported here.
     pub fn set_peer_work(
         &self,
         vm: &str,
         work: InFlightWork,
         now: BootInstant,
     ) {
-        let mut counts = self.peer_work.lock().expect("peer work lock");
+        let mut peer_work = self.peer_work.lock().expect("peer work lock");
         if work == InFlightWork::default() {
-            counts.remove(vm);
+            peer_work.remove(vm);
         } else {
-            counts.insert(vm.to_owned(), PeerWork { work, at: now });
+            peer_work.insert(vm.to_owned(), PeerWork { work, at: now });
         }
-        self.update_peer_totals(&mut counts, now);
+        self.update_peer_totals(&mut peer_work, now);
     }
 
-    /// Leaves out what was told too long ago.
+    /// Drops the work that was reported too long ago.
     pub(super) fn expire_peer_work(&self, now: BootInstant) {
-        let mut counts = self.peer_work.lock().expect("peer work lock");
-        if !counts.is_empty() {
-            self.update_peer_totals(&mut counts, now);
+        let mut peer_work = self.peer_work.lock().expect("peer work lock");
+        if !peer_work.is_empty() {
+            self.update_peer_totals(&mut peer_work, now);
         }
     }
 
     fn update_peer_totals(
         &self,
-        counts: &mut HashMap<String, PeerWork>,
+        peer_work: &mut HashMap<String, PeerWork>,
         now: BootInstant,
     ) {
-        counts.retain(|_, count| {
+        peer_work.retain(|_, count| {
             now.saturating_duration_since(count.at) < PEER_WORK_LIFETIME
         });
-        let requests = counts.values().map(|c| u32::from(c.work.requests));
+        let requests = peer_work.values().map(|c| u32::from(c.work.requests));
         self.peer_requests.store(requests.sum(), Ordering::Relaxed);
-        let left_ms = counts.values().map(|c| c.prefill_left_ms(now)).sum();
+        let left_ms = peer_work.values().map(|c| c.prefill_left_ms(now)).sum();
         let reported_ms =
-            counts.values().map(|c| u32::from(c.work.prefill_ms)).sum();
+            peer_work.values().map(|c| u32::from(c.work.prefill_ms)).sum();
         let told = PeerPrefill { left_ms, reported_ms, at: now };
         *self.peer_prefill.lock().expect("peer prefill lock") = told;
     }
 }
 
-/// Counts a prompt as being read while it lives.
+/// Counts a prompt as being prefilled until it is dropped.
 #[derive(Debug)]
 pub struct PrefillGuard {
     member: Arc<Member>,
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -1,8 +1,8 @@
-//! The upstreams of every service, as this VM sees them, and the choice
-//! among them.
+//! The upstream pool: all upstreams of all services as this VM sees them, and
+//! the selection of one for each attempt.
 //!
-//! The pool is replaced as a whole when a record changes, so that a choice
-//! looks at one state of things.
+//! The member table is copied on write, so that each selection works on one
+//! consistent snapshot.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -32,80 +32,83 @@
     rendezvous,
 };
 
-/// Added to the fill of an upstream in another data hall: the way there
-/// costs a few milliseconds and bytes between halls.
+/// Penalty, in requests per slot, for an upstream in another data hall: the
+/// link adds a few milliseconds and uses bandwidth between halls.
 const OTHER_HALL_UTILIZATION: f64 = 0.05;
 
-/// Time that a running request adds to the reading of a prompt beside it,
-/// for each millisecond of reading.
+/// Slowdown that each running request adds to a prefill on the same engine. It
+/// is charged as a fixed wait per running request.
 const RUNNING_REQUEST_COST: Duration = Duration::from_micros(600);
 
-/// Part of the saved reading that counts for the second upstream in a
-/// prompt's order, which gets it when the first is busy.
+/// Share of the cache miss cost that is charged to the second upstream in the
+/// order of a prefix: it receives the prompt when the first one is busy, and
+/// so often has it cached as well.
 const SECOND_CHOICE_MISS_SHARE: f64 = 0.5;
 
-/// Silence of an upstream in a data hall that is cut off after which its
-/// streams are given up.
+/// Silence after which the streams of an upstream in a partitioned data hall
+/// are given up.
 const PARTITION_SILENCE: Duration = Duration::from_millis(250);
 
-/// What a failed attempt costs a request, as a wait that is worth taking to
-/// be spared it: an attempt of the retry budget, and the time until the
-/// failure shows. An upstream that fails at once is always free, and would be
-/// the first choice of every VM. In the replay of 32 VMs before 32 engines, of
-/// which four die, 72 attempts fail in the first second with this and 106
-/// without; 39 where VMs also tell each other of failures.
+/// Cost of a failed attempt, as the extra wait that is accepted to avoid one:
+/// an attempt of the retry budget, and the time until the failure is detected.
+/// An upstream that fails immediately always looks idle, and would be the
+/// first choice of every VM. In the simulation in `replay` (32 VMs, 32
+/// engines, four of which die), 72 attempts fail in the first second with this
+/// cost and 106 without; 39 if VMs also report failures to each other.
 const FAILURE_COST: Duration = Duration::from_millis(500);
 
-/// The same where the least full upstream is chosen, in requests for each
-/// slot.
+/// The same cost for selection by utilization, in requests per slot.
 const FAILURE_UTILIZATION: f64 = 1.0;
 
-/// Time between two looks for what VMs have told that fell silent since.
+/// Interval at which work reported by VMs that have since fallen silent is
+/// expired.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Weight of one more prompt in the mean time that one takes to be read.
+/// Weight of a new sample in the moving average of the prefill time.
 const MEAN_PREFILL_WEIGHT: f64 = 0.05;
 
-/// Which versions of a service's software may answer a request.
+/// Which software versions of a service may answer a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum VersionRule {
-    /// Any.
+    /// Any version.
     #[default]
     Any,
-    /// This one, or any other if it has no usable upstream.
+    /// This version, or any other if it has no usable upstream.
     Prefer(VersionId),
-    /// Any but this one, or this one if no other has a usable upstream.
+    /// Any version but this one, or this one if no other has a usable
+    /// upstream.
     Avoid(VersionId),
-    /// Any but this one.
+    /// Any version but this one, without exception.
     Never(VersionId),
 }
 
-/// A prompt that an upstream may have in its memory.
+/// A prompt prefix that an upstream may have in its prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefixAffinity {
-    /// What identifies the longest part shared with other requests.
+    /// Hash of the longest prefix that is shared with other requests.
     pub prefix_hash: u64,
-    /// The wait that is worth taking to find it there.
+    /// Cost of a cache miss, as the extra wait that is accepted to avoid one.
     pub cache_miss_cost: Duration,
 }
 
-/// What a request asks of the choice.
+/// The criteria by which an upstream is picked for one attempt.
 #[derive(Clone, Debug)]
 pub struct PickCriteria<'a> {
-    /// Which software may answer it.
+    /// Which software versions may answer.
     pub rule: VersionRule,
-    /// What it would like to find in an upstream's memory.
+    /// The prefix that the chosen upstream should have cached.
     pub affinity: Option<PrefixAffinity>,
-    /// Versions of software that may not answer it at all.
+    /// Withdrawn software versions, which never answer.
     pub withdrawn: &'a [VersionId],
-    /// Lives of upstreams that were asked already.
+    /// Hashes of the upstream incarnations that were tried before.
     pub tried: &'a [ShortHash],
-    /// Requests for each slot of every upstream from which it is turned away.
+    /// Utilization (requests per slot) at which an upstream counts as full;
+    /// the request is rejected if every upstream has reached it.
     pub max_utilization: f64,
 }
 
 impl Default for PickCriteria<'_> {
-    /// Whatever is free.
+    /// Criteria that accept any upstream that is not full.
     fn default() -> Self {
         PickCriteria {
             rule: VersionRule::Any,
@@ -117,19 +120,20 @@
     }
 }
 
-/// Why there is no upstream for a request.
+/// Why no upstream could be picked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PickError {
-    /// None is known that may take it.
+    /// No known upstream may take the request.
     NoCandidate,
-    /// All are in data halls whose upstreams are to get no requests.
+    /// All upstreams are in evacuated data halls.
     Evacuated,
-    /// All have asked for fewer requests, and the first of them may get one
-    /// after this time.
+    /// All upstreams have asked to back off; the earliest one may be sent a
+    /// request after this time.
     BackingOff(Duration),
-    /// All are cold, and have as many requests as they bear.
+    /// All upstreams are cold and have as many requests as their warm-up limit
+    /// allows.
     Cold,
-    /// All are full.
+    /// All upstreams have reached the utilization limit.
     Full,
 }
 
@@ -137,12 +141,13 @@
 struct Members {
     by_id: HashMap<UpstreamId, Arc<Member>>,
     by_service: HashMap<ServiceId, Vec<Arc<Member>>>,
-    by_short: HashMap<ShortHash, Arc<Member>>,
+    by_short_hash: HashMap<ShortHash, Arc<Member>>,
 }
 
-/// Where each other VM has told that it has work, so that what it tells next
-/// is taken in without a look at every upstream: before 3,000 of them, a beat
-/// is taken in within 10 µs in place of 285 (loop in a release build).
+/// The upstreams at which each other VM has last reported work, so that its
+/// next report is applied without visiting every upstream: with 3,000
+/// upstreams, a heartbeat is applied within 10 µs instead of 285 µs (loop in a
+/// release build).
 #[derive(Debug, Default)]
 struct PeerWorkIndex {
     upstreams_by_vm: HashMap<String, Vec<ShortHash>>,
@@ -150,7 +155,8 @@
 }
 
 impl PeerWorkIndex {
-    /// Whether what is old is to be forgotten once more.
+    /// Whether expired work should be removed now; if so, restarts the
+    /// interval.
     fn is_due(&mut self, now: BootInstant) -> bool {
         let is_due = self.expired_at.is_none_or(|at| {
             now.saturating_duration_since(at) >= EXPIRY_INTERVAL
@@ -168,19 +174,20 @@
     vm: String,
     data_hall: DataHallId,
     slack: WarmUpSlack,
-    /// How the upstreams of each service that has a bound warm up.
+    /// Warm-up settings of each service that limits requests to cold
+    /// upstreams.
     warm_ups: RwLock<HashMap<ServiceId, WarmUp>>,
     roster: RwLock<Roster>,
     members: RwLock<Arc<Members>>,
-    /// Data halls whose upstreams are to get no requests.
+    /// Data halls whose upstreams receive no new requests.
     evacuated: RwLock<HashSet<DataHallId>>,
     links: Mutex<HashMap<DataHallId, Arc<HallLink>>>,
-    /// The mean time that a prompt takes to be read, in microseconds.
+    /// Moving average of the prefill time of a prompt, in microseconds.
     mean_prefill_us: AtomicU32,
-    /// What the other VMs are to hear of.
+    /// What is due to be reported to the other VMs.
     outbox: Mutex<GossipOutbox>,
     peer_work: Mutex<PeerWorkIndex>,
-    /// What lives that are not listed have said of themselves.
+    /// Reported state of incarnations that are not in the pool.
     unlisted: Mutex<UnlistedStates>,
 }
 
@@ -203,11 +210,11 @@
         }
     }
 
-    /// Takes in the record of an upstream, new or changed; returns whether it
-    /// began a life that was not known before.
+    /// Adds or updates the record of an upstream; returns whether this began
+    /// an incarnation that was not known before.
     ///
-    /// Nothing that is known of one life is kept for the next. An earlier one
-    /// is never believed again, however late it is told of.
+    /// Nothing that is known of one incarnation carries over to the next. A
+    /// record of an earlier incarnation is ignored, however late it arrives.
     pub fn set(&self, entry: UpstreamEntry, now: BootInstant) -> bool {
         let known = self.member(&entry.id);
         let Some(known) = known else {
@@ -243,15 +250,21 @@
         });
     }
 
-    /// Notes that an upstream's record is gone.
+    /// Handles the deletion of an upstream's record.
     ///
-    /// `is_sure` says whether the store has been well for long enough that
-    /// this can only mean that the upstream leaves.
-    pub fn remove(&self, id: &UpstreamId, is_sure: bool, now: BootInstant) {
+    /// `is_confirmed` says whether the store has been healthy for long enough
+    /// that the deletion can only mean that the upstream is leaving.
+    pub fn remove(
+        &self,
+        id: &UpstreamId,
+        is_confirmed: bool,
+        now: BootInstant,
+    ) {
         let Some(member) = self.member(id) else { return };
-        if is_sure {
+        if is_confirmed {
             member.upstream.mark_leaving();
-            // Its record may only have lapsed.
+            // The record may merely have expired, so the reported state is
+            // kept in case it returns.
             let state = member.upstream.reported_state.clone();
             let mut unlisted = self.unlisted.lock().expect("unlisted lock");
             unlisted.keep(member.upstream.short_hash, state, now);
@@ -264,7 +277,8 @@
         vanished.get_or_insert(now);
     }
 
-    /// Forgets upstreams that vanished and did not come back.
+    /// Removes upstreams whose record vanished and did not return within the
+    /// grace period; returns their names.
     pub fn sweep(&self, now: BootInstant) -> Vec<UpstreamId> {
         let gone: Vec<UpstreamId> = self
             .all()
@@ -283,27 +297,28 @@
         gone
     }
 
-    /// Notes that a VM of a data hall was heard, so that the way there is open
-    /// and failures to connect are the upstreams' own.
+    /// Records a heartbeat from a VM in a data hall: the link to the hall is
+    /// up, and failures to connect are the fault of single upstreams.
     pub fn record_hall_heartbeat(&self, hall: &DataHallId, now: BootInstant) {
         self.link(hall).record_heartbeat(now);
     }
 
-    /// Sends no more requests to the upstreams of a data hall; returns
-    /// whether that is news. What they have begun goes on to its end.
+    /// Stops sending requests to the upstreams of a data hall; returns whether
+    /// it was not evacuated before. Requests in flight run to completion.
     pub fn evacuate(&self, hall: &DataHallId) -> bool {
         let mut evacuated = self.evacuated.write().expect("halls lock");
         evacuated.insert(hall.clone())
     }
 
-    /// Lets the upstreams of a data hall have requests again; returns whether
-    /// that is news.
+    /// Resumes sending requests to the upstreams of a data hall; returns
+    /// whether it was evacuated.
     ///
-    /// They may have turned cold just before, and their records say so up to
-    /// a heartbeat later: until then they are taken for cold.
+    /// The upstreams may have gone cold just before, which their records show
+    /// up to a heartbeat later; until then they are treated as cold.
     pub fn end_evacuation(&self, hall: &DataHallId, now: BootInstant) -> bool {
-        let is_news = self.evacuated.write().expect("halls lock").remove(hall);
-        if is_news {
+        let was_evacuated =
+            self.evacuated.write().expect("halls lock").remove(hall);
+        if was_evacuated {
             let members = self.all();
             let there = members.iter().filter(|m| m.entry.data_hall == *hall);
             for member in there {
@@ -312,11 +327,11 @@
                 }
             }
         }
-        is_news
+        was_evacuated
     }
 
-    /// Takes in how the upstreams of each service warm up, where the operators
-    /// state a bound.
+    /// Sets the warm-up settings of the services for which operators limit
+    /// requests to cold upstreams.
     pub fn set_warm_ups(&self, warm_ups: HashMap<ServiceId, WarmUp>) {
         *self.warm_ups.write().expect("warm-up lock") = warm_ups;
     }
@@ -326,17 +341,18 @@
         warm_ups.get(service).copied()
     }
 
-    /// Notes that the store records a VM.
+    /// Adds a VM that is recorded in the store.
     pub fn add_vm(&self, vm: &str, hall: &DataHallId) {
         self.roster.write().expect("roster lock").add(vm, hall);
     }
 
-    /// Notes that the store no longer records a VM.
+    /// Removes a VM that is no longer recorded in the store.
     pub fn remove_vm(&self, vm: &str) {
         self.roster.write().expect("roster lock").remove(vm);
     }
 
-    /// Whether an upstream that is cold may have one more request of this VM.
+    /// Whether this VM's share of the warm-up limit allows another request to
+    /// a cold upstream.
     fn may_send_cold(
         &self,
         member: &Member,
@@ -344,10 +360,11 @@
         now: BootInstant,
     ) -> bool {
         let roster = self.roster.read().expect("roster lock");
-        let (short, hall) =
+        let (short_hash, hall) =
             (member.upstream.short_hash, &member.entry.data_hall);
         let most = warm_up.max_requests(self.slack);
-        let share = warm_up::vm_share(&roster, &self.vm, short, hall, most);
+        let share =
+            warm_up::vm_share(&roster, &self.vm, short_hash, hall, most);
         member
             .cold_sends
             .lock()
@@ -355,17 +372,17 @@
             .has_capacity(share, now)
     }
 
-    /// How long an upstream is to get no request of this VM, by what it has
-    /// asked for; zero if it may have one.
+    /// How long this VM must not send requests to an upstream, because of its
+    /// `Retry-After` or rate limit; zero if it may send one now.
     pub fn backoff(&self, member: &Member, now: BootInstant) -> Duration {
         member.backoff_left(now).max(self.rate_limit_wait(member, now))
     }
 
     fn rate_limit_wait(&self, member: &Member, now: BootInstant) -> Duration {
-        let (short, hall) =
+        let (short_hash, hall) =
             (member.upstream.short_hash, &member.entry.data_hall);
         let state = &member.upstream.reported_state;
-        state.rate_limit_wait(&self.roster, &self.vm, short, hall, now)
+        state.rate_limit_wait(&self.roster, &self.vm, short_hash, hall, now)
     }
 
     fn link(&self, hall: &DataHallId) -> Arc<HallLink> {
@@ -373,16 +390,17 @@
         links.entry(hall.clone()).or_default().clone()
     }
 
-    /// Whether the data hall of an upstream seems cut off. This VM's own never
-    /// does: when its upstreams cannot be reached, they are at fault.
+    /// Whether the data hall of an upstream seems to be partitioned from this
+    /// VM. The VM's own hall never does: if its upstreams cannot be reached,
+    /// the fault is theirs.
     fn is_partitioned(&self, member: &Member, now: BootInstant) -> bool {
         member.entry.data_hall != self.data_hall
             && member.link.is_partitioned(now)
     }
 
-    /// Whether an upstream, of which something has been awaited for `waited`,
-    /// has been silent for too long to expect more from it; `limit` holds
-    /// while the way to its data hall is open.
+    /// Whether an upstream from which a response has been awaited for `waited`
+    /// has been silent for too long to expect one. `limit` applies while the
+    /// link to its data hall is up.
     pub fn seems_dead(
         &self,
         member: &Member,
@@ -394,30 +412,31 @@
             true => limit.min(PARTITION_SILENCE),
             false => limit,
         };
-        // One that nothing was asked of has a right to be silent.
+        // An upstream that had nothing to answer may be silent.
         member.silence(now).min(waited) >= limit
     }
 
-    /// One upstream.
+    /// Returns the upstream with this name.
     pub fn member(&self, id: &UpstreamId) -> Option<Arc<Member>> {
         self.members().by_id.get(id).cloned()
     }
 
-    /// All upstreams.
+    /// Returns all upstreams.
     pub fn all(&self) -> Vec<Arc<Member>> {
         self.members().by_id.values().cloned().collect()
     }
 
-    /// The upstreams of a service.
+    /// Returns the upstreams of a service.
     pub fn of_service(&self, service: &ServiceId) -> Vec<Arc<Member>> {
         self.members().by_service.get(service).cloned().unwrap_or_default()
     }
 
-    /// Chooses the upstream for one attempt.
+    /// Picks the upstream for one attempt, and counts the request against its
+    /// warm-up, backoff and rate limits.
     ///
     /// # Errors
     ///
-    /// A [`PickError`] when none may take it.
+    /// Returns a [`PickError`] if no upstream may take the request.
     pub fn pick(
         &self,
         service: &ServiceId,
@@ -427,7 +446,7 @@
         let members = self.members();
         let eligible = self.candidates(&members, service, criteria, now)?;
         let chosen = match criteria.affinity {
-            Some(prompt) => self.shortest_wait(prompt, &eligible, now),
+            Some(affinity) => self.shortest_wait(affinity, &eligible, now),
             None => self.least_utilized(&eligible, now),
         };
         if chosen.is_cold(now) {
@@ -437,7 +456,8 @@
         Ok(chosen.clone())
     }
 
-    /// Whether there is an upstream for one more attempt.
+    /// Whether [`Pool::pick`] would find an upstream, without counting a
+    /// request.
     pub fn can_pick(
         &self,
         service: &ServiceId,
@@ -447,7 +467,8 @@
         self.candidates(&self.members(), service, criteria, now).is_ok()
     }
 
-    /// The upstreams among which an attempt may choose.
+    /// Returns the upstreams from which an attempt may pick, or the reason why
+    /// there are none.
     fn candidates<'a>(
         &self,
         members: &'a Members,
@@ -467,8 +488,8 @@
         Ok(eligible)
     }
 
-    /// The upstreams of `all` that may take a request, the sound ones if there
-    /// are any.
+    /// Returns the upstreams of `all` that may take a request: the healthy
+    /// ones, or all of them if none is healthy.
     fn eligible<'a>(
         &self,
         all: &'a [Arc<Member>],
@@ -490,8 +511,9 @@
         if eligible.is_empty() {
             return Err(PickError::Evacuated);
         }
-        // Before what is open only for now: a version on trial gets its share
-        // also while the others can take no more.
+        // This comes before the temporary exclusions below, so that a version
+        // on trial gets no more than its share while the upstreams of other
+        // versions back off or are full.
         let eligible = without_avoided(eligible, &criteria.rule);
         if eligible.is_empty() {
             return Err(PickError::NoCandidate);
@@ -507,12 +529,13 @@
         let is_healthy = |member: &&Arc<Member>| {
             member.health.is_healthy(now) && !self.is_partitioned(member, now)
         };
-        let sound: Vec<&Arc<Member>> =
+        let healthy: Vec<&Arc<Member>> =
             eligible.iter().copied().filter(is_healthy).collect();
-        Ok(if sound.is_empty() { eligible } else { sound })
+        Ok(if healthy.is_empty() { eligible } else { healthy })
     }
 
-    /// Whether an upstream whose life is not among `tried` may take a request.
+    /// Whether an upstream whose incarnation is not among `tried` may take a
+    /// request.
     pub fn has_untried(
         &self,
         service: &ServiceId,
@@ -529,8 +552,8 @@
         })
     }
 
-    /// The time until the first upstream of a service may get a request, if
-    /// all of them have asked for fewer.
+    /// The time until the first upstream of a service may be sent a request,
+    /// if all of them have asked to back off.
     pub fn service_backoff(
         &self,
         service: &ServiceId,
@@ -542,8 +565,10 @@
         self.without_backoff(self.without_evacuated(taking), now).err()
     }
 
-    /// Leaves out the upstreams that are to get no request now; the time that
-    /// the first of them has left if none else is there.
+    /// Excludes the upstreams that must not be sent a request now.
+    ///
+    /// If that excludes all, returns the shortest remaining backoff as the
+    /// error.
     fn without_backoff<'a>(
         &self,
         eligible: Vec<&'a Arc<Member>>,
@@ -565,20 +590,20 @@
         }
     }
 
-    /// Leaves out the upstreams of data halls that are evacuated.
+    /// Excludes the upstreams of evacuated data halls.
     fn without_evacuated<'a>(
         &self,
         eligible: Vec<&'a Arc<Member>>,
     ) -> Vec<&'a Arc<Member>> {
         let evacuated = self.evacuated.read().expect("halls lock");
-        let is_left = |member: &&Arc<Member>| {
+        let is_kept = |member: &&Arc<Member>| {
             !evacuated.contains(&member.entry.data_hall)
         };
-        eligible.into_iter().filter(is_left).collect()
+        eligible.into_iter().filter(is_kept).collect()
     }
 
-    /// Leaves out the upstreams that are cold and not to get one more request
-    /// of this VM.
+    /// Excludes the cold upstreams to which this VM may not send another
+    /// request.
     fn without_cold<'a>(
         &self,
         eligible: Vec<&'a Arc<Member>>,
@@ -592,69 +617,73 @@
         eligible.into_iter().filter(may_take).collect()
     }
 
-    /// The least full, another data hall counting as a little fuller.
+    /// Returns the least utilized upstream, with penalties for recent failures
+    /// and for other data halls.
     fn least_utilized<'a>(
         &self,
         eligible: &[&'a Arc<Member>],
         now: BootInstant,
     ) -> &'a Arc<Member> {
-        let fill = |member: &Arc<Member>| {
+        let score = |member: &Arc<Member>| {
             let is_near = member.entry.data_hall == self.data_hall;
-            let way = if is_near { 0.0 } else { OTHER_HALL_UTILIZATION };
-            // Slightly shuffled, so that VMs that know the same do not all
-            // go to the same place.
+            let distance = if is_near { 0.0 } else { OTHER_HALL_UTILIZATION };
+            // A little random noise keeps VMs with the same view from all
+            // choosing the same upstream.
             let risk = member.health.failure_chance(now) * FAILURE_UTILIZATION;
-            member.utilization(now) + risk + way + rand::random::<f64>() * 0.02
+            member.utilization(now)
+                + risk
+                + distance
+                + rand::random::<f64>() * 0.02
         };
-        let filled = eligible.iter().map(|member| (fill(member), *member));
-        let least = filled.min_by(|a, b| a.0.total_cmp(&b.0));
+        let scored = eligible.iter().map(|member| (score(member), *member));
+        let least = scored.min_by(|a, b| a.0.total_cmp(&b.0));
         least.expect("there is an eligible upstream").1
     }
 
-    /// The one that can begin with the prompt first: what others have it
-    /// read, and the prompt itself where it is not in memory.
+    /// Returns the upstream that can start generating first, by its prefill
+    /// backlog and the prefill of this prompt where its prefix is not cached.
     ///
-    /// Every VM finds the same order of upstreams for a prompt, so the first
-    /// of them is likely to have it.
+    /// Every VM derives the same order of upstreams for a prefix (rendezvous
+    /// hashing), so the first ones are likely to have it cached.
     fn shortest_wait<'a>(
         &self,
-        prompt: PrefixAffinity,
+        affinity: PrefixAffinity,
         eligible: &[&'a Arc<Member>],
         now: BootInstant,
     ) -> &'a Arc<Member> {
         let mut order: Vec<&'a Arc<Member>> = eligible.to_vec();
         order.sort_by_cached_key(|member| {
             let id = u64::from(member.upstream.short_hash.0);
-            std::cmp::Reverse(rendezvous::mix(prompt.prefix_hash, id))
+            std::cmp::Reverse(rendezvous::mix(affinity.prefix_hash, id))
         });
-        let away = prompt.cache_miss_cost;
-        let wait = |place: usize, member: &Arc<Member>| {
-            let read = match place {
+        let miss_cost = affinity.cache_miss_cost;
+        let wait = |rank: usize, member: &Arc<Member>| {
+            let prefill = match rank {
                 0 => Duration::ZERO,
-                1 => away.mul_f64(SECOND_CHOICE_MISS_SHARE),
-                _ => away,
+                1 => miss_cost.mul_f64(SECOND_CHOICE_MISS_SHARE),
+                _ => miss_cost,
             };
             let running = RUNNING_REQUEST_COST * member.requests(now);
             let risk = FAILURE_COST.mul_f64(member.health.failure_chance(now));
-            member.prefill_backlog(now) + running + read + risk
+            member.prefill_backlog(now) + running + prefill + risk
         };
         let waits = order
             .iter()
             .enumerate()
-            .map(|(place, member)| (wait(place, member), *member));
+            .map(|(rank, member)| (wait(rank, member), *member));
         let least = waits.min_by_key(|(wait, _)| *wait);
         least.expect("there is an eligible upstream").1
     }
 
-    /// Takes in the time that one more prompt is expected to take to be read.
+    /// Adds the expected prefill time of one prompt to the moving average.
     pub fn record_expected_prefill(&self, expected: Duration) {
         let us = u32::try_from(expected.as_micros()).unwrap_or(u32::MAX);
-        let held = self.mean_prefill_us.load(Ordering::Relaxed);
-        let mean = match held {
+        let current = self.mean_prefill_us.load(Ordering::Relaxed);
+        let mean = match current {
             0 => f64::from(us),
-            held => {
-                let held = f64::from(held);
-                held + (f64::from(us) - held) * MEAN_PREFILL_WEIGHT
+            current => {
+                let current = f64::from(current);
+                current + (f64::from(us) - current) * MEAN_PREFILL_WEIGHT
             }
         };
         self.mean_prefill_us.store(mean as u32, Ordering::Relaxed);
@@ -665,8 +694,9 @@
         Duration::from_micros(us.into())
     }
 
-    /// Whether an upstream has failed lately while most of those with its
-    /// software have not, so that its failures say nothing of the software.
+    /// Whether an upstream has failed recently while most upstreams with the
+    /// same software have not, so that its failures are no evidence against
+    /// the software.
     pub fn is_isolated_failure(
         &self,
         member: &Member,
@@ -693,8 +723,8 @@
         &self,
         change: impl FnOnce(&mut HashMap<UpstreamId, Arc<Member>>),
     ) {
-        let mut held = self.members.write().expect("members lock");
-        let mut by_id = held.by_id.clone();
+        let mut current = self.members.write().expect("members lock");
+        let mut by_id = current.by_id.clone();
         change(&mut by_id);
         let mut by_service: HashMap<ServiceId, Vec<Arc<Member>>> =
             HashMap::new();
@@ -702,14 +732,15 @@
             let service = member.entry.service.clone();
             by_service.entry(service).or_default().push(member.clone());
         }
-        let by_short = by_id.values();
-        let by_short =
-            by_short.map(|m| (m.upstream.short_hash, m.clone())).collect();
-        *held = Arc::new(Members { by_id, by_service, by_short });
+        let by_short_hash = by_id.values();
+        let by_short_hash = by_short_hash
+            .map(|m| (m.upstream.short_hash, m.clone()))
+            .collect();
+        *current = Arc::new(Members { by_id, by_service, by_short_hash });
     }
 }
 
-/// Whether an upstream takes requests and was not asked.
+/// Whether an upstream takes new requests and was not tried before.
 fn is_eligible(
     member: &Member,
     tried: &[ShortHash],
@@ -718,7 +749,7 @@
     member.takes_requests(now) && !tried.contains(&member.upstream.short_hash)
 }
 
-/// Leaves out the upstreams whose software is to be avoided.
+/// Excludes the upstreams whose software version is to be avoided.
 fn without_avoided<'a>(
     eligible: Vec<&'a Arc<Member>>,
     rule: &VersionRule,
@@ -732,7 +763,7 @@
     if kept.is_empty() && or_else_all { eligible } else { kept }
 }
 
-/// Keeps the upstreams whose software is preferred, if there are any.
+/// Keeps the upstreams that run the preferred version, if there are any.
 fn preferred<'a>(
     eligible: Vec<&'a Arc<Member>>,
     rule: &VersionRule,
@@ -742,7 +773,7 @@
     if kept.is_empty() { eligible } else { kept }
 }
 
-/// The upstreams that run a version, or those that don't.
+/// Returns the upstreams that run a version, or those that run another one.
 fn of_version<'a>(
     eligible: &[&'a Arc<Member>],
     version: &VersionId,
--- a/src/placing/pool/gossip.rs
+++ b/src/placing/pool/gossip.rs
@@ -1,5 +1,5 @@
-//! What the VMs tell each other of upstreams, and what upstreams say of
-//! themselves.
+//! Applies what upstreams report about themselves in responses, and exchanges
+//! it with the other VMs.
 
 use std::{
     collections::HashSet, sync::Arc, sync::atomic::Ordering, time::Duration,
@@ -21,49 +21,50 @@
 };
 
 impl Pool {
-    /// Takes in what an upstream says of itself in its answer to what was
-    /// sent at `sent_at`; returns what is news.
+    /// Applies the signals in the response to a request that was sent at
+    /// `sent_at`; returns what has changed.
     pub fn apply_signals(
         &self,
         member: &Member,
-        statement: &UpstreamSignals,
+        signals: &UpstreamSignals,
         sent_at: BootInstant,
         now: BootInstant,
     ) -> Vec<ReportedChange> {
         let life = member.upstream.short_hash;
         let was_leaving = member.upstream.is_leaving();
         let state = &member.upstream.reported_state;
-        let mut news = state.apply(statement, rand::random(), sent_at, now);
-        if news.contains(&ReportedChange::Leaving) {
+        let mut changes = state.apply(signals, rand::random(), sent_at, now);
+        if changes.contains(&ReportedChange::Leaving) {
             self.report_leaving(life, now);
         }
-        // Its record or another VM may have said so before.
-        news.retain(|one| *one != ReportedChange::Leaving || !was_leaving);
-        self.report_rate_limit(life, statement, &news, now);
-        if let Some(load) = statement.load {
-            self.note_load(member, load, now);
+        // The store or another VM may have reported this before.
+        changes.retain(|one| *one != ReportedChange::Leaving || !was_leaving);
+        self.report_rate_limit(life, signals, &changes, now);
+        if let Some(load) = signals.load {
+            self.record_load(member, load, now);
         }
-        news
+        changes
     }
 
-    /// Has the other VMs told of a rate limit, each time that it is named and
-    /// when it has ended.
+    /// Queues a rate limit for gossip, each time that it is stated and when it
+    /// is lifted.
     fn report_rate_limit(
         &self,
         life: ShortHash,
-        statement: &UpstreamSignals,
-        news: &[ReportedChange],
+        signals: &UpstreamSignals,
+        changes: &[ReportedChange],
         now: BootInstant,
     ) {
-        let rate = statement.rate_limit.as_ref().and_then(RateLimit::rate);
-        if rate.is_some() || news.contains(&ReportedChange::RateLimitLifted) {
+        let rate = signals.rate_limit.as_ref().and_then(RateLimit::rate);
+        if rate.is_some() || changes.contains(&ReportedChange::RateLimitLifted)
+        {
             let mut outbox = self.outbox.lock().expect("outbox lock");
             outbox.add_rate_limit(life, rate, now, true, now);
         }
     }
 
-    /// The rate limits that the other VMs are to hear of: those of the own
-    /// data hall, or of the others.
+    /// Returns the rate limits that are due for gossip, to the VMs of this
+    /// data hall or to those of other halls.
     pub(crate) fn take_rate_limits(
         &self,
         for_own_hall: bool,
@@ -75,68 +76,74 @@
             .take_rate_limits(for_own_hall, now)
     }
 
-    /// Takes in which rate limits another VM has told of, and tells them on;
-    /// returns what is news.
+    /// Applies the rate limits that another VM reports and passes them on;
+    /// returns what has changed.
     pub(crate) fn apply_peer_rate_limits(
         &self,
-        told: &[RateLimitReport],
-        is_near: bool,
+        reports: &[RateLimitReport],
+        from_own_hall: bool,
         now: BootInstant,
     ) -> Vec<(Arc<Member>, ReportedChange)> {
         let members = self.members();
-        let mut news = Vec::new();
-        for one in told {
-            let age = Duration::from_millis(one.age_ms.into());
+        let mut changes = Vec::new();
+        for report in reports {
+            let age = Duration::from_millis(report.age_ms.into());
             let Some(at) = now.checked_sub(age) else { continue };
-            let Some(member) = members.by_short.get(&one.upstream) else {
+            let Some(member) = members.by_short_hash.get(&report.upstream)
+            else {
                 let mut unlisted =
                     self.unlisted.lock().expect("unlisted lock");
-                unlisted.note(one.upstream, now, |state| {
-                    state.update_rate_limit(one.rate, at, rand::random(), now);
+                unlisted.update(report.upstream, now, |state| {
+                    state.update_rate_limit(
+                        report.rate,
+                        at,
+                        rand::random(),
+                        now,
+                    );
                 });
                 continue;
             };
             let state = &member.upstream.reported_state;
             let change =
-                state.update_rate_limit(one.rate, at, rand::random(), now);
-            // A VM of the own hall has told all of it.
-            let for_own_hall = change.is_some() && !is_near;
+                state.update_rate_limit(report.rate, at, rand::random(), now);
+            // A VM of this data hall has reported it to all others here.
+            let for_own_hall = change.is_some() && !from_own_hall;
             let mut outbox = self.outbox.lock().expect("outbox lock");
             outbox.add_rate_limit(
-                one.upstream,
-                one.rate,
+                report.upstream,
+                report.rate,
                 at,
                 for_own_hall,
                 now,
             );
-            news.extend(change.map(|change| (member.clone(), change)));
+            changes.extend(change.map(|change| (member.clone(), change)));
         }
-        news
+        changes
     }
 
     fn report_leaving(&self, life: ShortHash, now: BootInstant) {
         self.outbox.lock().expect("outbox lock").add_leaving(life, now);
     }
 
-    /// The lives that are leaving which the other VMs are to hear of.
+    /// Returns the leaving incarnations that are due for gossip.
     pub fn take_leaving(&self, now: BootInstant) -> Vec<ShortHash> {
         self.outbox.lock().expect("outbox lock").take_leaving(now)
     }
 
-    /// Takes in which lives have said to another VM that they are leaving, and
-    /// tells them on; returns those of which that is news.
+    /// Applies the leaving incarnations that another VM reports and passes
+    /// them on; returns the members for which this is new.
     pub fn apply_peer_leaving(
         &self,
-        told: &[ShortHash],
+        reports: &[ShortHash],
         now: BootInstant,
     ) -> Vec<Arc<Member>> {
         let members = self.members();
-        let mut news = Vec::new();
-        for life in told {
-            let Some(member) = members.by_short.get(life) else {
+        let mut changes = Vec::new();
+        for life in reports {
+            let Some(member) = members.by_short_hash.get(life) else {
                 let mut unlisted =
                     self.unlisted.lock().expect("unlisted lock");
-                unlisted.note(*life, now, |state| {
+                unlisted.update(*life, now, |state| {
                     state.mark_leaving();
                 });
                 continue;
@@ -146,48 +153,50 @@
                 self.report_leaving(*life, now);
             }
             if !was_leaving {
-                news.push(member.clone());
+                changes.push(member.clone());
             }
         }
-        news
+        changes
     }
 
-    /// Takes in the load that an upstream states in an answer.
-    pub(super) fn note_load(
+    /// Applies the load that an upstream reports in a response, and queues it
+    /// for gossip if it is newer than the last one.
+    pub(super) fn record_load(
         &self,
         member: &Member,
         load: LoadReport,
         now: BootInstant,
     ) {
         if member.update_reported_load(load, self.mean_prefill(), now) {
-            let short = member.upstream.short_hash;
+            let short_hash = member.upstream.short_hash;
             self.outbox
                 .lock()
                 .expect("outbox lock")
-                .add_load(short, load, now);
+                .add_load(short_hash, load, now);
         }
     }
 
-    /// Takes what upstreams have stated to this VM since it was last taken.
+    /// Takes the loads that upstreams have reported to this VM since the last
+    /// call.
     pub fn take_loads(&self, now: BootInstant) -> Vec<UpstreamLoadReport> {
         self.outbox.lock().expect("outbox lock").take_loads(now)
     }
 
-    /// Takes in what upstreams have stated to another VM.
+    /// Applies loads that upstreams have reported to another VM.
     pub fn apply_peer_loads(
         &self,
-        stated: &[UpstreamLoadReport],
+        reported: &[UpstreamLoadReport],
         now: BootInstant,
     ) {
         let each = self.mean_prefill();
         let members = self.members();
-        for told in stated {
-            let member = members.by_short.get(&told.upstream);
-            let age = Duration::from_millis(told.age_ms.into());
+        for report in reported {
+            let member = members.by_short_hash.get(&report.upstream);
+            let age = Duration::from_millis(report.age_ms.into());
             if let (Some(member), Some(at)) = (member, now.checked_sub(age)) {
                 let load = LoadReport {
-                    running: told.running.into(),
-                    waiting: told.waiting.into(),
+                    running: report.running.into(),
+                    waiting: report.waiting.into(),
                 };
                 if member.update_reported_load(load, each, at) {
                     member
@@ -198,22 +207,22 @@
         }
     }
 
-    /// Takes in how an attempt ended, for the other VMs of the data hall;
-    /// returns whether they should hear of it at once.
+    /// Records the outcome of an attempt for the other VMs of the data hall;
+    /// returns whether they should be told at once.
     pub fn record_outcome(
         &self,
         member: &Member,
         outcome: AttemptOutcome,
         now: BootInstant,
     ) -> bool {
-        let short = member.upstream.short_hash;
+        let short_hash = member.upstream.short_hash;
         self.outbox
             .lock()
             .expect("outbox lock")
-            .record_outcome(short, outcome, now)
+            .record_outcome(short_hash, outcome, now)
     }
 
-    /// Takes the failures that the others are to hear of.
+    /// Takes the failures that are due to be reported to the other VMs.
     pub fn take_failures(
         &self,
         now: BootInstant,
@@ -221,27 +230,28 @@
         self.outbox.lock().expect("outbox lock").take_failures(now)
     }
 
-    /// Takes in the failures that another VM of the data hall has seen;
-    /// returns the upstreams that are unfit by now.
+    /// Applies failures that another VM of the data hall has seen; returns the
+    /// upstreams that became unhealthy.
     pub fn apply_peer_failures(
         &self,
-        told: &[UpstreamFailureReport],
+        reports: &[UpstreamFailureReport],
         now: BootInstant,
     ) -> Vec<UpstreamId> {
         let members = self.members();
-        let mut unfit = Vec::new();
-        for failure in told {
-            let Some(member) = members.by_short.get(&failure.upstream) else {
+        let mut unhealthy = Vec::new();
+        for failure in reports {
+            let Some(member) = members.by_short_hash.get(&failure.upstream)
+            else {
                 continue;
             };
             if member.health.record_from_peer(failure.verdict, now).is_some() {
-                unfit.push(member.entry.id.clone());
+                unhealthy.push(member.entry.id.clone());
             }
         }
-        unfit
+        unhealthy
     }
 
-    /// What this VM has at each upstream that has any of it.
+    /// Returns the work of this VM at each upstream where it has any.
     pub fn local_work(&self) -> Vec<(ShortHash, InFlightWork)> {
         let members = self.members();
         let bounded = |n: u32| u16::try_from(n).unwrap_or(u16::MAX);
@@ -257,7 +267,7 @@
         work.collect()
     }
 
-    /// Takes in what another VM has at each upstream.
+    /// Replaces the work that another VM has reported at each upstream.
     pub fn set_peer_work(
         &self,
         vm: &str,
@@ -267,7 +277,7 @@
         let members = self.members();
         let mut index = self.peer_work.lock().expect("peer work lock");
         let set = |upstream: &ShortHash, there: InFlightWork| {
-            if let Some(member) = members.by_short.get(upstream) {
+            if let Some(member) = members.by_short_hash.get(upstream) {
                 member.set_peer_work(vm, there, now);
             }
         };
--- a/src/placing/pool/replay.rs
+++ b/src/placing/pool/replay.rs
@@ -128,7 +128,7 @@
             let id = format!("i-{}", ended.engine).parse().unwrap();
             let pool = &vms[ended.vm].pool;
             if let (true, Some(member)) = (reads_stated, pool.member(&id)) {
-                pool.note_load(&member, stated, now);
+                pool.record_load(&member, stated, now);
             }
         }
         exchange(&vms, now_ms, now);
@@ -247,7 +247,7 @@
             pool.record_outcome(&member, verdict, now);
             if !fails {
                 let load = LoadReport { running: 1, waiting: 0 };
-                pool.note_load(&member, load, now);
+                pool.record_load(&member, load, now);
             }
         }
         if tells && now_ms.is_multiple_of(BEAT_GAP_MS) {
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -284,7 +284,7 @@
     there.record_expected_prefill(Duration::from_millis(100));
     let member = |pool: &Pool| pool.member(&"i-1".parse().unwrap()).unwrap();
     let load = LoadReport { running: 2, waiting: 6 };
-    here.note_load(&member(&here), load, now);
+    here.record_load(&member(&here), load, now);
     assert_eq!(member(&here).requests(now), 8);
     assert_eq!(member(&here).prefill_backlog(now), Duration::from_millis(600));
     assert_eq!(picks(&here, &PickCriteria::default(), now), ["i-2"]);
@@ -302,7 +302,7 @@
     assert_eq!(member(&there).requests(after(5000)), 0);
     // What is older than the last word changes nothing.
     let free = LoadReport { running: 0, waiting: 0 };
-    there.note_load(&member(&there), free, later);
+    there.record_load(&member(&there), free, later);
     there.apply_peer_loads(&told, after(600));
     assert_eq!(member(&there).requests(later), 0);
 }
--- a/src/placing/reported_state.rs
+++ b/src/placing/reported_state.rs
@@ -282,7 +282,7 @@
 
 #[derive(Debug)]
 struct Unlisted {
-    word: Arc<ReportedState>,
+    state: Arc<ReportedState>,
     since: BootInstant,
 }
 
@@ -291,32 +291,32 @@
     pub(super) fn keep(
         &mut self,
         life: ShortHash,
-        word: Arc<ReportedState>,
+        state: Arc<ReportedState>,
         now: BootInstant,
     ) {
         self.0.retain(|_, kept| {
             now.saturating_duration_since(kept.since) < UNLISTED_LIFETIME
         });
-        if self.0.len() < MAX_UNLISTED && word.is_in_force(now) {
-            self.0.insert(life, Unlisted { word, since: now });
+        if self.0.len() < MAX_UNLISTED && state.is_in_force(now) {
+            self.0.insert(life, Unlisted { state, since: now });
         }
     }
 
     /// Takes the word of a life that is listed, again or at last.
     pub(super) fn take(&mut self, life: ShortHash) -> Arc<ReportedState> {
-        self.0.remove(&life).map(|kept| kept.word).unwrap_or_default()
+        self.0.remove(&life).map(|kept| kept.state).unwrap_or_default()
     }
 
     /// Notes what another VM has told of a life.
-    pub(super) fn note(
+    pub(super) fn update(
         &mut self,
         life: ShortHash,
         now: BootInstant,
-        note: impl FnOnce(&ReportedState),
+        update: impl FnOnce(&ReportedState),
     ) {
-        let word = self.take(life);
-        note(&word);
-        self.keep(life, word, now);
+        let state = self.take(life);
+        update(&state);
+        self.keep(life, state, now);
     }
 }
 
