--- a/src/placing/admission.rs
+++ b/src/placing/admission.rs
@@ -61,8 +61,8 @@
 const RETRY_AFTER_FROM: f64 = 0.5;
 const RETRY_AFTER_SPREAD: f64 = 1.0;
 
-/// Jitter added to a backoff of all upstreams when it is passed on to callers,
-/// as a share of the backoff and at least.
+/// Jitter added to the backoff of upstreams when it is passed on to callers,
+/// as a share of the backoff, and its minimum.
 const BACKOFF_JITTER_RATIO: f64 = 0.2;
 const MIN_BACKOFF_JITTER: Duration = Duration::from_millis(100);
 
--- a/src/placing/cascade/tests.rs
+++ b/src/placing/cascade/tests.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// What is done about an answer of the smallest model.
+/// The decision about a response of the smallest model.
 fn decide(
     confidence: u8,
     waiting: Duration,
@@ -40,11 +40,11 @@
     escalation_target(&input, &PrefillTimes::default(), waiting, now)
 }
 
-/// The largest confidence at which another model is asked, given time.
+/// The highest confidence that is escalated if there is enough time.
 const MAX_ESCALATED_CONFIDENCE: u8 = MIN_CONFIDENCE - 1;
 
 #[test]
-fn only_a_doubtful_answer_is_asked_again() {
+fn only_a_response_with_low_confidence_is_escalated() {
     let large = "large".parse().unwrap();
     assert_eq!(decide(10, Duration::ZERO, true), Ok(large));
     assert!(decide(MAX_ESCALATED_CONFIDENCE, Duration::ZERO, true).is_ok());
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn the_less_time_is_left_the_more_doubtful_it_must_be() {
+fn less_time_left_requires_a_lower_confidence_to_escalate() {
     let near = Duration::from_millis(1500);
     assert_eq!(
         decide(MAX_ESCALATED_CONFIDENCE, near, true),
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn the_largest_model_has_the_last_word() {
+fn a_response_of_the_largest_model_is_never_escalated() {
     let now = BootInstant::now();
     let input = EscalationInput {
         route: &route(),
@@ -81,12 +81,12 @@
         tokens: 1000,
     };
     let times = PrefillTimes::default();
-    let kept = escalation_target(&input, &times, Duration::ZERO, now);
-    assert_eq!(kept, Err(NoEscalation::Largest));
+    let decision = escalation_target(&input, &times, Duration::ZERO, now);
+    assert_eq!(decision, Err(NoEscalation::Largest));
 }
 
 #[test]
-fn reading_times_are_learned_and_short_prompts_say_little() {
+fn prefill_times_are_learned_and_short_prompts_are_ignored() {
     let times = PrefillTimes::default();
     let model = "large".parse().unwrap();
     for _ in 0..50 {
--- a/src/placing/hall_link.rs
+++ b/src/placing/hall_link.rs
@@ -65,10 +65,10 @@
         state.record_activity(now);
         if let Some(before) = state.heartbeat_at.replace(now) {
             let interval = now.saturating_duration_since(before);
-            let usual = state.heartbeat_interval.unwrap_or(interval);
-            let decayed = usual.mul_f64(INTERVAL_DECAY)
+            let mean = state.heartbeat_interval.unwrap_or(interval);
+            let updated = mean.mul_f64(INTERVAL_DECAY)
                 + interval.mul_f64(1.0 - INTERVAL_DECAY);
-            state.heartbeat_interval = Some(decayed);
+            state.heartbeat_interval = Some(updated);
         }
     }
 
--- a/src/placing/hall_link/tests.rs
+++ b/src/placing/hall_link/tests.rs
@@ -2,7 +2,7 @@
 
 const HEARTBEAT: Duration = Duration::from_millis(100);
 
-/// A way on which beats came for a while, and the time of the last.
+/// A link on which heartbeats arrived for a while, and the time of the last.
 fn link_with_heartbeats(interval: Duration) -> (HallLink, BootInstant) {
     let link = HallLink::default();
     let mut now = BootInstant::now();
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_hall_that_falls_silent_is_cut_off_until_something_is_heard() {
+fn a_silent_hall_is_partitioned_until_something_arrives() {
     let (link, last) = link_with_heartbeats(HEARTBEAT);
     assert!(!link.is_partitioned(last + MIN_SILENCE));
     let silent = last + MIN_SILENCE + HEARTBEAT;
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn an_upstream_that_is_heard_keeps_the_way_open_without_beats() {
+fn upstream_activity_keeps_the_link_up_without_heartbeats() {
     let (link, mut now) = link_with_heartbeats(HEARTBEAT);
     for _ in 0..30 {
         now += Duration::from_millis(500);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn beats_that_are_rare_are_missed_later() {
+fn rare_heartbeats_allow_a_longer_silence() {
     let rare = Duration::from_secs(1);
     let (link, last) = link_with_heartbeats(rare);
     assert!(!link.is_partitioned(last + rare * 4));
@@ -51,13 +51,13 @@
 }
 
 #[test]
-fn connections_that_cannot_be_opened_cut_it_off_for_a_while() {
+fn connection_failures_partition_a_hall_for_a_while() {
     let link = HallLink::default();
     let now = BootInstant::now();
     for _ in 1..PARTITION_FAILURES {
         link.record_connect_failure(now);
     }
-    assert!(!link.is_partitioned(now), "one says nothing");
+    assert!(!link.is_partitioned(now), "one is not enough");
     link.record_connect_failure(now);
     assert!(link.is_partitioned(now));
     assert!(!link.is_partitioned(now + PARTITION_PAUSE));
--- a/src/placing/health/tests.rs
+++ b/src/placing/health/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn one_failure_says_nothing_and_three_in_a_row_do() {
+fn three_consecutive_failures_eject_and_fewer_do_not() {
     let now = BootInstant::now();
     let health = Health::new(now);
     assert_eq!(health.record(AttemptOutcome::Failed, now), None);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_connection_that_cannot_be_opened_says_enough() {
+fn one_connection_failure_ejects() {
     let now = BootInstant::now();
     let health = Health::new(now);
     let change = health.record(AttemptOutcome::Unreachable, now);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn failing_a_part_of_the_requests_is_noticed() {
+fn a_high_failure_ratio_ejects() {
     let now = BootInstant::now();
     let health = Health::new(now);
     let changes = (0..20).filter_map(|number| {
@@ -39,11 +39,11 @@
 }
 
 #[test]
-fn an_answer_after_the_pause_brings_it_back() {
+fn a_success_after_the_ejection_restores() {
     let now = BootInstant::now();
     let health = Health::new(now);
     health.record(AttemptOutcome::Unreachable, now);
-    // An answer from before the ejection's end is old news.
+    // A response from before the end of the ejection does not count.
     assert_eq!(health.record(AttemptOutcome::Success, now), None);
     assert!(!health.is_healthy(now));
     let later = now + BASE_EJECTION;
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn failing_again_after_the_pause_doubles_it() {
+fn a_failure_after_the_ejection_doubles_it() {
     let now = BootInstant::now();
     let health = Health::new(now);
     health.record(AttemptOutcome::Unreachable, now);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn failures_told_by_others_count_less_and_end_likewise() {
+fn failures_reported_by_peers_weigh_less_and_decay() {
     let now = BootInstant::now();
     let health = Health::new(now);
     assert_eq!(health.failure_chance(now), 0.0);
@@ -77,7 +77,7 @@
     let later = now + HALF_LIFE * 10;
     assert!(health.is_healthy(later));
     assert!(health.failure_chance(later) < 0.01);
-    // Answers that others tell of keep it fit.
+    // Successes that other VMs report keep it healthy.
     let answering = Health::new(now);
     for _ in 0..12 {
         answering.record_from_peer(AttemptOutcome::Success, now);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn two_that_cannot_connect_tell_enough() {
+fn two_connection_failures_reported_by_peers_eject() {
     let now = BootInstant::now();
     let health = Health::new(now);
     assert_eq!(
@@ -100,11 +100,11 @@
     assert_eq!(change, Some(HealthChange::Unhealthy));
 }
 
-/// Twenty upstreams of a new version, one of them faulty: by its failures
-/// alone the version would be taken back. Where the version is bad, each of
-/// its upstreams fails for a first time.
+/// Twenty upstreams of a new version, one of them faulty: its failures alone
+/// must not withdraw the version. If the version is faulty, each of its
+/// upstreams fails for the first time, and these failures count.
 #[test]
-fn a_faulty_upstream_is_told_from_a_bad_version() {
+fn a_faulty_upstream_is_distinguished_from_a_faulty_version() {
     let now = BootInstant::now();
     let counted = |is_bad: fn(usize) -> bool| {
         let upstreams: Vec<Health> =
--- a/src/placing/member.rs
+++ b/src/placing/member.rs
@@ -183,7 +183,7 @@
     /// on it between two reports, and heartbeats from other data halls are
     /// rare.
     ///
-    /// In the simulation in `pool::replay` (32 VMs, 32 engines), prompts wait
+    /// In the simulation in `pool::simulation` (32 VMs, 32 engines), prompts wait
     /// for 47 ms with this and 76 ms without at a load of 0.5, and for 95 and
     /// 195 ms at a load of 0.7.
     fn prefill_left_ms(&self, now: BootInstant) -> u32 {
@@ -351,7 +351,7 @@
     /// upstream itself has reported.
     ///
     /// In a large fleet, VMs of other data halls report rarely, so their
-    /// recent requests are unknown here. In the simulation in `pool::replay`,
+    /// recent requests are unknown here. In the simulation in `pool::simulation`,
     /// prompts wait for 44 ms with the reports of upstreams and 47 ms without
     /// at a load of 0.5, and for 78 and 95 ms at a load of 0.7.
     pub fn prefill_backlog(&self, now: BootInstant) -> Duration {
--- a/src/placing/owners/tests.rs
+++ b/src/placing/owners/tests.rs
@@ -4,7 +4,7 @@
     name.parse().unwrap()
 }
 
-/// So many VMs in each of three data halls.
+/// A roster with this many VMs in each of three data halls.
 fn roster(vms_of_hall: usize) -> Roster {
     let mut roster = Roster::default();
     for at in 0..vms_of_hall * 3 {
@@ -14,31 +14,31 @@
     roster
 }
 
-fn owners(roster: &Roster, upstream: u32, most: usize) -> Vec<&str> {
+fn owners(roster: &Roster, upstream: u32, max: usize) -> Vec<&str> {
     let names = roster.0.keys().map(String::as_str);
     let is_owner = |vm: &&str| {
         let upstream = ShortHash(upstream);
-        roster.owners(vm, upstream, &hall("a"), most).is_some()
+        roster.owners(vm, upstream, &hall("a"), max).is_some()
     };
     names.filter(is_owner).collect()
 }
 
 #[test]
-fn those_of_the_hall_come_first_and_others_make_up_the_number() {
+fn owners_are_chosen_from_the_hall_first_and_then_from_others() {
     let roster = roster(4);
     for upstream in 0..100 {
-        for most in [1, 3, 4, 6, 12, 40] {
-            let owners = owners(&roster, upstream, most);
-            assert_eq!(owners.len(), most.min(12));
+        for max in [1, 3, 4, 6, 12, 40] {
+            let owners = owners(&roster, upstream, max);
+            assert_eq!(owners.len(), max.min(12));
             let in_hall = |vm: &&&str| roster.0[**vm].data_hall == hall("a");
-            assert_eq!(owners.iter().filter(in_hall).count(), most.min(4));
+            assert_eq!(owners.iter().filter(in_hall).count(), max.min(4));
         }
     }
 }
 
-/// A rate that changes moves few requests to other VMs.
+/// A changed rate moves few requests to other VMs.
 #[test]
-fn fewer_owners_are_among_more() {
+fn a_smaller_set_of_owners_is_a_subset_of_a_larger_one() {
     let roster = roster(7);
     for upstream in 0..100 {
         let more = owners(&roster, upstream, 9);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn one_that_is_not_recorded_owns_nothing() {
+fn a_vm_without_a_record_owns_nothing() {
     let mut roster = roster(2);
     let (upstream, hall) = (ShortHash(7), hall("a"));
     assert_eq!(roster.owners("vm-new", upstream, &hall, 99), None);
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -52,7 +52,7 @@
 /// Cost of a failed attempt, as the extra wait that is accepted to avoid one:
 /// an attempt of the retry budget, and the time until the failure is detected.
 /// An upstream that fails immediately always looks idle, and would be the
-/// first choice of every VM. In the simulation in `replay` (32 VMs, 32
+/// first choice of every VM. In the simulation in `pool::simulation` (32 VMs, 32
 /// engines, four of which die), 72 attempts fail in the first second with this
 /// cost and 106 without; 39 if VMs also report failures to each other.
 const FAILURE_COST: Duration = Duration::from_millis(500);
@@ -788,10 +788,10 @@
 mod gossip;
 
 #[cfg(test)]
-mod backoff_replay;
-#[cfg(test)]
-mod replay;
+mod backoff_simulation;
 #[cfg(test)]
 mod signals_tests;
 #[cfg(test)]
+mod simulation;
+#[cfg(test)]
 mod tests;
--- a/src/placing/pool/signals_tests.rs
+++ b/src/placing/pool/signals_tests.rs
@@ -1,4 +1,5 @@
-//! What upstreams say of themselves, and the choice among them.
+//! Tests of what upstreams report in responses, and of the selection among
+//! them.
 
 use super::{
     tests::{entry, picks, pool},
@@ -13,60 +14,60 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn leaves() -> UpstreamSignals {
+fn leaving() -> UpstreamSignals {
     UpstreamSignals { is_leaving: true, ..UpstreamSignals::default() }
 }
 
-fn says(pool: &Pool, id: &str, statement: UpstreamSignals, now: BootInstant) {
+fn report(pool: &Pool, id: &str, signals: UpstreamSignals, now: BootInstant) {
     let member = pool.member(&id.parse().unwrap()).unwrap();
-    pool.apply_signals(&member, &statement, now, now);
+    pool.apply_signals(&member, &signals, now, now);
 }
 
-fn open(pool: &Pool, now: BootInstant) -> Vec<String> {
+fn picked(pool: &Pool, now: BootInstant) -> Vec<String> {
     picks(pool, &PickCriteria::default(), now)
 }
 
 #[test]
-fn one_that_says_that_it_leaves_gets_no_more() {
+fn an_upstream_that_reports_leaving_gets_no_more_requests() {
     let now = BootInstant::now();
     let pool = pool(&[entry("i-1", "a", "v1"), entry("i-2", "a", "v1")], now);
     let member = pool.member(&"i-1".parse().unwrap()).unwrap();
-    let news = pool.apply_signals(&member, &leaves(), now, now);
-    assert_eq!(news, [ReportedChange::Leaving]);
-    let news = pool.apply_signals(&member, &leaves(), now, now);
-    assert_eq!(news, [], "it says so in each answer");
-    assert_eq!(open(&pool, now), ["i-2"]);
+    let changes = pool.apply_signals(&member, &leaving(), now, now);
+    assert_eq!(changes, [ReportedChange::Leaving]);
+    let changes = pool.apply_signals(&member, &leaving(), now, now);
+    assert_eq!(changes, [], "every response repeats it");
+    assert_eq!(picked(&pool, now), ["i-2"]);
     let service = "writers".parse().unwrap();
     let tried = [ShortHash::of("i-2")];
     assert!(!pool.has_untried(&service, &tried, now));
 }
 
-/// Its record says `ready` until the store has taken its leave.
+/// Guards against a record that says `ready` until the store has been updated.
 #[test]
-fn its_record_that_is_read_again_does_not_bring_it_back() {
+fn a_stale_record_does_not_revoke_reported_leaving() {
     let now = BootInstant::now();
     for started in [None, Some(StartMs(5))] {
         let ready = UpstreamEntry { started, ..entry("i-1", "a", "v1") };
         let pool = pool(std::slice::from_ref(&ready), now);
-        says(&pool, "i-1", leaves(), now);
-        assert!(!pool.set(ready.clone(), now), "no life begins");
-        assert!(open(&pool, now).is_empty(), "read again");
-        // The record lapses, as the store takes it or loses it.
-        for is_sure in [true, false] {
-            pool.remove(&ready.id, is_sure, now);
+        report(&pool, "i-1", leaving(), now);
+        assert!(!pool.set(ready.clone(), now), "no incarnation begins");
+        assert!(picked(&pool, now).is_empty(), "record read again");
+        // The record expires, whether the store is known to be healthy or not.
+        for is_confirmed in [true, false] {
+            pool.remove(&ready.id, is_confirmed, now);
             pool.set(ready.clone(), now);
-            assert!(open(&pool, now).is_empty(), "lapsed and back");
+            assert!(picked(&pool, now).is_empty(), "expired and back");
         }
         pool.remove(&ready.id, false, now);
         let later = now + VANISHED_GRACE;
         assert_eq!(pool.sweep(later).len(), 1);
         pool.set(ready, later);
-        assert!(open(&pool, later).is_empty(), "gone and back");
+        assert!(picked(&pool, later).is_empty(), "gone and back");
     }
 }
 
 #[test]
-fn a_later_life_has_said_nothing_and_the_earlier_has_not_crashed() {
+fn a_new_incarnation_starts_clean_and_a_planned_end_is_no_crash() {
     let now = BootInstant::now();
     let life = |started| UpstreamEntry {
         started: Some(StartMs(started)),
@@ -74,145 +75,151 @@
     };
     let pool = pool(&[life(1)], now);
     let first = pool.member(&life(1).id).unwrap();
-    says(&pool, "i-1", leaves(), now);
+    report(&pool, "i-1", leaving(), now);
     assert!(pool.set(life(2), now));
-    assert_eq!(open(&pool, now), ["i-1"]);
+    assert_eq!(picked(&pool, now), ["i-1"]);
     assert!(
         first.is_superseded() && !first.has_crashed(),
-        "its end was planned"
+        "its end was announced"
     );
 }
 
-/// A record that was once `leaving` and is `ready` again is a return.
+/// A record that was `leaving` and is `ready` again means that the upstream
+/// has returned.
 #[test]
-fn a_record_alone_may_take_back_what_a_record_alone_has_said() {
+fn a_record_may_revoke_leaving_that_only_a_record_reported() {
     let now = BootInstant::now();
     let ready = entry("i-1", "a", "v1");
     let state = UpstreamState::Leaving;
     let leaving = UpstreamEntry { state, ..ready.clone() };
     let pool = pool(&[leaving], now);
-    assert!(open(&pool, now).is_empty());
+    assert!(picked(&pool, now).is_empty());
     assert!(pool.set(ready, now));
-    assert_eq!(open(&pool, now), ["i-1"]);
+    assert_eq!(picked(&pool, now), ["i-1"]);
 }
 
-fn rests(time: Duration) -> UpstreamSignals {
+fn backing_off(time: Duration) -> UpstreamSignals {
     UpstreamSignals {
         retry_after: Some(RetryAfter::For(time)),
         ..UpstreamSignals::default()
     }
 }
 
-fn refused(
+fn pick_error(
     pool: &Pool,
-    want: &PickCriteria<'_>,
+    criteria: &PickCriteria<'_>,
     now: BootInstant,
 ) -> PickError {
-    pool.pick(&"writers".parse().unwrap(), want, now).unwrap_err()
+    pool.pick(&"writers".parse().unwrap(), criteria, now).unwrap_err()
 }
 
 #[test]
-fn one_at_rest_is_left_alone_until_it_is_over() {
+fn an_upstream_gets_no_requests_during_its_backoff() {
     let now = BootInstant::now();
     let pool = pool(&[entry("i-1", "a", "v1"), entry("i-2", "a", "v1")], now);
-    says(&pool, "i-1", rests(SECOND * 3), now);
-    assert_eq!(open(&pool, now + SECOND * 3 - SECOND / 100), ["i-2"]);
-    assert_eq!(open(&pool, now + SECOND * 4), ["i-1", "i-2"]);
+    report(&pool, "i-1", backing_off(SECOND * 3), now);
+    assert_eq!(picked(&pool, now + SECOND * 3 - SECOND / 100), ["i-2"]);
+    assert_eq!(picked(&pool, now + SECOND * 4), ["i-1", "i-2"]);
 }
 
-/// The one among many that turns everything away at once seems the emptiest;
-/// and one that is asked for a larger model may be the only one awake.
+/// Guards against a retry that can only go to an upstream in backoff: one that
+/// rejects everything at once seems the least utilized.
 #[test]
-fn another_attempt_is_possible_only_where_one_is_awake() {
+fn another_attempt_requires_an_upstream_without_backoff() {
     let now = BootInstant::now();
     let pool = pool(&[entry("i-1", "a", "v1"), entry("i-2", "a", "v1")], now);
     let service = "writers".parse().unwrap();
     let tried = [ShortHash::of("i-2")];
     assert!(pool.has_untried(&service, &tried, now));
-    says(&pool, "i-1", rests(SECOND), now);
+    report(&pool, "i-1", backing_off(SECOND), now);
     assert!(!pool.has_untried(&service, &tried, now));
     assert!(pool.has_untried(&service, &tried, now + SECOND * 2));
 }
 
 #[test]
-fn when_all_are_at_rest_the_soonest_return_is_told() {
+fn when_all_back_off_the_shortest_backoff_is_returned() {
     let now = BootInstant::now();
     let pool = pool(&[entry("i-1", "a", "v1"), entry("i-2", "a", "v1")], now);
     let service = "writers".parse().unwrap();
-    says(&pool, "i-1", rests(SECOND * 8), now);
-    assert_eq!(pool.service_backoff(&service, now), None, "one is awake");
-    says(&pool, "i-2", rests(SECOND * 2), now);
+    report(&pool, "i-1", backing_off(SECOND * 8), now);
+    assert_eq!(
+        pool.service_backoff(&service, now),
+        None,
+        "one takes requests"
+    );
+    report(&pool, "i-2", backing_off(SECOND * 2), now);
     let PickError::BackingOff(left) =
-        refused(&pool, &PickCriteria::default(), now)
+        pick_error(&pool, &PickCriteria::default(), now)
     else {
-        panic!("the reason is their rest");
+        panic!("the reason is their backoff");
     };
     assert!(left >= SECOND * 2 && left < SECOND * 3, "{left:?}");
     assert_eq!(pool.service_backoff(&service, now), Some(left));
-    // Those that leave or were asked already are not waited for.
-    says(&pool, "i-2", leaves(), now);
+    // Upstreams that are leaving or were tried before are not waited for.
+    report(&pool, "i-2", leaving(), now);
     assert!(pool.service_backoff(&service, now) >= Some(SECOND * 8));
     let tried = [ShortHash::of("i-1")];
-    let want = PickCriteria { tried: &tried, ..PickCriteria::default() };
-    assert_eq!(refused(&pool, &want, now), PickError::NoCandidate);
+    let criteria = PickCriteria { tried: &tried, ..PickCriteria::default() };
+    assert_eq!(pick_error(&pool, &criteria, now), PickError::NoCandidate);
 }
 
 #[test]
-fn a_record_that_is_written_again_ends_no_rest() {
+fn a_rewritten_record_does_not_end_a_backoff() {
     let now = BootInstant::now();
     let ready = entry("i-1", "a", "v1");
     let pool = pool(std::slice::from_ref(&ready), now);
-    says(&pool, "i-1", rests(SECOND * 3), now);
+    report(&pool, "i-1", backing_off(SECOND * 3), now);
     pool.set(ready.clone(), now);
-    assert!(open(&pool, now).is_empty());
+    assert!(picked(&pool, now).is_empty());
     pool.remove(&ready.id, true, now);
     pool.set(ready, now);
-    assert!(open(&pool, now).is_empty());
+    assert!(picked(&pool, now).is_empty());
 }
 
-/// Values that harm are no reason to use nobody else, or this one never.
+/// Guards against harmful values: they must not exclude other upstreams, nor
+/// exclude this one forever.
 #[test]
-fn a_rest_that_is_no_time_or_endless_harms_nobody_else() {
+fn an_invalid_or_endless_retry_after_affects_no_other_upstream() {
     let now = BootInstant::now();
     let pool = pool(&[entry("i-1", "a", "v1"), entry("i-2", "a", "v1")], now);
     let member = pool.member(&"i-1".parse().unwrap()).unwrap();
-    let rest = Some(RetryAfter::Unreadable("soon".into()));
+    let retry_after = Some(RetryAfter::Unreadable("soon".into()));
     let unreadable =
-        UpstreamSignals { retry_after: rest, ..UpstreamSignals::default() };
-    let news = pool.apply_signals(&member, &unreadable, now, now);
-    assert_eq!(news, [ReportedChange::RetryAfterUnreadable("soon".into())]);
+        UpstreamSignals { retry_after, ..UpstreamSignals::default() };
+    let changes = pool.apply_signals(&member, &unreadable, now, now);
+    assert_eq!(changes, [ReportedChange::RetryAfterUnreadable("soon".into())]);
     assert_eq!(pool.apply_signals(&member, &unreadable, now, now), []);
-    assert_eq!(open(&pool, now), ["i-1", "i-2"]);
-    says(&pool, "i-1", rests(Duration::MAX), now);
-    assert_eq!(open(&pool, now), ["i-2"]);
-    assert_eq!(open(&pool, now + SECOND * 900), ["i-1", "i-2"]);
+    assert_eq!(picked(&pool, now), ["i-1", "i-2"]);
+    report(&pool, "i-1", backing_off(Duration::MAX), now);
+    assert_eq!(picked(&pool, now), ["i-2"]);
+    assert_eq!(picked(&pool, now + SECOND * 900), ["i-1", "i-2"]);
 }
 
-/// Guards against a version on trial that gets every request while the
-/// upstreams of the other one have asked for fewer.
+/// Guards against a version on trial that receives every request while the
+/// upstreams of the other version have asked for fewer.
 #[test]
-fn a_version_to_avoid_does_not_get_what_the_others_back_off_from() {
+fn an_avoided_version_gets_no_requests_that_the_others_back_off_from() {
     let now = BootInstant::now();
     let limited = UpstreamSignals {
         rate_limit: Some(RateLimit::At("1".parse().unwrap())),
         ..UpstreamSignals::default()
     };
-    for statement in [rests(SECOND * 3), limited] {
+    for signals in [backing_off(SECOND * 3), limited] {
         let entries = [entry("i-1", "a", "v1"), entry("i-2", "a", "v2")];
         let pool = pool(&entries, now);
         let rules = |version: &str| {
             let version: VersionId = version.parse().unwrap();
             [VersionRule::Avoid(version.clone()), VersionRule::Never(version)]
         };
-        says(&pool, "i-1", statement, now);
+        report(&pool, "i-1", signals, now);
         for rule in rules("v2") {
-            let want = PickCriteria { rule, ..PickCriteria::default() };
-            let no_member = refused(&pool, &want, now);
-            assert!(matches!(no_member, PickError::BackingOff(_)));
+            let criteria = PickCriteria { rule, ..PickCriteria::default() };
+            let error = pick_error(&pool, &criteria, now);
+            assert!(matches!(error, PickError::BackingOff(_)));
         }
-        // One that is only preferred is not worth a refusal.
+        // A preferred version is no reason to reject a request.
         let rule = VersionRule::Prefer("v1".parse().unwrap());
-        let want = PickCriteria { rule, ..PickCriteria::default() };
-        assert_eq!(picks(&pool, &want, now), ["i-2"]);
+        let criteria = PickCriteria { rule, ..PickCriteria::default() };
+        assert_eq!(picks(&pool, &criteria, now), ["i-2"]);
     }
 }
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -31,12 +31,12 @@
 
 pub(super) fn picks(
     pool: &Pool,
-    want: &PickCriteria<'_>,
+    criteria: &PickCriteria<'_>,
     now: BootInstant,
 ) -> Vec<String> {
     let service = "writers".parse().unwrap();
     let mut names: Vec<String> = (0..200)
-        .filter_map(|_| pool.pick(&service, want, now).ok())
+        .filter_map(|_| pool.pick(&service, criteria, now).ok())
         .map(|member| member.entry.id.to_string())
         .collect();
     names.sort();
@@ -45,21 +45,21 @@
 }
 
 #[test]
-fn one_that_is_leaving_or_was_tried_is_not_picked() {
+fn leaving_and_tried_upstreams_are_not_picked() {
     let now = BootInstant::now();
     let mut leaving = entry("i-3", "a", "v1");
     leaving.state = UpstreamState::Leaving;
     let entries = [entry("i-1", "a", "v1"), entry("i-2", "a", "v1"), leaving];
     let pool = pool(&entries, now);
     let tried = [ShortHash::of("i-1")];
-    let want = PickCriteria { tried: &tried, ..PickCriteria::default() };
-    assert_eq!(picks(&pool, &want, now), ["i-2"]);
+    let criteria = PickCriteria { tried: &tried, ..PickCriteria::default() };
+    assert_eq!(picks(&pool, &criteria, now), ["i-2"]);
 }
 
-/// It ended under the request, or was merely silent, and has started anew: the
-/// one that was asked is no more.
+/// Guards against excluding a restarted upstream because its earlier
+/// incarnation was tried.
 #[test]
-fn one_that_has_started_again_since_it_was_tried_may_be_picked() {
+fn an_upstream_restarted_since_it_was_tried_may_be_picked() {
     let now = BootInstant::now();
     let life = |started| UpstreamEntry {
         started: Some(StartMs(started)),
@@ -71,12 +71,12 @@
     assert!(!pool.has_untried(&service, &tried, now));
     pool.set(life(2), now);
     assert!(pool.has_untried(&service, &tried, now));
-    let want = PickCriteria { tried: &tried, ..PickCriteria::default() };
-    assert_eq!(picks(&pool, &want, now), ["i-1"]);
+    let criteria = PickCriteria { tried: &tried, ..PickCriteria::default() };
+    assert_eq!(picks(&pool, &criteria, now), ["i-1"]);
 }
 
 #[test]
-fn versions_are_picked_by_the_rule() {
+fn the_version_rule_restricts_the_pick() {
     let now = BootInstant::now();
     let entries = [entry("i-1", "a", "v1"), entry("i-2", "a", "v2")];
     let pool = pool(&entries, now);
@@ -92,28 +92,32 @@
 }
 
 #[test]
-fn a_prompt_goes_to_one_upstream_until_that_is_busy() {
+fn a_prompt_goes_to_one_upstream_until_it_is_busy() {
     let now = BootInstant::now();
     let entries: Vec<UpstreamEntry> =
         (0..8).map(|n| entry(&format!("i-{n}"), "a", "v1")).collect();
     let pool = pool(&entries, now);
-    let prompt = PrefixAffinity {
+    let affinity = PrefixAffinity {
         prefix_hash: 77,
         cache_miss_cost: Duration::from_millis(100),
     };
-    let want =
-        PickCriteria { affinity: Some(prompt), ..PickCriteria::default() };
-    let home = picks(&pool, &want, now);
+    let criteria =
+        PickCriteria { affinity: Some(affinity), ..PickCriteria::default() };
+    let home = picks(&pool, &criteria, now);
     assert_eq!(home.len(), 1);
     let member = pool.member(&home[0].parse().unwrap()).unwrap();
     let reading = member.begin_prefill(Duration::from_millis(60));
-    assert_ne!(picks(&pool, &want, now), home, "the second home is free");
+    assert_ne!(
+        picks(&pool, &criteria, now),
+        home,
+        "the second choice is idle"
+    );
     drop(reading);
-    assert_eq!(picks(&pool, &want, now), home);
+    assert_eq!(picks(&pool, &criteria, now), home);
 }
 
 #[test]
-fn what_other_vms_have_there_counts_and_fades() {
+fn work_of_other_vms_counts_and_expires() {
     let now = BootInstant::now();
     let entries = [entry("i-1", "a", "v1"), entry("i-2", "a", "v1")];
     let pool = pool(&entries, now);
@@ -128,7 +132,7 @@
 }
 
 #[test]
-fn when_all_are_full_that_is_said() {
+fn pick_fails_with_full_when_all_upstreams_are_full() {
     let now = BootInstant::now();
     let pool = pool(&[entry("i-1", "a", "v1")], now);
     let member = pool.member(&"i-1".parse().unwrap()).unwrap();
@@ -144,7 +148,7 @@
 }
 
 #[test]
-fn a_record_that_vanished_with_the_store_may_come_back() {
+fn a_record_that_vanished_in_a_store_outage_may_return() {
     let now = BootInstant::now();
     let pool = pool(&[entry("i-1", "a", "v1")], now);
     let id = "i-1".parse().unwrap();
@@ -162,7 +166,7 @@
 }
 
 #[test]
-fn a_hall_that_cannot_be_reached_is_left_alone_for_a_while() {
+fn an_unreachable_hall_is_avoided_for_a_while() {
     let now = BootInstant::now();
     let entries = [
         entry("i-1", "a", "v1"),
@@ -194,7 +198,7 @@
 }
 
 #[test]
-fn a_hall_whose_vms_are_heard_is_not_cut_off() {
+fn a_hall_that_sends_heartbeats_is_not_partitioned() {
     let now = BootInstant::now();
     let entries = [
         entry("i-1", "b", "v1"),
@@ -210,11 +214,11 @@
     pool.record_hall_heartbeat(&"b".parse().unwrap(), now);
     assert!(!pool.is_partitioned(&member("i-3"), now));
     member("i-1").record_connect_failure(now);
-    assert!(!pool.is_partitioned(&member("i-3"), now), "one says nothing");
+    assert!(!pool.is_partitioned(&member("i-3"), now), "one is not enough");
 }
 
 #[test]
-fn a_hall_that_falls_silent_gets_nothing_new_and_its_streams_are_given_up() {
+fn a_silent_hall_gets_no_requests_and_its_streams_are_given_up() {
     let mut now = BootInstant::now();
     let entries = [entry("i-1", "a", "v1"), entry("i-2", "b", "v1")];
     let pool = pool(&entries, now);
@@ -232,8 +236,8 @@
     let silent = began_at + Duration::from_millis(1500);
     let waited = silent - began_at;
     assert!(pool.seems_dead(&member, waited, limit, silent));
-    // However full the hall that is left, and although none of its own VMs
-    // beats: this VM stands there.
+    // However busy the remaining hall is, and although no heartbeats come from
+    // it: this VM runs there.
     let busy = pool.member(&"i-1".parse().unwrap()).unwrap();
     let _held: Vec<_> = (0..9).map(|_| busy.upstream.begin()).collect();
     assert_eq!(picks(&pool, &PickCriteria::default(), silent), ["i-1"]);
@@ -242,27 +246,27 @@
 }
 
 #[test]
-fn a_hall_that_is_evacuated_gets_nothing_whatever_asks() {
+fn an_evacuated_hall_gets_no_requests_under_any_criteria() {
     let now = BootInstant::now();
     let entries = [entry("i-1", "a", "v1"), entry("i-2", "b", "v2")];
     let pool = pool(&entries, now);
     let (near, far) = ("a".parse().unwrap(), "b".parse().unwrap());
     let old: VersionId = "v1".parse().unwrap();
-    let prompt = PrefixAffinity {
+    let affinity = PrefixAffinity {
         prefix_hash: 7,
         cache_miss_cost: Duration::from_secs(1),
     };
     assert!(pool.evacuate(&near));
-    assert!(!pool.evacuate(&near), "it is known already");
+    assert!(!pool.evacuate(&near), "it is already evacuated");
     for rule in [VersionRule::Any, VersionRule::Prefer(old.clone())] {
-        let want = PickCriteria {
+        let criteria = PickCriteria {
             rule,
-            affinity: Some(prompt),
+            affinity: Some(affinity),
             ..PickCriteria::default()
         };
-        assert_eq!(picks(&pool, &want, now), ["i-2"]);
+        assert_eq!(picks(&pool, &criteria, now), ["i-2"]);
     }
-    // Also when nothing else is well.
+    // This also holds if no other upstream is healthy.
     let other = pool.member(&"i-2".parse().unwrap()).unwrap();
     other.health.record(AttemptOutcome::Unreachable, now);
     assert_eq!(picks(&pool, &PickCriteria::default(), now), ["i-2"]);
@@ -275,7 +279,7 @@
 }
 
 #[test]
-fn what_an_upstream_states_counts_while_it_is_fresh() {
+fn a_reported_load_counts_while_it_is_fresh() {
     let now = BootInstant::now();
     let after = |ms| now + Duration::from_millis(ms);
     let entries = [entry("i-1", "a", "v1"), entry("i-2", "a", "v1")];
@@ -288,27 +292,29 @@
     assert_eq!(member(&here).requests(now), 8);
     assert_eq!(member(&here).prefill_backlog(now), Duration::from_millis(600));
     assert_eq!(picks(&here, &PickCriteria::default(), now), ["i-2"]);
-    // The others of the hall are told how old it is, and once.
-    let told = here.take_loads(after(100));
+    // The other VMs of the hall learn the age of the report, and receive it
+    // once.
+    let reports = here.take_loads(after(100));
     assert!(here.take_loads(after(100)).is_empty());
-    there.apply_peer_loads(&told, after(100));
+    there.apply_peer_loads(&reports, after(100));
     assert_eq!(member(&there).requests(after(0)), 8);
-    // What waited is read meanwhile, and other words count again.
+    // The queued prompts are prefilled meanwhile, and other reports count
+    // again.
     let later = after(500);
     assert_eq!(
         member(&there).prefill_backlog(later),
         Duration::from_millis(100)
     );
     assert_eq!(member(&there).requests(after(5000)), 0);
-    // What is older than the last word changes nothing.
+    // A report that is older than the last one changes nothing.
     let free = LoadReport { running: 0, waiting: 0 };
     there.record_load(&member(&there), free, later);
-    there.apply_peer_loads(&told, after(600));
+    there.apply_peer_loads(&reports, after(600));
     assert_eq!(member(&there).requests(later), 0);
 }
 
 #[test]
-fn a_failing_upstream_is_alone_to_blame_while_its_like_are_well() {
+fn a_failure_is_isolated_while_upstreams_with_the_same_software_are_healthy() {
     let now = BootInstant::now();
     let entries: Vec<UpstreamEntry> =
         (0..4).map(|n| entry(&format!("i-{n}"), "a", "v2")).collect();
@@ -322,7 +328,7 @@
 }
 
 #[test]
-fn whether_another_upstream_is_left_is_known() {
+fn has_untried_skips_tried_and_evacuated_upstreams() {
     let now = BootInstant::now();
     let entries = [entry("i-1", "a", "v1"), entry("i-2", "b", "v1")];
     let pool = pool(&entries, now);
@@ -335,7 +341,7 @@
 }
 
 #[test]
-fn what_a_vm_no_longer_tells_of_is_taken_back() {
+fn work_missing_from_the_next_report_is_removed() {
     let now = BootInstant::now();
     let entries = [entry("i-1", "a", "v1"), entry("i-2", "a", "v1")];
     let pool = pool(&entries, now);
--- a/src/placing/rate_limit/tests.rs
+++ b/src/placing/rate_limit/tests.rs
@@ -1,4 +1,4 @@
-//! One upstream's limit, as one VM and as many keep to it.
+//! Tests of one upstream's rate limit, as kept by one VM and by many.
 
 use proptest::prelude::*;
 
@@ -6,8 +6,8 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// The span over which operators count, and what they allow in it beyond the
-/// rate.
+/// The window over which operators count requests, and what they allow in it
+/// beyond the rate.
 const WINDOW: Duration = Duration::from_secs(4);
 const FACTOR: f64 = 1.5;
 const TOLERANCE: f64 = 5.0;
@@ -16,7 +16,7 @@
     Some(text.parse().unwrap())
 }
 
-/// What the owners send that each have a request at all times.
+/// When requests are sent by owners that have one waiting at all times.
 fn sent_by_owners(
     rate: RequestRate,
     vms: usize,
@@ -57,9 +57,10 @@
 }
 
 proptest! {
-    /// Whenever the owners begin, and although each has saved up a request.
+    /// Holds whenever the owners begin, although each may have saved up a
+    /// request.
     #[test]
-    fn owners_together_stay_within_the_bound(
+    fn owners_together_stay_within_the_limit(
         milli_per_s in 0_u32..50_000,
         vms in 1_usize..300,
         jitters in prop::collection::vec(0.0..=1.0_f64, 1..8),
@@ -70,17 +71,17 @@
         let allowed = per_s * WINDOW.as_secs_f64() * FACTOR + TOLERANCE;
         let most = most_in_window(&sent);
         prop_assert!(most as f64 <= allowed, "{} of {}", most, allowed);
-        // And most of what is named is used, after the first gap.
+        // Most of the rate is used after the first interval.
         let from = Duration::from_secs(10);
         let used = sent.iter().filter(|at| **at >= from).count() as f64;
         let least = (per_s * 0.8 - 0.3) * 10.0;
         prop_assert!(used >= least, "{} of {}", used, least);
     }
 
-    /// Whatever upstreams name, in whatever order the VMs hear of it.
+    /// Accepts any sequence of stated rates, in any order of arrival.
     #[test]
-    fn no_sequence_of_words_fails(
-        words in prop::collection::vec(
+    fn any_sequence_of_updates_is_accepted(
+        updates in prop::collection::vec(
             (any::<u16>(), any::<u16>(), prop::option::of("[0-9]{1,5}")),
             0..40,
         ),
@@ -88,7 +89,7 @@
         let start = BootInstant::now();
         let limit = LimitState::default();
         let mut now = start;
-        for (passed_ms, age_ms, text) in words {
+        for (passed_ms, age_ms, text) in updates {
             now += Duration::from_millis(passed_ms.into());
             let age = Duration::from_millis(age_ms.into());
             let stated_at = now.checked_sub(age).unwrap_or(now);
@@ -105,12 +106,12 @@
 }
 
 #[test]
-fn the_newest_word_counts() {
+fn the_newest_statement_counts() {
     let now = BootInstant::now();
     let limit = LimitState::default();
     let started = limit.update(rate("2"), now, 0.0, now);
     assert_eq!(started, Some(LimitChange::Started("2".parse().unwrap())));
-    // What another VM was told before.
+    // A statement that another VM received earlier.
     let before = now.checked_sub(SECOND).unwrap();
     assert_eq!(limit.update(None, before, 0.0, now), None);
     assert_eq!(limit.per_s(now), Some(2.0));
@@ -123,7 +124,7 @@
 }
 
 #[test]
-fn a_limit_ends_once_and_may_begin_again() {
+fn a_limit_ends_once_and_may_start_again() {
     let now = BootInstant::now();
     let limit = LimitState::default();
     limit.update(rate("1"), now, 0.0, now);
@@ -137,7 +138,7 @@
 }
 
 #[test]
-fn a_limit_that_nobody_is_told_again_is_forgotten() {
+fn a_limit_that_is_not_repeated_expires() {
     let now = BootInstant::now();
     let limit = LimitState::default();
     limit.update(rate("1"), now, 0.0, now);
@@ -145,9 +146,10 @@
     assert_eq!(limit.per_s(now + LIMIT_LIFETIME), None);
 }
 
-/// Whether it takes requests again shows in its answers only.
+/// Guards against an upstream that is never tried again after stating a rate
+/// of zero: only its responses show whether it takes requests.
 #[test]
-fn an_upstream_that_names_zero_is_still_asked_now_and_then() {
+fn a_rate_of_zero_still_allows_occasional_requests() {
     let now = BootInstant::now();
     for text in ["0", "1e-9"] {
         let limit = LimitState::default();
@@ -159,7 +161,7 @@
 }
 
 #[test]
-fn callers_are_told_when_the_next_request_of_any_owner_is_due() {
+fn the_wait_is_at_most_the_interval_of_all_owners() {
     let now = BootInstant::now();
     let limit = LimitState::default();
     limit.update(rate("0.5"), now, 1.0, now);
--- a/src/placing/reported_state.rs
+++ b/src/placing/reported_state.rs
@@ -31,8 +31,8 @@
 /// again after this time.
 const MAX_BACKOFF: Duration = Duration::from_secs(600);
 
-/// Jitter added to a backoff, as a share of it and at most: spreads the return
-/// of VMs that were told to back off at the same time.
+/// Jitter added to a backoff, as a share of it, and its maximum. It spreads
+/// the return of VMs that were told to back off at the same time.
 const JITTER_RATIO: f64 = 0.15;
 const MAX_JITTER: Duration = Duration::from_secs(1);
 
@@ -45,7 +45,7 @@
 /// seconds as well.
 const UNLISTED_LIFETIME: Duration = Duration::from_secs(600);
 
-/// Most incarnations outside the pool whose state is kept.
+/// Maximum number of incarnations outside the pool whose state is kept.
 const MAX_UNLISTED: usize = 4096;
 
 /// The state that an upstream has reported about itself.
--- a/src/placing/retry_window/tests.rs
+++ b/src/placing/retry_window/tests.rs
@@ -3,11 +3,11 @@
 const BOUND: RetryBound =
     RetryBound { share: 0.9, extra: 60.0, window: Duration::from_secs(10) };
 
-/// The platform counts the requests of a window, of the one before it, or of
-/// the one half a window before, whichever has most.
+/// The platform compares the retries with the requests of the same window, of
+/// the one before it, or of the one half a window earlier, whichever has most.
 #[test]
-fn attempts_stay_within_the_bound_in_every_window() {
-    // Bursts of requests and of wishes to retry that do not coincide.
+fn retries_stay_within_the_bound_in_every_window() {
+    // Bursts of requests and bursts of wanted retries that do not coincide.
     let start = BootInstant::now();
     let window = RetryWindow::new(BOUND, start);
     let mut requests = Vec::new();
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn the_extra_attempts_are_shared_by_all_vms() {
+fn the_additional_retries_are_shared_by_all_vms() {
     let now = BootInstant::now();
     let window = RetryWindow::new(BOUND, now);
     let taken = (0..100).filter(|_| window.try_retry(10, now)).count();
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn what_was_asked_long_ago_allows_nothing() {
+fn requests_before_the_window_allow_no_retries() {
     let now = BootInstant::now();
     let window = RetryWindow::new(BOUND, now);
     for _ in 0..1000 {
--- a/src/placing/signals/tests.rs
+++ b/src/placing/signals/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_rate_limit_is_requests_a_second() {
+fn a_rate_limit_is_in_requests_per_second() {
     let at = |rate: &str| Some(RateLimit::At(rate.parse().unwrap()));
     assert_eq!(limit(&[]), None);
     assert_eq!(limit(&["1.4"]), at("1.4"));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_rest_is_seconds_beside_a_request_that_was_turned_away() {
+fn retry_after_is_in_seconds_and_only_counts_on_a_rejection() {
     let three = Some(RetryAfter::For(Duration::from_secs(3)));
     assert_eq!(read(503, &[b"3"]), three);
     assert_eq!(read(429, &[b" 3 "]), three);
@@ -46,14 +46,14 @@
 }
 
 #[test]
-fn of_several_times_the_longest_holds() {
+fn the_longest_of_several_times_counts() {
     let three = Some(RetryAfter::For(Duration::from_secs(3)));
     assert_eq!(read(503, &[b"1", b"3", b"2"]), three);
     assert_eq!(read(503, &[b"soon", b"3"]), three);
 }
 
 #[test]
-fn what_is_no_time_is_known_as_such() {
+fn a_value_that_is_not_a_time_is_unreadable() {
     for text in
         ["", "-1", "NaN", "inf", "1e300", "Thu, 01 Dec 1994 16:00:00 GMT"]
     {
@@ -63,9 +63,9 @@
 }
 
 proptest! {
-    /// Upstreams may send anything that can stand in a header.
+    /// Upstreams may send any bytes that are valid in a header.
     #[test]
-    fn any_value_is_a_time_or_a_short_text(
+    fn any_value_is_parsed_or_truncated(
         status in prop_oneof![Just(503), Just(429), 100..600_u16],
         values in prop::collection::vec(
             prop::collection::vec(0x20..=0xff_u8, 0..200), 0..3),
--- a/src/placing/warm_up.rs
+++ b/src/placing/warm_up.rs
@@ -71,10 +71,10 @@
     vm: &str,
     upstream: ShortHash,
     hall: &DataHallId,
-    most: usize,
+    max: usize,
 ) -> usize {
     let owners = roster.owners_in_hall(vm, upstream, hall, OWNERS);
-    owners.map_or(0, |owners| most / (owners + 1))
+    owners.map_or(0, |owners| max / (owners + 1))
 }
 
 /// The requests that this VM has sent to one upstream within the last second.
@@ -82,10 +82,10 @@
 pub(crate) struct SendWindow(VecDeque<BootInstant>);
 
 impl SendWindow {
-    /// Whether fewer than `most` requests were sent within the window.
+    /// Whether fewer than `max` requests were sent within the window.
     pub(crate) fn has_capacity(
         &mut self,
-        most: usize,
+        max: usize,
         now: BootInstant,
     ) -> bool {
         while self
@@ -95,7 +95,7 @@
         {
             self.0.pop_front();
         }
-        self.0.len() < most
+        self.0.len() < max
     }
 
     /// Counts a request.
--- a/src/placing/warm_up/tests.rs
+++ b/src/placing/warm_up/tests.rs
@@ -1,4 +1,5 @@
-//! Many VMs before upstreams that turn cold, by themselves and together.
+//! Tests of the warm-up limit with many VMs: their shares alone, and whole
+//! pools before cold upstreams.
 
 use std::collections::HashMap;
 
@@ -31,12 +32,12 @@
 }
 
 #[test]
-fn the_parts_of_all_vms_are_within_the_bound() {
+fn the_shares_of_all_vms_are_within_the_limit() {
     for count in [0, 1, 2, 3, 5, 21, 80] {
         let vms = names(count);
         let roster = roster(&vms);
         for upstream in 0..200 {
-            let part = |vm: &String| {
+            let share = |vm: &String| {
                 super::vm_share(
                     &roster,
                     vm,
@@ -45,58 +46,58 @@
                     WARM_UP.max_requests(SLACK),
                 )
             };
-            let parts: Vec<usize> = vms.iter().map(part).collect();
-            assert!(parts.iter().sum::<usize>() <= 18);
-            let owners = parts.iter().filter(|part| **part > 0).count();
+            let shares: Vec<usize> = vms.iter().map(share).collect();
+            assert!(shares.iter().sum::<usize>() <= 18);
+            let owners = shares.iter().filter(|share| **share > 0).count();
             assert_eq!(owners, count.min(OWNERS));
         }
     }
 }
 
 #[test]
-fn a_vm_that_is_not_recorded_owns_nothing() {
+fn a_vm_without_a_record_has_no_share() {
     let vms = names(5);
     let roster = roster(&vms);
-    let part = super::vm_share(
+    let share = super::vm_share(
         &roster,
         "vm-new",
         ShortHash(7),
         &own_hall(),
         WARM_UP.max_requests(SLACK),
     );
-    assert_eq!(part, 0);
+    assert_eq!(share, 0);
 }
 
-/// One VM in three has not heard of a new record, and one that of another
-/// which is gone.
+/// One VM in three has not seen a new VM record yet, and one has already seen
+/// the removal of another.
 #[test]
-fn vms_that_know_different_records_stay_within_the_bound() {
+fn vms_with_different_rosters_stay_within_the_limit() {
     let vms = names(22);
     let (old, new) = (roster(&vms[..21]), roster(&vms));
     let mut newest = roster(&vms);
     newest.remove("vm-3");
     for upstream in 0..2000 {
-        let parts = vms.iter().enumerate().map(|(n, vm)| {
-            let knows = match n {
+        let shares = vms.iter().enumerate().map(|(n, vm)| {
+            let known_roster = match n {
                 21 => &new,
                 _ if n % 3 == 0 => &old,
                 _ if n == 7 => &newest,
                 _ => &new,
             };
             vm_share(
-                knows,
+                known_roster,
                 vm,
                 ShortHash(upstream),
                 &own_hall(),
                 WARM_UP.max_requests(SLACK),
             )
         });
-        assert!(parts.sum::<usize>() <= 18, "upstream {upstream}");
+        assert!(shares.sum::<usize>() <= 18, "upstream {upstream}");
     }
 }
 
 #[test]
-fn what_was_sent_counts_for_a_second() {
+fn sent_requests_count_for_one_second() {
     let start = BootInstant::now();
     let after = |ms| start + Duration::from_millis(ms);
     let mut sent = SendWindow::default();
@@ -123,7 +124,7 @@
     }
 }
 
-/// The pools of the VMs of one data hall, before cold upstreams.
+/// The pools of the VMs of one data hall, with cold upstreams.
 fn hall(vms: &[String], upstreams: usize, now: BootInstant) -> Vec<Pool> {
     let pool = |vm: &String| {
         let pool = Pool::new(vm, "a".parse().unwrap(), SLACK);
@@ -140,12 +141,13 @@
     vms.iter().map(pool).collect()
 }
 
-/// The load after a data hall is given back: all of its upstreams are empty
-/// and cold, and its VMs send three times what they bear, for three seconds.
+/// The load after the evacuation of a data hall ends: all of its upstreams are
+/// idle and cold, and its VMs send three times what they can take, for three
+/// seconds.
 ///
-/// Returns how many requests found an upstream, and the most that one got
-/// within a second.
-fn replay(pools: &[Pool], start: BootInstant) -> (usize, usize) {
+/// Returns how many requests found an upstream, and the most that one upstream
+/// received within a second.
+fn simulate(pools: &[Pool], start: BootInstant) -> (usize, usize) {
     let service = "writers".parse().unwrap();
     let mut random = StdRng::seed_from_u64(7);
     let mut sent: HashMap<String, Vec<u64>> = HashMap::new();
@@ -165,32 +167,32 @@
         };
         times.iter().map(within).max()
     };
-    let most = sent.values().filter_map(busiest).max();
-    (sent.values().map(Vec::len).sum(), most.unwrap_or(0))
+    let max = sent.values().filter_map(busiest).max();
+    (sent.values().map(Vec::len).sum(), max.unwrap_or(0))
 }
 
 #[test]
-fn no_cold_upstream_gets_more_than_it_may_within_any_second() {
+fn no_cold_upstream_exceeds_its_limit_in_any_second() {
     let start = BootInstant::now();
     let pools = hall(&names(21), 8, start);
-    let (served, most) = replay(&pools, start);
-    assert!(most <= 18, "{most}");
-    // What they bear is used: 8.8 a second for each of eight.
+    let (served, max) = simulate(&pools, start);
+    assert!(max <= 18, "{max}");
+    // The rate that they can take is used: 8.8 per second for each of eight.
     assert!(served >= 200, "{served}");
     let service = "writers".parse().unwrap();
     let later = start + WARM_UP.time;
     let picked = pools[0].pick(&service, &PickCriteria::default(), later);
     assert!(picked.is_ok(), "they are warm");
-    // Without a bound the same load breaks it.
+    // Without a limit the same load exceeds it.
     let unbounded = hall(&names(21), 8, start);
     for pool in &unbounded {
         pool.set_warm_ups(HashMap::new());
     }
-    assert!(replay(&unbounded, start).1 > 18);
+    assert!(simulate(&unbounded, start).1 > 18);
 }
 
 #[test]
-fn a_hall_that_is_given_back_is_cold_until_its_records_can_say_so() {
+fn a_hall_is_cold_after_its_evacuation_ends() {
     let start = BootInstant::now();
     let later = start + Duration::from_secs(60);
     let vms = names(21);
@@ -205,7 +207,7 @@
 }
 
 #[test]
-fn one_that_turns_cold_again_says_so_in_its_record() {
+fn an_upstream_turns_cold_again_by_its_record() {
     let start = BootInstant::now();
     let later = start + Duration::from_secs(60);
     let pool = &hall(&names(3), 1, start)[0];
