--- a/src/placing/admission.rs
+++ b/src/placing/admission.rs
@@ -107,11 +107,11 @@
 /// Returns the expected time in the queue of an upstream with this
 /// utilization.
 pub(crate) fn queue_wait(
-    fill: f64,
+    utilization: f64,
     service_time: Option<Duration>,
 ) -> Duration {
     let service_time = service_time.unwrap_or_default();
-    service_time.mul_f64((fill - 1.0).clamp(0.0, MAX_UTILIZATION_LIMIT))
+    service_time.mul_f64((utilization - 1.0).clamp(0.0, MAX_UTILIZATION_LIMIT))
 }
 
 /// When a rejected caller should retry: after some slots have become free.
--- a/src/placing/member.rs
+++ b/src/placing/member.rs
@@ -183,9 +183,9 @@
     /// on it between two reports, and heartbeats from other data halls are
     /// rare.
     ///
-    /// In the simulation in `pool::simulation` (32 VMs, 32 engines), prompts wait
-    /// for 47 ms with this and 76 ms without at a load of 0.5, and for 95 and
-    /// 195 ms at a load of 0.7.
+    /// In the simulation in `pool::simulation_tests` (32 VMs, 32 engines),
+    /// prompts wait for 47 ms with this and 76 ms without at a load of 0.5,
+    /// and for 95 and 195 ms at a load of 0.7.
     fn prefill_left_ms(&self, now: BootInstant) -> u32 {
         let age = now.saturating_duration_since(self.at).as_millis();
         let age_ms = u32::try_from(age).unwrap_or(u32::MAX);
@@ -351,9 +351,10 @@
     /// upstream itself has reported.
     ///
     /// In a large fleet, VMs of other data halls report rarely, so their
-    /// recent requests are unknown here. In the simulation in `pool::simulation`,
-    /// prompts wait for 44 ms with the reports of upstreams and 47 ms without
-    /// at a load of 0.5, and for 78 and 95 ms at a load of 0.7.
+    /// recent requests are unknown here. In the simulation in
+    /// `pool::simulation_tests`, prompts wait for 44 ms with the reports of
+    /// upstreams and 47 ms without at a load of 0.5, and for 78 and 95 ms at a
+    /// load of 0.7.
     pub fn prefill_backlog(&self, now: BootInstant) -> Duration {
         let own = self.prefill_ms.load(Ordering::Relaxed);
         let peers = *self.peer_prefill.lock().expect("peer prefill lock");
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -52,9 +52,10 @@
 /// Cost of a failed attempt, as the extra wait that is accepted to avoid one:
 /// an attempt of the retry budget, and the time until the failure is detected.
 /// An upstream that fails immediately always looks idle, and would be the
-/// first choice of every VM. In the simulation in `pool::simulation` (32 VMs, 32
-/// engines, four of which die), 72 attempts fail in the first second with this
-/// cost and 106 without; 39 if VMs also report failures to each other.
+/// first choice of every VM. In the simulation in `pool::simulation_tests` (32
+/// VMs, 32 engines, four of which die), 72 attempts fail in the first second
+/// with this cost and 106 without; 39 if VMs also report failures to each
+/// other.
 const FAILURE_COST: Duration = Duration::from_millis(500);
 
 /// The same cost for selection by utilization, in requests per slot.
@@ -788,10 +789,10 @@
 mod gossip;
 
 #[cfg(test)]
-mod backoff_simulation;
+mod backoff_simulation_tests;
 #[cfg(test)]
 mod signals_tests;
 #[cfg(test)]
-mod simulation;
+mod simulation_tests;
 #[cfg(test)]
 mod tests;
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -223,9 +223,9 @@
     let entries = [entry("i-1", "a", "v1"), entry("i-2", "b", "v1")];
     let pool = pool(&entries, now);
     let (near, far) = ("a".parse().unwrap(), "b".parse().unwrap());
-    let beat = Duration::from_millis(200);
+    let interval = Duration::from_millis(200);
     for _ in 0..10 {
-        now += beat;
+        now += interval;
         pool.record_hall_heartbeat(&near, now);
         pool.record_hall_heartbeat(&far, now);
     }
--- a/src/placing/upstream.rs
+++ b/src/placing/upstream.rs
@@ -301,8 +301,8 @@
         own_hall: &DataHallId,
         now: BootInstant,
     ) -> UpstreamSnapshot {
-        let held = self.load.lock().expect("load lock");
-        let load = held.as_ref().filter(|load| {
+        let known = self.load.lock().expect("load lock");
+        let load = known.as_ref().filter(|load| {
             now.saturating_duration_since(load.at) < LOAD_LIFETIME
         });
         let own = self.in_flight();
@@ -323,7 +323,7 @@
             load_age: load.map(|load| now.saturating_duration_since(load.at)),
             // The loaded versions change rarely, so an expired report still
             // counts.
-            versions: held
+            versions: known
                 .as_ref()
                 .map(|load| load.versions.clone())
                 .unwrap_or_default(),
