--- a/src/placing/cascade.rs
+++ b/src/placing/cascade.rs
@@ -82,10 +82,10 @@
         if tokens < MIN_TOKENS {
             return;
         }
-        let reading = first_event.saturating_sub(MIN_FIRST_EVENT);
+        let prefill = first_event.saturating_sub(MIN_FIRST_EVENT);
         let mut times = self.0.lock().expect("times lock");
         let known = times.entry(model.clone()).or_default();
-        known.ms = known.ms * DECAY + reading.as_secs_f64() * 1000.0;
+        known.ms = known.ms * DECAY + prefill.as_secs_f64() * 1000.0;
         known.tokens = known.tokens * DECAY + tokens as f64;
     }
 }
@@ -164,8 +164,8 @@
         return Err(NoEscalation::NoAttempt);
     }
     let passed = now.saturating_duration_since(input.started_at);
-    let reading = times.expected(Some(largest), input.tokens);
-    let expected = passed + waiting + reading;
+    let prefill = times.expected(Some(largest), input.tokens);
+    let expected = passed + waiting + prefill;
     let used = expected.as_secs_f64() / input.route.aim.as_secs_f64();
     let headroom = ((1.0 - used) / (1.0 - RELAXED_SHARE)).clamp(0.0, 1.0);
     if confidence >= min_confidence * headroom {
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -36,8 +36,8 @@
 /// link adds a few milliseconds and uses bandwidth between halls.
 const OTHER_HALL_UTILIZATION: f64 = 0.05;
 
-/// Slowdown that each running request adds to a prefill on the same engine. It
-/// is charged as a fixed wait per running request.
+/// Estimated time that each running request adds to the prefill of a prompt on
+/// the same engine.
 const RUNNING_REQUEST_COST: Duration = Duration::from_micros(600);
 
 /// Share of the cache miss cost that is charged to the second upstream in the
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -106,13 +106,13 @@
     let home = picks(&pool, &criteria, now);
     assert_eq!(home.len(), 1);
     let member = pool.member(&home[0].parse().unwrap()).unwrap();
-    let reading = member.begin_prefill(Duration::from_millis(60));
+    let prefill = member.begin_prefill(Duration::from_millis(60));
     assert_ne!(
         picks(&pool, &criteria, now),
         home,
         "the second choice is idle"
     );
-    drop(reading);
+    drop(prefill);
     assert_eq!(picks(&pool, &criteria, now), home);
 }
 
@@ -136,11 +136,11 @@
     let now = BootInstant::now();
     let pool = pool(&[entry("i-1", "a", "v1")], now);
     let member = pool.member(&"i-1".parse().unwrap()).unwrap();
-    let held: Vec<_> = (0..13).map(|_| member.upstream.begin()).collect();
+    let guards: Vec<_> = (0..13).map(|_| member.upstream.begin()).collect();
     let service = "writers".parse().unwrap();
     let picked = pool.pick(&service, &PickCriteria::default(), now);
     assert_eq!(picked.unwrap_err(), PickError::Full);
-    drop(held);
+    drop(guards);
     assert!(pool.pick(&service, &PickCriteria::default(), now).is_ok());
     let other = "nobody".parse().unwrap();
     let picked = pool.pick(&other, &PickCriteria::default(), now);
@@ -190,7 +190,7 @@
     assert_eq!(picks(&pool, &PickCriteria::default(), later), ["i-1"]);
     other.record_activity(now);
     let near = pool.member(&"i-1".parse().unwrap()).unwrap();
-    let _held = [near.upstream.begin(), near.upstream.begin()];
+    let _guards = [near.upstream.begin(), near.upstream.begin()];
     assert!(
         picks(&pool, &PickCriteria::default(), now)
             .contains(&"i-4".to_owned())
@@ -239,7 +239,7 @@
     // However busy the remaining hall is, and although no heartbeats come from
     // it: this VM runs there.
     let busy = pool.member(&"i-1".parse().unwrap()).unwrap();
-    let _held: Vec<_> = (0..9).map(|_| busy.upstream.begin()).collect();
+    let _guards: Vec<_> = (0..9).map(|_| busy.upstream.begin()).collect();
     assert_eq!(picks(&pool, &PickCriteria::default(), silent), ["i-1"]);
     pool.record_hall_heartbeat(&far, silent);
     assert_eq!(picks(&pool, &PickCriteria::default(), silent), ["i-2"]);
@@ -346,10 +346,10 @@
     let entries = [entry("i-1", "a", "v1"), entry("i-2", "a", "v1")];
     let pool = pool(&entries, now);
     let member = |id: &str| pool.member(&id.parse().unwrap()).unwrap();
-    let short = |id: &str| member(id).upstream.short_hash;
+    let short_hash = |id: &str| member(id).upstream.short_hash;
     let work = InFlightWork { requests: 3, prefill_ms: 40 };
-    pool.set_peer_work("vm-2", &[(short("i-1"), work)], now);
-    pool.set_peer_work("vm-2", &[(short("i-2"), work)], now);
+    pool.set_peer_work("vm-2", &[(short_hash("i-1"), work)], now);
+    pool.set_peer_work("vm-2", &[(short_hash("i-2"), work)], now);
     assert_eq!(member("i-1").requests(now), 0);
     assert_eq!(member("i-2").requests(now), 3);
 }
--- a/src/placing/rate_limit.rs
+++ b/src/placing/rate_limit.rs
@@ -85,10 +85,10 @@
 
     /// When one of `owners` owners may send its next request.
     fn next_at(&self, owners: usize) -> BootInstant {
-        let gap = Duration::from_secs_f64(owners as f64 / self.per_s());
+        let interval = Duration::from_secs_f64(owners as f64 / self.per_s());
         match self.sent_at {
-            Some(sent_at) => sent_at + gap,
-            None => self.since + gap.mul_f64(self.jitter),
+            Some(sent_at) => sent_at + interval,
+            None => self.since + interval.mul_f64(self.jitter),
         }
     }
 }
--- a/src/placing/rate_limit/tests.rs
+++ b/src/placing/rate_limit/tests.rs
@@ -154,9 +154,9 @@
     for text in ["0", "1e-9"] {
         let limit = LimitState::default();
         limit.update(rate(text), now, 1.0, now);
-        let gap = SECOND * 30;
-        assert!(!limit.wait(Some(3), now + gap - SECOND).is_zero());
-        assert!(limit.wait(Some(3), now + gap).is_zero());
+        let interval = SECOND * 30;
+        assert!(!limit.wait(Some(3), now + interval - SECOND).is_zero());
+        assert!(limit.wait(Some(3), now + interval).is_zero());
     }
 }
 
--- a/src/placing/retry_window.rs
+++ b/src/placing/retry_window.rs
@@ -71,12 +71,12 @@
         let buckets = self.buckets.lock().expect("buckets lock");
         let recent = |bucket: &&Bucket| bucket.number + BUCKETS >= number;
         let retries: u32 =
-            buckets.iter().filter(recent).map(|p| p.retries).sum();
+            buckets.iter().filter(recent).map(|bucket| bucket.retries).sum();
         // The oldest bucket is only partly within the window, so its requests
         // are left out while its retries count.
         let within = |bucket: &&Bucket| bucket.number + BUCKETS > number;
         let requests: u32 =
-            buckets.iter().filter(within).map(|p| p.requests).sum();
+            buckets.iter().filter(within).map(|bucket| bucket.requests).sum();
         let share = self.bound.share * SHARE_FACTOR * f64::from(requests);
         let extra = self.bound.extra * EXTRA_FACTOR / vms.max(1) as f64;
         f64::from(retries) + 1.0 <= share + extra
