--- a/src/gateway/own_words.rs
+++ b/src/gateway/own_words.rs
@@ -60,7 +60,7 @@
     ) {
         let now = self.clock.now();
         for (member, news) in
-            self.pool.apply_peer_rate_limits(told, is_near, now)
+            self.pool.merge_peer_rate_limits(told, is_near, now)
         {
             let mut details = json!({
                 "upstream": member.entry.life().to_string(),
--- a/src/placing/pool/gossip.rs
+++ b/src/placing/pool/gossip.rs
@@ -80,7 +80,7 @@
 
     /// Applies the rate limits that another VM reports and passes them on;
     /// returns what has changed.
-    pub(crate) fn apply_peer_rate_limits(
+    pub(crate) fn merge_peer_rate_limits(
         &self,
         reports: &[RateLimitReport],
         from_own_hall: bool,
