--- a/src/gateway/own_words.rs
+++ b/src/gateway/own_words.rs
@@ -42,7 +42,7 @@
         from: &str,
         told: &[ShortHash],
     ) {
-        for member in self.pool.apply_peer_leaving(told, self.clock.now()) {
+        for member in self.pool.merge_peer_leaving(told, self.clock.now()) {
             Event::UpstreamLeaving.record(fields(json!({
                 "upstream": member.entry.life().to_string(),
                 "by": "vm",
--- a/src/placing/pool/gossip.rs
+++ b/src/placing/pool/gossip.rs
@@ -134,7 +134,7 @@
 
     /// Applies the leaving incarnations that another VM reports and passes
     /// them on; returns the members for which this is new.
-    pub fn apply_peer_leaving(
+    pub fn merge_peer_leaving(
         &self,
         reports: &[ShortHash],
         now: BootInstant,
