--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -227,7 +227,7 @@
     }
     gateway.pool.record_hall_heartbeat(&beat.data_hall, now);
     gateway.pool.set_peer_work(&beat.vm, &beat.in_flight, now);
-    gateway.pool.apply_peer_loads(&beat.load_reports, now);
+    gateway.pool.merge_peer_loads(&beat.load_reports, now);
     let is_near = beat.data_hall == gateway.settings.data_hall;
     gateway.merge_leaving_upstreams(&beat.vm, &beat.leaving_upstreams);
     gateway.merge_rate_limits(&beat.vm, &beat.rate_limits, is_near);
--- a/src/placing/pool/gossip.rs
+++ b/src/placing/pool/gossip.rs
@@ -185,7 +185,7 @@
     }
 
     /// Applies loads that upstreams have reported to another VM.
-    pub fn apply_peer_loads(
+    pub fn merge_peer_loads(
         &self,
         reported: &[UpstreamLoadReport],
         now: BootInstant,
--- a/src/placing/pool/simulation_tests.rs
+++ b/src/placing/pool/simulation_tests.rs
@@ -193,7 +193,7 @@
                 if is_own_hall { is_own_hall_due } else { is_other_hall_due };
             if to != from && is_due {
                 receiver.pool.set_peer_work(&name, &work, now);
-                receiver.pool.apply_peer_loads(&loads, now);
+                receiver.pool.merge_peer_loads(&loads, now);
             }
         }
     }
@@ -275,7 +275,7 @@
         let loads = sender.pool.take_loads(now);
         for (to, receiver) in vms.iter().enumerate() {
             if to != from && receiver.hall == sender.hall {
-                receiver.pool.apply_peer_loads(&loads, now);
+                receiver.pool.merge_peer_loads(&loads, now);
                 receiver.pool.apply_peer_failures(&failures, now);
             }
         }
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -296,7 +296,7 @@
     // once.
     let reports = here.take_loads(after(100));
     assert!(here.take_loads(after(100)).is_empty());
-    there.apply_peer_loads(&reports, after(100));
+    there.merge_peer_loads(&reports, after(100));
     assert_eq!(member(&there).requests(after(0)), 8);
     // The queued prompts are prefilled meanwhile, and other reports count
     // again.
@@ -309,7 +309,7 @@
     // A report that is older than the last one changes nothing.
     let free = LoadReport { running: 0, waiting: 0 };
     there.record_load(&member(&there), free, later);
-    there.apply_peer_loads(&reports, after(600));
+    there.merge_peer_loads(&reports, after(600));
     assert_eq!(member(&there).requests(later), 0);
 }
 
