--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -232,7 +232,7 @@
     gateway.merge_leaving_upstreams(&beat.vm, &beat.leaving_upstreams);
     gateway.merge_rate_limits(&beat.vm, &beat.rate_limits, is_near);
     if is_near {
-        for unfit in gateway.pool.apply_peer_failures(&beat.failures, now) {
+        for unfit in gateway.pool.merge_peer_failures(&beat.failures, now) {
             Event::UpstreamUnfit.record(fields(json!({
                 "upstream": unfit,
                 "told_by": beat.vm,
--- a/src/placing/pool/gossip.rs
+++ b/src/placing/pool/gossip.rs
@@ -234,7 +234,7 @@
 
     /// Applies failures that another VM of the data hall has seen; returns the
     /// upstreams that became unhealthy.
-    pub fn apply_peer_failures(
+    pub fn merge_peer_failures(
         &self,
         reports: &[UpstreamFailureReport],
         now: BootInstant,
--- a/src/placing/pool/simulation_tests.rs
+++ b/src/placing/pool/simulation_tests.rs
@@ -276,7 +276,7 @@
         for (to, receiver) in vms.iter().enumerate() {
             if to != from && receiver.hall == sender.hall {
                 receiver.pool.merge_peer_loads(&loads, now);
-                receiver.pool.apply_peer_failures(&failures, now);
+                receiver.pool.merge_peer_failures(&failures, now);
             }
         }
     }
