--- a/src/crashes/crash_check.rs
+++ b/src/crashes/crash_check.rs
@@ -74,7 +74,7 @@
 /// Takes in that an upstream has ended.
 fn settle(gateway: &Gateway, member: &Member, request: RequestDigest) {
     Event::UpstreamEnded.record(fields(json!({
-        "upstream": member.entry.life().to_string(),
+        "upstream": member.entry.incarnation().to_string(),
         "request": request.to_string(),
     })));
     gateway.metrics.upstreams_ended.inc();
--- a/src/gateway/own_words.rs
+++ b/src/gateway/own_words.rs
@@ -44,7 +44,7 @@
     ) {
         for member in self.pool.merge_peer_leaving(told, self.clock.now()) {
             Event::UpstreamLeaving.record(fields(json!({
-                "upstream": member.entry.life().to_string(),
+                "upstream": member.entry.incarnation().to_string(),
                 "by": "vm",
                 "told_by": from,
             })));
@@ -63,7 +63,7 @@
             self.pool.merge_peer_rate_limits(told, is_near, now)
         {
             let mut details = json!({
-                "upstream": member.entry.life().to_string(),
+                "upstream": member.entry.incarnation().to_string(),
                 "by": "vm",
                 "told_by": from,
             });
@@ -79,7 +79,7 @@
     }
 
     fn note_own_news(&self, member: &Member, news: &ReportedChange) {
-        let life = member.entry.life().to_string();
+        let life = member.entry.incarnation().to_string();
         let said = &self.metrics.upstreams_said;
         said.with_label_values(&[news.label()]).inc();
         let mut details = json!({ "upstream": life });
--- a/src/placing/member.rs
+++ b/src/placing/member.rs
@@ -87,7 +87,7 @@
 
 impl UpstreamEntry {
     /// Identifies the incarnation that this record describes.
-    pub fn life(&self) -> UpstreamIncarnation {
+    pub fn incarnation(&self) -> UpstreamIncarnation {
         UpstreamIncarnation { id: self.id.clone(), started: self.started }
     }
 
@@ -208,7 +208,7 @@
             slots: entry.slots,
             checks_fence: false,
         };
-        let short_hash = ShortHash::of(&entry.life().to_string());
+        let short_hash = ShortHash::of(&entry.incarnation().to_string());
         let upstream = Upstream::with_reported_state(
             record,
             short_hash,
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -239,7 +239,7 @@
 
     fn add_incarnation(&self, entry: UpstreamEntry, now: BootInstant) {
         let link = self.link(&entry.data_hall);
-        let life = ShortHash::of(&entry.life().to_string());
+        let life = ShortHash::of(&entry.incarnation().to_string());
         let reported_state =
             self.unlisted.lock().expect("unlisted lock").take(life);
         let member = Arc::new(Member::new(entry, reported_state, link, now));
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -66,7 +66,7 @@
         ..entry("i-1", "a", "v1")
     };
     let pool = pool(&[life(1)], now);
-    let tried = [ShortHash::of(&life(1).life().to_string())];
+    let tried = [ShortHash::of(&life(1).incarnation().to_string())];
     let service = "writers".parse().unwrap();
     assert!(!pool.has_untried(&service, &tried, now));
     pool.set(life(2), now);
