--- a/src/placing/gossip_outbox.rs
+++ b/src/placing/gossip_outbox.rs
@@ -97,8 +97,12 @@
     }
 
     /// Adds an incarnation that has reported that it is leaving.
-    pub(crate) fn add_leaving(&mut self, life: ShortHash, now: BootInstant) {
-        self.leaving.insert(life, now);
+    pub(crate) fn add_leaving(
+        &mut self,
+        incarnation: ShortHash,
+        now: BootInstant,
+    ) {
+        self.leaving.insert(incarnation, now);
     }
 
     /// Returns the leaving incarnations that are due, and drops those that
@@ -115,19 +119,19 @@
     /// this data hall need to be told as well.
     pub(crate) fn add_rate_limit(
         &mut self,
-        life: ShortHash,
+        incarnation: ShortHash,
         rate: Option<RequestRate>,
         stated_at: BootInstant,
         for_own_hall: bool,
         now: BootInstant,
     ) {
-        let known = self.limits.get(&life);
+        let known = self.limits.get(&incarnation);
         if known.is_some_and(|known| known.stated_at >= stated_at) {
             return;
         }
         let own_hall_since = for_own_hall.then_some(now);
         let limit = PendingLimit { rate, stated_at, own_hall_since };
-        self.limits.insert(life, limit);
+        self.limits.insert(incarnation, limit);
     }
 
     /// Returns the rate limits that are due for the VMs of this data hall, or
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -239,9 +239,9 @@
 
     fn add_incarnation(&self, entry: UpstreamEntry, now: BootInstant) {
         let link = self.link(&entry.data_hall);
-        let life = ShortHash::of(&entry.incarnation().to_string());
+        let incarnation = ShortHash::of(&entry.incarnation().to_string());
         let reported_state =
-            self.unlisted.lock().expect("unlisted lock").take(life);
+            self.unlisted.lock().expect("unlisted lock").take(incarnation);
         let member = Arc::new(Member::new(entry, reported_state, link, now));
         if member.entry.state == UpstreamState::Leaving {
             member.upstream.mark_leaving();
--- a/src/placing/pool/backoff_simulation_tests.rs
+++ b/src/placing/pool/backoff_simulation_tests.rs
@@ -56,8 +56,8 @@
 #[derive(Debug, Default)]
 struct Outcome {
     asked: usize,
+    upstream_rejections: usize,
     rejected: usize,
-    refused: usize,
     /// Most requests that one VM sent to one upstream during a backoff.
     during_backoff: usize,
     /// Time until the upstreams that rejected requests are back at their usual
@@ -220,7 +220,7 @@
             }
             self.reject(vm, number);
         }
-        self.outcome.refused += 1;
+        self.outcome.rejected += 1;
     }
 
     fn record_arrival(&mut self, vm: usize, upstream: usize) {
@@ -239,7 +239,7 @@
     }
 
     fn reject(&mut self, vm: usize, upstream: usize) {
-        self.outcome.rejected += 1;
+        self.outcome.upstream_rejections += 1;
         let entry = self.backoffs.entry((vm, upstream));
         let last = entry.or_insert((self.now, 0));
         if self.now.saturating_duration_since(last.0) >= BACKOFF {
@@ -284,12 +284,16 @@
 }
 
 /// Checks what must hold however many upstreams reject requests: backoffs are
-/// honoured, fewer requests are rejected, and no additional caller is refused.
+/// honoured, upstreams reject fewer requests, and no additional caller is
+/// rejected.
 fn check_improvement(vms: usize, upstreams: usize, rejecting: usize) {
     let [ignore, per_vm, _] = outcomes(vms, upstreams, rejecting);
     assert!(per_vm.during_backoff <= MAX_DURING_BACKOFF, "{per_vm:?}");
-    assert!(per_vm.rejected < ignore.rejected, "{per_vm:?}");
-    assert!(per_vm.refused <= ignore.refused, "{per_vm:?}");
+    assert!(
+        per_vm.upstream_rejections < ignore.upstream_rejections,
+        "{per_vm:?}"
+    );
+    assert!(per_vm.rejected <= ignore.rejected, "{per_vm:?}");
 }
 
 #[test]
@@ -310,14 +314,17 @@
 }
 
 /// Nothing can be served: each VM tries each upstream about once in a backoff,
-/// and refuses all other requests without an attempt.
+/// and rejects all other requests without an attempt.
 #[test]
 fn all_upstreams_of_a_service_reject() {
     let [ignore, per_vm, _] = outcomes(7, 12, 12);
     assert!(per_vm.during_backoff <= MAX_DURING_BACKOFF, "{per_vm:?}");
-    assert!(per_vm.rejected * 4 < ignore.rejected, "{per_vm:?}");
-    let max_refused = ignore.refused + ignore.refused / 4;
-    assert!(per_vm.refused <= max_refused, "{per_vm:?} {ignore:?}");
+    assert!(
+        per_vm.upstream_rejections * 4 < ignore.upstream_rejections,
+        "{per_vm:?}"
+    );
+    let max_rejected = ignore.rejected + ignore.rejected / 4;
+    assert!(per_vm.rejected <= max_rejected, "{per_vm:?} {ignore:?}");
     assert!(per_vm.recovered_after_ms <= 4_000, "{per_vm:?}");
 }
 
--- a/src/placing/pool/gossip.rs
+++ b/src/placing/pool/gossip.rs
@@ -1,5 +1,5 @@
 //! Applies what upstreams report about themselves in responses, and exchanges
-//! it with the other VMs.
+//! it with the other VMs by gossip.
 
 use std::{
     collections::HashSet, sync::Arc, sync::atomic::Ordering, time::Duration,
@@ -30,18 +30,18 @@
         sent_at: BootInstant,
         now: BootInstant,
     ) -> Vec<ReportedChange> {
-        let life = member.upstream.short_hash;
+        let incarnation = member.upstream.short_hash;
         let was_leaving = member.upstream.is_leaving();
         let state = &member.upstream.reported_state;
         let mut changes = state.apply(signals, rand::random(), sent_at, now);
         if changes.contains(&ReportedChange::Leaving) {
-            self.report_leaving(life, now);
+            self.report_leaving(incarnation, now);
         }
         // The store or another VM may have reported this before.
         changes.retain(|change| {
             *change != ReportedChange::Leaving || !was_leaving
         });
-        self.report_rate_limit(life, signals, &changes, now);
+        self.report_rate_limit(incarnation, signals, &changes, now);
         if let Some(load) = signals.load {
             self.record_load(member, load, now);
         }
@@ -52,7 +52,7 @@
     /// is lifted.
     fn report_rate_limit(
         &self,
-        life: ShortHash,
+        incarnation: ShortHash,
         signals: &UpstreamSignals,
         changes: &[ReportedChange],
         now: BootInstant,
@@ -61,7 +61,7 @@
         if rate.is_some() || changes.contains(&ReportedChange::RateLimitLifted)
         {
             let mut outbox = self.outbox.lock().expect("outbox lock");
-            outbox.add_rate_limit(life, rate, now, true, now);
+            outbox.add_rate_limit(incarnation, rate, now, true, now);
         }
     }
 
@@ -78,7 +78,7 @@
             .take_rate_limits(for_own_hall, now)
     }
 
-    /// Applies the rate limits that another VM reports and passes them on;
+    /// Merges the rate limits that another VM reports and passes them on;
     /// returns what has changed.
     pub(crate) fn merge_peer_rate_limits(
         &self,
@@ -123,8 +123,8 @@
         changes
     }
 
-    fn report_leaving(&self, life: ShortHash, now: BootInstant) {
-        self.outbox.lock().expect("outbox lock").add_leaving(life, now);
+    fn report_leaving(&self, incarnation: ShortHash, now: BootInstant) {
+        self.outbox.lock().expect("outbox lock").add_leaving(incarnation, now);
     }
 
     /// Returns the leaving incarnations that are due for gossip.
@@ -132,8 +132,8 @@
         self.outbox.lock().expect("outbox lock").take_leaving(now)
     }
 
-    /// Applies the leaving incarnations that another VM reports and passes
-    /// them on; returns the members for which this is new.
+    /// Merges the leaving incarnations that another VM reports and passes them
+    /// on; returns the members for which this is new.
     pub fn merge_peer_leaving(
         &self,
         reports: &[ShortHash],
@@ -141,18 +141,18 @@
     ) -> Vec<Arc<Member>> {
         let members = self.members();
         let mut changes = Vec::new();
-        for life in reports {
-            let Some(member) = members.by_short_hash.get(life) else {
+        for incarnation in reports {
+            let Some(member) = members.by_short_hash.get(incarnation) else {
                 let mut unlisted =
                     self.unlisted.lock().expect("unlisted lock");
-                unlisted.update(*life, now, |state| {
+                unlisted.update(*incarnation, now, |state| {
                     state.mark_leaving();
                 });
                 continue;
             };
             let was_leaving = member.upstream.is_leaving();
             if member.upstream.reported_state.mark_leaving() {
-                self.report_leaving(*life, now);
+                self.report_leaving(*incarnation, now);
             }
             if !was_leaving {
                 changes.push(member.clone());
@@ -184,7 +184,7 @@
         self.outbox.lock().expect("outbox lock").take_loads(now)
     }
 
-    /// Applies loads that upstreams have reported to another VM.
+    /// Merges the loads that upstreams have reported to another VM.
     pub fn merge_peer_loads(
         &self,
         reported: &[UpstreamLoadReport],
@@ -232,8 +232,8 @@
         self.outbox.lock().expect("outbox lock").take_failures(now)
     }
 
-    /// Applies failures that another VM of the data hall has seen; returns the
-    /// upstreams that became unhealthy.
+    /// Merges the failures that another VM of the data hall has seen; returns
+    /// the upstreams that became unhealthy.
     pub fn merge_peer_failures(
         &self,
         reports: &[UpstreamFailureReport],
--- a/src/placing/pool/signals_tests.rs
+++ b/src/placing/pool/signals_tests.rs
@@ -69,14 +69,14 @@
 #[test]
 fn a_new_incarnation_starts_clean_and_a_planned_end_is_no_crash() {
     let now = BootInstant::now();
-    let life = |started| UpstreamEntry {
+    let started_at = |started| UpstreamEntry {
         started: Some(StartMs(started)),
         ..entry("i-1", "a", "v1")
     };
-    let pool = pool(&[life(1)], now);
-    let first = pool.member(&life(1).id).unwrap();
+    let pool = pool(&[started_at(1)], now);
+    let first = pool.member(&started_at(1).id).unwrap();
     report(&pool, "i-1", leaving(), now);
-    assert!(pool.set(life(2), now));
+    assert!(pool.set(started_at(2), now));
     assert_eq!(picked(&pool, now), ["i-1"]);
     assert!(
         first.is_superseded() && !first.has_crashed(),
@@ -122,8 +122,9 @@
     assert_eq!(picked(&pool, now + SECOND * 4), ["i-1", "i-2"]);
 }
 
-/// Guards against a retry that can only go to an upstream in backoff: one that
-/// rejects everything at once seems the least utilized.
+/// Guards against a retry, or an escalation to a larger model, for which only
+/// an upstream in backoff is left. An upstream that rejects everything at once
+/// seems the least utilized.
 #[test]
 fn another_attempt_requires_an_upstream_without_backoff() {
     let now = BootInstant::now();
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -61,15 +61,15 @@
 #[test]
 fn an_upstream_restarted_since_it_was_tried_may_be_picked() {
     let now = BootInstant::now();
-    let life = |started| UpstreamEntry {
+    let started_at = |started| UpstreamEntry {
         started: Some(StartMs(started)),
         ..entry("i-1", "a", "v1")
     };
-    let pool = pool(&[life(1)], now);
-    let tried = [ShortHash::of(&life(1).incarnation().to_string())];
+    let pool = pool(&[started_at(1)], now);
+    let tried = [ShortHash::of(&started_at(1).incarnation().to_string())];
     let service = "writers".parse().unwrap();
     assert!(!pool.has_untried(&service, &tried, now));
-    pool.set(life(2), now);
+    pool.set(started_at(2), now);
     assert!(pool.has_untried(&service, &tried, now));
     let criteria = PickCriteria { tried: &tried, ..PickCriteria::default() };
     assert_eq!(picks(&pool, &criteria, now), ["i-1"]);
--- a/src/placing/reported_state.rs
+++ b/src/placing/reported_state.rs
@@ -296,7 +296,7 @@
     /// in force.
     pub(super) fn keep(
         &mut self,
-        life: ShortHash,
+        incarnation: ShortHash,
         state: Arc<ReportedState>,
         now: BootInstant,
     ) {
@@ -304,26 +304,29 @@
             now.saturating_duration_since(kept.since) < UNLISTED_LIFETIME
         });
         if self.0.len() < MAX_UNLISTED && state.is_in_force(now) {
-            self.0.insert(life, Unlisted { state, since: now });
+            self.0.insert(incarnation, Unlisted { state, since: now });
         }
     }
 
     /// Takes the state of an incarnation that enters the pool; empty if none
     /// was kept.
-    pub(super) fn take(&mut self, life: ShortHash) -> Arc<ReportedState> {
-        self.0.remove(&life).map(|kept| kept.state).unwrap_or_default()
+    pub(super) fn take(
+        &mut self,
+        incarnation: ShortHash,
+    ) -> Arc<ReportedState> {
+        self.0.remove(&incarnation).map(|kept| kept.state).unwrap_or_default()
     }
 
     /// Updates the state of an incarnation from a report of another VM.
     pub(super) fn update(
         &mut self,
-        life: ShortHash,
+        incarnation: ShortHash,
         now: BootInstant,
         update: impl FnOnce(&ReportedState),
     ) {
-        let state = self.take(life);
+        let state = self.take(incarnation);
         update(&state);
-        self.keep(life, state, now);
+        self.keep(incarnation, state, now);
     }
 }
 
