--- a/src/api/caller_api.rs
+++ b/src/api/caller_api.rs
@@ -1,4 +1,4 @@
-//! The callers' face: chat completions, models, and plain services.
+//! The HTTP API for callers: chat completions, models and plain services.
 
 use std::sync::Arc;
 
@@ -13,8 +13,8 @@
 use crate::{
     answer::{Answer, Header},
     api::{
-        dispatch::{ServiceTarget, is_passed_on},
-        request::{Arrived, CallHeaders, Request},
+        dispatch::{ServiceTarget, is_forwarded_header},
+        request::{CallHeaders, Received, Request},
         template::VersionState,
         vm::Vm,
     },
@@ -27,13 +27,14 @@
 const MODELS_PATH: &str = "/v1/models";
 const SERVICES_PREFIX: &str = "/services/";
 
-/// Largest total of request headers, in bytes.
+/// Maximum total size of the request headers, in bytes.
 const HEADERS_LIMIT_BYTES: usize = 32 * 1024;
 
-/// Largest body that is read to its end only to be refused, in bytes.
+/// Maximum size of an oversized body that is read and discarded before the
+/// rejection is sent, in bytes.
 const DISCARD_LIMIT_BYTES: u64 = 16 << 20;
 
-/// Headers of a caller that an upstream is not shown.
+/// Request headers that are not forwarded to upstreams.
 const PRIVATE_HEADERS: [&str; 6] = [
     "authorization",
     "lupinseam-session",
@@ -43,7 +44,7 @@
     "expect",
 ];
 
-/// Handles the requests of callers.
+/// The HTTP handler for requests of callers.
 pub(crate) struct CallerApi {
     pub(crate) vm: Arc<Vm>,
 }
@@ -63,10 +64,10 @@
             }
             (_, CHAT_PATH | MODELS_PATH | "/healthz" | "/readyz") => {
                 let kind = ErrorKind::MethodNotAllowed;
-                send_error(conn, kind, "the path takes another method")
+                send_error(conn, kind, "the path does not support this method")
             }
             _ => {
-                let reason = format!("there is nothing at {path}");
+                let reason = format!("no resource at {path}");
                 send_error(conn, ErrorKind::NotFound, reason)
             }
         }
@@ -74,9 +75,10 @@
 }
 
 impl CallerApi {
+    /// Handles a chat completion request.
     async fn chat(&self, mut conn: Conn) -> Conn {
-        let (gone, cancel) = bounded(1);
-        let request = Request::arrive(&self.vm, cancel);
+        let (connected, cancel) = bounded(1);
+        let request = Request::receive(&self.vm, cancel);
         let (request, body) = match self.read(&mut conn, request).await {
             Ok(read) => read,
             Err(answer) => return send(conn, answer),
@@ -92,12 +94,13 @@
                 Err(answer) => answer,
             }
         };
-        finish(conn, work, gone).await
+        finish(conn, work, connected).await
     }
 
+    /// Handles a call of a plain service.
     async fn service(&self, mut conn: Conn) -> Conn {
-        let (gone, cancel) = bounded(1);
-        let request = Request::arrive(&self.vm, cancel);
+        let (connected, cancel) = bounded(1);
+        let request = Request::receive(&self.vm, cancel);
         let (request, body) = match self.read(&mut conn, request).await {
             Ok(read) => read,
             Err(answer) => return send(conn, answer),
@@ -109,7 +112,7 @@
         let target = ServiceTarget {
             method: hyper_method(method),
             path,
-            headers: passed_headers(conn.request_headers()),
+            headers: forwarded_headers(conn.request_headers()),
             body,
         };
         let work = async move {
@@ -118,25 +121,25 @@
                 Err(answer) => answer,
             }
         };
-        finish(conn, work, gone).await
+        finish(conn, work, connected).await
     }
 
-    /// Reads the body within its limit.
+    /// Reads the request body, up to the size limit.
     async fn read(
         &self,
         conn: &mut Conn,
-        request: Request<Arrived>,
-    ) -> Result<(Request<Arrived>, Bytes), Answer> {
+        request: Request<Received>,
+    ) -> Result<(Request<Received>, Bytes), Answer> {
         let limit = self.vm.settings.requests.body_limit_bytes;
         let too_large = || {
             Error::new(ErrorKind::TooLarge)
-                .context(format!("the body is over {limit} bytes"))
+                .context(format!("the body exceeds {limit} bytes"))
         };
         if header_bytes(conn.request_headers()) > HEADERS_LIMIT_BYTES {
             let error = Error::new(ErrorKind::TooLarge).context(format!(
-                "the headers are over {HEADERS_LIMIT_BYTES} bytes"
+                "the headers exceed {HEADERS_LIMIT_BYTES} bytes"
             ));
-            return Err(request.refuse(error));
+            return Err(request.reject(error));
         }
         let stated = conn
             .request_headers()
@@ -144,19 +147,20 @@
             .and_then(|text| text.parse::<u64>().ok());
         if stated.is_some_and(|length| length > limit) {
             if stated.is_some_and(|length| length < DISCARD_LIMIT_BYTES) {
-                // A caller that is still writing might miss the answer.
+                // A caller that is still sending its body might not read the
+                // answer.
                 let body = conn.request_body().await;
                 let body = body.with_max_len(DISCARD_LIMIT_BYTES);
                 let _ = body.drain().await;
             }
-            return Err(request.refuse(too_large()));
+            return Err(request.reject(too_large()));
         }
-        // The library takes a body of the bound itself as too long.
+        // The HTTP library rejects a body of exactly the maximum length.
         let body = conn.request_body().await.with_max_len(limit + 1);
         match body.read_bytes().await {
             Ok(bytes) => Ok((request, bytes.into())),
             Err(trillium::Error::ReceivedBodyTooLong(_)) => {
-                Err(request.refuse(too_large()))
+                Err(request.reject(too_large()))
             }
             Err(error) => {
                 let unsupported = matches!(
@@ -170,11 +174,12 @@
                         .context(error.to_string())
                         .context("reading the body"),
                 };
-                Err(request.refuse(error))
+                Err(request.reject(error))
             }
         }
     }
 
+    /// Lists the models and versions that the caller's template allows.
     fn models(&self, conn: Conn) -> Conn {
         let bearer = bearer_key(conn.request_headers());
         let configuration = self.vm.configuration.current();
@@ -182,7 +187,7 @@
             configuration.template_by_key(&KeyHash::of(&key)).cloned()
         });
         let Some(template) = template else {
-            let reason = "no template holds this key";
+            let reason = "no template has this key";
             return send_error(conn, ErrorKind::Unauthorized, reason);
         };
         let mut models = Vec::new();
@@ -204,37 +209,40 @@
     }
 }
 
-/// Runs the work to its end even when the caller goes away; work that can
-/// be cancelled is told by the closing of the channel `gone`.
+/// Runs `work` to completion, even if the caller disconnects, and sends its
+/// answer.
+///
+/// Cancellable work notices a disconnect by the closing of the channel
+/// `connected`.
 async fn finish(
     mut conn: Conn,
     work: impl Future<Output = Answer> + Send + 'static,
-    gone: smol::channel::Sender<()>,
+    connected: smol::channel::Sender<()>,
 ) -> Conn {
     let (sender, receiver) = bounded(1);
     task::spawn(async move {
         let answer = work.await;
-        // Nobody is there to take it when the caller went away.
+        // The receiver no longer exists if the caller has disconnected.
         let _ = sender.try_send(answer);
     })
     .detach();
-    let waiting = receiver.recv();
-    let answer = conn.cancel_on_disconnect(waiting).await;
+    let answer_received = receiver.recv();
+    let answer = conn.cancel_on_disconnect(answer_received).await;
     match answer {
         Some(Ok(Answer::Streamed { headers, mut body })) => {
-            body.keep_presence(gone);
+            body.keep_presence(connected);
             send(conn, Answer::Streamed { headers, body })
         }
         Some(Ok(answer)) => send(conn, answer),
         Some(Err(_)) => {
-            let reason = "the request's task ended without an answer";
+            let reason = "the task of the request ended without an answer";
             send_error(conn, ErrorKind::Internal, reason)
         }
         None => conn.with_status(499).halt(),
     }
 }
 
-/// Puts an answer on a connection.
+/// Sends an answer on a connection.
 pub(crate) fn send(conn: Conn, answer: Answer) -> Conn {
     match answer {
         Answer::Whole { status, headers, body } => {
@@ -256,7 +264,7 @@
     conn
 }
 
-/// Refuses a request that has no decision of its own.
+/// Sends an error for a request that has no decision record.
 pub(crate) fn send_error(
     conn: Conn,
     kind: ErrorKind,
@@ -266,7 +274,7 @@
     send(conn, Answer::refusal(&error, None))
 }
 
-/// Answers with JSON.
+/// Sends a JSON answer.
 pub(crate) fn send_json(
     conn: Conn,
     status: u16,
@@ -278,15 +286,15 @@
         .halt()
 }
 
-/// Says whether the VM takes requests.
+/// Answers a readiness probe: whether the VM accepts requests.
 pub(crate) fn send_readiness(vm: &Vm, conn: Conn) -> Conn {
     if vm.is_ready() {
         return conn.ok("ready\n");
     }
-    send_error(conn, ErrorKind::NotReady, "starting or stopping")
+    send_error(conn, ErrorKind::NotReady, "this VM is starting or stopping")
 }
 
-/// The bearer key of a request.
+/// Returns the bearer key of the `Authorization` header, if there is one.
 pub(crate) fn bearer_key(headers: &Headers) -> Option<String> {
     let value = headers.get_str(KnownHeaderName::Authorization)?;
     let key = value.strip_prefix("Bearer ")?.trim();
@@ -307,17 +315,19 @@
     }
 }
 
-fn passed_headers(headers: &Headers) -> Vec<Header> {
+/// Returns the headers that are forwarded to an upstream.
+fn forwarded_headers(headers: &Headers) -> Vec<Header> {
     let pairs = headers.iter().filter_map(|(name, values)| {
         let name = name.to_string().to_ascii_lowercase();
-        let passed =
-            is_passed_on(&name) && !PRIVATE_HEADERS.contains(&name.as_str());
+        let is_forwarded = is_forwarded_header(&name)
+            && !PRIVATE_HEADERS.contains(&name.as_str());
         let value = values.as_str()?;
-        passed.then(|| Header::new(name, value))
+        is_forwarded.then(|| Header::new(name, value))
     });
     pairs.collect()
 }
 
+/// Returns the total size of names and values.
 fn header_bytes(headers: &Headers) -> usize {
     headers
         .iter()
@@ -329,7 +339,7 @@
         .sum()
 }
 
-/// Splits `/services/{name}/{rest}` into the name and the path to ask for.
+/// Splits `/services/{name}/{rest}` into the name and the upstream's path.
 fn split_service_path(conn: &Conn) -> (String, String) {
     let rest = conn.path().strip_prefix(SERVICES_PREFIX).unwrap_or("");
     let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
--- a/src/api/chat.rs
+++ b/src/api/chat.rs
@@ -1,4 +1,4 @@
-//! Chat requests: the little that the router reads of them, and writes.
+//! Chat completion requests: the fields that the router reads and changes.
 
 use serde_json::{Map, Value};
 
@@ -9,37 +9,38 @@
     rendezvous,
 };
 
-/// The name by which a caller leaves the model to the router.
-const ANY_MODEL: &str = "auto";
+/// The model name with which a caller lets the router select the model.
+const AUTO_MODEL: &str = "auto";
 
-/// Bytes of text that make one token, roughly.
+/// Approximate bytes of text per token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Bytes of the first messages that make a request's prefix.
+/// Length of the text, from the first message on, that is hashed as the
+/// prefix of a request.
 const PREFIX_BYTES: usize = 1024;
 
-/// A chat request as the caller sent it.
+/// A chat completion request as the caller sent it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChatRequest {
     fields: Map<String, Value>,
-    /// The model named, if any.
+    /// The requested model; `None` for any allowed model.
     pub model: Option<ModelId>,
-    /// Whether the answer is to be streamed.
+    /// Whether the caller asks for a streamed answer.
     pub stream: bool,
-    /// Tokens to be written at most, if stated.
+    /// The limit on output tokens (`max_tokens`), if set.
     pub output_tokens: Option<u64>,
-    /// Tokens to be read, estimated.
+    /// The number of input tokens, estimated from the length of the text.
     pub input_tokens: u64,
-    /// The hash of the beginning, for affinity to a prefix cache.
+    /// The hash of the start of the text, for prefix cache affinity.
     pub prefix: u64,
 }
 
 impl ChatRequest {
-    /// Reads a request body.
+    /// Parses a request body.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::InvalidInput`] naming what is wrong.
+    /// [`ErrorKind::InvalidInput`] with the reason.
     pub fn from_json(body: &[u8]) -> Result<ChatRequest, Error> {
         let value: Value = serde_json::from_slice(body)
             .map_err(|error| invalid(format!("not JSON: {error}")))?;
@@ -50,9 +51,9 @@
             .get("messages")
             .and_then(Value::as_array)
             .filter(|messages| !messages.is_empty())
-            .ok_or_else(|| invalid("`messages` must be a filled list"))?;
+            .ok_or_else(|| invalid("`messages` must be a non-empty list"))?;
         if !messages.iter().all(Value::is_object) {
-            return Err(invalid("each of `messages` must be an object"));
+            return Err(invalid("each item of `messages` must be an object"));
         }
         let text_bytes = messages.iter().map(content_bytes).sum::<usize>();
         let prefix = prefix_hash(messages);
@@ -69,7 +70,7 @@
         })
     }
 
-    /// The body for an upstream that is to answer with a version.
+    /// Returns the body to send to an upstream, with the version and priority.
     pub fn body_for(
         &self,
         entry: &VersionEntry,
@@ -78,7 +79,7 @@
         let mut fields = self.fields.clone();
         let model = format!("{}@{}", entry.model, entry.version);
         fields.insert("model".to_owned(), Value::from(model));
-        // Engines take the lower number first.
+        // Engines process requests with a lower number first.
         let rank = match priority {
             Priority::Interactive => 0,
             Priority::Batch => 10,
@@ -87,7 +88,7 @@
         Value::Object(fields).to_string().into_bytes()
     }
 
-    /// The text of the last message, for the rating service.
+    /// Returns the text of the last message, for the rating service.
     pub fn last_text(&self) -> String {
         let messages = self.fields.get("messages").and_then(Value::as_array);
         let last = messages.and_then(|messages| messages.last());
@@ -105,7 +106,7 @@
 fn read_model(fields: &Map<String, Value>) -> Result<Option<ModelId>, Error> {
     match fields.get("model") {
         None | Some(Value::Null) => Ok(None),
-        Some(Value::String(name)) if name == ANY_MODEL => Ok(None),
+        Some(Value::String(name)) if name == AUTO_MODEL => Ok(None),
         Some(Value::String(name)) => name.parse().map(Some),
         Some(_) => Err(invalid("`model` must be a string")),
     }
@@ -126,11 +127,13 @@
     match fields.get(name) {
         None | Some(Value::Null) => Ok(None),
         Some(value) => value.as_u64().map(Some).ok_or_else(|| {
-            invalid(format!("`{name}` must be a whole number"))
+            invalid(format!("`{name}` must be a non-negative integer"))
         }),
     }
 }
 
+/// Returns the length of a message's content; other content than text counts
+/// with its JSON.
 fn content_bytes(message: &Value) -> usize {
     match message.get("content") {
         Some(Value::String(text)) => text.len(),
@@ -139,6 +142,7 @@
     }
 }
 
+/// Hashes the first [`PREFIX_BYTES`] of the messages' text.
 fn prefix_hash(messages: &[Value]) -> u64 {
     let mut hasher = blake3::Hasher::new();
     let mut left = PREFIX_BYTES;
@@ -157,17 +161,17 @@
     rendezvous::first_u64(&hasher.finalize())
 }
 
-/// What an engine says that it used.
+/// The token counts that an inference engine reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TokenUsage {
-    /// Tokens read.
+    /// Input tokens (`prompt_tokens`).
     pub input: u64,
-    /// Tokens written.
+    /// Output tokens (`completion_tokens`).
     pub output: u64,
 }
 
 impl TokenUsage {
-    /// Reads the `usage` of an answer or of an event, if it has one.
+    /// Reads the `usage` of an answer or a stream event, if it has one.
     pub fn from_json(value: &Value) -> Option<TokenUsage> {
         let usage = value.get("usage")?;
         Some(TokenUsage {
@@ -177,7 +181,7 @@
     }
 }
 
-/// The text of a whole answer, for the rating service.
+/// Returns the text of a whole answer, for the rating service.
 pub fn answer_text(value: &Value) -> String {
     value
         .pointer("/choices/0/message/content")
@@ -191,7 +195,7 @@
     use super::*;
 
     #[test]
-    fn what_is_wrong_is_named() {
+    fn invalid_requests_are_rejected_with_the_field_name() {
         let wrong = [
             ("{", "not JSON"),
             ("[]", "JSON object"),
@@ -211,7 +215,7 @@
     }
 
     #[test]
-    fn the_rest_of_a_request_is_passed_on() {
+    fn unknown_fields_are_forwarded_to_the_upstream() {
         let body = br#"{"model":"auto","messages":[{"role":"user",
             "content":"hello"}],"temperature":0.5}"#;
         let request = ChatRequest::from_json(body).unwrap();
@@ -223,10 +227,10 @@
                 "output_price_micro_per_1k":1}"#,
         )
         .unwrap();
-        let passed = request.body_for(&entry, Priority::Batch);
-        let passed: Value = serde_json::from_slice(&passed).unwrap();
-        assert_eq!(passed["model"], "m@v1");
-        assert_eq!(passed["temperature"], 0.5);
-        assert_eq!(passed["priority"], 10);
+        let forwarded = request.body_for(&entry, Priority::Batch);
+        let forwarded: Value = serde_json::from_slice(&forwarded).unwrap();
+        assert_eq!(forwarded["model"], "m@v1");
+        assert_eq!(forwarded["temperature"], 0.5);
+        assert_eq!(forwarded["priority"], 10);
     }
 }
--- a/src/api/decision.rs
+++ b/src/api/decision.rs
@@ -1,8 +1,8 @@
-//! Decisions: what was chosen or refused, with every reason, as a record.
+//! Decision records: how a request was routed or rejected, and why.
 //!
-//! A record says which candidates there were, why each was dropped, on which
-//! configuration revision and on how old a view the choice was made. It can
-//! be read as JSON or as sentences.
+//! A record lists the candidates and why each was excluded, the attempts, the
+//! configuration revision and the age of the data that the selection was
+//! based on. It is available as JSON or as text.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -22,31 +22,32 @@
     unit::MicroCost,
 };
 
-/// What a request asks for.
+/// The kind of a request and what it asks for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Asked {
-    /// An answer of the named model, or of any that the template allows.
+pub enum RequestTarget {
+    /// A chat completion by the named model, or by any that the template
+    /// allows.
     Chat {
-        /// The model named, if any.
+        /// The requested model; `None` for any allowed model.
         model: Option<ModelId>,
-        /// The task, as the caller names it.
+        /// The task named by the caller, or the default task.
         task: String,
-        /// Whether the answer is streamed.
+        /// Whether the caller asked for a streamed answer.
         stream: bool,
     },
     /// A call of a plain service.
     Service {
-        /// The service.
+        /// The service that is called.
         service: ServiceId,
         /// Whether the call may be sent more than once.
         repeatable: bool,
     },
-    /// Something that could not be read.
+    /// A request that was rejected before it was parsed.
     Unreadable,
 }
 
-/// How a request stands to a session.
+/// Whether a request belongs to a session.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SessionUse {
@@ -56,237 +57,239 @@
     New,
     /// It belongs to a session on this model and version.
     Bound {
-        /// The model.
+        /// The model that the session is bound to.
         model: ModelId,
-        /// The version.
+        /// The version of it that the session is bound to.
         version: VersionId,
     },
 }
 
-/// Why a model and version was not taken.
+/// Why a candidate was excluded from the plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Dropped {
-    /// The template does not allow it.
+pub enum Exclusion {
+    /// The template does not allow the version.
     NotAllowed,
-    /// The request or its session is for another.
+    /// The request or its session is for another model or version.
     NotAsked,
-    /// It is withdrawn.
+    /// The version is withdrawn.
     Withdrawn,
-    /// It is draining and takes no new session.
+    /// The version is draining and serves only existing sessions.
     Draining,
-    /// It is rolling out and the request is outside its stage.
+    /// The version is rolling out and the request is outside its stage.
     OutsideStage,
-    /// It is rolling out and the configuration is not proven current.
+    /// The version is rolling out and the configuration may be outdated.
     StaleConfiguration,
-    /// The roll-out guard has stopped it at this VM.
+    /// The rollout guard has stopped the version at this VM.
     StoppedHere,
-    /// A version that is serving or in its stage was preferred.
+    /// Another eligible version of the same model was preferred.
     OtherVersion,
-    /// It is expected to cost more than the template allows.
+    /// Its expected cost exceeds the template's limit for one request.
     TooExpensive,
-    /// No replica of it is usable.
+    /// No usable replica has loaded the version.
     NoUpstream,
-    /// Another was expected to reach the target at less cost.
+    /// Another version was expected to meet the target at a lower cost.
     CostsMore,
-    /// Another is likelier to reach the target.
+    /// Another version is likelier to meet the target.
     LessLikely,
 }
 
-impl fmt::Display for Dropped {
+impl fmt::Display for Exclusion {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Dropped::NotAllowed => "the template does not allow it",
-            Dropped::NotAsked => "the request is for another",
-            Dropped::Withdrawn => "it is withdrawn",
-            Dropped::Draining => "it is draining and takes no new session",
-            Dropped::OutsideStage => {
+            Exclusion::NotAllowed => "the template does not allow it",
+            Exclusion::NotAsked => "the request is for another version",
+            Exclusion::Withdrawn => "it is withdrawn",
+            Exclusion::Draining => "it is draining and takes no new sessions",
+            Exclusion::OutsideStage => {
                 "it is rolling out and the request is outside its stage"
             }
-            Dropped::StaleConfiguration => {
-                "it is rolling out and the configuration is not proven \
-                 current"
+            Exclusion::StaleConfiguration => {
+                "it is rolling out and the configuration may be outdated"
             }
-            Dropped::StoppedHere => "the guard has stopped it at this VM",
-            Dropped::OtherVersion => {
+            Exclusion::StoppedHere => "the guard has stopped it at this VM",
+            Exclusion::OtherVersion => {
                 "another version of the model was preferred"
             }
-            Dropped::TooExpensive => "it would cost more than allowed",
-            Dropped::NoUpstream => "no replica of it is usable",
-            Dropped::CostsMore => {
-                "another was expected to reach the target at less cost"
+            Exclusion::TooExpensive => "its expected cost exceeds the limit",
+            Exclusion::NoUpstream => "no usable replica has loaded it",
+            Exclusion::CostsMore => {
+                "another version was expected to meet the target for less"
             }
-            Dropped::LessLikely => "another is likelier to reach the target",
+            Exclusion::LessLikely => "another is likelier to meet the target",
         })
     }
 }
 
-/// A model and version that came into question.
+/// A model version that was considered for a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Candidate {
     /// The model.
     pub model: ModelId,
-    /// The version.
+    /// The version of the model.
     pub version: VersionId,
-    /// The cost expected of an answer of its own.
+    /// The expected cost of an answer of this version alone.
     pub expected_cost_micro: MicroCost,
-    /// The chance that its answer meets the target.
+    /// The estimated probability that its answer meets the target.
     pub chance: f64,
-    /// Rated answers behind that chance.
+    /// The decayed number of rated answers behind that estimate.
     pub rated: f64,
-    /// Why it was not taken; `None` for the plan's steps.
-    pub dropped: Option<Dropped>,
+    /// Why it was excluded; `None` for the steps of the plan.
+    pub dropped: Option<Exclusion>,
 }
 
-/// Why an upstream was preferred.
+/// Why an upstream was preferred to other usable ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Preferred {
-    /// It probably holds the prefix and is not overloaded.
+pub enum Preference {
+    /// It probably has the prefix in its cache and is not overloaded.
     Prefix,
-    /// It was the less loaded of two drawn.
+    /// It was the less loaded of two selected at random.
     LessLoaded,
-    /// It was the only one usable.
+    /// It was the only usable one.
     Only,
 }
 
-/// How an upstream was chosen.
+/// How the upstream of an attempt was selected.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamChoice {
-    /// The upstream.
+    /// The selected upstream.
     pub upstream: UpstreamId,
     /// Why it was preferred.
-    pub preferred: Preferred,
-    /// Whether it stands in this VM's data hall.
+    pub preferred: Preference,
+    /// Whether it is in this VM's data hall.
     pub local: bool,
-    /// Upstreams that could have been taken.
+    /// Number of usable upstreams that it was selected from.
     pub usable: u32,
-    /// Upstreams left out as leaving.
+    /// Number of upstreams excluded because they are leaving.
     pub leaving: u32,
-    /// Upstreams left out by their breaker or an earlier attempt.
+    /// Number excluded by their circuit breaker or an earlier attempt.
     pub broken: u32,
-    /// Upstreams left out as they have not loaded the version.
+    /// Number excluded because they have not loaded the version.
     pub not_loaded: u32,
-    /// Requests that it was believed to hold.
+    /// Estimated number of requests in flight at it.
     pub requests: f64,
-    /// The age of that belief, in milliseconds.
+    /// The age of its load report, in milliseconds; `None` without a report.
     pub load_age_ms: Option<u64>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum AttemptEnd {
-    /// It still runs.
+pub enum AttemptOutcome {
+    /// The attempt is still running.
     Running,
-    /// It answered whole.
+    /// The upstream sent a complete answer.
     Answered {
         /// The HTTP status.
         status: u16,
     },
-    /// It answered and the rating was below the target.
+    /// The upstream answered, and the answer was rated below the target.
     RatedPoor {
         /// The rating, in thousandths.
         score_milli: u16,
     },
-    /// It could not be reached; nothing of the request left.
+    /// Connecting failed; nothing was sent.
     Unreachable,
-    /// It broke off.
+    /// The connection failed, or the answer exceeded the size limit.
     Broken,
-    /// The deadline passed.
+    /// The attempt timed out.
     TimedOut,
-    /// The caller went away.
+    /// The caller disconnected.
     Cancelled,
 }
 
 /// One attempt at one upstream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Attempt {
-    /// The model, for model requests.
+    /// The model; `None` for service calls.
     pub model: Option<ModelId>,
-    /// The version, for model requests.
+    /// The version; `None` for service calls.
     pub version: Option<VersionId>,
-    /// How the upstream was chosen.
+    /// How the upstream was selected.
     pub choice: UpstreamChoice,
-    /// How it ended.
-    pub end: AttemptEnd,
-    /// Tokens read.
+    /// How the attempt ended.
+    pub end: AttemptOutcome,
+    /// Input tokens used.
     pub input_tokens: u64,
-    /// Tokens written.
+    /// Output tokens generated.
     pub output_tokens: u64,
-    /// Its cost.
+    /// The cost of the attempt.
     pub cost_micro: MicroCost,
 }
 
-/// What became of the request.
+/// The status of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Verdict {
-    /// It is being worked on.
+pub enum RequestStatus {
+    /// The request has not ended yet.
     Running,
-    /// It was answered.
+    /// The request was answered.
     Answered,
-    /// The recorded outcome of an earlier request with its key was returned.
+    /// The recorded answer of an earlier request with the same idempotency key
+    /// was returned.
     Repeated {
         /// The earlier request.
         of: RequestId,
     },
-    /// It was refused or failed.
+    /// The request was rejected or failed.
     Refused {
-        /// The kind.
+        /// The kind of the error.
         kind: ErrorKind,
-        /// The reason in words.
+        /// The error message.
         reason: String,
     },
 }
 
-/// A record of one decision.
+/// The record of how one request was routed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Decision {
-    /// The request, and so the decision.
+    /// The id of the request, which identifies the decision too.
     pub id: RequestId,
-    /// When the request came, in milliseconds since the Unix epoch.
+    /// When the request was received, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
-    /// The organisation, once it is known.
+    /// The organisation; `None` until the request is authorized.
     pub organisation: Option<OrganisationId>,
-    /// What was asked.
-    pub asked: Asked,
-    /// The priority.
+    /// What the request asks for.
+    pub asked: RequestTarget,
+    /// The priority of the request.
     pub priority: Priority,
-    /// The session.
+    /// The session that the request belongs to.
     pub session: SessionUse,
-    /// The configuration revision that it was made on.
+    /// The configuration revision that the decision was based on.
     pub revision: Revision,
-    /// The age of the proof that this revision was current.
+    /// Time since that revision was confirmed to be current, in milliseconds;
+    /// `None` if it never was.
     pub configuration_age_ms: Option<u64>,
-    /// The age of the platform's list.
+    /// Time since the platform's list was read, in milliseconds; `None` if it
+    /// never was.
     pub list_age_ms: Option<u64>,
-    /// The models and versions that came into question.
+    /// The model versions that were considered.
     pub candidates: Vec<Candidate>,
-    /// Time spent waiting in the queue.
+    /// Time spent waiting in the dispatch queue, in milliseconds.
     pub queued_ms: u64,
-    /// The attempts made.
+    /// The attempts in the order they were made.
     pub attempts: Vec<Attempt>,
-    /// What became of it.
-    pub verdict: Verdict,
+    /// The status of the request.
+    pub verdict: RequestStatus,
 }
 
 impl Decision {
-    /// The whole cost so far.
+    /// Returns the total cost of the attempts so far.
     pub fn cost(&self) -> MicroCost {
         self.attempts
             .iter()
             .fold(MicroCost::default(), |sum, a| sum + a.cost_micro)
     }
 
-    /// The record in sentences, one a line.
+    /// Formats the record as sentences, one per line.
     pub fn to_text(&self) -> String {
         let mut lines = vec![self.asked_text()];
         lines.push(format!(
-            "It was decided on configuration revision {} ({}), with the \
-             platform's list {}.",
+            "The decision used configuration revision {} ({}) and the \
+             platform's list ({}).",
             self.revision,
-            age_text("proven current", self.configuration_age_ms),
+            age_text("confirmed current", self.configuration_age_ms),
             age_text("read", self.list_age_ms),
         ));
         if let SessionUse::Bound { model, version } = &self.session {
@@ -296,20 +299,24 @@
         }
         lines.extend(self.candidates.iter().map(Candidate::to_text));
         if self.queued_ms > 0 {
-            lines.push(format!("It waited {} ms.", self.queued_ms));
+            lines.push(format!(
+                "It waited {} ms in the queue.",
+                self.queued_ms
+            ));
         }
         lines.extend(self.attempts.iter().map(Attempt::to_text));
-        lines.push(self.verdict_text());
+        lines.push(self.status_text());
         lines.join("\n")
     }
 
+    /// Formats what the request asks for.
     fn asked_text(&self) -> String {
-        let who = self
+        let caller = self
             .organisation
             .as_ref()
             .map_or("An unknown caller".to_owned(), ToString::to_string);
         match &self.asked {
-            Asked::Chat { model, task, stream } => {
+            RequestTarget::Chat { model, task, stream } => {
                 let model = model
                     .as_ref()
                     .map_or("any allowed model".to_owned(), |model| {
@@ -317,40 +324,41 @@
                     });
                 let stream = if *stream { ", streamed" } else { "" };
                 format!(
-                    "{who} asked for {model} (task {task}, {}{stream}).",
+                    "{caller} asked for {model} (task {task}, {}{stream}).",
                     self.priority
                 )
             }
-            Asked::Service { service, repeatable } => {
+            RequestTarget::Service { service, repeatable } => {
                 let kind = if *repeatable { "" } else { " not" };
                 format!(
-                    "{who} called the service {service}, which may{kind} \
-                     be repeated."
+                    "{caller} called the service {service}; it may{kind} be \
+                     repeated."
                 )
             }
-            Asked::Unreadable => {
-                format!("{who} sent a request that could not be read.")
+            RequestTarget::Unreadable => {
+                format!("{caller} sent a request that could not be read.")
             }
         }
     }
 
-    fn verdict_text(&self) -> String {
+    /// Formats the status of the request.
+    fn status_text(&self) -> String {
         match &self.verdict {
-            Verdict::Running => "It is still running.".to_owned(),
-            Verdict::Answered => {
+            RequestStatus::Running => "It is still running.".to_owned(),
+            RequestStatus::Answered => {
                 format!("It was answered, at a cost of {}.", self.cost())
             }
-            Verdict::Repeated { of } => {
-                format!("The recorded outcome of {of} was returned.")
+            RequestStatus::Repeated { of } => {
+                format!("The recorded answer of request {of} was returned.")
             }
-            Verdict::Refused { kind, reason } => {
+            RequestStatus::Refused { kind, reason } => {
                 let answer = kind.answer();
                 let run = match answer.run {
                     Run::NotRun => "it did not run",
                     Run::OutcomeUnknown => "it may have run",
                     Run::Ran => "it ran",
                 };
-                format!("It was refused ({}): {reason}; {run}.", answer.code)
+                format!("It was rejected ({}): {reason}; {run}.", answer.code)
             }
         }
     }
@@ -360,9 +368,9 @@
     fn to_text(&self) -> String {
         let name = format!("{} {}", self.model, self.version);
         match self.dropped {
-            Some(dropped) => format!("{name} was not taken: {dropped}."),
+            Some(dropped) => format!("{name} was excluded: {dropped}."),
             None => format!(
-                "{name} was planned: chance {:.2} to meet the target \
+                "{name} was planned: probability {:.2} of meeting the target \
                  ({:.0} ratings), expected cost {}.",
                 self.chance, self.rated, self.expected_cost_micro
             ),
@@ -378,29 +386,31 @@
         };
         let choice = &self.choice;
         let why = match choice.preferred {
-            Preferred::Prefix => "it probably holds the prefix",
-            Preferred::LessLoaded => "it was the less loaded of two drawn",
-            Preferred::Only => "it was the only one usable",
+            Preference::Prefix => "it probably has the prefix cached",
+            Preference::LessLoaded => "it was the less loaded of two drawn",
+            Preference::Only => "it was the only usable one",
         };
         let place = if choice.local { "" } else { ", in another data hall" };
         let load = age_text("load reported", choice.load_age_ms);
         let end = match &self.end {
-            AttemptEnd::Running => "it still runs".to_owned(),
-            AttemptEnd::Answered { status } => format!("answered {status}"),
-            AttemptEnd::RatedPoor { score_milli } => format!(
+            AttemptOutcome::Running => "it is still running".to_owned(),
+            AttemptOutcome::Answered { status } => {
+                format!("answered {status}")
+            }
+            AttemptOutcome::RatedPoor { score_milli } => format!(
                 "answered, but was rated {:.2}",
                 f64::from(*score_milli) / 1000.0
             ),
-            AttemptEnd::Unreachable => {
-                "could not be reached, nothing was sent".to_owned()
+            AttemptOutcome::Unreachable => {
+                "connecting failed, nothing was sent".to_owned()
             }
-            AttemptEnd::Broken => "broke off".to_owned(),
-            AttemptEnd::TimedOut => "did not answer in time".to_owned(),
-            AttemptEnd::Cancelled => "the caller went away".to_owned(),
+            AttemptOutcome::Broken => "the connection failed".to_owned(),
+            AttemptOutcome::TimedOut => "did not answer in time".to_owned(),
+            AttemptOutcome::Cancelled => "the caller disconnected".to_owned(),
         };
         format!(
-            "It went to {what}{}{place}: {why} among {} usable ({} leaving, \
-             {} broken, {} without the version left out; {load}); {end}.",
+            "It was sent to {what}{}{place}: {why} among {} usable (excluded: \
+             {} leaving, {} failing, {} without the version; {load}); {end}.",
             choice.upstream,
             choice.usable,
             choice.leaving,
@@ -410,14 +420,15 @@
     }
 }
 
+/// Formats an age, such as `read 20 ms earlier`.
 fn age_text(what: &str, age_ms: Option<u64>) -> String {
     match age_ms {
-        Some(age_ms) => format!("{what} {age_ms} ms before"),
+        Some(age_ms) => format!("{what} {age_ms} ms earlier"),
         None => format!("never {what}"),
     }
 }
 
-/// The latest decisions of this VM, up to a bound.
+/// The most recent decisions of this VM.
 pub struct DecisionLog {
     limit: usize,
     records: Mutex<Records>,
@@ -430,12 +441,12 @@
 }
 
 impl DecisionLog {
-    /// Creates a log that keeps `limit` records.
+    /// Creates a log that keeps at most `limit` records.
     pub fn new(limit: usize) -> DecisionLog {
         DecisionLog { limit, records: Mutex::default() }
     }
 
-    /// Adds or replaces a record, and drops the oldest beyond the bound.
+    /// Adds or replaces a record, and removes the oldest ones over the limit.
     pub fn put(&self, decision: Decision) {
         let mut records = self.records.lock().expect("decision lock");
         let id = decision.id.clone();
@@ -449,18 +460,18 @@
         }
     }
 
-    /// Finds a record.
+    /// Returns the record of a request if it is still kept.
     pub fn get(&self, id: &RequestId) -> Option<Decision> {
         let records = self.records.lock().expect("decision lock");
         records.by_id.get(id).cloned()
     }
 
-    /// The number of records.
+    /// Returns the number of records.
     pub fn len(&self) -> usize {
         self.records.lock().expect("decision lock").order.len()
     }
 
-    /// Whether there is no record.
+    /// Returns whether there is no record.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/src/api/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -1,8 +1,8 @@
-//! Dispatch: claims, attempts at upstreams, retries and the cascade.
+//! Dispatch of requests: idempotency claims, attempts, retries, the cascade.
 //!
-//! A request that may be repeated is retried within the retry budget. One
-//! that may not be is sent once, on a fresh connection; only a failure to
-//! connect, before any byte left, lets it try another upstream.
+//! A repeatable request is retried within the retry budget. A request that
+//! is not repeatable is sent once, on a fresh connection; it is sent to
+//! another upstream only if connecting failed before any byte was sent.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,7 +15,7 @@
     answer::{Answer, Header},
     api::{
         chat::{TokenUsage, answer_text},
-        decision::{Attempt, AttemptEnd, UpstreamChoice, Verdict},
+        decision::{Attempt, AttemptOutcome, RequestStatus, UpstreamChoice},
         estimate::{evidence_key, version_hash},
         rating::{self, RatingRequest},
         relay,
@@ -46,19 +46,20 @@
     unit::{MicroCost, Share},
 };
 
-/// Time after which a repeatable service call is tried elsewhere.
-const SERVICE_ATTEMPT_LIMIT: Duration = Duration::from_secs(2);
+/// Timeout of one attempt of a repeatable service call; another upstream is
+/// tried after it.
+const SERVICE_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Share of answers that are rated only to learn.
-const LEARN_SHARE: f64 = 0.1;
+/// Share of answers that are rated in the background, to collect evidence.
+const BACKGROUND_RATING_SHARE: f64 = 0.1;
 
-/// The status by which an upstream says that it did not take a request.
+/// The status of an upstream that did not accept a request.
 pub(super) const STATUS_UNAVAILABLE: u16 = 503;
 
-/// The status by which an engine says that the version is not loaded.
+/// The status of an inference engine that has not loaded the version.
 pub(super) const STATUS_NOT_LOADED: u16 = 409;
 
-/// A call of a plain service, as it is passed on.
+/// A call of a plain service as it is forwarded.
 #[derive(Clone, Debug)]
 pub(crate) struct ServiceTarget {
     pub(crate) method: Method,
@@ -67,18 +68,20 @@
     pub(crate) body: Bytes,
 }
 
-/// What one attempt needs.
-pub(crate) struct Sending {
+/// The HTTP request of one attempt.
+pub(crate) struct AttemptRequest {
     pub(crate) method: Method,
     pub(crate) path: String,
     pub(crate) headers: Vec<Header>,
     pub(crate) body: Bytes,
     pub(crate) repeatable: bool,
-    /// The longest time until the head, or the whole answer, is here.
+    /// Timeout for the response head, or for the whole response if it is not
+    /// streamed.
     pub(crate) limit: Duration,
 }
 
-/// An upstream chosen for an attempt.
+/// The upstream selected for an attempt; counts the request as in flight
+/// there until it is dropped.
 pub(crate) struct SelectedUpstream {
     pub(crate) upstream: Arc<Upstream>,
     pub(crate) choice: UpstreamChoice,
@@ -86,49 +89,56 @@
     _in_flight: InFlightGuard,
 }
 
-/// How an attempt failed.
+/// Why an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptFault {
+    /// No connection; nothing was sent.
     Unreachable,
+    /// The connection broke after the request may have been sent.
     Broken,
+    /// The response exceeds the size limit.
     TooLarge,
     TimedOut,
+    /// The caller disconnected.
     Cancelled,
 }
 
 impl AttemptFault {
-    pub(crate) fn end(self) -> AttemptEnd {
+    /// Returns how the failed attempt is recorded in the decision.
+    pub(crate) fn end(self) -> AttemptOutcome {
         match self {
-            AttemptFault::Unreachable => AttemptEnd::Unreachable,
+            AttemptFault::Unreachable => AttemptOutcome::Unreachable,
             AttemptFault::Broken | AttemptFault::TooLarge => {
-                AttemptEnd::Broken
+                AttemptOutcome::Broken
             }
-            AttemptFault::TimedOut => AttemptEnd::TimedOut,
-            AttemptFault::Cancelled => AttemptEnd::Cancelled,
+            AttemptFault::TimedOut => AttemptOutcome::TimedOut,
+            AttemptFault::Cancelled => AttemptOutcome::Cancelled,
         }
     }
 }
 
 impl Request<Admitted<ServiceCall>> {
-    /// Runs a service call to its end.
+    /// Dispatches a service call and settles it.
     pub(crate) async fn run(mut self, target: ServiceTarget) -> Answer {
         let method = target.method.as_str();
         let body = BodyHash::of(method, &target.path, &target.body);
         let key = self.state.key.clone();
         let repeatable = self.state.call.repeatable;
-        if let Err(end) = self.core.claim(key, body, repeatable).await {
-            return self.core.settle(*end);
+        if let Err(end) = self.context.claim(key, body, repeatable).await {
+            return self.context.settle(*end);
         }
-        self.core.open_bill(self.state.call.rule.call_price_micro).await;
+        self.context.open_bill(self.state.call.rule.call_price_micro).await;
         let outcome = self.attempt_all(&target).await;
-        self.core.prepare_end(&outcome);
-        let Request { core, state } = self;
-        state.release();
-        core.settle(outcome)
+        self.context.record_claim_outcome(&outcome);
+        let Request { context, state } = self;
+        state.release_limits();
+        context.settle(outcome)
     }
 
+    /// Sends the call to upstreams in turn until one answers or no further
+    /// attempt is allowed.
     async fn attempt_all(&mut self, target: &ServiceTarget) -> Outcome {
-        let vm = self.core.vm.clone();
+        let vm = self.context.vm.clone();
         let repeatable = self.state.call.repeatable;
         let price = self.state.call.rule.call_price_micro;
         let service = self.state.call.rule.service.clone();
@@ -138,17 +148,18 @@
             let now = vm.clock.now();
             let left = self.state.deadline.saturating_duration_since(now);
             let upstreams = vm.view.service_upstreams(&service);
-            let wish = UpstreamCriteria {
+            let criteria = UpstreamCriteria {
                 version: None,
                 prefix: None,
                 tried: &tried,
             };
-            let chosen = self.core.choose(&upstreams, wish)?;
+            let selected =
+                self.context.select_upstream(&upstreams, criteria)?;
             let limit = match repeatable {
-                true => left.min(SERVICE_ATTEMPT_LIMIT),
+                true => left.min(SERVICE_ATTEMPT_TIMEOUT),
                 false => left,
             };
-            let sending = Sending {
+            let outgoing = AttemptRequest {
                 method: target.method.clone(),
                 path: target.path.clone(),
                 headers: target.headers.clone(),
@@ -156,21 +167,27 @@
                 repeatable,
                 limit,
             };
-            tried.push(chosen.upstream.record.id.clone());
-            self.core.begin_attempt(&chosen, None, price);
-            match self.core.ask_whole(&chosen, sending).await {
+            tried.push(selected.upstream.record.id.clone());
+            self.context.begin_attempt(&selected, None, price);
+            match self.context.send_whole(&selected, outgoing).await {
                 Ok(answer) => {
                     let status = answer.status;
-                    self.core.end_attempt(AttemptEnd::Answered { status });
-                    let again = status == STATUS_UNAVAILABLE && repeatable;
-                    if again && self.core.may_retry(tried.len()) {
+                    self.context
+                        .end_attempt(AttemptOutcome::Answered { status });
+                    let is_retryable =
+                        status == STATUS_UNAVAILABLE && repeatable;
+                    if is_retryable && self.context.may_retry(tried.len()) {
                         continue;
                     }
-                    return Ok(pass_on(answer));
+                    return Ok(forwarded_answer(answer));
                 }
                 Err(fault) => {
-                    self.core.end_attempt(fault.end());
-                    self.core.go_on(fault, repeatable, tried.len())?;
+                    self.context.end_attempt(fault.end());
+                    self.context.check_retry(
+                        fault,
+                        repeatable,
+                        tried.len(),
+                    )?;
                 }
             }
         }
@@ -178,170 +195,184 @@
 }
 
 impl Request<Planned> {
-    /// Runs a chat request to its end, or until its stream has begun.
+    /// Dispatches a chat request and settles it, or returns when its stream
+    /// has started.
     pub(crate) async fn run(mut self, body: &[u8]) -> Answer {
         let hash = BodyHash::of("POST", "/v1/chat/completions", body);
         let key = self.state.admitted.key.clone();
         let repeatable = self.state.repeatable;
-        if let Err(end) = self.core.claim(key, hash, repeatable).await {
-            return self.core.settle(*end);
+        if let Err(end) = self.context.claim(key, hash, repeatable).await {
+            return self.context.settle(*end);
         }
-        let pass = match self.wait_for_room().await {
-            Ok(pass) => pass,
-            Err(error) => return self.core.settle(Err(error)),
+        let permit = match self.wait_for_capacity().await {
+            Ok(permit) => permit,
+            Err(error) => return self.context.settle(Err(error)),
         };
-        self.core.open_bill(self.estimate()).await;
-        self.core.vm.retry_budget.count_request();
+        self.context.open_bill(self.estimate()).await;
+        self.context.vm.retry_budget.count_request();
         let is_stream = self.state.admitted.call.chat.stream;
         if is_stream {
-            return relay::run(self, pass).await;
+            return relay::run(self, permit).await;
         }
-        let outcome = self.cascade(pass).await;
-        self.core.prepare_end(&outcome);
-        let Request { core, state } = self;
-        state.admitted.release();
-        core.settle(outcome)
+        let outcome = self.cascade(permit).await;
+        self.context.record_claim_outcome(&outcome);
+        let Request { context, state } = self;
+        state.admitted.release_limits();
+        context.settle(outcome)
     }
 
-    /// The cost that the bill states until the request has ended.
+    /// Estimates the cost, which the bill states until the request has ended.
     fn estimate(&self) -> MicroCost {
         let entry = &self.state.plan.steps[0].entry;
         let chat = &self.state.admitted.call.chat;
         let output = chat
             .output_tokens
-            .unwrap_or(crate::api::estimate::USUAL_OUTPUT_TOKENS);
+            .unwrap_or(crate::api::estimate::DEFAULT_OUTPUT_TOKENS);
         entry.price(chat.input_tokens, output)
     }
 
-    /// Asks the planned versions in order until an answer is good enough.
-    async fn cascade(&mut self, pass: crate::api::queue::Pass) -> Outcome {
+    /// Asks the planned versions in order until an answer meets the quality
+    /// target.
+    async fn cascade(
+        &mut self,
+        permit: crate::api::queue::DispatchPermit,
+    ) -> Outcome {
         let steps = self.state.plan.steps.clone();
-        let mut pass = Some(pass);
+        let mut permit = Some(permit);
         let mut best = None;
         for (at, step) in steps.iter().enumerate() {
             let is_last = at + 1 == steps.len();
-            let answer = match self.ask_step(step, &mut pass).await {
+            let answer = match self.ask_step(step, &mut permit).await {
                 Ok(answer) => answer,
-                // An earlier answer, if poor, is better than none.
+                // A poor answer of an earlier step is better than an error.
                 Err(error) => return best.ok_or(error),
             };
             let is_answer = answer.status == 200;
             let text = body_text(&answer.body);
-            let whole = self.whole(answer, &step.entry);
+            let caller_answer = self.caller_answer(answer, &step.entry);
             if !is_answer {
-                return best.map_or(Ok(whole), Ok);
+                return best.map_or(Ok(caller_answer), Ok);
             }
             if is_last {
-                self.learn_sometimes(&step.entry, text);
-                return Ok(whole);
+                self.rate_in_background(&step.entry, text);
+                return Ok(caller_answer);
             }
             match self.rate(&step.entry, text).await {
                 Some(score) if self.is_below_target(score) => {
-                    self.note_poor(score);
-                    best = Some(whole);
+                    self.record_poor_rating(score);
+                    best = Some(caller_answer);
                 }
-                _ => return Ok(whole),
+                _ => return Ok(caller_answer),
             }
         }
         best.ok_or_else(|| Error::new(ErrorKind::Internal))
     }
 
-    /// Asks one version, at as many upstreams as it takes and may.
+    /// Asks one version, at other upstreams after failures while retries are
+    /// allowed.
     async fn ask_step(
         &mut self,
         step: &Step,
-        pass: &mut Option<crate::api::queue::Pass>,
+        permit: &mut Option<crate::api::queue::DispatchPermit>,
     ) -> Result<WholeAnswer, Error> {
         let repeatable = self.state.repeatable;
         let mut tried: Vec<UpstreamId> = Vec::new();
         loop {
-            let chosen = self.choose_for(&step.entry, &tried)?;
-            pass.take();
-            tried.push(chosen.upstream.record.id.clone());
-            let sending = self.sending(&step.entry, tried.len());
-            self.core.begin_attempt(
-                &chosen,
+            let selected = self.select_for(&step.entry, &tried)?;
+            permit.take();
+            tried.push(selected.upstream.record.id.clone());
+            let outgoing = self.attempt_request(&step.entry, tried.len());
+            self.context.begin_attempt(
+                &selected,
                 Some(&step.entry),
                 MicroCost::default(),
             );
-            match self.core.ask_whole(&chosen, sending).await {
+            match self.context.send_whole(&selected, outgoing).await {
                 Ok(answer) => {
                     let status = answer.status;
-                    let refused = matches!(
+                    let is_rejection = matches!(
                         status,
                         STATUS_UNAVAILABLE | STATUS_NOT_LOADED
                     );
-                    self.note_answer(&step.entry, &answer);
-                    if refused
+                    self.record_answer(&step.entry, &answer);
+                    if is_rejection
                         && repeatable
-                        && self.core.may_retry(tried.len())
+                        && self.context.may_retry(tried.len())
                     {
                         continue;
                     }
                     return Ok(answer);
                 }
                 Err(fault) => {
-                    self.core.end_attempt(fault.end());
-                    self.note_fault(&step.entry, fault);
-                    self.core.go_on(fault, repeatable, tried.len())?;
+                    self.context.end_attempt(fault.end());
+                    self.record_fault(&step.entry, fault);
+                    self.context.check_retry(
+                        fault,
+                        repeatable,
+                        tried.len(),
+                    )?;
                 }
             }
         }
     }
 
-    /// Chooses the upstream of an attempt at a version.
-    pub(crate) fn choose_for(
+    /// Selects the upstream for an attempt at a version.
+    pub(crate) fn select_for(
         &mut self,
         entry: &VersionEntry,
         tried: &[UpstreamId],
     ) -> Result<SelectedUpstream, Error> {
-        let upstreams = self.core.vm.view.model_upstreams(&entry.model);
-        let wish = UpstreamCriteria {
+        let upstreams = self.context.vm.view.model_upstreams(&entry.model);
+        let criteria = UpstreamCriteria {
             version: Some(version_hash(entry)),
             prefix: Some(self.state.admitted.call.chat.prefix),
             tried,
         };
-        self.core.choose(&upstreams, wish)
+        self.context.select_upstream(&upstreams, criteria)
     }
 
-    /// What is sent in an attempt at a version.
-    pub(crate) fn sending(
+    /// Builds the HTTP request of an attempt at a version.
+    ///
+    /// The time left is split evenly over the attempts left, if the request
+    /// may be repeated.
+    pub(crate) fn attempt_request(
         &self,
         entry: &VersionEntry,
         attempt: usize,
-    ) -> Sending {
-        let core = &self.core;
+    ) -> AttemptRequest {
+        let context = &self.context;
         let state = &self.state.admitted;
-        let now = core.vm.clock.now();
+        let now = context.vm.clock.now();
         let left = state.deadline.saturating_duration_since(now);
-        let attempts = core.vm.settings.requests.attempts as usize;
+        let attempts = context.vm.settings.requests.attempts as usize;
         let tries_left = (attempts + 1).saturating_sub(attempt).max(1) as u32;
         let limit = match self.state.repeatable {
             true => left / tries_left,
             false => left,
         };
-        Sending {
+        AttemptRequest {
             method: Method::POST,
             path: "/v1/chat/completions".to_owned(),
             headers: vec![Header::new("content-type", "application/json")],
             body: state
                 .call
                 .chat
-                .body_for(entry, core.decision.priority)
+                .body_for(entry, context.decision.priority)
                 .into(),
             repeatable: self.state.repeatable,
             limit,
         }
     }
 
-    fn note_answer(&mut self, entry: &VersionEntry, answer: &WholeAnswer) {
+    /// Records the status, token usage and evidence of an answer.
+    fn record_answer(&mut self, entry: &VersionEntry, answer: &WholeAnswer) {
         let status = answer.status;
-        self.core.end_attempt(AttemptEnd::Answered { status });
+        self.context.end_attempt(AttemptOutcome::Answered { status });
         let used = serde_json::from_slice::<Value>(&answer.body)
             .ok()
             .and_then(|value| TokenUsage::from_json(&value));
         if let Some(used) = used {
-            self.core.note_use(entry, used);
+            self.context.record_usage(entry, used);
         }
         let failed = status >= 500 && status != STATUS_UNAVAILABLE;
         if status == 200 || failed {
@@ -349,8 +380,8 @@
         }
     }
 
-    /// Notes a failed attempt as evidence, where the version may be why.
-    pub(crate) fn note_fault(
+    /// Records a failed attempt as evidence if the version may be the cause.
+    pub(crate) fn record_fault(
         &self,
         entry: &VersionEntry,
         fault: AttemptFault,
@@ -365,7 +396,7 @@
         }
     }
 
-    /// Adds evidence about a version.
+    /// Adds one answer, and whether it failed, to the evidence of a version.
     pub(crate) fn add_evidence(
         &self,
         entry: &VersionEntry,
@@ -378,13 +409,13 @@
         if let Some(first_token) = first_token {
             tally.0[evidence::FIRST_TOKEN_S] = first_token.as_secs_f32();
         }
-        self.learner(entry).add(tally);
+        self.rater(entry).add(tally);
     }
 
-    fn learner(&self, entry: &VersionEntry) -> Learner {
+    fn rater(&self, entry: &VersionEntry) -> AnswerRater {
         let admitted = &self.state.admitted;
-        Learner {
-            vm: self.core.vm.clone(),
+        AnswerRater {
+            vm: self.context.vm.clone(),
             entry: entry.clone(),
             task: admitted.call.task.clone(),
             organisation: admitted.template.organisation.clone(),
@@ -393,17 +424,19 @@
         }
     }
 
+    /// Has an answer rated; `None` without a rating service or its score.
     async fn rate(
         &self,
         entry: &VersionEntry,
         answer: String,
     ) -> Option<Share> {
-        self.learner(entry).rate(answer).await
+        self.rater(entry).rate(answer).await
     }
 
-    /// Rates a part of the answers in the background, only to learn; all
-    /// answers of a version that is rolling out.
-    pub(crate) fn learn_sometimes(
+    /// Has a sample of answers rated in the background, to collect evidence.
+    ///
+    /// Answers of a version that is rolling out are all rated.
+    pub(crate) fn rate_in_background(
         &self,
         entry: &VersionEntry,
         answer: String,
@@ -412,12 +445,12 @@
             entry.state,
             crate::api::template::VersionState::RollingOut { .. }
         );
-        if !is_rolling && rand::random::<f64>() >= LEARN_SHARE {
+        if !is_rolling && rand::random::<f64>() >= BACKGROUND_RATING_SHARE {
             return;
         }
-        let learner = self.learner(entry);
+        let rater = self.rater(entry);
         task::spawn(async move {
-            learner.rate(answer).await;
+            rater.rate(answer).await;
         })
         .detach();
     }
@@ -426,16 +459,22 @@
         score < self.state.admitted.template.quality_target
     }
 
-    fn note_poor(&mut self, score: Share) {
-        self.core.vm.metrics.escalations.inc();
-        if let Some(last) = self.core.decision.attempts.last_mut() {
+    /// Records that the last answer was rated below the target.
+    fn record_poor_rating(&mut self, score: Share) {
+        self.context.vm.metrics.escalations.inc();
+        if let Some(last) = self.context.decision.attempts.last_mut() {
             let score_milli = (score.value() * 1000.0) as u16;
-            last.end = AttemptEnd::RatedPoor { score_milli };
+            last.end = AttemptOutcome::RatedPoor { score_milli };
         }
     }
 
-    fn whole(&self, answer: WholeAnswer, entry: &VersionEntry) -> Answer {
-        let mut passed = pass_on(answer);
+    /// Builds the answer to the caller, with the session token if any.
+    fn caller_answer(
+        &self,
+        answer: WholeAnswer,
+        entry: &VersionEntry,
+    ) -> Answer {
+        let mut passed = forwarded_answer(answer);
         if let Some(header) = self.session_header(entry) {
             passed.add_header(header);
         }
@@ -443,8 +482,8 @@
     }
 }
 
-/// Learns from ratings of one version's answers.
-struct Learner {
+/// Has answers of one version rated and records the ratings as evidence.
+struct AnswerRater {
     vm: Arc<Vm>,
     entry: VersionEntry,
     task: String,
@@ -453,7 +492,7 @@
     prompt: String,
 }
 
-impl Learner {
+impl AnswerRater {
     async fn rate(&self, answer: String) -> Option<Share> {
         let url = self.vm.settings.platform.rating_url.as_ref()?;
         let request = RatingRequest {
@@ -488,9 +527,12 @@
 }
 
 impl RequestContext {
-    /// Claims the key of a request that may not be repeated.
+    /// Claims the idempotency key of a request that is not repeatable.
+    ///
+    /// # Errors
     ///
-    /// An error is how the request ends without being run.
+    /// The outcome of a request that must not run: the recorded answer of an
+    /// earlier request with the key, or an error.
     async fn claim(
         &mut self,
         key: Option<String>,
@@ -498,25 +540,26 @@
         repeatable: bool,
     ) -> Result<(), Box<Outcome>> {
         let Some(key) = key.filter(|_| !repeatable) else { return Ok(()) };
-        match self.settle_key(&key, body).await {
+        match self.claim_key(&key, body).await {
             Ok(None) => Ok(()),
             Ok(Some(recorded)) => Err(Box::new(Ok(recorded))),
             Err(error) => Err(Box::new(Err(error))),
         }
     }
 
-    /// Notes what a repeat of the request's key will be shown.
-    fn prepare_end(&mut self, outcome: &Outcome) {
+    /// Records the answer that later requests with the same key will get.
+    fn record_claim_outcome(&mut self, outcome: &Outcome) {
         if let Ok(Answer::Whole { status, headers, body }) = outcome {
             let recorded = self.recorded(*status, headers, body);
             self.set_claim_outcome(recorded);
         }
     }
 
-    /// Settles the claim on a key before the request may run.
+    /// Claims an idempotency key before the request may run.
     ///
-    /// `Some` is the recorded answer of an earlier request with the key.
-    async fn settle_key(
+    /// Returns the recorded answer of an earlier request with the key, or
+    /// `None` if the claim is granted.
+    async fn claim_key(
         &mut self,
         key: &str,
         body: BodyHash,
@@ -537,37 +580,38 @@
         let took = vm.clock.now().saturating_duration_since(asked_at);
         match verdict {
             ClaimVerdict::Granted if took < GRANT_LIFETIME => {
-                self.hold_claim(claim);
+                self.set_claim(claim);
                 Ok(None)
             }
             ClaimVerdict::Granted => {
                 Claims::settle(&vm, claim, ClaimOutcome::NotRun);
-                Err(claim_unavailable("the grant came too late"))
+                Err(claim_unavailable("the grant arrived after it expired"))
             }
             ClaimVerdict::Settled { by, outcome } => {
                 self.repeat(by, outcome).map(Some)
             }
             ClaimVerdict::InProgress { by } => {
                 Err(Error::new(ErrorKind::KeyInProgress)
-                    .context(format!("{by} with the same key still runs")))
+                    .context(format!("{by} with the same key is running")))
             }
             ClaimVerdict::Reused => Err(Error::new(ErrorKind::KeyReused)
-                .context("the key was used for another request")),
+                .context("the key was already used for a different request")),
             ClaimVerdict::Gap => Err(Error::new(ErrorKind::OutcomeUnknown)
                 .context(
                     "records of this key may have been lost with a data hall",
                 )),
             ClaimVerdict::NotOwner { .. } => {
-                Err(claim_unavailable("the slot's owner is not found"))
+                Err(claim_unavailable("the slot's owner was not found"))
             }
             ClaimVerdict::Unavailable { reason } => {
-                // The claim may stand nevertheless; it is given back.
+                // The claim may have been recorded nevertheless; release it.
                 Claims::settle(&vm, claim, ClaimOutcome::NotRun);
                 Err(claim_unavailable(&reason))
             }
         }
     }
 
+    /// Returns the recorded outcome of an earlier request with the key.
     fn repeat(
         &mut self,
         by: crate::id::RequestId,
@@ -575,7 +619,8 @@
     ) -> Result<Answer, Error> {
         match outcome {
             ClaimOutcome::Ran { status, content_type, body: Some(body) } => {
-                self.decision.verdict = Verdict::Repeated { of: by.clone() };
+                self.decision.verdict =
+                    RequestStatus::Repeated { of: by.clone() };
                 let headers = vec![
                     Header::new("content-type", content_type),
                     Header::new("lupinseam-repeated", by.to_string()),
@@ -584,7 +629,7 @@
             }
             ClaimOutcome::Ran { .. } => {
                 Err(Error::new(ErrorKind::AnswerNotKept)
-                    .context(format!("{by} ran, its answer is not kept")))
+                    .context(format!("{by} ran, but its answer is not kept")))
             }
             ClaimOutcome::Unknown | ClaimOutcome::NotRun => {
                 Err(Error::new(ErrorKind::OutcomeUnknown)
@@ -593,7 +638,9 @@
         }
     }
 
-    /// What a repeat of this request will be shown.
+    /// Builds the claim outcome that later requests with the key will get.
+    ///
+    /// The body is left out if it is not UTF-8 or over the size limit.
     fn recorded(
         &self,
         status: u16,
@@ -612,17 +659,17 @@
         ClaimOutcome::Ran { status, content_type, body }
     }
 
-    /// Chooses an upstream and counts the request there.
-    pub(crate) fn choose(
+    /// Selects an upstream and counts the request as in flight there.
+    pub(crate) fn select_upstream(
         &mut self,
         upstreams: &[Arc<Upstream>],
-        wish: UpstreamCriteria<'_>,
+        criteria: UpstreamCriteria<'_>,
     ) -> Result<SelectedUpstream, Error> {
         let vm = &self.vm;
         let now = vm.clock.now();
         let facts: Vec<_> =
             upstreams.iter().map(|u| vm.view.facts(u, now)).collect();
-        let picked = pick_upstream(&facts, wish, rand::random());
+        let picked = pick_upstream(&facts, criteria, rand::random());
         let choice = match picked {
             Ok(choice) => choice,
             Err(error) if self.may_have_run() => {
@@ -637,8 +684,8 @@
             .find(|upstream| upstream.record.id == choice.upstream)
             .ok_or_else(|| Error::new(ErrorKind::Internal))?
             .clone();
-        // Lets the trial of an open breaker through; the pick saw it closed
-        // or due.
+        // Admits the probe of an open circuit breaker; the selection saw the
+        // breaker closed or due for a probe.
         upstream.allow_request(now);
         upstream.reported_state.record_sent(now);
         let in_flight = upstream.begin();
@@ -650,26 +697,30 @@
         })
     }
 
-    /// Notes the attempt that begins.
+    /// Records the start of an attempt.
     pub(crate) fn begin_attempt(
         &mut self,
-        chosen: &SelectedUpstream,
+        selected: &SelectedUpstream,
         entry: Option<&VersionEntry>,
         price: MicroCost,
     ) {
-        self.note_attempt(Attempt {
+        self.push_attempt(Attempt {
             model: entry.map(|entry| entry.model.clone()),
             version: entry.map(|entry| entry.version.clone()),
-            choice: chosen.choice.clone(),
-            end: AttemptEnd::Running,
+            choice: selected.choice.clone(),
+            end: AttemptOutcome::Running,
             input_tokens: 0,
             output_tokens: 0,
             cost_micro: price,
         });
     }
 
-    /// Notes the tokens that the last attempt used.
-    pub(crate) fn note_use(&mut self, entry: &VersionEntry, used: TokenUsage) {
+    /// Records the token usage and cost of the last attempt.
+    pub(crate) fn record_usage(
+        &mut self,
+        entry: &VersionEntry,
+        used: TokenUsage,
+    ) {
         if let Some(last) = self.decision.attempts.last_mut() {
             last.input_tokens = used.input;
             last.output_tokens = used.output;
@@ -677,79 +728,82 @@
         }
     }
 
-    /// Sends an attempt and waits for the head of its answer.
-    pub(crate) async fn ask(
+    /// Sends an attempt and waits for the response head.
+    pub(crate) async fn send_head(
         &self,
-        chosen: &SelectedUpstream,
-        sending: Sending,
+        selected: &SelectedUpstream,
+        outgoing: AttemptRequest,
     ) -> Result<Exchange, AttemptFault> {
-        let limit = sending.limit;
-        let reuse = match sending.repeatable {
-            true if sending.method != Method::POST => Reuse::Pooled,
+        let limit = outgoing.limit;
+        let reuse = match outgoing.repeatable {
+            true if outgoing.method != Method::POST => Reuse::Pooled,
             _ => Reuse::Fresh,
         };
-        let call = self.call(chosen, sending);
+        let call = self.call(selected, outgoing);
         let work = async {
             let sent = self.vm.http.send(call, reuse).await;
-            sent.map_err(fault_of)
+            sent.map_err(attempt_fault)
         };
-        let result = self.bounded(limit, work).await;
+        let result = self.until_cancelled(limit, work).await;
         if let Ok(exchange) = &result {
             self.apply_upstream_statement(
-                chosen,
+                selected,
                 exchange.status,
                 &exchange.headers,
             );
         }
-        self.judge_upstream(chosen, result.as_ref().err().copied());
+        self.report_to_breaker(selected, result.as_ref().err().copied());
         result
     }
 
-    /// Sends an attempt and waits for the whole answer.
-    pub(crate) async fn ask_whole(
+    /// Sends an attempt and waits for the whole response.
+    ///
+    /// A request that is not repeatable is not cancelled when the caller
+    /// disconnects.
+    pub(crate) async fn send_whole(
         &self,
-        chosen: &SelectedUpstream,
-        sending: Sending,
+        selected: &SelectedUpstream,
+        outgoing: AttemptRequest,
     ) -> Result<WholeAnswer, AttemptFault> {
-        let limit = sending.limit;
+        let limit = outgoing.limit;
         let most = self.vm.settings.requests.answer_limit_bytes;
-        // A connection that others used before may be closing, which leaves
-        // the fate of what is sent on it open.
-        let reuse = match sending.repeatable {
+        // A pooled connection may be closing, in which case it is unknown
+        // whether the upstream processed what was sent on it.
+        let reuse = match outgoing.repeatable {
             true => Reuse::Pooled,
             false => Reuse::Fresh,
         };
-        let can_cancel = sending.repeatable;
-        let call = self.call(chosen, sending);
+        let can_cancel = outgoing.repeatable;
+        let call = self.call(selected, outgoing);
         let work = async {
             let sent = self.vm.http.send(call, reuse).await;
-            let exchange = sent.map_err(fault_of)?;
+            let exchange = sent.map_err(attempt_fault)?;
             self.apply_upstream_statement(
-                chosen,
+                selected,
                 exchange.status,
                 &exchange.headers,
             );
-            exchange.read_whole(most).await.map_err(fault_of)
+            exchange.read_whole(most).await.map_err(attempt_fault)
         };
         let result = match can_cancel {
-            true => self.bounded(limit, work).await,
+            true => self.until_cancelled(limit, work).await,
             false => {
                 let done = within(limit, work).await;
                 done.unwrap_or(Err(AttemptFault::TimedOut))
             }
         };
-        self.judge_upstream(chosen, result.as_ref().err().copied());
+        self.report_to_breaker(selected, result.as_ref().err().copied());
         result
     }
 
-    /// Runs work until its limit or until the caller goes away.
-    async fn bounded<T>(
+    /// Runs `work` until its timeout or until the caller disconnects.
+    async fn until_cancelled<T>(
         &self,
         limit: Duration,
         work: impl Future<Output = Result<T, AttemptFault>>,
     ) -> Result<T, AttemptFault> {
         let cancelled = async {
-            // The channel never carries a message; it only closes.
+            // No message is ever sent; the channel closes on disconnect.
             let _ = self.cancel.recv().await;
             Err(AttemptFault::Cancelled)
         };
@@ -757,13 +811,18 @@
         done.unwrap_or(Err(AttemptFault::TimedOut))
     }
 
-    fn call(&self, chosen: &SelectedUpstream, sending: Sending) -> Call {
+    /// Builds the HTTP call, with the request id and the attempt number.
+    fn call(
+        &self,
+        selected: &SelectedUpstream,
+        outgoing: AttemptRequest,
+    ) -> Call {
         let id = &self.decision.id;
         let attempt = self.decision.attempts.len();
-        let address = chosen.upstream.record.address;
-        let mut call = Call::new(address, sending.method, sending.path)
-            .body(sending.body);
-        for header in sending.headers {
+        let address = selected.upstream.record.address;
+        let mut call = Call::new(address, outgoing.method, outgoing.path)
+            .body(outgoing.body);
+        for header in outgoing.headers {
             let name =
                 hyper::header::HeaderName::from_bytes(header.name.as_bytes());
             let value = hyper::header::HeaderValue::from_str(&header.value);
@@ -775,13 +834,13 @@
             .header("lupinseam-attempt", &attempt.to_string())
     }
 
-    /// Tells the breaker of an upstream how an attempt went.
-    fn judge_upstream(
+    /// Reports the result of an attempt to the upstream's circuit breaker.
+    fn report_to_breaker(
         &self,
-        chosen: &SelectedUpstream,
+        selected: &SelectedUpstream,
         fault: Option<AttemptFault>,
     ) {
-        let upstream = &chosen.upstream;
+        let upstream = &selected.upstream;
         let change = match fault {
             None | Some(AttemptFault::Cancelled | AttemptFault::TooLarge) => {
                 upstream.record_success()
@@ -796,7 +855,8 @@
         event.log(format_args!("upstream {}", upstream.record.id));
     }
 
-    /// Whether another attempt is allowed, by number and by budget.
+    /// Returns whether the number of attempts and the retry budget allow
+    /// another attempt.
     pub(crate) fn may_retry(&self, tried: usize) -> bool {
         let most = self.vm.settings.requests.attempts as usize;
         if tried >= most {
@@ -809,64 +869,66 @@
         allowed
     }
 
-    /// Decides after a failed attempt: another one, or the end.
+    /// Returns `Ok` if the request may be retried after a failed attempt.
     ///
     /// # Errors
     ///
     /// The error that ends the request.
-    pub(crate) fn go_on(
+    pub(crate) fn check_retry(
         &self,
         fault: AttemptFault,
         repeatable: bool,
         tried: usize,
     ) -> Result<(), Error> {
         let most = self.vm.settings.requests.attempts as usize;
-        let again = match fault {
-            // Nothing left, so no upstream was loaded by it.
+        let may_retry = match fault {
+            // Nothing was sent, so the retry adds no load on an upstream and
+            // needs no retry budget.
             AttemptFault::Unreachable => tried < most,
             AttemptFault::Broken | AttemptFault::TimedOut => {
                 repeatable && self.may_retry(tried)
             }
             AttemptFault::TooLarge | AttemptFault::Cancelled => false,
         };
-        if again {
+        if may_retry {
             return Ok(());
         }
         Err(self.last_error(fault))
     }
 
-    /// The error after the last attempt, true for all of them.
+    /// Returns the error after the last attempt, valid for all attempts.
     fn last_error(&self, fault: AttemptFault) -> Error {
         let (kind, reason) = match fault {
             AttemptFault::Unreachable if !self.may_have_run() => (
                 ErrorKind::UpstreamUnreachable,
-                "no upstream could be reached",
+                "could not connect to any upstream",
             ),
             AttemptFault::Unreachable => (
                 ErrorKind::UpstreamFailed,
-                "an attempt broke off and no other upstream is reached",
+                "an attempt failed and no other upstream is reachable",
             ),
             AttemptFault::Broken => (
                 ErrorKind::UpstreamFailed,
-                "the upstream broke off before its answer was whole",
+                "the upstream's answer broke off before its end",
             ),
             AttemptFault::TooLarge => (
                 ErrorKind::UpstreamFailed,
-                "the upstream's answer is larger than allowed",
+                "the upstream's answer exceeds the size limit",
             ),
             AttemptFault::TimedOut => (
                 ErrorKind::DeadlineExceeded,
                 "the upstream did not answer in time",
             ),
             AttemptFault::Cancelled => {
-                (ErrorKind::UpstreamFailed, "the caller went away")
+                (ErrorKind::UpstreamFailed, "the caller disconnected")
             }
         };
         Error::new(kind).context(reason)
     }
 }
 
-pub(crate) fn fault_of(error: SendError) -> AttemptFault {
+/// Classifies an error of the HTTP client.
+pub(crate) fn attempt_fault(error: SendError) -> AttemptFault {
     match error {
         SendError::NotSent(_) => AttemptFault::Unreachable,
         SendError::Broken(_) => AttemptFault::Broken,
@@ -878,15 +940,18 @@
     Error::new(ErrorKind::ClaimUnavailable).context(reason.to_owned())
 }
 
-/// Whether a header is passed on between caller and upstream.
-pub(crate) fn is_passed_on(name: &str) -> bool {
+/// Returns whether a header is forwarded between caller and upstream.
+pub(crate) fn is_forwarded_header(name: &str) -> bool {
     !HOP_HEADERS.contains(&name) && name != "host" && name != "date"
 }
 
-fn pass_on(answer: WholeAnswer) -> Answer {
+/// Converts an upstream's response to an answer, without its hop-by-hop
+/// headers.
+fn forwarded_answer(answer: WholeAnswer) -> Answer {
     let headers = answer.headers.iter().filter_map(|(name, value)| {
         let value = value.to_str().ok()?;
-        is_passed_on(name.as_str()).then(|| Header::new(name.as_str(), value))
+        is_forwarded_header(name.as_str())
+            .then(|| Header::new(name.as_str(), value))
     });
     Answer::Whole {
         status: answer.status,
@@ -895,6 +960,7 @@
     }
 }
 
+/// Returns the text of a chat completion; empty if it is not one.
 fn body_text(body: &Bytes) -> String {
     let value: Value = serde_json::from_slice(body).unwrap_or_default();
     answer_text(&value)
--- a/src/api/estimate.rs
+++ b/src/api/estimate.rs
@@ -1,9 +1,9 @@
-//! Estimates from evidence: will this version's answer meet the target?
+//! Estimates how likely a version's answer is to meet the quality target.
 //!
-//! Evidence is the pooled, fading count of rated answers of a version for an
-//! organisation's task. Little evidence leans on the version's prior, first
-//! on what other tasks of the organisation saw, so that a new task does not
-//! start from nothing.
+//! The evidence is the decaying number of rated answers of a version for one
+//! task of an organisation, summed over all VMs. With few ratings the estimate
+//! stays close to the version's configured prior quality, so that a new task
+//! does not start from nothing.
 
 use crate::{
     api::{
@@ -14,18 +14,18 @@
     message::ShortHash,
 };
 
-/// Ratings that the prior counts for.
+/// Weight of the prior quality, as a number of ratings.
 const PRIOR_RATINGS: f64 = 6.0;
 
-/// Output tokens assumed when the caller gives no limit.
-pub const USUAL_OUTPUT_TOKENS: u64 = 256;
+/// Output tokens assumed for a request that sets no limit.
+pub const DEFAULT_OUTPUT_TOKENS: u64 = 256;
 
-/// The short hash of a model's version.
+/// Returns the short hash that identifies a version of a model.
 pub fn version_hash(entry: &VersionEntry) -> ShortHash {
     ShortHash::of(&format!("{}@{}", entry.model, entry.version))
 }
 
-/// The key under which evidence is pooled.
+/// Returns the key under which the evidence of all VMs is summed.
 pub fn evidence_key(
     organisation: ShortHash,
     task: ShortHash,
@@ -34,33 +34,33 @@
     TallyKey::Evidence { organisation, task, version }
 }
 
-/// A chance and the evidence behind it.
+/// The estimated quality of a version and the evidence behind it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Chance {
-    /// The chance that an answer meets the target.
-    pub value: f64,
-    /// The rated answers behind it.
+pub struct QualityEstimate {
+    /// The probability that an answer meets the target, from 0 to 1.
+    pub probability: f64,
+    /// The decayed number of rated answers behind it.
     pub rated: f64,
 }
 
-/// The chance for a version, from the pooled evidence and its prior.
-pub fn chance(
+/// Estimates a version's quality from the summed evidence and its prior.
+pub fn estimate_quality(
     tallies: &Tallies,
     organisation: ShortHash,
     task: ShortHash,
     entry: &VersionEntry,
     now: BootInstant,
-) -> Chance {
+) -> QualityEstimate {
     let key = evidence_key(organisation, task, version_hash(entry));
-    from_tally(tallies.total(&key, now), entry.prior_quality.value())
+    from_ratings(tallies.total(&key, now), entry.prior_quality.value())
 }
 
-/// The chance from one sum and a prior.
-pub fn from_tally(tally: Tally, prior: f64) -> Chance {
+/// Estimates the quality from the ratings in a tally and a prior quality.
+pub fn from_ratings(tally: Tally, prior: f64) -> QualityEstimate {
     let rated = f64::from(tally.0[evidence::RATED]);
     let met = f64::from(tally.0[evidence::MET_TARGET]).min(rated);
-    let value = (PRIOR_RATINGS * prior + met) / (PRIOR_RATINGS + rated);
-    Chance { value, rated }
+    let probability = (PRIOR_RATINGS * prior + met) / (PRIOR_RATINGS + rated);
+    QualityEstimate { probability, rated }
 }
 
 #[cfg(test)]
@@ -75,11 +75,11 @@
     }
 
     #[test]
-    fn the_prior_gives_way_to_evidence() {
-        let prior = from_tally(Tally::default(), 0.7).value;
+    fn the_estimate_moves_from_the_prior_to_the_evidence() {
+        let prior = from_ratings(Tally::default(), 0.7).probability;
         assert!((prior - 0.7).abs() < 1e-9);
-        let some = from_tally(tally(10.0, 1.0), 0.7).value;
-        let much = from_tally(tally(1000.0, 100.0), 0.7).value;
+        let some = from_ratings(tally(10.0, 1.0), 0.7).probability;
+        let much = from_ratings(tally(1000.0, 100.0), 0.7).probability;
         assert!(some < 0.4 && some > 0.2);
         assert!((much - 0.1).abs() < 0.01);
     }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,7 +1,8 @@
-//! The product's own interface: chats and service calls by templates.
+//! The public HTTP API: chat completions and service calls by templates.
 //!
-//! A request goes `caller_api → request → selection → dispatch → relay`; the rest
-//! is what those steps know and keep.
+//! A request passes through `caller_api`, `request`, `selection`, `queue`,
+//! `dispatch` and, if it is streamed, `relay`. The other modules hold the
+//! state that these steps use.
 
 pub(crate) mod caller_api;
 pub(crate) mod chat;
--- a/src/api/organisation_limits.rs
+++ b/src/api/organisation_limits.rs
@@ -1,9 +1,9 @@
-//! OrganisationLimits of an organisation over the whole fleet, kept by each VM alone.
+//! Fleet-wide limits of each organisation, enforced by every VM on its own.
 //!
-//! Every VM reports its demand; each lets through the share of the limit
-//! that its demand has in the demand of all. Between two reports the fleet
-//! can overshoot by one burst for each VM, and while halls are cut off from
-//! each other by the whole limit for each part.
+//! Every VM reports its demand, and admits the share of the rate limit that
+//! its demand has in the total demand. Between two reports the fleet can
+//! exceed the limit by one burst per VM. During a network partition between
+//! data halls, each side admits up to the whole limit.
 
 use std::{
     collections::HashMap,
@@ -27,89 +27,95 @@
     unit::MicroCost,
 };
 
-/// Time over which demand is averaged.
-const DEMAND_TIME: Duration = Duration::from_secs(2);
+/// Time constant of the moving average of the demand.
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(2);
 
-/// The least share of a limit that a VM lets through, so that a VM whose
-/// demand is new need not wait for the next report.
-const LEAST_SHARE: f64 = 0.02;
+/// Smallest share of a rate limit that a VM admits, so that a VM with new
+/// demand need not wait for the next report.
+const MIN_SHARE: f64 = 0.02;
 
-/// Burst of the rate limit, in seconds of the rate.
+/// Burst size of the rate limit, in seconds at the limited rate.
 const BURST_S: f64 = 1.0;
 
-const MICRO: f64 = 1e6;
+/// Millionths in one unit of cost.
+const MICRO_PER_UNIT: f64 = 1e6;
 
-/// The use that one organisation makes of this VM.
+/// The usage of this VM by one organisation.
 #[derive(Debug)]
-struct Use {
+struct OrganisationUsage {
     bucket: TokenBucket,
     in_flight: Arc<AtomicU32>,
     demand_per_s: f64,
-    asked_since: u32,
+    /// Requests since the last update of the demand.
+    requests_since_update: u32,
+    /// The hour that `hour_cost` is of, counted from the Unix epoch.
     hour: u64,
     hour_cost: MicroCost,
 }
 
-/// The limits of all organisations at this VM.
+/// Enforces the limits of all organisations at this VM.
 pub struct OrganisationLimits {
-    uses: Mutex<HashMap<OrganisationId, Use>>,
+    usages: Mutex<HashMap<OrganisationId, OrganisationUsage>>,
     updated_at: Mutex<BootInstant>,
 }
 
 impl OrganisationLimits {
-    /// Creates limits with no use yet.
+    /// Creates limits without any usage.
     pub fn new(now: BootInstant) -> OrganisationLimits {
         OrganisationLimits {
-            uses: Mutex::default(),
+            usages: Mutex::default(),
             updated_at: Mutex::new(now),
         }
     }
 
-    /// Admits a request, or says why not.
+    /// Admits a request and counts it as in flight until the permit is
+    /// dropped.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::LimitReached`], with the time to wait where it is known.
+    /// [`ErrorKind::LimitReached`] if a limit of cost, concurrency or rate is
+    /// reached; for the rate with the time after which to retry.
     pub fn admit(
         &self,
         template: &Template,
         tallies: &Tallies,
         now: BootInstant,
-    ) -> Result<InUse, Error> {
-        let mut uses = self.uses.lock().expect("limits lock");
+    ) -> Result<ConcurrencyPermit, Error> {
+        let mut usages = self.usages.lock().expect("limits lock");
         let organisation = &template.organisation;
-        let used = uses
+        let used = usages
             .entry(organisation.clone())
-            .or_insert_with(|| Use::new(template, now));
-        used.asked_since += 1;
-        let key = key(organisation);
+            .or_insert_with(|| OrganisationUsage::new(template, now));
+        used.requests_since_update += 1;
+        let key = usage_key(organisation);
         let total = tallies.total(&key, now);
         let own = tallies.own(&key);
         check_cost(template, used, total, own)?;
         check_concurrency(template, used, total, own)?;
         if let Err(wait) = used.bucket.take(1.0, now) {
-            return Err(reached("the rate limit").with_retry_after(wait));
+            return Err(limit_reached("the rate limit").with_retry_after(wait));
         }
-        Ok(InUse::new(used.in_flight.clone()))
+        Ok(ConcurrencyPermit::new(used.in_flight.clone()))
     }
 
-    /// Adds to the cost of the current hour.
+    /// Adds `cost` to the cost of the current hour.
     pub fn charge(
         &self,
         organisation: &OrganisationId,
         cost: MicroCost,
         unix_ms: u64,
     ) {
-        let mut uses = self.uses.lock().expect("limits lock");
-        if let Some(used) = uses.get_mut(organisation) {
-            used.turn_hour(unix_ms);
+        let mut usages = self.usages.lock().expect("limits lock");
+        if let Some(used) = usages.get_mut(organisation) {
+            used.start_hour(unix_ms);
             used.hour_cost = used.hour_cost + cost;
         }
     }
 
-    /// Reports the use into `tallies` and sets this VM's share of each rate.
+    /// Writes the usage to `tallies` and updates this VM's share of each rate
+    /// limit.
     ///
-    /// To be called about once a second.
+    /// Must be called about once a second.
     pub fn update(
         &self,
         templates: &[Arc<Template>],
@@ -120,13 +126,13 @@
         let mut updated_at = self.updated_at.lock().expect("limits lock");
         let passed = now.saturating_duration_since(*updated_at);
         *updated_at = now;
-        let mut uses = self.uses.lock().expect("limits lock");
+        let mut usages = self.usages.lock().expect("limits lock");
         for template in templates {
             let organisation = &template.organisation;
-            let Some(used) = uses.get_mut(organisation) else { continue };
-            used.turn_hour(unix_ms);
-            used.average(passed);
-            let key = key(organisation);
+            let Some(used) = usages.get_mut(organisation) else { continue };
+            used.start_hour(unix_ms);
+            used.update_demand(passed);
+            let key = usage_key(organisation);
             tallies.set(key, used.tally());
             let share = demand_share(used, tallies.total(&key, now));
             let rate = template.rate_per_s * share;
@@ -136,29 +142,31 @@
     }
 }
 
-impl Use {
-    fn new(template: &Template, now: BootInstant) -> Use {
+impl OrganisationUsage {
+    fn new(template: &Template, now: BootInstant) -> OrganisationUsage {
         let rate = template.rate_per_s;
         let burst = (rate * BURST_S).max(1.0);
-        Use {
+        OrganisationUsage {
             bucket: TokenBucket::new(rate, burst, now),
             in_flight: Arc::default(),
             demand_per_s: 0.0,
-            asked_since: 0,
+            requests_since_update: 0,
             hour: 0,
             hour_cost: MicroCost::default(),
         }
     }
 
-    fn average(&mut self, passed: Duration) {
+    /// Updates the demand from the requests of the time passed.
+    fn update_demand(&mut self, passed: Duration) {
         let passed_s = passed.as_secs_f64().max(1e-3);
-        let rate = f64::from(self.asked_since) / passed_s;
-        let keep = (-passed_s / DEMAND_TIME.as_secs_f64()).exp();
+        let rate = f64::from(self.requests_since_update) / passed_s;
+        let keep = (-passed_s / DEMAND_TIME_CONSTANT.as_secs_f64()).exp();
         self.demand_per_s = keep * self.demand_per_s + (1.0 - keep) * rate;
-        self.asked_since = 0;
+        self.requests_since_update = 0;
     }
 
-    fn turn_hour(&mut self, unix_ms: u64) {
+    /// Resets the cost when a new hour has started.
+    fn start_hour(&mut self, unix_ms: u64) {
         let hour = unix_ms / 3_600_000;
         if hour != self.hour {
             self.hour = hour;
@@ -166,46 +174,50 @@
         }
     }
 
+    /// Returns the usage as it is reported to the other VMs.
     fn tally(&self) -> Tally {
         let mut tally = Tally::default();
         let in_flight = self.in_flight.load(Ordering::Relaxed);
         tally.0[usage::IN_FLIGHT] = in_flight as f32;
         tally.0[usage::DEMAND_PER_S] = self.demand_per_s as f32;
-        tally.0[usage::HOUR_COST] = (self.hour_cost.0 as f64 / MICRO) as f32;
+        tally.0[usage::HOUR_COST] =
+            (self.hour_cost.0 as f64 / MICRO_PER_UNIT) as f32;
         tally
     }
 }
 
-fn key(organisation: &OrganisationId) -> TallyKey {
+fn usage_key(organisation: &OrganisationId) -> TallyKey {
     TallyKey::Usage(ShortHash::of(organisation.as_str()))
 }
 
-/// This VM's share in the demand of all, at least [`LEAST_SHARE`].
-fn demand_share(used: &Use, total: Tally) -> f64 {
+/// Returns this VM's share of the total demand, at least [`MIN_SHARE`].
+fn demand_share(used: &OrganisationUsage, total: Tally) -> f64 {
     let all = f64::from(total.0[usage::DEMAND_PER_S]);
     if all <= 0.0 {
         return 1.0;
     }
-    (used.demand_per_s / all).clamp(LEAST_SHARE, 1.0)
+    (used.demand_per_s / all).clamp(MIN_SHARE, 1.0)
 }
 
+/// Checks the cost of this hour at all VMs against the limit.
 fn check_cost(
     template: &Template,
-    used: &Use,
+    used: &OrganisationUsage,
     total: Tally,
     own: Tally,
 ) -> Result<(), Error> {
     let others = (total - own).0[usage::HOUR_COST].max(0.0);
-    let spent = used.hour_cost.0 as f64 + f64::from(others) * MICRO;
+    let spent = used.hour_cost.0 as f64 + f64::from(others) * MICRO_PER_UNIT;
     if spent >= template.hour_price_limit_micro.0 as f64 {
-        return Err(reached("the price limit of the hour"));
+        return Err(limit_reached("the hourly cost limit"));
     }
     Ok(())
 }
 
+/// Checks the requests in flight at all VMs against the limit.
 fn check_concurrency(
     template: &Template,
-    used: &Use,
+    used: &OrganisationUsage,
     total: Tally,
     own: Tally,
 ) -> Result<(), Error> {
@@ -214,28 +226,28 @@
     if f64::from(own_now) + f64::from(others)
         >= f64::from(template.concurrency)
     {
-        return Err(reached("the limit of requests at once"));
+        return Err(limit_reached("the concurrency limit"));
     }
     Ok(())
 }
 
-fn reached(what: &str) -> Error {
+fn limit_reached(what: &str) -> Error {
     Error::new(ErrorKind::LimitReached)
         .context(format!("{what} of the organisation is reached"))
 }
 
 /// Counts a request as in flight until it is dropped.
 #[derive(Debug)]
-pub struct InUse(Arc<AtomicU32>);
+pub struct ConcurrencyPermit(Arc<AtomicU32>);
 
-impl InUse {
-    fn new(count: Arc<AtomicU32>) -> InUse {
+impl ConcurrencyPermit {
+    fn new(count: Arc<AtomicU32>) -> ConcurrencyPermit {
         count.fetch_add(1, Ordering::Relaxed);
-        InUse(count)
+        ConcurrencyPermit(count)
     }
 }
 
-impl Drop for InUse {
+impl Drop for ConcurrencyPermit {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -257,7 +269,7 @@
     }
 
     #[test]
-    fn concurrency_counts_the_other_vms() {
+    fn concurrency_includes_requests_of_other_vms() {
         let now = BootInstant::now();
         let template = template(1000.0, 3);
         let limits = OrganisationLimits::new(now);
@@ -267,7 +279,7 @@
         others.0[usage::IN_FLIGHT] = 2.0;
         let entry = crate::message::TallyEntry {
             data_hall: ShortHash(2),
-            key: key(&template.organisation),
+            key: usage_key(&template.organisation),
             age_ms: 0,
             tally: others,
         };
@@ -279,7 +291,7 @@
     }
 
     #[test]
-    fn the_rate_is_shared_by_demand() {
+    fn the_rate_limit_is_shared_by_demand() {
         let start = BootInstant::now();
         let template = template(100.0, 1_000_000);
         let limits = OrganisationLimits::new(start);
@@ -288,7 +300,7 @@
         others.0[usage::DEMAND_PER_S] = 300.0;
         let entry = crate::message::TallyEntry {
             data_hall: ShortHash(2),
-            key: key(&template.organisation),
+            key: usage_key(&template.organisation),
             age_ms: 0,
             tally: others,
         };
@@ -306,13 +318,13 @@
             let all = [template.clone()];
             limits.update(&all, &mut tallies, now, 0);
         }
-        // Demand here is 100 a second of 400: a quarter of the limit.
+        // The demand here is 100 of 400 per second: a quarter of the limit.
         let per_s = f64::from(admitted) / 5.0;
-        assert!((15.0..40.0).contains(&per_s), "{per_s} a second");
+        assert!((15.0..40.0).contains(&per_s), "{per_s} per second");
     }
 
     #[test]
-    fn the_hour_has_a_price_limit() {
+    fn the_hourly_cost_is_limited_and_resets() {
         let now = BootInstant::now();
         let template = template(1000.0, 10);
         let limits = OrganisationLimits::new(now);
--- a/src/api/queue.rs
+++ b/src/api/queue.rs
@@ -1,9 +1,9 @@
-//! Waiting for room at the model replicas: fair between organisations.
+//! Queueing of requests for model replicas, fair between organisations.
 //!
-//! [`FairQueue`] is the pure order: interactive work first, and within one
-//! priority weighted fair queueing by start tags. [`DispatchQueue`] lets waiting
-//! requests through as room appears and refuses early, not run, those whose
-//! deadline cannot be met.
+//! [`FairQueue`] orders the requests of one priority by weighted fair queueing
+//! with start tags. [`DispatchQueue`] serves interactive requests before batch
+//! requests, releases waiting requests as capacity becomes free, and rejects
+//! those whose deadline cannot be met before they have run.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -21,171 +21,175 @@
     task::within,
 };
 
-/// Fill of a model's slots up to which interactive work is let through.
-const INTERACTIVE_FILL: f64 = 1.1;
+/// Requests per slot of a model up to which interactive requests are
+/// dispatched.
+const INTERACTIVE_UTILIZATION: f64 = 1.1;
 
-/// Weight of the newest pass in the average time between two.
-const PACE_WEIGHT: f64 = 0.1;
+/// Weight of the newest interval in the moving average between releases.
+const NEWEST_INTERVAL_WEIGHT: f64 = 0.1;
 
-/// A pace older than this says nothing about the wait to come.
-const PACE_LIFETIME: Duration = Duration::from_secs(30);
+/// Age after which the measured release interval no longer predicts waits.
+const INTERVAL_LIFETIME: Duration = Duration::from_secs(30);
 
-/// One organisation's line in a queue.
+/// The queue of one organisation, with its virtual finish time.
 #[derive(Debug)]
-struct Line<T> {
+struct OrganisationQueue<T> {
     waiting: VecDeque<T>,
     finish: f64,
 }
 
-/// The waiting requests of one priority, fair between organisations.
+/// A weighted fair queue, for the waiting requests of one priority.
 #[derive(Debug)]
 pub struct FairQueue<T> {
-    lines: BTreeMap<OrganisationId, Line<T>>,
+    queues: BTreeMap<OrganisationId, OrganisationQueue<T>>,
     virtual_time: f64,
     len: usize,
 }
 
 impl<T> Default for FairQueue<T> {
     fn default() -> FairQueue<T> {
-        FairQueue { lines: BTreeMap::new(), virtual_time: 0.0, len: 0 }
+        FairQueue { queues: BTreeMap::new(), virtual_time: 0.0, len: 0 }
     }
 }
 
 impl<T> FairQueue<T> {
-    /// Puts an item at the end of its organisation's line.
+    /// Appends an item to the queue of its organisation.
     pub fn push(&mut self, organisation: &OrganisationId, item: T) {
         let now = self.virtual_time;
-        let line = self
-            .lines
-            .entry(organisation.clone())
-            .or_insert(Line { waiting: VecDeque::new(), finish: now });
-        line.waiting.push_back(item);
+        let queue = self.queues.entry(organisation.clone()).or_insert(
+            OrganisationQueue { waiting: VecDeque::new(), finish: now },
+        );
+        queue.waiting.push_back(item);
         self.len += 1;
     }
 
-    /// Takes the next item, by the weights of the organisations.
+    /// Removes the next item, shared by the weights of the organisations.
     pub fn pop(
         &mut self,
         weight: impl Fn(&OrganisationId) -> u32,
     ) -> Option<T> {
         let next = self
-            .lines
+            .queues
             .iter()
-            .filter(|(_, line)| !line.waiting.is_empty())
+            .filter(|(_, queue)| !queue.waiting.is_empty())
             .min_by(|a, b| a.1.finish.total_cmp(&b.1.finish))
             .map(|(organisation, _)| organisation.clone())?;
-        let line = self.lines.get_mut(&next)?;
-        let item = line.waiting.pop_front()?;
-        let start = line.finish.max(self.virtual_time);
+        let queue = self.queues.get_mut(&next)?;
+        let item = queue.waiting.pop_front()?;
+        let start = queue.finish.max(self.virtual_time);
         self.virtual_time = start;
-        line.finish = start + 1.0 / f64::from(weight(&next).max(1));
+        queue.finish = start + 1.0 / f64::from(weight(&next).max(1));
         self.len -= 1;
         let now = self.virtual_time;
-        // A line with nothing waiting keeps its place only while ahead.
-        self.lines
-            .retain(|_, line| !line.waiting.is_empty() || line.finish > now);
+        // An empty queue is kept only while its virtual finish time is
+        // ahead, so that an organisation cannot gain by emptying it.
+        self.queues.retain(|_, q| !q.waiting.is_empty() || q.finish > now);
         Some(item)
     }
 
-    /// Removes the items that `gone` picks.
+    /// Removes the items for which `gone` returns true.
     pub fn remove(&mut self, gone: impl Fn(&T) -> bool) {
-        for line in self.lines.values_mut() {
-            line.waiting.retain(|item| !gone(item));
+        for queue in self.queues.values_mut() {
+            queue.waiting.retain(|item| !gone(item));
         }
-        self.len = self.lines.values().map(|l| l.waiting.len()).sum();
+        self.len = self.queues.values().map(|l| l.waiting.len()).sum();
     }
 
-    /// The number of items.
+    /// Returns the number of waiting items.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether nothing waits.
+    /// Returns whether no item is waiting.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 }
 
-/// What a request needs to be let through.
+/// The properties of a request that determine its place in the queue.
 #[derive(Clone, Debug)]
-pub struct Entry {
-    /// The model that it will ask first.
+pub struct QueuedRequest {
+    /// The model that it is sent to first.
     pub model: ModelId,
     /// Its organisation.
     pub organisation: OrganisationId,
     /// Its priority.
     pub priority: Priority,
-    /// When its answer is due.
+    /// When its answer is due; it is rejected if it would wait longer.
     pub deadline: BootInstant,
 }
 
+/// A waiting request and the channel that wakes it.
 #[derive(Debug)]
 struct Waiter {
     number: u64,
     wake: Sender<()>,
 }
 
-/// The requests waiting for one model.
+/// The queues of one model, one for each priority.
 #[derive(Default)]
-struct Lane {
+struct ModelQueue {
     queues: HashMap<Priority, FairQueue<Waiter>>,
-    pace: Option<Pace>,
+    release_interval: Option<ReleaseInterval>,
 }
 
-/// The average time between two requests let through after waiting.
+/// The moving average of the time between two releases from the queue.
 #[derive(Clone, Copy, Debug)]
-struct Pace {
+struct ReleaseInterval {
     interval: Duration,
     last_at: BootInstant,
 }
 
+/// The queues of all models.
 #[derive(Default)]
-struct Lanes {
-    by_model: HashMap<ModelId, Lane>,
+struct ModelQueues {
+    by_model: HashMap<ModelId, ModelQueue>,
     waiting: usize,
     next_number: u64,
 }
 
-/// Lets requests through as there is room.
+/// Holds requests back until their model has free capacity.
 pub struct DispatchQueue {
-    lanes: Mutex<Lanes>,
+    models: Mutex<ModelQueues>,
     clock: SharedClock,
     queue_limit: usize,
     batch_share: f64,
-    passes: Mutex<HashMap<ModelId, u32>>,
+    permits: Mutex<HashMap<ModelId, u32>>,
 }
 
-/// A pass through the gate, from entry to dispatch.
+/// A permit to dispatch a request, held until an upstream is selected.
 ///
-/// While it is held, the request counts as taking room that the view does
-/// not show yet.
-pub struct Pass {
-    gate: Arc<DispatchQueue>,
+/// While it is held, the request counts against the capacity of the model,
+/// as it is not in the upstreams' load yet.
+pub struct DispatchPermit {
+    queue: Arc<DispatchQueue>,
     model: ModelId,
 }
 
-impl Drop for Pass {
+impl Drop for DispatchPermit {
     fn drop(&mut self) {
-        let mut passes = self.gate.passes.lock().expect("gate lock");
-        if let Some(count) = passes.get_mut(&self.model) {
+        let mut permits = self.queue.permits.lock().expect("queue lock");
+        if let Some(count) = permits.get_mut(&self.model) {
             *count = count.saturating_sub(1);
         }
     }
 }
 
 impl DispatchQueue {
-    /// Creates a gate with nothing waiting.
+    /// Creates an empty queue of at most `queue_limit` waiting requests.
+    ///
+    /// Batch requests are dispatched up to `batch_share` requests per slot.
     pub fn new(
         clock: SharedClock,
         queue_limit: usize,
         batch_share: f64,
     ) -> Arc<DispatchQueue> {
         Arc::new(DispatchQueue {
-            lanes: Mutex::default(),
+            models: Mutex::default(),
             clock,
             queue_limit,
             batch_share,
-            passes: Mutex::default(),
+            permits: Mutex::default(),
         })
     }
 
@@ -193,213 +197,239 @@
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Overloaded`], not run, when the queue is full or the
-    /// deadline cannot be met, with the time after which to come back.
+    /// [`ErrorKind::Overloaded`] when the queue is full or the deadline cannot
+    /// be met, in the latter case with a retry delay if the expected wait is
+    /// known; the request did not run.
     pub async fn enter(
         self: &Arc<DispatchQueue>,
-        entry: &Entry,
-        room: ModelLoad,
-    ) -> Result<Pass, Error> {
-        let receiver = match self.try_enter(entry, room)? {
-            Entered::Now => return Ok(self.pass(&entry.model)),
-            Entered::Waits(receiver) => receiver,
+        request: &QueuedRequest,
+        load: ModelLoad,
+    ) -> Result<DispatchPermit, Error> {
+        let receiver = match self.try_enter(request, load)? {
+            Entry::Now => return Ok(self.new_permit(&request.model)),
+            Entry::Queued(receiver) => receiver,
         };
         let now = self.clock.now();
-        let patience = entry.deadline.saturating_duration_since(now);
-        match within(patience, receiver.receive()).await {
-            // The pass was counted when the request was woken.
-            Some(true) => {
-                Ok(Pass { gate: self.clone(), model: entry.model.clone() })
-            }
-            _ => Err(overloaded("no room appeared before the deadline")),
+        let time_left = request.deadline.saturating_duration_since(now);
+        match within(time_left, receiver.receive()).await {
+            // The permit was counted when the request was woken.
+            Some(true) => Ok(DispatchPermit {
+                queue: self.clone(),
+                model: request.model.clone(),
+            }),
+            _ => Err(overloaded("no capacity before the deadline")),
         }
     }
 
-    /// Wakes waiting requests for which there is room now.
+    /// Wakes the waiting requests for which there is capacity now.
     ///
-    /// To be called when a request ends or the view changes.
+    /// Must be called when a request ends or the view of the fleet changes.
     pub fn wake(
         &self,
-        room_of: impl Fn(&ModelId) -> ModelLoad,
+        load_of: impl Fn(&ModelId) -> ModelLoad,
         weight: impl Fn(&OrganisationId) -> u32,
     ) {
         let models: Vec<ModelId> = {
-            let lanes = self.lanes.lock().expect("gate lock");
-            let waiting = lanes.by_model.iter().filter(|(_, lane)| {
-                lane.queues.values().any(|queue| !queue.is_empty())
+            let models = self.models.lock().expect("queue lock");
+            let waiting = models.by_model.iter().filter(|(_, model)| {
+                model.queues.values().any(|queue| !queue.is_empty())
             });
             waiting.map(|(model, _)| model.clone()).collect()
         };
         for model in models {
-            let room = room_of(&model);
-            while self.wake_one(&model, room, &weight) {}
+            let load = load_of(&model);
+            while self.wake_one(&model, load, &weight) {}
         }
     }
 
-    /// The number of waiting requests.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
-        self.lanes.lock().expect("gate lock").waiting
+        self.models.lock().expect("queue lock").waiting
     }
 
+    /// Admits a request at once if none is ahead and there is capacity, or
+    /// else queues it.
     fn try_enter(
         self: &Arc<DispatchQueue>,
-        entry: &Entry,
-        room: ModelLoad,
-    ) -> Result<Entered, Error> {
-        let mut lanes = self.lanes.lock().expect("gate lock");
-        let ahead = lanes.ahead(&entry.model, entry.priority);
-        if ahead == 0 && self.has_room(&entry.model, entry.priority, room) {
-            return Ok(Entered::Now);
+        request: &QueuedRequest,
+        load: ModelLoad,
+    ) -> Result<Entry, Error> {
+        let mut models = self.models.lock().expect("queue lock");
+        let ahead = models.ahead(&request.model, request.priority);
+        if ahead == 0
+            && self.has_capacity(&request.model, request.priority, load)
+        {
+            return Ok(Entry::Now);
         }
-        if lanes.waiting >= self.queue_limit {
+        if models.waiting >= self.queue_limit {
             return Err(overloaded("the queue of this VM is full"));
         }
         let now = self.clock.now();
-        let wait = lanes.expected_wait(&entry.model, ahead, now);
-        if now + wait > entry.deadline {
+        let wait = models.expected_wait(&request.model, ahead, now);
+        if now + wait > request.deadline {
             let reason = "the deadline cannot be met";
             return Err(overloaded(reason).with_retry_after(wait));
         }
-        let number = lanes.next_number;
-        lanes.next_number += 1;
-        lanes.waiting += 1;
+        let number = models.next_number;
+        models.next_number += 1;
+        models.waiting += 1;
         let (wake, woken) = bounded(1);
-        let lane = lanes.by_model.entry(entry.model.clone()).or_default();
-        let queue = lane.queues.entry(entry.priority).or_default();
-        queue.push(&entry.organisation, Waiter { number, wake });
-        Ok(Entered::Waits(Waiting {
-            gate: self.clone(),
-            model: entry.model.clone(),
-            priority: entry.priority,
+        let model_queue =
+            models.by_model.entry(request.model.clone()).or_default();
+        let queue = model_queue.queues.entry(request.priority).or_default();
+        queue.push(&request.organisation, Waiter { number, wake });
+        Ok(Entry::Queued(QueuePlace {
+            queue: self.clone(),
+            model: request.model.clone(),
+            priority: request.priority,
             number,
             woken,
         }))
     }
 
-    fn has_room(
+    /// Returns whether the model has capacity for one more request, counting
+    /// the permits that are held.
+    fn has_capacity(
         &self,
         model: &ModelId,
         priority: Priority,
-        room: ModelLoad,
+        load: ModelLoad,
     ) -> bool {
-        let passes = self.passes.lock().expect("gate lock");
-        let passing = passes.get(model).copied().unwrap_or(0);
-        let fill = match priority {
-            Priority::Interactive => INTERACTIVE_FILL,
+        let permits = self.permits.lock().expect("queue lock");
+        let held = permits.get(model).copied().unwrap_or(0);
+        let max_utilization = match priority {
+            Priority::Interactive => INTERACTIVE_UTILIZATION,
             Priority::Batch => self.batch_share,
         };
-        room.requests + f64::from(passing) < room.slots * fill
+        load.requests + f64::from(held) < load.slots * max_utilization
     }
 
+    /// Wakes the next request of a model; returns false if there is none or
+    /// no capacity.
     fn wake_one(
         &self,
         model: &ModelId,
-        room: ModelLoad,
+        load: ModelLoad,
         weight: &impl Fn(&OrganisationId) -> u32,
     ) -> bool {
-        let mut lanes = self.lanes.lock().expect("gate lock");
+        let mut models = self.models.lock().expect("queue lock");
         for priority in Priority::ALL {
-            if !self.has_room(model, priority, room) {
+            if !self.has_capacity(model, priority, load) {
                 continue;
             }
-            let Some(lane) = lanes.by_model.get_mut(model) else {
+            let Some(model_queue) = models.by_model.get_mut(model) else {
                 return false;
             };
-            let queue = lane.queues.entry(priority).or_default();
+            let queue = model_queue.queues.entry(priority).or_default();
             let Some(waiter) = queue.pop(weight) else { continue };
-            lane.keep_pace(self.clock.now());
-            lanes.waiting -= 1;
+            model_queue.record_release(self.clock.now());
+            models.waiting -= 1;
             if waiter.wake.try_send(()).is_ok() {
-                self.count_pass(model);
+                self.count_permit(model);
             }
             return true;
         }
         false
     }
 
-    fn pass(self: &Arc<DispatchQueue>, model: &ModelId) -> Pass {
-        self.count_pass(model);
-        Pass { gate: self.clone(), model: model.clone() }
+    /// Counts a permit and returns it.
+    fn new_permit(
+        self: &Arc<DispatchQueue>,
+        model: &ModelId,
+    ) -> DispatchPermit {
+        self.count_permit(model);
+        DispatchPermit { queue: self.clone(), model: model.clone() }
     }
 
-    fn count_pass(&self, model: &ModelId) {
-        let mut passes = self.passes.lock().expect("gate lock");
-        *passes.entry(model.clone()).or_default() += 1;
+    fn count_permit(&self, model: &ModelId) {
+        let mut permits = self.permits.lock().expect("queue lock");
+        *permits.entry(model.clone()).or_default() += 1;
     }
 }
 
-impl Lanes {
-    /// Requests that go before a new one of this priority.
+impl ModelQueues {
+    /// Returns the number of requests served before a new one of a priority.
     fn ahead(&self, model: &ModelId, priority: Priority) -> usize {
-        let Some(lane) = self.by_model.get(model) else { return 0 };
-        let before = lane.queues.iter().filter(|(p, _)| **p <= priority);
+        let Some(model_queue) = self.by_model.get(model) else { return 0 };
+        let before =
+            model_queue.queues.iter().filter(|(p, _)| **p <= priority);
         before.map(|(_, queue)| queue.len()).sum()
     }
 
+    /// Estimates the wait behind `ahead` requests; zero if no recent release
+    /// interval is known.
     fn expected_wait(
         &self,
         model: &ModelId,
         ahead: usize,
         now: BootInstant,
     ) -> Duration {
-        let pace = self.by_model.get(model).and_then(|lane| lane.pace);
-        match pace {
-            Some(pace) if now - pace.last_at < PACE_LIFETIME => {
-                pace.interval * (ahead as u32 + 1)
+        let recent =
+            self.by_model.get(model).and_then(|model| model.release_interval);
+        match recent {
+            Some(recent) if now - recent.last_at < INTERVAL_LIFETIME => {
+                recent.interval * (ahead as u32 + 1)
             }
             _ => Duration::ZERO,
         }
     }
 }
 
-impl Lane {
-    fn keep_pace(&mut self, now: BootInstant) {
-        let interval = match self.pace {
-            Some(pace) if now - pace.last_at < PACE_LIFETIME => {
-                let newest = now - pace.last_at;
-                pace.interval.mul_f64(1.0 - PACE_WEIGHT)
-                    + newest.mul_f64(PACE_WEIGHT)
+impl ModelQueue {
+    /// Updates the average interval between releases.
+    fn record_release(&mut self, now: BootInstant) {
+        let interval = match self.release_interval {
+            Some(recent) if now - recent.last_at < INTERVAL_LIFETIME => {
+                let newest = now - recent.last_at;
+                recent.interval.mul_f64(1.0 - NEWEST_INTERVAL_WEIGHT)
+                    + newest.mul_f64(NEWEST_INTERVAL_WEIGHT)
             }
             _ => Duration::ZERO,
         };
-        self.pace = Some(Pace { interval, last_at: now });
+        self.release_interval =
+            Some(ReleaseInterval { interval, last_at: now });
     }
 }
 
-enum Entered {
+/// What became of a request that entered.
+enum Entry {
     Now,
-    Waits(Waiting),
+    Queued(QueuePlace),
 }
 
-/// A place in the queue, left when it is dropped.
-struct Waiting {
-    gate: Arc<DispatchQueue>,
+/// A place in the queue; dropping it leaves the queue.
+struct QueuePlace {
+    queue: Arc<DispatchQueue>,
     model: ModelId,
     priority: Priority,
     number: u64,
     woken: Receiver<()>,
 }
 
-impl Waiting {
+impl QueuePlace {
+    /// Waits to be woken; returns false if it can no longer be.
     async fn receive(&self) -> bool {
         self.woken.recv().await.is_ok()
     }
 }
 
-impl Drop for Waiting {
+impl Drop for QueuePlace {
     fn drop(&mut self) {
-        let mut lanes = self.gate.lanes.lock().expect("gate lock");
-        let Some(lane) = lanes.by_model.get_mut(&self.model) else { return };
-        let Some(queue) = lane.queues.get_mut(&self.priority) else {
+        let mut models = self.queue.models.lock().expect("queue lock");
+        let Some(model) = models.by_model.get_mut(&self.model) else { return };
+        let Some(queue) = model.queues.get_mut(&self.priority) else {
             return;
         };
         let before = queue.len();
         queue.remove(|waiter| waiter.number == self.number);
         let removed = before - queue.len();
-        lanes.waiting -= removed;
+        models.waiting -= removed;
         if self.woken.try_recv().is_ok() {
-            // Woken, but given up in the same moment: the pass goes back.
-            drop(Pass { gate: self.gate.clone(), model: self.model.clone() });
+            // Woken, but dropped at the same moment: return the permit.
+            drop(DispatchPermit {
+                queue: self.queue.clone(),
+                model: self.model.clone(),
+            });
         }
     }
 }
@@ -418,7 +448,7 @@
     }
 
     #[test]
-    fn weights_share_a_full_queue() {
+    fn organisations_share_a_full_queue_by_weight() {
         let mut queue = FairQueue::default();
         for n in 0..300 {
             queue.push(&organisation("heavy"), ("heavy", n));
@@ -441,7 +471,7 @@
     }
 
     #[test]
-    fn who_was_idle_gets_no_credit() {
+    fn an_idle_organisation_gains_no_credit() {
         let mut queue = FairQueue::default();
         for n in 0..100 {
             queue.push(&organisation("a"), ("a", n));
@@ -457,8 +487,8 @@
         assert!((9..=11).contains(&b), "{b}");
     }
 
-    fn entry(priority: Priority, wait: Duration) -> Entry {
-        Entry {
+    fn request(priority: Priority, wait: Duration) -> QueuedRequest {
+        QueuedRequest {
             model: "m".parse().unwrap(),
             organisation: organisation("a"),
             priority,
@@ -471,44 +501,44 @@
     const FULL: ModelLoad = ModelLoad { requests: 11.0, slots: 10.0 };
 
     #[test]
-    fn batch_work_leaves_room_and_waits() {
-        let gate = DispatchQueue::new(Arc::new(SystemClock), 10, 0.7);
+    fn batch_requests_wait_until_the_load_is_low() {
+        let queue = DispatchQueue::new(Arc::new(SystemClock), 10, 0.7);
         let minute = Duration::from_secs(60);
         smol::block_on(async {
-            let now = entry(Priority::Interactive, minute);
-            assert!(gate.enter(&now, HALF).await.is_ok());
-            let batch = entry(Priority::Batch, minute);
-            let waiting = gate.enter(&batch, HALF);
+            let now = request(Priority::Interactive, minute);
+            assert!(queue.enter(&now, HALF).await.is_ok());
+            let batch = request(Priority::Batch, minute);
+            let waiting = queue.enter(&batch, HALF);
             let waker = async {
-                assert_eq!(gate.waiting(), 1);
-                gate.wake(|_| HALF, |_| 1);
-                assert_eq!(gate.waiting(), 1);
-                gate.wake(|_| EMPTY, |_| 1);
+                assert_eq!(queue.waiting(), 1);
+                queue.wake(|_| HALF, |_| 1);
+                assert_eq!(queue.waiting(), 1);
+                queue.wake(|_| EMPTY, |_| 1);
             };
-            let (passed, ()) = futures_lite::future::zip(waiting, waker).await;
-            assert!(passed.is_ok());
-            assert_eq!(gate.waiting(), 0);
+            let (permit, ()) = futures_lite::future::zip(waiting, waker).await;
+            assert!(permit.is_ok());
+            assert_eq!(queue.waiting(), 0);
         });
     }
 
     #[test]
-    fn a_full_queue_and_a_passed_deadline_refuse_not_run() {
-        let gate = DispatchQueue::new(Arc::new(SystemClock), 1, 0.7);
+    fn a_full_queue_and_a_missed_deadline_reject_before_running() {
+        let queue = DispatchQueue::new(Arc::new(SystemClock), 1, 0.7);
         smol::block_on(async {
             let short =
-                entry(Priority::Interactive, Duration::from_millis(20));
-            let first = gate.enter(&short, FULL);
+                request(Priority::Interactive, Duration::from_millis(20));
+            let first = queue.enter(&short, FULL);
             let second = async {
-                let refused = gate.enter(&short, FULL).await;
+                let rejected = queue.enter(&short, FULL).await;
                 assert_eq!(
-                    refused.err().map(|e| e.kind()),
+                    rejected.err().map(|e| e.kind()),
                     Some(ErrorKind::Overloaded)
                 );
             };
             let (first, ()) = futures_lite::future::zip(first, second).await;
             let error = first.err().unwrap();
             assert_eq!(error.kind().answer().run, crate::error::Run::NotRun);
-            assert_eq!(gate.waiting(), 0);
+            assert_eq!(queue.waiting(), 0);
         });
     }
 }
--- a/src/api/relay.rs
+++ b/src/api/relay.rs
@@ -1,9 +1,10 @@
-//! Relaying a streamed answer, and resuming it when its upstream dies.
+//! Relays a streamed answer and resumes it when its upstream fails.
 //!
-//! Events carry numbers. When a stream breaks off, another replica of the
-//! same version is asked for what follows the last number that went out.
-//! A stream that cannot be resumed ends in an error event and a broken
-//! connection, never in the mark of a whole answer.
+//! Server-sent events carry numbers in their `id`. When a stream breaks,
+//! another replica of the same version is asked for the events after the last
+//! number that was forwarded. A stream that cannot be resumed ends in an error
+//! event and an aborted connection, never in the end mark of a complete
+//! answer.
 
 use std::time::Duration;
 
@@ -17,9 +18,9 @@
     },
     api::{
         chat::TokenUsage,
-        decision::AttemptEnd,
-        dispatch::{AttemptFault, SelectedUpstream, fault_of},
-        queue::Pass,
+        decision::AttemptOutcome,
+        dispatch::{AttemptFault, SelectedUpstream, attempt_fault},
+        queue::DispatchPermit,
         request::{Planned, Request},
         template::VersionEntry,
     },
@@ -33,34 +34,34 @@
     unit::MicroCost,
 };
 
-/// Parts that wait for a slow caller before the upstream is held back.
-const PARTS_WAITING: usize = 32;
+/// Parts buffered for a slow caller before reading from the upstream stops.
+const BUFFERED_PARTS: usize = 32;
 
-/// Longest silence within a stream.
-const SILENCE_LIMIT: Duration = Duration::from_secs(30);
+/// Longest time without data from the upstream within a stream.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Bytes of an answer that are kept for its rating.
-const RATED_BYTES: usize = 16 * 1024;
+/// Bytes of text after which no more of an answer is kept for its rating.
+const RATED_TEXT_LIMIT_BYTES: usize = 16 * 1024;
 
-/// A stream from one upstream.
-struct Source {
+/// An open event stream from one upstream.
+struct UpstreamStream {
     exchange: Exchange,
     splitter: Splitter,
-    _chosen: SelectedUpstream,
+    _selected: SelectedUpstream,
 }
 
-impl Source {
-    /// The next event, or `None` when the upstream closed the stream.
+impl UpstreamStream {
+    /// Returns the next event, `None` when the upstream closed the stream.
     async fn next(&mut self) -> Result<Option<sse::Event>, AttemptFault> {
         loop {
             let ready = self.splitter.next();
             if let Some(event) = ready.map_err(|_| AttemptFault::TooLarge)? {
                 return Ok(Some(event));
             }
-            let chunk = within(SILENCE_LIMIT, self.exchange.next_chunk());
+            let chunk = within(IDLE_TIMEOUT, self.exchange.next_chunk());
             match chunk.await {
                 None => return Err(AttemptFault::TimedOut),
-                Some(Err(error)) => return Err(fault_of(error)),
+                Some(Err(error)) => return Err(attempt_fault(error)),
                 Some(Ok(None)) => return Ok(None),
                 Some(Ok(Some(bytes))) => self.splitter.push(&bytes),
             }
@@ -68,7 +69,7 @@
     }
 }
 
-/// What has gone out so far.
+/// What has been forwarded to the caller so far.
 #[derive(Default)]
 struct Progress {
     last_id: Option<u64>,
@@ -78,131 +79,144 @@
 }
 
 /// How relaying one upstream's stream ended.
-enum Ended {
-    /// The whole answer has gone out, but for its last event.
+enum RelayEnd {
+    /// The answer is complete; only this last event is not forwarded yet.
     Done(sse::Event),
-    /// The upstream broke off.
+    /// The upstream's stream failed.
     Broken(AttemptFault),
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
 }
 
-/// Why no stream began.
-enum NoStream {
-    /// The upstream answered, but not with a stream.
+/// Why no stream was opened.
+enum OpenError {
+    /// The upstream answered with another status than 200.
     Answer(Answer),
     /// The request failed.
     Failed(Error),
 }
 
-/// Runs a streamed request until its first event, then in the background.
-pub(crate) async fn run(mut request: Request<Planned>, pass: Pass) -> Answer {
+/// Dispatches a streamed request.
+///
+/// Returns once its first event has arrived; the stream is relayed by a
+/// background task.
+pub(crate) async fn run(
+    mut request: Request<Planned>,
+    permit: DispatchPermit,
+) -> Answer {
     let entry = request.state.plan.steps[0].entry.clone();
-    let mut pass = Some(pass);
+    let mut permit = Some(permit);
     let mut tried = Vec::new();
-    let opened = open(&mut request, &entry, &mut tried, &mut pass).await;
-    let (source, first) = match opened {
+    let opened = open(&mut request, &entry, &mut tried, &mut permit).await;
+    let (stream, first) = match opened {
         Ok(opened) => opened,
-        Err(NoStream::Failed(error)) => {
-            return request.core.settle(Err(error));
+        Err(OpenError::Failed(error)) => {
+            return request.context.settle(Err(error));
         }
-        Err(NoStream::Answer(answer)) => {
-            return request.core.settle(Ok(answer));
+        Err(OpenError::Answer(answer)) => {
+            return request.context.settle(Ok(answer));
         }
     };
-    let now = request.core.vm.clock.now();
-    request.core.first_part_at = Some(now);
-    let waited = now.saturating_duration_since(request.core.started);
+    let now = request.context.vm.clock.now();
+    request.context.first_part_at = Some(now);
+    let waited = now.saturating_duration_since(request.context.started);
     request.add_evidence(&entry, false, Some(waited));
-    let (sender, receiver) = bounded(PARTS_WAITING);
+    let (sender, receiver) = bounded(BUFFERED_PARTS);
     let mut headers = vec![
         Header::new("content-type", "text/event-stream"),
         Header::new("cache-control", "no-cache"),
         Header::new(
             "lupinseam-decision",
-            request.core.decision.id.to_string(),
+            request.context.decision.id.to_string(),
         ),
     ];
     headers.extend(request.session_header(&entry));
     let relay = Relay { request, entry, tried, sender };
-    task::spawn(relay.run(source, first)).detach();
+    task::spawn(relay.run(stream, first)).detach();
     Answer::Streamed { headers, body: StreamBody::new(receiver) }
 }
 
-/// Opens a stream and waits for its first event.
+/// Opens a stream and waits for its first event, with retries.
 async fn open(
     request: &mut Request<Planned>,
     entry: &VersionEntry,
     tried: &mut Vec<UpstreamId>,
-    pass: &mut Option<Pass>,
-) -> Result<(Source, sse::Event), NoStream> {
+    permit: &mut Option<DispatchPermit>,
+) -> Result<(UpstreamStream, sse::Event), OpenError> {
     let repeatable = request.state.repeatable;
     loop {
-        let chosen =
-            request.choose_for(entry, tried).map_err(NoStream::Failed)?;
-        pass.take();
-        tried.push(chosen.upstream.record.id.clone());
-        request.core.begin_attempt(&chosen, Some(entry), MicroCost::default());
-        let sending = request.sending(entry, tried.len());
-        let limit = sending.limit;
-        let fault = match request.core.ask(&chosen, sending).await {
+        let selected =
+            request.select_for(entry, tried).map_err(OpenError::Failed)?;
+        permit.take();
+        tried.push(selected.upstream.record.id.clone());
+        request.context.begin_attempt(
+            &selected,
+            Some(entry),
+            MicroCost::default(),
+        );
+        let outgoing = request.attempt_request(entry, tried.len());
+        let limit = outgoing.limit;
+        let fault = match request.context.send_head(&selected, outgoing).await
+        {
             Err(fault) => fault,
             Ok(exchange) if exchange.status != 200 => {
-                let answer = refused(request, exchange).await;
-                let again = repeatable && is_refusal_to_run(&answer);
+                let answer = read_whole_answer(request, exchange).await;
+                let is_retryable = repeatable && is_rejection(&answer);
                 match answer {
                     Some(_)
-                        if again && request.core.may_retry(tried.len()) =>
+                        if is_retryable
+                            && request.context.may_retry(tried.len()) =>
                     {
                         continue;
                     }
-                    Some(answer) => return Err(NoStream::Answer(answer)),
+                    Some(answer) => return Err(OpenError::Answer(answer)),
                     None => AttemptFault::Broken,
                 }
             }
             Ok(exchange) => {
-                let mut source = Source {
+                let mut stream = UpstreamStream {
                     exchange,
                     splitter: Splitter::default(),
-                    _chosen: chosen,
+                    _selected: selected,
                 };
-                match within(limit, source.next()).await {
-                    Some(Ok(Some(first))) => return Ok((source, first)),
+                match within(limit, stream.next()).await {
+                    Some(Ok(Some(first))) => return Ok((stream, first)),
                     Some(Ok(None)) => AttemptFault::Broken,
                     Some(Err(fault)) => fault,
                     None => AttemptFault::TimedOut,
                 }
             }
         };
-        request.core.end_attempt(fault.end());
-        request.note_fault(entry, fault);
+        request.context.end_attempt(fault.end());
+        request.record_fault(entry, fault);
         request
-            .core
-            .go_on(fault, repeatable, tried.len())
-            .map_err(NoStream::Failed)?;
+            .context
+            .check_retry(fault, repeatable, tried.len())
+            .map_err(OpenError::Failed)?;
     }
 }
 
-/// Reads an answer that is no stream.
-async fn refused(
+/// Reads the body of an answer that is not a stream.
+async fn read_whole_answer(
     request: &mut Request<Planned>,
     exchange: Exchange,
 ) -> Option<Answer> {
-    let limit = request.core.vm.settings.requests.answer_limit_bytes;
+    let limit = request.context.vm.settings.requests.answer_limit_bytes;
     let answer = exchange.read_whole(limit).await.ok()?;
     let status = answer.status;
-    request.core.end_attempt(AttemptEnd::Answered { status });
+    request.context.end_attempt(AttemptOutcome::Answered { status });
     let content_type = answer.header("content-type").unwrap_or("text/plain");
     let headers = vec![Header::new("content-type", content_type)];
     Some(Answer::Whole { status, headers, body: answer.body })
 }
 
-/// Whether an engine's answer says that it did not take the request.
-fn is_refusal_to_run(answer: &Option<Answer>) -> bool {
+/// Returns whether the status says that the engine did not accept the
+/// request.
+fn is_rejection(answer: &Option<Answer>) -> bool {
     matches!(answer, Some(Answer::Whole { status: 503 | 409, .. }))
 }
 
-/// A stream on its way to the caller.
+/// A stream that is being relayed to the caller.
 struct Relay {
     request: Request<Planned>,
     entry: VersionEntry,
@@ -211,74 +225,78 @@
 }
 
 impl Relay {
-    async fn run(mut self, mut source: Source, first: sse::Event) {
+    /// Relays the stream to its end, resuming it when an upstream fails.
+    async fn run(mut self, mut stream: UpstreamStream, first: sse::Event) {
         let mut progress = Progress::default();
         let mut next = Some(first);
         loop {
-            let ended = self.pass_on(&mut source, next, &mut progress).await;
-            self.note_use(&progress);
-            match ended {
-                Ended::Done(last) => {
-                    drop(source);
+            let end =
+                self.forward_events(&mut stream, next, &mut progress).await;
+            self.record_usage(&progress);
+            match end {
+                RelayEnd::Done(last) => {
+                    drop(stream);
                     return self.finish(last, progress).await;
                 }
-                Ended::CallerGone => {
-                    // Dropping the source cancels the work upstream.
-                    drop(source);
-                    self.request.core.end_attempt(AttemptEnd::Cancelled);
+                RelayEnd::CallerGone => {
+                    // Closing the connection cancels the work at the upstream.
+                    drop(stream);
+                    self.request
+                        .context
+                        .end_attempt(AttemptOutcome::Cancelled);
                     let gone = Error::new(ErrorKind::UpstreamFailed)
-                        .context("the caller went away");
-                    return self.request.core.settle_stream(Some(&gone));
+                        .context("the caller disconnected");
+                    return self.request.context.settle_stream(Some(&gone));
                 }
-                Ended::Broken(fault) => {
-                    self.request.core.end_attempt(fault.end());
-                    self.request.note_fault(&self.entry, fault);
-                    drop(source);
+                RelayEnd::Broken(fault) => {
+                    self.request.context.end_attempt(fault.end());
+                    self.request.record_fault(&self.entry, fault);
+                    drop(stream);
                 }
             }
             match self.resume(&progress).await {
                 Ok((resumed, event)) => {
-                    source = resumed;
+                    stream = resumed;
                     next = Some(event);
                 }
-                Err(error) => return self.break_off(error).await,
+                Err(error) => return self.abort(error).await,
             }
         }
     }
 
-    /// Passes events on until the stream ends in one way or another.
-    async fn pass_on(
+    /// Forwards events until the stream ends, fails or the caller disconnects.
+    async fn forward_events(
         &self,
-        source: &mut Source,
+        stream: &mut UpstreamStream,
         mut next: Option<sse::Event>,
         progress: &mut Progress,
-    ) -> Ended {
+    ) -> RelayEnd {
         loop {
             let event = match next.take() {
                 Some(event) => event,
-                None => match source.next().await {
+                None => match stream.next().await {
                     Ok(Some(event)) => event,
-                    Ok(None) => return Ended::Broken(AttemptFault::Broken),
-                    Err(fault) => return Ended::Broken(fault),
+                    Ok(None) => return RelayEnd::Broken(AttemptFault::Broken),
+                    Err(fault) => return RelayEnd::Broken(fault),
                 },
             };
             if event.is_done() {
-                return Ended::Done(event);
+                return RelayEnd::Done(event);
             }
-            if !progress.take(&event) {
+            if !progress.record(&event) {
                 continue;
             }
             if self.sender.send(Ok(event.raw)).await.is_err() {
-                return Ended::CallerGone;
+                return RelayEnd::CallerGone;
             }
         }
     }
 
-    /// Sends the last event and settles.
+    /// Forwards the last event and settles the request.
     async fn finish(mut self, last: sse::Event, progress: Progress) {
-        let core = &mut self.request.core;
-        core.end_attempt(AttemptEnd::Answered { status: 200 });
-        core.set_claim_outcome(ClaimOutcome::Ran {
+        let context = &mut self.request.context;
+        context.end_attempt(AttemptOutcome::Answered { status: 200 });
+        context.set_claim_outcome(ClaimOutcome::Ran {
             status: 200,
             content_type: "text/event-stream".to_owned(),
             body: None,
@@ -287,107 +305,116 @@
             self.sender.send(Ok(last.raw)).await?;
             self.sender.send(Ok(StreamBody::END)).await
         };
-        // A caller that left before the last event has still been served.
+        // A caller that disconnects before the last event was still served.
         let _ = sent.await;
-        self.request.learn_sometimes(&self.entry, progress.text);
-        self.request.core.settle_stream(None);
+        self.request.rate_in_background(&self.entry, progress.text);
+        self.request.context.settle_stream(None);
     }
 
-    /// Asks another replica of the version for what is missing.
+    /// Opens a stream at another replica that continues after the last event
+    /// forwarded.
     async fn resume(
         &mut self,
         progress: &Progress,
-    ) -> Result<(Source, sse::Event), Error> {
+    ) -> Result<(UpstreamStream, sse::Event), Error> {
         let failed = |reason: &str| {
             Error::new(ErrorKind::UpstreamFailed)
                 .context(reason.to_owned())
-                .context("the stream broke off")
+                .context("the stream broke")
         };
         let Some(last_id) = progress.last_id else {
-            return Err(failed("its events have no numbers"));
+            return Err(failed("its events have no ids to resume from"));
         };
         if !self.request.state.repeatable {
-            return Err(failed("the request may not be repeated"));
+            return Err(failed("the request is not repeatable"));
         }
         loop {
-            if !self.request.core.may_retry(self.tried.len()) {
+            if !self.request.context.may_retry(self.tried.len()) {
                 return Err(failed("no further attempt is allowed"));
             }
             let entry = self.entry.clone();
-            let chosen = self
+            let selected = self
                 .request
-                .choose_for(&entry, &self.tried)
+                .select_for(&entry, &self.tried)
                 .map_err(|_| failed("no other replica is usable"))?;
-            self.tried.push(chosen.upstream.record.id.clone());
-            self.request.core.begin_attempt(
-                &chosen,
+            self.tried.push(selected.upstream.record.id.clone());
+            self.request.context.begin_attempt(
+                &selected,
                 Some(&entry),
                 MicroCost::default(),
             );
-            match self.reopen(chosen, last_id).await {
+            match self.reopen(selected, last_id).await {
                 Ok(resumed) => {
                     let upstream = self.tried.last();
                     Event::StreamResumed.log(format_args!(
                         "request {} at {:?}",
-                        self.request.core.decision.id, upstream
+                        self.request.context.decision.id, upstream
                     ));
                     return Ok(resumed);
                 }
-                Err(fault) => self.request.core.end_attempt(fault.end()),
+                Err(fault) => self.request.context.end_attempt(fault.end()),
             }
         }
     }
 
+    /// Asks an upstream for the events after `last_id` and waits for the
+    /// first.
     async fn reopen(
         &mut self,
-        chosen: SelectedUpstream,
+        selected: SelectedUpstream,
         last_id: u64,
-    ) -> Result<(Source, sse::Event), AttemptFault> {
-        let mut sending = self.request.sending(&self.entry, self.tried.len());
-        let limit = sending.limit;
-        // The header by which event streams are resumed.
-        sending
+    ) -> Result<(UpstreamStream, sse::Event), AttemptFault> {
+        let mut outgoing =
+            self.request.attempt_request(&self.entry, self.tried.len());
+        let limit = outgoing.limit;
+        // The standard header for resuming an event stream.
+        outgoing
             .headers
             .push(Header::new("last-event-id", last_id.to_string()));
-        let exchange = self.request.core.ask(&chosen, sending).await?;
+        let exchange =
+            self.request.context.send_head(&selected, outgoing).await?;
         if exchange.status != 200 {
             return Err(AttemptFault::Broken);
         }
         let splitter = Splitter::default();
-        let mut source = Source { exchange, splitter, _chosen: chosen };
-        match within(limit, source.next()).await {
-            Some(Ok(Some(event))) => Ok((source, event)),
+        let mut stream =
+            UpstreamStream { exchange, splitter, _selected: selected };
+        match within(limit, stream.next()).await {
+            Some(Ok(Some(event))) => Ok((stream, event)),
             Some(Ok(None)) => Err(AttemptFault::Broken),
             Some(Err(fault)) => Err(fault),
             None => Err(AttemptFault::TimedOut),
         }
     }
 
-    fn note_use(&mut self, progress: &Progress) {
+    /// Records the token usage; without one from the engine, the number of
+    /// events stands for the output tokens.
+    fn record_usage(&mut self, progress: &Progress) {
         let chat = &self.request.state.admitted.call.chat;
         let used = progress.used.unwrap_or(TokenUsage {
             input: chat.input_tokens,
             output: progress.events,
         });
-        self.request.core.note_use(&self.entry, used);
+        self.request.context.record_usage(&self.entry, used);
     }
 
-    /// Ends the stream visibly broken.
-    async fn break_off(self, error: Error) {
-        let id = &self.request.core.decision.id;
+    /// Ends the stream with an error event and an aborted connection.
+    async fn abort(self, error: Error) {
+        let id = &self.request.context.decision.id;
         Event::AnswerBroken.log(format_args!("request {id}: {error}"));
         let data = refusal_json(&error, Some(id));
         let event = format!("event: error\ndata: {}\n\n", json!(data));
-        // The caller may be gone as well; then nobody needs to know.
+        // If the caller has disconnected too, there is no one to notify.
         let _ = self.sender.send(Ok(Bytes::from(event))).await;
         let _ = self.sender.send(Err(BrokenOff)).await;
-        self.request.core.settle_stream(Some(&error));
+        self.request.context.settle_stream(Some(&error));
     }
 }
 
 impl Progress {
-    /// Takes in an event; false for one that has gone out before.
-    fn take(&mut self, event: &sse::Event) -> bool {
+    /// Records an event that is about to be forwarded; returns false for one
+    /// that was forwarded before.
+    fn record(&mut self, event: &sse::Event) -> bool {
         if let Some(id) = event.id {
             if self.last_id.is_some_and(|last| id <= last) {
                 return false;
@@ -398,7 +425,7 @@
         if let Some(used) = event.token_use() {
             self.used = Some(used);
         }
-        if self.text.len() < RATED_BYTES
+        if self.text.len() < RATED_TEXT_LIMIT_BYTES
             && let Some(text) = event.text()
         {
             self.text.push_str(&text);
--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -1,8 +1,8 @@
-//! The life of one request: arrived, admitted, planned, settled.
+//! The states of one request: received, admitted, planned, settled.
 //!
-//! Each state is a type, so that a request cannot be dispatched before it
-//! was admitted and planned, and ends exactly once, in [`Request::settle`]
-//! or by being dropped, which counts as a fault and is settled too.
+//! Each state is a type, so that a request can be dispatched only after it
+//! was admitted and planned. [`RequestContext::settle`] consumes the request,
+//! so that it is settled at most once.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,13 +13,15 @@
     api::{
         chat::ChatRequest,
         decision::{
-            Asked, Attempt, AttemptEnd, Decision, SessionUse, Verdict,
+            Attempt, AttemptOutcome, Decision, RequestStatus, RequestTarget,
+            SessionUse,
         },
         estimate::version_hash,
-        organisation_limits::InUse,
-        queue::{Entry, Pass},
+        organisation_limits::ConcurrencyPermit,
+        queue::{DispatchPermit, QueuedRequest},
         selection::{
-            self, Knowledge, ModelLoad, NoPlan, Plan, RequestFacts, any_usable,
+            self, ModelLoad, Plan, PlanError, PlanInput, RequestFacts,
+            any_usable,
         },
         session::Session,
         template::{Priority, ServiceRule, Template, VersionEntry},
@@ -45,10 +47,10 @@
 /// The longest task name, in bytes.
 const TASK_LIMIT_BYTES: usize = 64;
 
-/// The task of requests that name none.
-const USUAL_TASK: &str = "general";
+/// The task of requests without a `Lupinseam-Task` header.
+const DEFAULT_TASK: &str = "general";
 
-/// What the headers of a call say.
+/// The request headers that the router reads, unparsed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CallHeaders {
     pub(crate) bearer: Option<String>,
@@ -59,68 +61,73 @@
     pub(crate) deadline_ms: Option<String>,
 }
 
-/// Tells when the caller has gone away.
-pub(crate) type Cancel = Receiver<()>;
+/// A channel that closes when the caller disconnects.
+pub(crate) type CancelSignal = Receiver<()>;
 
-/// What all states of a request share.
+/// The data that all states of a request share.
 pub(crate) struct RequestContext {
     pub(crate) vm: Arc<Vm>,
     pub(crate) decision: Decision,
     pub(crate) started: BootInstant,
     pub(crate) first_part_at: Option<BootInstant>,
-    pub(crate) cancel: Cancel,
+    pub(crate) cancel: CancelSignal,
     bill: Option<Bill>,
     claim: Option<ClaimRequest>,
     claim_outcome: Option<ClaimOutcome>,
     _in_flight: InFlightRequest,
 }
 
-/// A request that came in and is not known to be anybody's yet.
-pub(crate) struct Arrived;
+/// The state of a request that is not authorized yet.
+pub(crate) struct Received;
 
-/// A request of an organisation, within its limits.
+/// The state of a request that is authorized and within the limits of its
+/// organisation.
 pub(crate) struct Admitted<C> {
     pub(crate) template: Arc<Template>,
     pub(crate) call: C,
     pub(crate) deadline: BootInstant,
-    /// The key under which it must not run twice.
+    /// The idempotency key, if the caller sent one.
     pub(crate) key: Option<String>,
-    in_use: InUse,
+    permit: ConcurrencyPermit,
 }
 
-/// A chat call as it was read.
+/// A parsed chat request.
 pub(crate) struct ChatCall {
     pub(crate) chat: ChatRequest,
     pub(crate) task: String,
 }
 
-/// A service call as it was read.
+/// A parsed call of a plain service.
 pub(crate) struct ServiceCall {
     pub(crate) rule: ServiceRule,
     pub(crate) repeatable: bool,
 }
 
-/// A chat request whose versions are chosen.
+/// The state of a chat request whose versions are selected.
 pub(crate) struct Planned {
     pub(crate) admitted: Admitted<ChatCall>,
     pub(crate) plan: Plan,
     pub(crate) repeatable: bool,
-    /// The session that the answer starts or goes on.
+    /// The number in the session token of the answer; `None` without a
+    /// session.
     pub(crate) session_number: Option<u64>,
 }
 
-/// A request in one state of its life.
+/// A request in the state `S`.
 pub(crate) struct Request<S> {
-    pub(crate) core: RequestContext,
+    pub(crate) context: RequestContext,
     pub(crate) state: S,
 }
 
-/// What came of a request before or after it ran.
+/// The answer to a request, or the error that it ended with.
 pub(crate) type Outcome = Result<Answer, Error>;
 
-impl Request<Arrived> {
-    /// Takes in a request.
-    pub(crate) fn arrive(vm: &Arc<Vm>, cancel: Cancel) -> Request<Arrived> {
+impl Request<Received> {
+    /// Starts the record of a request that was received.
+    pub(crate) fn receive(
+        vm: &Arc<Vm>,
+        cancel: CancelSignal,
+    ) -> Request<Received> {
         let now = vm.clock.now();
         let as_ms = |age: Option<Duration>| selection::age_ms(age);
         let list_read_at = vm.view.list_read_at();
@@ -128,7 +135,7 @@
             id: vm.next_request_id(),
             at_unix_ms: vm.clock.unix_ms(),
             organisation: None,
-            asked: Asked::Unreadable,
+            asked: RequestTarget::Unreadable,
             priority: Priority::Interactive,
             session: SessionUse::None,
             revision: vm.configuration.current().revision(),
@@ -139,10 +146,10 @@
             candidates: Vec::new(),
             queued_ms: 0,
             attempts: Vec::new(),
-            verdict: Verdict::Running,
+            verdict: RequestStatus::Running,
         };
         Request {
-            core: RequestContext {
+            context: RequestContext {
                 vm: vm.clone(),
                 decision,
                 started: now,
@@ -153,28 +160,28 @@
                 claim_outcome: None,
                 _in_flight: vm.begin_request(),
             },
-            state: Arrived,
+            state: Received,
         }
     }
 
-    /// Refuses the request.
-    pub(crate) fn refuse(self, error: Error) -> Answer {
-        self.core.settle(Err(error))
+    /// Settles the request with an error and returns the answer.
+    pub(crate) fn reject(self, error: Error) -> Answer {
+        self.context.settle(Err(error))
     }
 
     /// Admits a chat request.
     ///
     /// # Errors
     ///
-    /// The request as it arrived, with the reason; it did not run.
+    /// The answer that rejects the request; it did not run.
     pub(crate) fn admit_chat(
         mut self,
         headers: &CallHeaders,
         body: &[u8],
     ) -> Result<Request<Admitted<ChatCall>>, Answer> {
-        match self.core.read_chat(headers, body) {
-            Ok(state) => Ok(Request { core: self.core, state }),
-            Err(error) => Err(self.core.settle(Err(error))),
+        match self.context.read_chat(headers, body) {
+            Ok(state) => Ok(Request { context: self.context, state }),
+            Err(error) => Err(self.context.settle(Err(error))),
         }
     }
 
@@ -189,14 +196,15 @@
         service: &str,
         is_safe_method: bool,
     ) -> Result<Request<Admitted<ServiceCall>>, Answer> {
-        match self.core.read_service(headers, service, is_safe_method) {
-            Ok(state) => Ok(Request { core: self.core, state }),
-            Err(error) => Err(self.core.settle(Err(error))),
+        match self.context.read_service(headers, service, is_safe_method) {
+            Ok(state) => Ok(Request { context: self.context, state }),
+            Err(error) => Err(self.context.settle(Err(error))),
         }
     }
 }
 
 impl RequestContext {
+    /// Returns the template of the organisation with the bearer key.
     fn authorize(
         &mut self,
         headers: &CallHeaders,
@@ -206,17 +214,18 @@
                 .context("this VM is starting or stopping"));
         }
         let bearer = headers.bearer.as_deref().ok_or_else(|| {
-            unauthorized("a bearer key is needed in `Authorization`")
+            unauthorized("a bearer key is required in `Authorization`")
         })?;
         let configuration = self.vm.configuration.current();
         let template = configuration
             .template_by_key(&KeyHash::of(bearer))
-            .ok_or_else(|| unauthorized("no template holds this key"))?;
+            .ok_or_else(|| unauthorized("no template has this key"))?;
         self.decision.organisation = Some(template.organisation.clone());
         self.decision.revision = configuration.revision();
         Ok(template.clone())
     }
 
+    /// Authorizes, parses and admits a chat request.
     fn read_chat(
         &mut self,
         headers: &CallHeaders,
@@ -225,7 +234,7 @@
         let template = self.authorize(headers)?;
         let chat = ChatRequest::from_json(body)?;
         let task = read_task(headers)?;
-        self.decision.asked = Asked::Chat {
+        self.decision.asked = RequestTarget::Chat {
             model: chat.model.clone(),
             task: task.clone(),
             stream: chat.stream,
@@ -234,11 +243,12 @@
         self.decision.session = self.read_session(headers, &template)?;
         let deadline = self.read_deadline(headers, priority)?;
         let key = read_key(headers)?;
-        let in_use = self.admit(&template)?;
+        let permit = self.admit(&template)?;
         let call = ChatCall { chat, task };
-        Ok(Admitted { template, call, deadline, key, in_use })
+        Ok(Admitted { template, call, deadline, key, permit })
     }
 
+    /// Authorizes, parses and admits a call of a plain service.
     fn read_service(
         &mut self,
         headers: &CallHeaders,
@@ -254,13 +264,13 @@
         })?;
         let rule = rule.clone();
         let repeatable = is_safe_method || rule.repeatable;
-        self.decision.asked = Asked::Service { service, repeatable };
+        self.decision.asked = RequestTarget::Service { service, repeatable };
         let priority = self.read_priority(headers, &template)?;
         let deadline = self.read_deadline(headers, priority)?;
         let key = read_key(headers)?;
-        let in_use = self.admit(&template)?;
+        let permit = self.admit(&template)?;
         let call = ServiceCall { rule, repeatable };
-        Ok(Admitted { template, call, deadline, key, in_use })
+        Ok(Admitted { template, call, deadline, key, permit })
     }
 
     fn read_priority(
@@ -276,6 +286,8 @@
         Ok(priority)
     }
 
+    /// Returns the session that the `Lupinseam-Session` header starts or
+    /// belongs to.
     fn read_session(
         &self,
         headers: &CallHeaders,
@@ -297,34 +309,36 @@
         }
     }
 
+    /// Returns the deadline: the caller's, at most that of the priority.
     fn read_deadline(
         &self,
         headers: &CallHeaders,
         priority: Priority,
     ) -> Result<BootInstant, Error> {
         let settings = &self.vm.settings.requests;
-        let most = match priority {
+        let time_limit = match priority {
             Priority::Interactive => settings.deadline,
             Priority::Batch => settings.batch_deadline,
         };
         let Some(text) = &headers.deadline_ms else {
-            return Ok(self.started + most);
+            return Ok(self.started + time_limit);
         };
         let asked: u64 = text.parse().map_err(|_| {
             invalid("`Lupinseam-Deadline-Ms` must be a whole number")
         })?;
-        Ok(self.started + Duration::from_millis(asked).min(most))
+        Ok(self.started + Duration::from_millis(asked).min(time_limit))
     }
 
-    fn admit(&self, template: &Template) -> Result<InUse, Error> {
+    /// Counts the request against the limits of its organisation.
+    fn admit(&self, template: &Template) -> Result<ConcurrencyPermit, Error> {
         let tallies = self.vm.tallies.lock().expect("tallies lock");
         self.vm.limits.admit(template, &tallies, self.vm.clock.now())
     }
 
-    /// Opens the bill and waits until a second VM knows it, but not for long.
+    /// Opens the bill and waits briefly until a second VM holds a copy.
     ///
-    /// What runs afterwards is billed even if this VM dies. With no second
-    /// VM to be reached the request goes on, and is counted.
+    /// The request is then billed even if this VM crashes. If no second VM
+    /// can be reached, the request continues and a metric counts it.
     pub(crate) async fn open_bill(&mut self, estimate: MicroCost) {
         let Some(organisation) = self.decision.organisation.clone() else {
             return;
@@ -345,39 +359,40 @@
         }
     }
 
-    /// Notes that the request holds a claim.
-    pub(crate) fn hold_claim(&mut self, claim: ClaimRequest) {
+    /// Records the claim that the request holds; it is settled at the end.
+    pub(crate) fn set_claim(&mut self, claim: ClaimRequest) {
         self.claim = Some(claim);
     }
 
-    /// Notes what a repeat of the request's key will be shown.
+    /// Sets the outcome that later requests with the same key will get.
     pub(crate) fn set_claim_outcome(&mut self, outcome: ClaimOutcome) {
         self.claim_outcome = Some(outcome);
     }
 
-    /// Notes an attempt; it is the last until the next is noted.
-    pub(crate) fn note_attempt(&mut self, attempt: Attempt) {
+    /// Adds an attempt; the methods on the last attempt then apply to it.
+    pub(crate) fn push_attempt(&mut self, attempt: Attempt) {
         self.decision.attempts.push(attempt);
     }
 
-    /// Notes how the last attempt ended.
-    pub(crate) fn end_attempt(&mut self, end: AttemptEnd) {
-        let label = end_label(&end);
+    /// Records how the last attempt ended.
+    pub(crate) fn end_attempt(&mut self, end: AttemptOutcome) {
+        let label = attempt_outcome_label(&end);
         self.vm.metrics.attempts.with_label_values(&[label]).inc();
         if let Some(last) = self.decision.attempts.last_mut() {
             last.end = end;
         }
     }
 
-    /// Whether any attempt may have run.
+    /// Returns whether any attempt may have run at an upstream.
     pub(crate) fn may_have_run(&self) -> bool {
         self.decision
             .attempts
             .iter()
-            .any(|attempt| attempt.end != AttemptEnd::Unreachable)
+            .any(|attempt| attempt.end != AttemptOutcome::Unreachable)
     }
 
-    /// Ends the request: its record, bill, claim and metrics.
+    /// Ends the request: stores its decision, closes its bill and claim, and
+    /// records its metrics.
     pub(crate) fn settle(mut self, outcome: Outcome) -> Answer {
         let id = self.decision.id.clone();
         let code = self.finish(outcome.as_ref().err());
@@ -385,25 +400,26 @@
             Ok(answer) => answer,
             Err(error) => Answer::refusal(&error, Some(&id)),
         };
-        self.count(&code);
+        self.record_metrics(&code);
         answer.add_header(Header::new("lupinseam-decision", id.to_string()));
         answer
     }
 
-    /// Ends a streamed request, whose answer has gone out already.
+    /// Ends a streamed request, whose answer was already sent.
     pub(crate) fn settle_stream(mut self, error: Option<&Error>) {
         let code = self.finish(error);
-        self.count(&code);
+        self.record_metrics(&code);
     }
 
+    /// Closes the records of the request; returns its result code.
     fn finish(&mut self, error: Option<&Error>) -> String {
         let code = error
             .map_or("answered", |error| error.kind().answer().code)
             .to_owned();
-        if self.decision.verdict == Verdict::Running {
+        if self.decision.verdict == RequestStatus::Running {
             self.decision.verdict = match error {
-                None => Verdict::Answered,
-                Some(error) => Verdict::Refused {
+                None => RequestStatus::Answered,
+                Some(error) => RequestStatus::Refused {
                     kind: error.kind(),
                     reason: error.to_string(),
                 },
@@ -416,6 +432,7 @@
         code
     }
 
+    /// Closes the bill with the actual cost, or voids it if nothing ran.
     fn close_bill(&mut self, run: Run, code: &str) {
         let Some(open) = self.bill.take() else { return };
         let is_void = run == Run::NotRun;
@@ -439,16 +456,17 @@
         self.vm.ledger.close(bill);
     }
 
+    /// Returns a bill part for each attempt that may have run.
     fn bill_parts(&self) -> Vec<BillPart> {
         let service = match &self.decision.asked {
-            Asked::Service { service, .. } => Some(service.clone()),
+            RequestTarget::Service { service, .. } => Some(service.clone()),
             _ => None,
         };
         let ran = self
             .decision
             .attempts
             .iter()
-            .filter(|attempt| attempt.end != AttemptEnd::Unreachable);
+            .filter(|attempt| attempt.end != AttemptOutcome::Unreachable);
         ran.map(|attempt| BillPart {
             upstream: attempt.choice.upstream.clone(),
             model: attempt.model.clone(),
@@ -461,6 +479,7 @@
         .collect()
     }
 
+    /// Settles the claim, as unknown if the request ran and set no outcome.
     fn settle_claim(&mut self, run: Run) {
         let Some(claim) = self.claim.take() else { return };
         let outcome = match (run, self.claim_outcome.take()) {
@@ -471,14 +490,15 @@
         Claims::settle(&self.vm, claim, outcome);
     }
 
-    fn count(&self, code: &str) {
+    /// Records the metrics of the ended request.
+    fn record_metrics(&self, code: &str) {
         let vm = &self.vm;
         let organisation = self
             .decision
             .organisation
             .as_ref()
             .map_or(OTHER, OrganisationId::as_str);
-        let class = class_of(&self.decision);
+        let class = metrics_class(&self.decision);
         let labels = &[organisation, class];
         let passed = vm.clock.now().saturating_duration_since(self.started);
         vm.metrics
@@ -498,23 +518,24 @@
 }
 
 impl Request<Admitted<ChatCall>> {
-    /// Chooses the versions to ask.
+    /// Selects the versions to send the request to.
     ///
     /// # Errors
     ///
-    /// The answer that refuses the request; it did not run.
+    /// The answer that rejects the request; it did not run.
     pub(crate) fn plan(mut self) -> Result<Request<Planned>, Answer> {
-        match self.make_plan() {
-            Ok((plan, repeatable)) => Ok(self.planned(plan, repeatable)),
-            Err(no_plan) => {
-                self.core.decision.candidates = no_plan.candidates;
-                Err(self.core.settle(Err(no_plan.error)))
+        match self.try_plan() {
+            Ok((plan, repeatable)) => Ok(self.into_planned(plan, repeatable)),
+            Err(plan_error) => {
+                self.context.decision.candidates = plan_error.candidates;
+                Err(self.context.settle(Err(plan_error.error)))
             }
         }
     }
 
-    fn make_plan(&self) -> Result<(Plan, bool), NoPlan> {
-        let vm = &self.core.vm;
+    /// Returns the plan and whether the request may be repeated.
+    fn try_plan(&self) -> Result<(Plan, bool), PlanError> {
+        let vm = &self.context.vm;
         let now = vm.clock.now();
         let configuration = vm.configuration.current();
         let template = &self.state.template;
@@ -525,7 +546,7 @@
             any_usable(&upstreams, version_hash(entry))
         };
         let tallies = vm.tallies.lock().expect("tallies lock");
-        let knowledge = Knowledge {
+        let input = PlanInput {
             configuration: &configuration,
             is_fresh: vm.is_configuration_fresh(),
             template,
@@ -534,70 +555,78 @@
             has_upstream: &has_upstream,
             now,
         };
-        let plan = selection::plan(&facts, &knowledge, rand::random())?;
+        let plan = selection::plan(&facts, &input, rand::random())?;
         let repeatable = plan.steps.iter().all(|step| {
             let rule = template.model_rule(&step.entry.model);
             rule.is_some_and(|rule| rule.repeatable)
         });
-        Ok((without_repeats(plan, repeatable), repeatable))
+        Ok((truncate_to_one_step(plan, repeatable), repeatable))
     }
 
     fn request_facts(&self) -> RequestFacts {
         let call = &self.state.call;
-        let has_ratings = self.core.vm.settings.platform.rating_url.is_some();
-        let session = self.core.decision.session.clone();
-        let is_free = session == SessionUse::None;
+        let has_ratings =
+            self.context.vm.settings.platform.rating_url.is_some();
+        let session = self.context.decision.session.clone();
+        let has_no_session = session == SessionUse::None;
         RequestFacts {
             model: call.chat.model.clone(),
             task: ShortHash::of(&call.task),
-            can_escalate: has_ratings && is_free && !call.chat.stream,
+            can_escalate: has_ratings && has_no_session && !call.chat.stream,
             session,
             input_tokens: call.chat.input_tokens,
             output_tokens: call.chat.output_tokens,
         }
     }
 
-    fn planned(mut self, plan: Plan, repeatable: bool) -> Request<Planned> {
-        self.core.decision.candidates.clone_from(&plan.candidates);
-        let is_session = self.core.decision.session != SessionUse::None;
+    fn into_planned(
+        mut self,
+        plan: Plan,
+        repeatable: bool,
+    ) -> Request<Planned> {
+        self.context.decision.candidates.clone_from(&plan.candidates);
+        let is_session = self.context.decision.session != SessionUse::None;
         let session_number = is_session.then(rand::random);
         let state =
             Planned { admitted: self.state, plan, repeatable, session_number };
-        Request { core: self.core, state }
+        Request { context: self.context, state }
     }
 }
 
 impl Request<Planned> {
-    /// Waits for room at the replicas of the first model.
+    /// Waits for free capacity at the replicas of the plan's first model.
     ///
     /// # Errors
     ///
     /// [`ErrorKind::Overloaded`]; the request did not run.
-    pub(crate) async fn wait_for_room(&mut self) -> Result<Pass, Error> {
-        let core = &mut self.core;
-        let vm = core.vm.clone();
+    pub(crate) async fn wait_for_capacity(
+        &mut self,
+    ) -> Result<DispatchPermit, Error> {
+        let context = &mut self.context;
+        let vm = context.vm.clone();
         let model = self.state.plan.steps[0].entry.model.clone();
         let now = vm.clock.now();
-        let room = ModelLoad::of(&vm.upstream_facts(&model, now));
+        let load = ModelLoad::of(&vm.upstream_facts(&model, now));
         let template = &self.state.admitted.template;
-        let entry = Entry {
+        let entry = QueuedRequest {
             model,
             organisation: template.organisation.clone(),
-            priority: core.decision.priority,
+            priority: context.decision.priority,
             deadline: self.state.admitted.deadline,
         };
-        let pass = vm.queue.enter(&entry, room).await;
+        let permit = vm.queue.enter(&entry, load).await;
         let waited = vm.clock.now().saturating_duration_since(now);
-        core.decision.queued_ms = waited.as_millis() as u64;
-        pass
+        context.decision.queued_ms = waited.as_millis() as u64;
+        permit
     }
 
-    /// The token of the session on the version that answered.
+    /// Returns the header with a session token for the version that answered;
+    /// `None` without a session.
     pub(crate) fn session_header(
         &self,
         entry: &VersionEntry,
     ) -> Option<Header> {
-        let vm = &self.core.vm;
+        let vm = &self.context.vm;
         let number = self.state.session_number?;
         let lifetime_ms = vm.settings.session_lifetime.as_millis() as u64;
         let token = vm.sessions.issue(&Session {
@@ -612,53 +641,55 @@
 }
 
 impl<C> Admitted<C> {
-    /// Ends the counting of the request against its organisation's limits;
-    /// otherwise that ends with the state itself.
-    pub(crate) fn release(self) {
-        drop(self.in_use);
+    /// Stops counting the request against the limits of its organisation.
+    ///
+    /// Dropping the state does the same.
+    pub(crate) fn release_limits(self) {
+        drop(self.permit);
     }
 }
 
-/// A request that may not be repeated is not asked of a second model.
-fn without_repeats(mut plan: Plan, repeatable: bool) -> Plan {
+/// Cuts the plan to its first step if the request may not be repeated.
+fn truncate_to_one_step(mut plan: Plan, repeatable: bool) -> Plan {
     if !repeatable {
         plan.steps.truncate(1);
     }
     plan
 }
 
-/// The class of a request, a label of its metrics.
-fn class_of(decision: &Decision) -> &'static str {
+/// Returns the class of a request, a label of its metrics.
+fn metrics_class(decision: &Decision) -> &'static str {
     match &decision.asked {
-        Asked::Service { .. } => "service",
-        Asked::Unreadable => OTHER,
-        Asked::Chat { stream: true, .. } => "chat_stream",
-        Asked::Chat { .. } => match decision.priority {
+        RequestTarget::Service { .. } => "service",
+        RequestTarget::Unreadable => OTHER,
+        RequestTarget::Chat { stream: true, .. } => "chat_stream",
+        RequestTarget::Chat { .. } => match decision.priority {
             Priority::Interactive => "chat",
             Priority::Batch => "chat_batch",
         },
     }
 }
 
-fn end_label(end: &AttemptEnd) -> &'static str {
+/// Returns the metric label for the end of an attempt.
+fn attempt_outcome_label(end: &AttemptOutcome) -> &'static str {
     match end {
-        AttemptEnd::Running => "running",
-        AttemptEnd::Answered { .. } => "answered",
-        AttemptEnd::RatedPoor { .. } => "rated_poor",
-        AttemptEnd::Unreachable => "unreachable",
-        AttemptEnd::Broken => "broken",
-        AttemptEnd::TimedOut => "timed_out",
-        AttemptEnd::Cancelled => "cancelled",
+        AttemptOutcome::Running => "running",
+        AttemptOutcome::Answered { .. } => "answered",
+        AttemptOutcome::RatedPoor { .. } => "rated_poor",
+        AttemptOutcome::Unreachable => "unreachable",
+        AttemptOutcome::Broken => "broken",
+        AttemptOutcome::TimedOut => "timed_out",
+        AttemptOutcome::Cancelled => "cancelled",
     }
 }
 
 fn read_task(headers: &CallHeaders) -> Result<String, Error> {
     let Some(task) = &headers.task else {
-        return Ok(USUAL_TASK.to_owned());
+        return Ok(DEFAULT_TASK.to_owned());
     };
     let is_plain = task.chars().all(|c| c.is_ascii_graphic());
     if task.is_empty() || task.len() > TASK_LIMIT_BYTES || !is_plain {
-        return Err(invalid("`Lupinseam-Task` must be one short word"));
+        return Err(invalid("`Lupinseam-Task` must be one short ASCII word"));
     }
     Ok(task.clone())
 }
--- a/src/api/rollout_guard.rs
+++ b/src/api/rollout_guard.rs
@@ -1,10 +1,9 @@
-//! The roll-out guard: notices a bad version and stops it.
+//! The rollout guard: detects a version that performs badly and stops it.
 //!
-//! A sequential test compares the pooled evidence of a version with that of
-//! the serving versions of its model, on failures and on ratings below the
-//! target. A version found bad is stopped at this VM at once and withdrawn
-//! in the store, by whichever VM gets there first. A version that did well
-//! for long enough moves to its next stage, where the operator wants that.
+//! A sequential probability ratio test compares the evidence that all VMs have
+//! about a version with that about the serving versions of its model, for
+//! failures and for ratings below the target. A bad version is stopped at
+//! this VM at once and withdrawn in the store by the first VM to write it.
 
 use std::{
     collections::{BTreeMap, HashSet},
@@ -31,41 +30,43 @@
     task,
 };
 
-/// Time between two looks at the evidence.
-const LOOK: Duration = Duration::from_millis(500);
+/// Time between two checks of the evidence.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// More failures than the baseline, as a share, that a version must not
-/// have.
+/// Increase of the failure rate over the baseline at which a version is bad.
 const ERROR_MARGIN: f64 = 0.1;
 
-/// More ratings below the target than the baseline, as a share.
+/// Increase of the share of missed ratings over the baseline at which a
+/// version is bad.
 const MISS_MARGIN: f64 = 0.15;
 
-/// Odds at which a version counts as bad.
+/// Odds at which a version is judged bad on all evidence.
 const BAD_ODDS: f64 = 1000.0;
 
-/// Odds for one organisation alone; higher, as there are many to look at.
-const BAD_ODDS_ALONE: f64 = 5000.0;
+/// Odds at which a version is judged bad on the evidence of one organisation;
+/// higher, as testing many organisations raises the false alarm rate.
+const BAD_ODDS_ONE_ORGANISATION: f64 = 5000.0;
 
-/// The least share of failures that a baseline is taken to have.
+/// Lower bound of the failure rate of a baseline.
 const ERROR_FLOOR: f64 = 0.02;
 
-/// The least share of misses that a baseline is taken to have.
+/// Lower bound of the share of missed ratings of a baseline.
 const MISS_FLOOR: f64 = 0.05;
 
-/// Answers that the prior of a baseline counts for.
+/// Weight of the prior of a baseline, as a number of answers.
 const PRIOR_ANSWERS: f64 = 20.0;
 
-/// What the evidence says about one version.
+/// The result of comparing the evidence about a version with a baseline.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Judgement {
-    /// It is worse than the baseline; says on what.
+pub enum Comparison {
+    /// It is worse than the baseline, for the reason given.
     Bad(String),
-    /// Nothing speaks against it.
-    Open,
+    /// The evidence does not show that it is worse.
+    Inconclusive,
 }
 
-/// What is usual: the shares of failures and of misses.
+/// The rates that are expected of a version: of failures and of ratings below
+/// the target (misses).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Baseline {
     errors: f64,
@@ -73,7 +74,8 @@
 }
 
 impl Baseline {
-    /// The baseline of the serving versions' evidence and a prior chance.
+    /// Computes the baseline from the evidence about the serving versions and
+    /// the prior quality.
     pub fn new(serving: Tally, prior_quality: f64) -> Baseline {
         let answers = f64::from(serving.0[evidence::ATTEMPTS]);
         let errors = f64::from(serving.0[evidence::ERRORS]);
@@ -90,69 +92,88 @@
     }
 }
 
-/// Judges the evidence of one version against a baseline.
-pub fn judge(tally: Tally, baseline: Baseline, odds: f64) -> Judgement {
+/// Compares the evidence about one version with a baseline.
+///
+/// `odds` is the likelihood ratio above which the version is bad.
+pub fn compare_to_baseline(
+    tally: Tally,
+    baseline: Baseline,
+    odds: f64,
+) -> Comparison {
     let answers = f64::from(tally.0[evidence::ATTEMPTS]);
     let errors = f64::from(tally.0[evidence::ERRORS]);
     let rated = f64::from(tally.0[evidence::RATED]);
     let missed = rated - f64::from(tally.0[evidence::MET_TARGET]);
     let bound = odds.ln();
-    if log_odds(answers, errors, baseline.errors, ERROR_MARGIN) > bound {
-        return Judgement::Bad(format!(
+    if log_likelihood_ratio(answers, errors, baseline.errors, ERROR_MARGIN)
+        > bound
+    {
+        return Comparison::Bad(format!(
             "{errors:.0} of {answers:.0} answers failed, usual is {:.1}%",
             baseline.errors * 100.0
         ));
     }
-    if log_odds(rated, missed, baseline.misses, MISS_MARGIN) > bound {
-        return Judgement::Bad(format!(
+    if log_likelihood_ratio(rated, missed, baseline.misses, MISS_MARGIN)
+        > bound
+    {
+        return Comparison::Bad(format!(
             "{missed:.0} of {rated:.0} ratings missed the target, usual is \
              {:.1}%",
             baseline.misses * 100.0
         ));
     }
-    Judgement::Open
+    Comparison::Inconclusive
 }
 
-/// The logarithm of the odds that the true share is `margin` above `usual`
-/// and not `usual`, after `hits` of `all`.
-fn log_odds(all: f64, hits: f64, usual: f64, margin: f64) -> f64 {
-    let hits = hits.clamp(0.0, all.max(0.0));
-    let worse = (usual + margin).min(0.99);
-    hits * (worse / usual).ln()
-        + (all - hits) * ((1.0 - worse) / (1.0 - usual)).ln()
+/// Returns the log likelihood ratio of the rate `expected + margin` to
+/// `expected`, after `hits` in `trials`.
+fn log_likelihood_ratio(
+    trials: f64,
+    hits: f64,
+    expected: f64,
+    margin: f64,
+) -> f64 {
+    let hits = hits.clamp(0.0, trials.max(0.0));
+    let worse = (expected + margin).min(0.99);
+    hits * (worse / expected).ln()
+        + (trials - hits) * ((1.0 - worse) / (1.0 - expected)).ln()
 }
 
-/// The evidence of one version, over all and by organisation.
+/// The evidence about one version, in total and by organisation.
 #[derive(Clone, Debug, Default)]
 pub struct VersionEvidence {
-    /// Over all organisations and tasks.
+    /// The sum over all organisations and tasks.
     pub all: Tally,
-    /// By organisation.
+    /// The sum over the tasks of each organisation.
     pub by_organisation: BTreeMap<ShortHash, Tally>,
 }
 
-/// The evidence of every version known, by version.
-pub fn gather(
+/// Sums the evidence about each version.
+pub fn collect_evidence(
     tallies: &Tallies,
     now: crate::clock::BootInstant,
 ) -> BTreeMap<ShortHash, VersionEvidence> {
     let keys: HashSet<TallyKey> = tallies.keys().collect();
-    let mut gathered: BTreeMap<ShortHash, VersionEvidence> = BTreeMap::new();
+    let mut collected: BTreeMap<ShortHash, VersionEvidence> = BTreeMap::new();
     for key in keys {
         let TallyKey::Evidence { organisation, version, .. } = key else {
             continue;
         };
         let tally = tallies.total(&key, now);
-        let entry = gathered.entry(version).or_default();
+        let entry = collected.entry(version).or_default();
         entry.all = entry.all + tally;
-        let alone = entry.by_organisation.entry(organisation).or_default();
-        *alone = *alone + tally;
+        let of_organisation =
+            entry.by_organisation.entry(organisation).or_default();
+        *of_organisation = *of_organisation + tally;
     }
-    gathered
+    collected
 }
 
-/// The versions that the evidence speaks against, with the reason.
-pub fn find_bad(
+/// Returns the versions that the evidence shows to be bad, with the reasons.
+///
+/// Tests versions that are rolling out, and serving ones if the model has
+/// another serving version.
+pub fn find_bad_versions(
     configuration: &Configuration,
     evidence: &BTreeMap<ShortHash, VersionEvidence>,
 ) -> Vec<(VersionEntry, String)> {
@@ -162,7 +183,7 @@
         let others = other_serving(configuration, entry);
         let watched = match entry.state {
             VersionState::RollingOut { .. } => true,
-            // The last one that serves is better than none.
+            // A bad version is better than no serving version.
             VersionState::Serving => !others.is_empty(),
             VersionState::Draining | VersionState::Withdrawn => false,
         };
@@ -170,13 +191,14 @@
         if !watched {
             continue;
         }
-        if let Some(why) = why_bad(entry, own, &others, evidence) {
+        if let Some(why) = bad_reason(entry, own, &others, evidence) {
             bad.push((entry.clone(), why));
         }
     }
     bad
 }
 
+/// Returns the other serving versions of the same model.
 fn other_serving<'a>(
     configuration: &'a Configuration,
     entry: &VersionEntry,
@@ -188,38 +210,43 @@
         .collect()
 }
 
-fn why_bad(
+/// Returns why a version is bad, on all evidence or that of one organisation.
+fn bad_reason(
     entry: &VersionEntry,
     own: &VersionEvidence,
     others: &[&VersionEntry],
     evidence: &BTreeMap<ShortHash, VersionEvidence>,
 ) -> Option<String> {
     let prior = entry.prior_quality.value();
-    let known: Vec<&VersionEvidence> = others
+    let evidence_of_others: Vec<&VersionEvidence> = others
         .iter()
         .filter_map(|other| evidence.get(&version_hash(other)))
         .collect();
-    let serving =
-        known.iter().fold(Tally::default(), |sum, one| sum + one.all);
+    let serving = evidence_of_others
+        .iter()
+        .fold(Tally::default(), |sum, other| sum + other.all);
     let baseline = Baseline::new(serving, prior);
-    if let Judgement::Bad(why) = judge(own.all, baseline, BAD_ODDS) {
+    if let Comparison::Bad(why) =
+        compare_to_baseline(own.all, baseline, BAD_ODDS)
+    {
         return Some(why);
     }
     for (organisation, tally) in &own.by_organisation {
-        let usual = known
+        let serving = evidence_of_others
             .iter()
-            .filter_map(|one| one.by_organisation.get(organisation))
-            .fold(Tally::default(), |sum, one| sum + *one);
-        let baseline = Baseline::new(usual, prior);
-        let judged = judge(*tally, baseline, BAD_ODDS_ALONE);
-        if let Judgement::Bad(why) = judged {
+            .filter_map(|other| other.by_organisation.get(organisation))
+            .fold(Tally::default(), |sum, other| sum + *other);
+        let baseline = Baseline::new(serving, prior);
+        let comparison =
+            compare_to_baseline(*tally, baseline, BAD_ODDS_ONE_ORGANISATION);
+        if let Comparison::Bad(why) = comparison {
             return Some(format!("for one organisation {why}"));
         }
     }
     None
 }
 
-/// The versions that this VM has stopped on its own judgement.
+/// The versions that this VM has stopped before the store withdraws them.
 #[derive(Default)]
 pub struct RolloutGuard {
     stopped: Mutex<HashSet<ShortHash>>,
@@ -227,17 +254,17 @@
 }
 
 impl RolloutGuard {
-    /// The versions stopped here.
+    /// Returns the versions stopped at this VM.
     pub fn stopped(&self) -> HashSet<ShortHash> {
         self.stopped.lock().expect("guard lock").clone()
     }
 
-    /// Stops a version here; returns whether that is news.
+    /// Stops a version at this VM; returns whether it was not stopped before.
     fn stop(&self, version: ShortHash) -> bool {
         self.stopped.lock().expect("guard lock").insert(version)
     }
 
-    /// Forgets stops that the configuration has taken over.
+    /// Removes the stops of versions that the configuration has withdrawn.
     pub(crate) fn clear_withdrawn(&self, configuration: &Configuration) {
         let withdrawn: HashSet<ShortHash> = configuration
             .all_versions()
@@ -248,8 +275,11 @@
         stopped.retain(|version| !withdrawn.contains(version));
     }
 
-    /// The versions that began to roll out since the last call.
-    fn newly_rolling(&self, configuration: &Configuration) -> Vec<ShortHash> {
+    /// Returns the versions whose rollout started since the last call.
+    fn newly_rolling_out(
+        &self,
+        configuration: &Configuration,
+    ) -> Vec<ShortHash> {
         let now_rolling: HashSet<ShortHash> = configuration
             .all_versions()
             .filter(|part| {
@@ -264,18 +294,18 @@
     }
 }
 
-/// Looks at the evidence, for as long as polled.
+/// Checks the evidence periodically and stops bad versions; never returns.
 pub(crate) async fn watch_loop(vm: Arc<Vm>) {
     let mut backoff =
         Backoff::new(Duration::from_millis(200), Duration::from_secs(5));
     loop {
-        task::sleep(LOOK).await;
+        task::sleep(CHECK_INTERVAL).await;
         let configuration = vm.configuration.current();
-        forget_old_evidence(&vm, &configuration);
+        clear_evidence_of_new_rollouts(&vm, &configuration);
         let bad = {
             let tallies = vm.tallies.lock().expect("tallies lock");
-            let gathered = gather(&tallies, vm.clock.now());
-            find_bad(&configuration, &gathered)
+            let collected = collect_evidence(&tallies, vm.clock.now());
+            find_bad_versions(&configuration, &collected)
         };
         let mut failed = false;
         for (entry, why) in bad {
@@ -293,9 +323,10 @@
     }
 }
 
-/// A version that is rolled out again is judged anew.
-fn forget_old_evidence(vm: &Vm, configuration: &Configuration) {
-    let new = vm.guard.newly_rolling(configuration);
+/// Clears the evidence about versions that start a rollout, so that one that
+/// is rolled out again is tested on new evidence only.
+fn clear_evidence_of_new_rollouts(vm: &Vm, configuration: &Configuration) {
+    let new = vm.guard.newly_rolling_out(configuration);
     if new.is_empty() {
         return;
     }
@@ -305,15 +336,15 @@
     }
 }
 
-/// Withdraws a version in the store; returns whether it is withdrawn.
+/// Withdraws a version in the store; returns false if it must be tried again.
 async fn withdraw(
     vm: &Arc<Vm>,
     entry: VersionEntry,
     name: &str,
     why: &str,
 ) -> bool {
-    let held = held_revision(vm, &entry);
-    let Some(revision) = held else { return true };
+    let unchanged = unchanged_revision(vm, &entry);
+    let Some(revision) = unchanged else { return true };
     let state = VersionState::Withdrawn;
     let edit = Edit::PutVersion(VersionEntry { state, ..entry });
     let reason = format!("roll-out guard: {why}");
@@ -323,18 +354,20 @@
             Event::VersionWithdrawn.log(format_args!("{name}: {why}"));
             true
         }
-        // Another VM, or an operator, was faster; the next look decides.
+        // Another VM or an operator changed the version first; the next check
+        // tests the new state.
         Err(error) => error.kind() == ErrorKind::EditConflict,
     }
 }
 
-fn held_revision(vm: &Vm, entry: &VersionEntry) -> Option<Revision> {
+/// Returns the revision of an entry; `None` if it has changed since.
+fn unchanged_revision(vm: &Vm, entry: &VersionEntry) -> Option<Revision> {
     let configuration = vm.configuration.current();
     let part = configuration.version(&entry.model, &entry.version)?;
     (part.value == *entry).then_some(part.revision)
 }
 
-/// The model of a version, for reports.
+/// Returns the model and version of each stopped version, for status reports.
 pub(crate) fn stopped_versions(
     configuration: &Configuration,
     stopped: &HashSet<ShortHash>,
@@ -363,7 +396,8 @@
         tally
     }
 
-    /// Answers until a version with this share of failures is found bad.
+    /// Returns the number of answers until a version with this failure rate is
+    /// found bad, `None` after `most` answers.
     fn answers_to_stop(
         share: f64,
         baseline: Baseline,
@@ -374,12 +408,13 @@
         (1..=most).find(|answers| {
             errors += f32::from(u8::from(rng.random_bool(share)));
             let tally = tally(*answers as f32, errors);
-            judge(tally, baseline, BAD_ODDS) != Judgement::Open
+            compare_to_baseline(tally, baseline, BAD_ODDS)
+                != Comparison::Inconclusive
         })
     }
 
     #[test]
-    fn bad_versions_are_found_and_good_ones_left_alone() {
+    fn bad_versions_are_found_quickly_and_false_alarms_are_rare() {
         let mut rng = ChaCha8Rng::seed_from_u64(7);
         let baseline = Baseline::new(tally(1000.0, 20.0), 0.9);
         let mut needed: Vec<u32> = (0..200)
@@ -393,6 +428,6 @@
                 answers_to_stop(0.02, baseline, &mut rng, 2000).is_some()
             })
             .count();
-        assert!(alarms <= 3, "{alarms} false alarms of 300");
+        assert!(alarms <= 3, "{alarms} false alarms in 300 runs");
     }
 }
