--- a/src/api/selection.rs
+++ b/src/api/selection.rs
@@ -1,8 +1,9 @@
-//! The choice: pure functions from what is known to a plan with reasons.
+//! Selection of the model, version and upstream of a request.
 //!
-//! [`plan`] picks the model and version, or several in order for a cascade;
-//! [`pick_upstream`] picks where one attempt goes. Both depend only on their
-//! arguments, so a decision can be repeated and explained.
+//! [`plan`] selects the model and version, or an ordered cascade of several;
+//! [`pick_upstream`] selects the upstream of one attempt. Both are pure
+//! functions of their arguments, including the random seed, so that a
+//! decision can be reproduced and explained.
 
 use std::{collections::HashSet, time::Duration};
 
@@ -12,9 +13,11 @@
 use crate::{
     api::{
         decision::{
-            Candidate, Dropped, Preferred, SessionUse, UpstreamChoice,
+            Candidate, Exclusion, Preference, SessionUse, UpstreamChoice,
+        },
+        estimate::{
+            self, DEFAULT_OUTPUT_TOKENS, QualityEstimate, version_hash,
         },
-        estimate::{self, Chance, USUAL_OUTPUT_TOKENS, version_hash},
         tally::Tallies,
         template::{Template, VersionEntry, VersionState},
     },
@@ -27,166 +30,173 @@
     unit::MicroCost,
 };
 
-/// Share of open choices that try another model, to keep learning.
-const EXPLORE_SHARE: f64 = 0.02;
+/// Share of plans that start at a random one of the eligible models instead of
+/// the best one, so that evidence about all of them keeps arriving.
+const EXPLORATION_SHARE: f64 = 0.02;
 
-/// Chance of meeting the target that is enough without an escalation.
-const ENOUGH_CHANCE: f64 = 0.95;
+/// Probability of meeting the target at which the cheapest version is taken
+/// when the request cannot escalate to another version.
+const SUFFICIENT_PROBABILITY: f64 = 0.95;
 
-/// Requests that a preferred upstream may hold, relative to the mean.
-const AFFINITY_BOUND: f64 = 1.25;
+/// Load up to which prefix affinity is followed, relative to the mean load of
+/// the pool.
+const AFFINITY_LOAD_FACTOR: f64 = 1.25;
 
-/// Fill of the own hall, relative to its slots, beyond which another hall
-/// with room is taken.
-const OVERFLOW_FILL: f64 = 1.5;
+/// Requests per slot in this VM's data hall above which requests overflow to
+/// other data halls that have free slots.
+const OVERFLOW_UTILIZATION: f64 = 1.5;
 
-/// What of a request matters to the choice of a model.
+/// The properties of a request that determine its plan.
 #[derive(Clone, Debug)]
 pub struct RequestFacts {
-    /// The model that the caller names, if any.
+    /// The model that the caller requests; `None` for any allowed model.
     pub model: Option<ModelId>,
-    /// The task, hashed.
+    /// The hash of the task name.
     pub task: ShortHash,
-    /// How it stands to a session.
+    /// Whether the request starts a session, belongs to one, or neither.
     pub session: SessionUse,
-    /// Tokens to be read, estimated.
+    /// Estimated input tokens.
     pub input_tokens: u64,
-    /// Tokens to be written at most, if the caller says.
+    /// The limit on output tokens, if the caller sets one.
     pub output_tokens: Option<u64>,
-    /// Whether an answer can be rated before the caller sees it.
+    /// Whether answers can be rated before the caller sees them, and the
+    /// request escalated if they are poor.
     pub can_escalate: bool,
 }
 
-/// What is known when a model is chosen.
-pub struct Knowledge<'a> {
-    /// The configuration in force.
+/// The state of this VM from which a plan is made.
+pub struct PlanInput<'a> {
+    /// The current configuration.
     pub configuration: &'a Configuration,
-    /// Whether it is proven current, recently enough.
+    /// Whether the configuration was recently confirmed to be current.
     pub is_fresh: bool,
-    /// The organisation's template.
+    /// The template of the request's organisation.
     pub template: &'a Template,
-    /// The pooled evidence.
+    /// The evidence collected by all VMs.
     pub tallies: &'a Tallies,
-    /// Versions that the guard has stopped at this VM.
+    /// Versions that the rollout guard has stopped at this VM.
     pub stopped: &'a HashSet<ShortHash>,
-    /// Whether a replica of a version is usable at all.
+    /// Returns whether any replica of a version is usable.
     pub has_upstream: &'a dyn Fn(&VersionEntry) -> bool,
-    /// The moment of the choice.
+    /// The time of the selection.
     pub now: BootInstant,
 }
 
 /// One step of a plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// The version to ask.
+    /// The version to send the request to.
     pub entry: VersionEntry,
 }
 
-/// What to ask, in order, and what was not taken.
+/// The versions to send a request to, and all candidates with the outcome.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// The versions to ask; each after the first only if the rating of the
-    /// one before is below the target.
+    /// The versions in the order of asking. Each after the first is asked only
+    /// if the previous answer was rated below the target.
     pub steps: Vec<Step>,
-    /// Everything that came into question.
+    /// All versions considered, selected or not.
     pub candidates: Vec<Candidate>,
 }
 
-/// A refusal of the choice, with what came into question.
+/// An error for a request without a plan, with the versions considered.
 #[derive(Clone, Debug)]
-pub struct NoPlan {
-    /// Why.
+pub struct PlanError {
+    /// The error that rejects the request.
     pub error: Error,
-    /// Everything that came into question.
+    /// All versions considered; empty if the request was rejected earlier.
     pub candidates: Vec<Candidate>,
 }
 
-struct Rated<'a> {
+/// A version with its estimated quality and cost for one request.
+struct EstimatedVersion<'a> {
     entry: &'a VersionEntry,
-    chance: Chance,
+    quality: QualityEstimate,
     cost: MicroCost,
 }
 
-/// Plans which versions to ask.
+/// Selects the versions to send a request to.
 ///
 /// # Errors
 ///
-/// A [`NoPlan`] with kind [`ErrorKind::NotFound`], [`ErrorKind::NotAllowed`],
-/// [`ErrorKind::VersionWithdrawn`] or [`ErrorKind::NoUpstream`]; nothing has
-/// run.
+/// A [`PlanError`] with kind [`ErrorKind::NotFound`],
+/// [`ErrorKind::NotAllowed`], [`ErrorKind::VersionWithdrawn`] or
+/// [`ErrorKind::NoUpstream`]; the request has not run.
 pub fn plan(
     request: &RequestFacts,
-    knowledge: &Knowledge<'_>,
+    input: &PlanInput<'_>,
     seed: u64,
-) -> Result<Plan, NoPlan> {
+) -> Result<Plan, PlanError> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut board = Board::new(request, knowledge);
-    let refuse = |board: Board<'_>, kind: ErrorKind, reason: String| {
-        Err(NoPlan {
+    let mut list = CandidateList::new(request, input);
+    let reject = |list: CandidateList<'_>, kind: ErrorKind, reason: String| {
+        Err(PlanError {
             error: Error::new(kind).context(reason),
-            candidates: board.candidates,
+            candidates: list.candidates,
         })
     };
-    if let Some((kind, reason)) = refusal(request, knowledge) {
-        return refuse(board, kind, reason);
+    if let Some((kind, reason)) = request_rejection(request, input) {
+        return reject(list, kind, reason);
     }
     let draw = rng.random::<f64>();
-    let eligible = board.eligible_versions(draw);
+    let eligible = list.eligible_versions(draw);
     if eligible.is_empty() {
-        let reason = board.why_none();
-        return refuse(board, ErrorKind::NoUpstream, reason);
+        let reason = list.no_candidate_reason();
+        return reject(list, ErrorKind::NoUpstream, reason);
     }
-    let order = order(request, eligible, &mut rng);
-    let steps = board.take(order);
-    Ok(Plan { steps, candidates: board.candidates })
+    let ranking = rank(request, eligible, &mut rng);
+    let steps = list.record_ranking(ranking);
+    Ok(Plan { steps, candidates: list.candidates })
 }
 
-/// Refusals that need no look at the versions' evidence.
-fn refusal(
+/// Returns why a request is rejected because of its model or session, before
+/// any version is considered.
+fn request_rejection(
     request: &RequestFacts,
-    knowledge: &Knowledge<'_>,
+    input: &PlanInput<'_>,
 ) -> Option<(ErrorKind, String)> {
     let asked = match &request.session {
         SessionUse::Bound { model, .. } => Some(model),
         _ => request.model.as_ref(),
     };
     if let Some(model) = asked {
-        if !knowledge.configuration.has_model(model) {
+        if !input.configuration.has_model(model) {
             let reason = format!("there is no model `{model}`");
             return Some((ErrorKind::NotFound, reason));
         }
-        if knowledge.template.model_rule(model).is_none() {
+        if input.template.model_rule(model).is_none() {
             let reason = format!("the template does not allow `{model}`");
             return Some((ErrorKind::NotAllowed, reason));
         }
     }
-    if knowledge.template.models.is_empty() {
+    if input.template.models.is_empty() {
         let reason = "the template allows no model".to_owned();
         return Some((ErrorKind::NotAllowed, reason));
     }
     match &request.session {
         SessionUse::Bound { model, version } => {
-            refuse_session(knowledge, model, version)
+            session_rejection(input, model, version)
         }
         _ => None,
     }
 }
 
-fn refuse_session(
-    knowledge: &Knowledge<'_>,
+/// Returns why a request of a session on this version is rejected, if it is.
+fn session_rejection(
+    input: &PlanInput<'_>,
     model: &ModelId,
     version: &VersionId,
 ) -> Option<(ErrorKind, String)> {
-    let rule = knowledge.template.model_rule(model)?;
+    let rule = input.template.model_rule(model)?;
     if !rule.allows(version) {
         let reason = format!("the template does not allow {model} {version}");
         return Some((ErrorKind::NotAllowed, reason));
     }
-    let Some(part) = knowledge.configuration.version(model, version) else {
+    let Some(part) = input.configuration.version(model, version) else {
         let reason = format!("there is no version {version} of {model}");
         return Some((ErrorKind::NotFound, reason));
     };
-    let stopped = knowledge.stopped.contains(&version_hash(&part.value));
+    let stopped = input.stopped.contains(&version_hash(&part.value));
     if stopped || !part.value.state.serves_existing_sessions() {
         let reason = format!("{model} {version} has been withdrawn");
         return Some((ErrorKind::VersionWithdrawn, reason));
@@ -194,98 +204,105 @@
     None
 }
 
-/// The candidates of one choice, each with its fate.
-struct Board<'a> {
+/// The versions considered for one request, with why each was excluded.
+struct CandidateList<'a> {
     request: &'a RequestFacts,
-    knowledge: &'a Knowledge<'a>,
+    input: &'a PlanInput<'a>,
     organisation: ShortHash,
     candidates: Vec<Candidate>,
 }
 
-impl<'a> Board<'a> {
+impl<'a> CandidateList<'a> {
     fn new(
         request: &'a RequestFacts,
-        knowledge: &'a Knowledge<'a>,
-    ) -> Board<'a> {
-        let name = knowledge.template.organisation.as_str();
-        Board {
+        input: &'a PlanInput<'a>,
+    ) -> CandidateList<'a> {
+        let name = input.template.organisation.as_str();
+        CandidateList {
             request,
-            knowledge,
+            input,
             organisation: ShortHash::of(name),
             candidates: Vec::new(),
         }
     }
 
-    /// One version of each allowed model, where there is one.
-    fn eligible_versions(&mut self, draw: f64) -> Vec<Rated<'a>> {
-        let template = self.knowledge.template;
+    /// Returns the best eligible version of each allowed model that has any.
+    fn eligible_versions(&mut self, draw: f64) -> Vec<EstimatedVersion<'a>> {
+        let template = self.input.template;
         let mut eligible = Vec::new();
         for rule in &template.models {
             let versions: Vec<&'a VersionEntry> =
-                self.knowledge.configuration.versions(&rule.model).collect();
-            let mut open: Vec<Rated<'a>> = Vec::new();
+                self.input.configuration.versions(&rule.model).collect();
+            let mut open: Vec<EstimatedVersion<'a>> = Vec::new();
             for entry in versions {
-                let rated = self.rate(entry);
-                match self.why_dropped(&rated, draw) {
-                    Some(dropped) => self.note(&rated, Some(dropped)),
-                    None => open.push(rated),
+                let estimated = self.estimate(entry);
+                match self.exclusion(&estimated, draw) {
+                    Some(dropped) => self.record(&estimated, Some(dropped)),
+                    None => open.push(estimated),
                 }
             }
-            // A version in its stage goes before one that is serving, and a
-            // later name before an earlier one.
-            open.sort_by_key(|rated| {
-                let rolling = is_rolling(rated.entry);
-                (!rolling, std::cmp::Reverse(rated.entry.version.clone()))
+            // A version that is rolling out is preferred to one that is
+            // serving, and a later version name to an earlier one.
+            open.sort_by_key(|estimated| {
+                let rolling = is_rolling_out(estimated.entry);
+                (!rolling, std::cmp::Reverse(estimated.entry.version.clone()))
             });
             let mut open = open.into_iter();
             eligible.extend(open.next());
             for other in open {
-                self.note(&other, Some(Dropped::OtherVersion));
+                self.record(&other, Some(Exclusion::OtherVersion));
             }
         }
         eligible
     }
 
-    fn rate(&self, entry: &'a VersionEntry) -> Rated<'a> {
-        let knowledge = self.knowledge;
-        let chance = estimate::chance(
-            knowledge.tallies,
+    fn estimate(&self, entry: &'a VersionEntry) -> EstimatedVersion<'a> {
+        let input = self.input;
+        let quality = estimate::estimate_quality(
+            input.tallies,
             self.organisation,
             self.request.task,
             entry,
-            knowledge.now,
+            input.now,
         );
-        let output = self.request.output_tokens.unwrap_or(USUAL_OUTPUT_TOKENS);
+        let output =
+            self.request.output_tokens.unwrap_or(DEFAULT_OUTPUT_TOKENS);
         let cost = entry.price(self.request.input_tokens, output);
-        Rated { entry, chance, cost }
+        EstimatedVersion { entry, quality, cost }
     }
 
-    fn why_dropped(&self, rated: &Rated<'_>, draw: f64) -> Option<Dropped> {
-        let entry = rated.entry;
-        let template = self.knowledge.template;
+    /// Returns why a version is not eligible, `None` if it is.
+    fn exclusion(
+        &self,
+        estimated: &EstimatedVersion<'_>,
+        draw: f64,
+    ) -> Option<Exclusion> {
+        let entry = estimated.entry;
+        let template = self.input.template;
         let rule = template.model_rule(&entry.model);
         if !rule.is_some_and(|rule| rule.allows(&entry.version)) {
-            return Some(Dropped::NotAllowed);
+            return Some(Exclusion::NotAllowed);
         }
-        if !self.is_asked(entry) {
-            return Some(Dropped::NotAsked);
+        if !self.is_requested(entry) {
+            return Some(Exclusion::NotAsked);
         }
-        if self.knowledge.stopped.contains(&version_hash(entry)) {
-            return Some(Dropped::StoppedHere);
+        if self.input.stopped.contains(&version_hash(entry)) {
+            return Some(Exclusion::StoppedHere);
         }
-        if let Some(dropped) = self.why_state_drops(entry, draw) {
+        if let Some(dropped) = self.exclusion_by_state(entry, draw) {
             return Some(dropped);
         }
-        if rated.cost > template.request_price_limit_micro {
-            return Some(Dropped::TooExpensive);
+        if estimated.cost > template.request_price_limit_micro {
+            return Some(Exclusion::TooExpensive);
         }
-        if !(self.knowledge.has_upstream)(entry) {
-            return Some(Dropped::NoUpstream);
+        if !(self.input.has_upstream)(entry) {
+            return Some(Exclusion::NoUpstream);
         }
         None
     }
 
-    fn is_asked(&self, entry: &VersionEntry) -> bool {
+    /// Returns whether the request or its session permits this version.
+    fn is_requested(&self, entry: &VersionEntry) -> bool {
         match &self.request.session {
             SessionUse::Bound { model, version } => {
                 entry.model == *model && entry.version == *version
@@ -297,268 +314,301 @@
         }
     }
 
-    fn why_state_drops(
+    /// Returns why the rollout state of a version excludes it.
+    ///
+    /// `draw` decides whether the request is in the version's stage.
+    fn exclusion_by_state(
         &self,
         entry: &VersionEntry,
         draw: f64,
-    ) -> Option<Dropped> {
+    ) -> Option<Exclusion> {
         let bound = matches!(self.request.session, SessionUse::Bound { .. });
         match entry.state {
-            VersionState::Withdrawn => Some(Dropped::Withdrawn),
+            VersionState::Withdrawn => Some(Exclusion::Withdrawn),
             _ if bound => None,
-            VersionState::Draining => Some(Dropped::Draining),
+            VersionState::Draining => Some(Exclusion::Draining),
             VersionState::Serving => None,
-            VersionState::RollingOut { .. } if !self.knowledge.is_fresh => {
-                Some(Dropped::StaleConfiguration)
+            VersionState::RollingOut { .. } if !self.input.is_fresh => {
+                Some(Exclusion::StaleConfiguration)
             }
             VersionState::RollingOut { stage } => {
-                let share = self.knowledge.template.stage_share(stage);
-                (draw >= share.value()).then_some(Dropped::OutsideStage)
+                let share = self.input.template.stage_share(stage);
+                (draw >= share.value()).then_some(Exclusion::OutsideStage)
             }
         }
     }
 
-    fn note(&mut self, rated: &Rated<'_>, dropped: Option<Dropped>) {
+    fn record(
+        &mut self,
+        estimated: &EstimatedVersion<'_>,
+        dropped: Option<Exclusion>,
+    ) {
         self.candidates.push(Candidate {
-            model: rated.entry.model.clone(),
-            version: rated.entry.version.clone(),
-            expected_cost_micro: rated.cost,
-            chance: rated.chance.value,
-            rated: rated.chance.rated,
+            model: estimated.entry.model.clone(),
+            version: estimated.entry.version.clone(),
+            expected_cost_micro: estimated.cost,
+            chance: estimated.quality.probability,
+            rated: estimated.quality.rated,
             dropped,
         });
     }
 
-    /// Notes the taken and the left, and returns the steps.
-    fn take(&mut self, order: Order<'a>) -> Vec<Step> {
-        for rated in &order.taken {
-            self.note(rated, None);
+    /// Records all ranked versions as candidates and returns the steps.
+    fn record_ranking(&mut self, ranking: Ranking<'a>) -> Vec<Step> {
+        for estimated in &ranking.selected {
+            self.record(estimated, None);
         }
-        for (rated, dropped) in &order.left {
-            self.note(rated, Some(*dropped));
+        for (estimated, dropped) in &ranking.rejected {
+            self.record(estimated, Some(*dropped));
         }
-        let steps = order.taken.into_iter();
-        steps.map(|rated| Step { entry: rated.entry.clone() }).collect()
+        let steps = ranking.selected.into_iter();
+        steps
+            .map(|estimated| Step { entry: estimated.entry.clone() })
+            .collect()
     }
 
-    fn why_none(&self) -> String {
+    /// Returns why no version is eligible, for the error message.
+    fn no_candidate_reason(&self) -> String {
         let mut reasons: Vec<String> = self
             .candidates
             .iter()
-            .filter(|c| c.dropped != Some(Dropped::NotAsked))
+            .filter(|c| c.dropped != Some(Exclusion::NotAsked))
             .filter_map(|c| {
                 let dropped = c.dropped?;
                 Some(format!("{} {}: {dropped}", c.model, c.version))
             })
             .collect();
         if reasons.is_empty() {
-            reasons.push("no version of the model is known".to_owned());
+            reasons.push("the model has no known version".to_owned());
         }
         reasons.join("; ")
     }
 }
 
-fn is_rolling(entry: &VersionEntry) -> bool {
+fn is_rolling_out(entry: &VersionEntry) -> bool {
     matches!(entry.state, VersionState::RollingOut { .. })
 }
 
-struct Order<'a> {
-    taken: Vec<Rated<'a>>,
-    left: Vec<(Rated<'a>, Dropped)>,
+/// The eligible versions, split into the steps of the plan and the others.
+struct Ranking<'a> {
+    selected: Vec<EstimatedVersion<'a>>,
+    rejected: Vec<(EstimatedVersion<'a>, Exclusion)>,
 }
 
-/// Orders what is eligible: where to start, and what to escalate to.
-fn order<'a>(
+/// Selects the version to start with and those to escalate to.
+///
+/// A share [`EXPLORATION_SHARE`] of the plans starts at a random version.
+fn rank<'a>(
     request: &RequestFacts,
-    mut eligible: Vec<Rated<'a>>,
+    mut eligible: Vec<EstimatedVersion<'a>>,
     rng: &mut ChaCha8Rng,
-) -> Order<'a> {
-    eligible.sort_by_key(|rated| rated.cost);
-    let explore = eligible.len() > 1 && rng.random_bool(EXPLORE_SHARE);
+) -> Ranking<'a> {
+    eligible.sort_by_key(|estimated| estimated.cost);
+    let explore = eligible.len() > 1 && rng.random_bool(EXPLORATION_SHARE);
     let start = if explore {
         rng.random_range(0..eligible.len())
     } else if request.can_escalate {
-        cheapest_start(&eligible)
+        cheapest_cascade_start(&eligible)
     } else {
-        single_choice(&eligible)
+        single_version(&eligible)
     };
-    split_at_start(request, eligible, start)
+    split_into_steps(request, eligible, start)
 }
 
-/// The start at which the expected cost of reaching the target is least.
+/// Returns the start of the cascade with the lowest expected cost.
 ///
-/// Starting at `i` costs its price, and with the chance that its answer is
-/// poor also the expected cost of going on from the next likelier version.
-fn cheapest_start(by_cost: &[Rated<'_>]) -> usize {
+/// The expected cost of starting at a version is its own cost, plus the
+/// probability that its answer misses the target times the expected cost of
+/// the next version that is likelier to meet it.
+fn cheapest_cascade_start(by_cost: &[EstimatedVersion<'_>]) -> usize {
     let mut expected = vec![0.0; by_cost.len()];
     let mut best = by_cost.len() - 1;
-    for at in (0..by_cost.len()).rev() {
-        let here = &by_cost[at];
-        let next = next_step(by_cost, at);
-        let onward = next.map_or(0.0, |next| expected[next]);
-        let miss = 1.0 - here.chance.value;
-        expected[at] = here.cost.0 as f64 + miss * onward;
-        let reaches =
-            here.chance.value >= by_cost[best].chance.value || next.is_some();
-        if reaches && expected[at] <= expected[best] {
-            best = at;
+    for index in (0..by_cost.len()).rev() {
+        let current = &by_cost[index];
+        let next = next_likelier(by_cost, index);
+        let escalation = next.map_or(0.0, |next| expected[next]);
+        let miss = 1.0 - current.quality.probability;
+        expected[index] = current.cost.0 as f64 + miss * escalation;
+        let reaches = current.quality.probability
+            >= by_cost[best].quality.probability
+            || next.is_some();
+        if reaches && expected[index] <= expected[best] {
+            best = index;
         }
     }
     best
 }
 
-/// The next version after `at` that is likelier to meet the target.
-fn next_step(by_cost: &[Rated<'_>], at: usize) -> Option<usize> {
-    let here = by_cost[at].chance.value;
-    (at + 1..by_cost.len()).find(|next| by_cost[*next].chance.value > here)
+/// Returns the next costlier version that is likelier to meet the target.
+fn next_likelier(
+    by_cost: &[EstimatedVersion<'_>],
+    index: usize,
+) -> Option<usize> {
+    let current = by_cost[index].quality.probability;
+    (index + 1..by_cost.len())
+        .find(|next| by_cost[*next].quality.probability > current)
 }
 
-/// The cheapest that is likely enough, else the likeliest.
-fn single_choice(by_cost: &[Rated<'_>]) -> usize {
-    let enough = by_cost.iter().position(|r| r.chance.value >= ENOUGH_CHANCE);
-    enough.unwrap_or_else(|| {
-        let likeliest = |a: &usize, b: &usize| {
-            let (a, b) = (&by_cost[*a].chance, &by_cost[*b].chance);
-            a.value.total_cmp(&b.value)
+/// Returns the cheapest version that reaches [`SUFFICIENT_PROBABILITY`], or
+/// else the one most likely to meet the target.
+fn single_version(by_cost: &[EstimatedVersion<'_>]) -> usize {
+    let sufficient = by_cost
+        .iter()
+        .position(|r| r.quality.probability >= SUFFICIENT_PROBABILITY);
+    sufficient.unwrap_or_else(|| {
+        let by_probability = |a: &usize, b: &usize| {
+            let (a, b) = (&by_cost[*a].quality, &by_cost[*b].quality);
+            a.probability.total_cmp(&b.probability)
         };
-        // The last of equals is the dearest; the first is wanted.
-        (0..by_cost.len()).rev().max_by(likeliest).unwrap_or(0)
+        // `max_by` returns the last of equal items; in reverse order that is
+        // the cheapest.
+        (0..by_cost.len()).rev().max_by(by_probability).unwrap_or(0)
     })
 }
 
-fn split_at_start<'a>(
+/// Splits the versions into the cascade from `start` and the rejected ones.
+fn split_into_steps<'a>(
     request: &RequestFacts,
-    by_cost: Vec<Rated<'a>>,
+    by_cost: Vec<EstimatedVersion<'a>>,
     start: usize,
-) -> Order<'a> {
+) -> Ranking<'a> {
     let mut steps = vec![start];
     if request.can_escalate {
-        let mut at = start;
-        while let Some(next) = next_step(&by_cost, at) {
+        let mut index = start;
+        while let Some(next) = next_likelier(&by_cost, index) {
             steps.push(next);
-            at = next;
+            index = next;
         }
     }
-    let started_at = by_cost[start].chance.value;
-    let mut order = Order { taken: Vec::new(), left: Vec::new() };
-    for (at, rated) in by_cost.into_iter().enumerate() {
-        if steps.contains(&at) {
-            order.taken.push(rated);
-        } else if rated.chance.value < started_at {
-            order.left.push((rated, Dropped::LessLikely));
+    let start_probability = by_cost[start].quality.probability;
+    let mut ranking = Ranking { selected: Vec::new(), rejected: Vec::new() };
+    for (index, estimated) in by_cost.into_iter().enumerate() {
+        if steps.contains(&index) {
+            ranking.selected.push(estimated);
+        } else if estimated.quality.probability < start_probability {
+            ranking.rejected.push((estimated, Exclusion::LessLikely));
         } else {
-            order.left.push((rated, Dropped::CostsMore));
+            ranking.rejected.push((estimated, Exclusion::CostsMore));
         }
     }
-    order
+    ranking
 }
 
-/// What of a request matters to the choice of an upstream.
+/// The criteria for selecting the upstream of one attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct UpstreamCriteria<'a> {
-    /// The version that must be loaded, for model requests.
+    /// The version that must be loaded; `None` for service calls.
     pub version: Option<ShortHash>,
-    /// The hash of the request's prefix, where affinity helps.
+    /// The hash of the request's prefix, for prefix cache affinity.
     pub prefix: Option<u64>,
-    /// Upstreams that earlier attempts failed at.
+    /// Upstreams that earlier attempts of the request were sent to.
     pub tried: &'a [UpstreamId],
 }
 
-/// Picks the upstream of one attempt.
+/// Selects the upstream of one attempt.
 ///
 /// # Errors
 ///
-/// [`ErrorKind::NoUpstream`] with the numbers of those left out.
+/// [`ErrorKind::NoUpstream`] with the numbers of excluded upstreams, and with
+/// a `Retry-After` if some of them are only in backoff.
 pub fn pick_upstream(
     facts: &[UpstreamSnapshot],
-    wish: UpstreamCriteria<'_>,
+    criteria: UpstreamCriteria<'_>,
     seed: u64,
 ) -> Result<UpstreamChoice, Error> {
-    let sorted = Sorted::new(facts, wish);
-    let pool = sorted.pool();
+    let partition = UpstreamPartition::new(facts, criteria);
+    let pool = partition.pool();
     if pool.is_empty() {
-        return Err(sorted.nobody(facts.len(), seed));
+        return Err(partition.no_upstream_error(facts.len(), seed));
     }
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let (taken, preferred) = prefer(&pool, wish.prefix, &mut rng);
+    let (selected, preferred) =
+        select_from_pool(&pool, criteria.prefix, &mut rng);
     Ok(UpstreamChoice {
-        upstream: taken.id.clone(),
+        upstream: selected.id.clone(),
         preferred,
-        local: taken.local,
+        local: selected.local,
         usable: pool.len() as u32,
-        leaving: sorted.leaving,
-        broken: sorted.broken,
-        not_loaded: sorted.not_loaded,
-        requests: taken.requests,
-        load_age_ms: taken.load_age.map(|age| age.as_millis() as u64),
+        leaving: partition.leaving,
+        broken: partition.broken,
+        not_loaded: partition.not_loaded,
+        requests: selected.requests,
+        load_age_ms: selected.load_age.map(|age| age.as_millis() as u64),
     })
 }
 
-/// The upstreams by usability.
-struct Sorted<'a> {
+/// The upstreams split into usable ones and counts of excluded ones.
+struct UpstreamPartition<'a> {
     local: Vec<&'a UpstreamSnapshot>,
     remote: Vec<&'a UpstreamSnapshot>,
     leaving: u32,
     broken: u32,
     backing_off: u32,
-    /// When the first of those may get a request that have asked for fewer.
-    soonest: Duration,
+    /// The shortest remaining backoff of the upstreams in backoff.
+    shortest_backoff: Duration,
     not_loaded: u32,
 }
 
-impl<'a> Sorted<'a> {
+impl<'a> UpstreamPartition<'a> {
     fn new(
         facts: &'a [UpstreamSnapshot],
-        wish: UpstreamCriteria<'_>,
-    ) -> Sorted<'a> {
-        let mut sorted = Sorted {
+        criteria: UpstreamCriteria<'_>,
+    ) -> UpstreamPartition<'a> {
+        let mut partition = UpstreamPartition {
             local: Vec::new(),
             remote: Vec::new(),
             leaving: 0,
             broken: 0,
             backing_off: 0,
-            soonest: Duration::MAX,
+            shortest_backoff: Duration::MAX,
             not_loaded: 0,
         };
-        for one in facts {
-            if one.leaving {
-                sorted.leaving += 1;
-            } else if one.breaker_open || wish.tried.contains(&one.id) {
-                sorted.broken += 1;
-            } else if !one.backoff.is_zero() {
-                sorted.backing_off += 1;
-                sorted.soonest = sorted.soonest.min(one.backoff);
-            } else if !has_loaded(one, wish.version) {
-                sorted.not_loaded += 1;
-            } else if one.local {
-                sorted.local.push(one);
+        for upstream in facts {
+            if upstream.leaving {
+                partition.leaving += 1;
+            } else if upstream.breaker_open
+                || criteria.tried.contains(&upstream.id)
+            {
+                partition.broken += 1;
+            } else if !upstream.backoff.is_zero() {
+                partition.backing_off += 1;
+                partition.shortest_backoff =
+                    partition.shortest_backoff.min(upstream.backoff);
+            } else if !has_loaded(upstream, criteria.version) {
+                partition.not_loaded += 1;
+            } else if upstream.local {
+                partition.local.push(upstream);
             } else {
-                sorted.remote.push(one);
+                partition.remote.push(upstream);
             }
         }
-        sorted
+        partition
     }
 
-    /// Why there is no upstream, and when there may be one.
-    fn nobody(&self, known: usize, seed: u64) -> Error {
+    /// Returns the error for an empty pool, with the time to retry after.
+    fn no_upstream_error(&self, known: usize, seed: u64) -> Error {
         let error = Error::new(ErrorKind::NoUpstream).context(format!(
-            "of {known} replicas {} are leaving, {} failing, {} have asked \
-             for fewer requests, {} without the version",
+            "of {known} replicas {} are leaving, {} are failing, {} are in \
+             backoff, {} have not loaded the version",
             self.leaving, self.broken, self.backing_off, self.not_loaded
         ));
         if self.backing_off == 0 {
             return error;
         }
         let draw = ChaCha8Rng::seed_from_u64(seed).random();
-        let back = admission::retry_after_backoff(self.soonest, draw);
-        error.with_retry_after(back)
+        let retry_after =
+            admission::retry_after_backoff(self.shortest_backoff, draw);
+        error.with_retry_after(retry_after)
     }
 
-    /// The own hall, unless it cannot or another has clearly more room.
+    /// Returns the usable upstreams of this VM's data hall.
+    ///
+    /// Those of other halls instead if there are none, or if this hall is
+    /// overloaded and the others have free slots.
     fn pool(&self) -> Vec<&'a UpstreamSnapshot> {
         let overflow = !self.remote.is_empty()
-            && fill(&self.local) > OVERFLOW_FILL
-            && fill(&self.remote) < 1.0;
+            && utilization(&self.local) > OVERFLOW_UTILIZATION
+            && utilization(&self.remote) < 1.0;
         if self.local.is_empty() || overflow {
             return self.remote.clone();
         }
@@ -566,89 +616,96 @@
     }
 }
 
-fn fill(pool: &[&UpstreamSnapshot]) -> f64 {
-    let requests: f64 = pool.iter().map(|one| one.requests).sum();
-    let slots: f64 = pool.iter().map(|one| one.slots).sum();
+/// Returns the requests per slot of a pool.
+fn utilization(pool: &[&UpstreamSnapshot]) -> f64 {
+    let requests: f64 = pool.iter().map(|upstream| upstream.requests).sum();
+    let slots: f64 = pool.iter().map(|upstream| upstream.slots).sum();
     if slots > 0.0 { requests / slots } else { f64::INFINITY }
 }
 
-/// Whether an upstream is known to have loaded a version.
-fn has_loaded(one: &UpstreamSnapshot, version: Option<ShortHash>) -> bool {
-    version.is_none_or(|version| one.versions.contains(&version))
+/// Returns whether an upstream is known to have loaded a version.
+fn has_loaded(
+    upstream: &UpstreamSnapshot,
+    version: Option<ShortHash>,
+) -> bool {
+    version.is_none_or(|version| upstream.versions.contains(&version))
 }
 
-fn prefer<'a>(
+/// Selects an upstream by prefix affinity, or the less loaded of two random
+/// ones.
+fn select_from_pool<'a>(
     pool: &[&'a UpstreamSnapshot],
     prefix: Option<u64>,
     rng: &mut ChaCha8Rng,
-) -> (&'a UpstreamSnapshot, Preferred) {
+) -> (&'a UpstreamSnapshot, Preference) {
     if let [only] = pool {
-        return (only, Preferred::Only);
+        return (only, Preference::Only);
     }
-    if let Some(home) = prefix.and_then(|prefix| home_of(pool, prefix)) {
-        return (home, Preferred::Prefix);
+    if let Some(owner) = prefix.and_then(|prefix| prefix_owner(pool, prefix)) {
+        return (owner, Preference::Prefix);
     }
     let first = rng.random_range(0..pool.len());
     let offset = rng.random_range(1..pool.len());
     let second = (first + offset) % pool.len();
     let (a, b) = (pool[first], pool[second]);
-    let taken = if pressure(a) <= pressure(b) { a } else { b };
-    (taken, Preferred::LessLoaded)
+    let selected =
+        if load_with_request(a) <= load_with_request(b) { a } else { b };
+    (selected, Preference::LessLoaded)
 }
 
-/// The upstream that probably holds the prefix, unless it is overloaded.
-fn home_of<'a>(
+/// Returns the upstream that the prefix hashes to, unless it is overloaded.
+///
+/// That upstream probably has the prefix in its cache.
+fn prefix_owner<'a>(
     pool: &[&'a UpstreamSnapshot],
     prefix: u64,
 ) -> Option<&'a UpstreamSnapshot> {
     let weight =
-        |one: &&&UpstreamSnapshot| mix(prefix ^ u64::from(one.short_hash.0));
-    let home = pool.iter().max_by_key(weight)?;
-    let mean = fill(pool);
-    let bound = (mean * AFFINITY_BOUND * home.slots).max(1.0);
-    (home.requests < bound).then_some(*home)
+        |u: &&&UpstreamSnapshot| mix64(prefix ^ u64::from(u.short_hash.0));
+    let owner = pool.iter().max_by_key(weight)?;
+    let mean = utilization(pool);
+    let bound = (mean * AFFINITY_LOAD_FACTOR * owner.slots).max(1.0);
+    (owner.requests < bound).then_some(*owner)
 }
 
-/// How full an upstream would be with one request more.
-fn pressure(one: &UpstreamSnapshot) -> f64 {
-    (one.requests + 1.0) / one.slots.max(f64::MIN_POSITIVE)
+/// Returns the requests per slot of an upstream with one request more.
+fn load_with_request(upstream: &UpstreamSnapshot) -> f64 {
+    (upstream.requests + 1.0) / upstream.slots.max(f64::MIN_POSITIVE)
 }
 
-/// A cheap mixing of bits (the finalizer of SplitMix64).
-fn mix(value: u64) -> u64 {
+/// Mixes the bits of a hash cheaply (the finalizer of SplitMix64).
+fn mix64(value: u64) -> u64 {
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     value ^ (value >> 31)
 }
 
-/// ModelLoad left for new requests at replicas of one model, and their slots.
+/// The load and capacity of the usable replicas of one model.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ModelLoad {
-    /// Requests believed to be held.
+    /// Requests estimated to be in flight there.
     pub requests: f64,
-    /// Slots of usable replicas.
+    /// Requests that they can process at once.
     pub slots: f64,
 }
 
 impl ModelLoad {
-    /// Adds up the usable replicas of a model.
+    /// Sums over the usable replicas in `facts`.
     pub fn of(facts: &[UpstreamSnapshot]) -> ModelLoad {
-        let usable = facts.iter().filter(|one| one.is_available());
-        usable.fold(ModelLoad::default(), |room, one| ModelLoad {
-            requests: room.requests + one.requests,
-            slots: room.slots + one.slots,
+        let usable = facts.iter().filter(|upstream| upstream.is_available());
+        usable.fold(ModelLoad::default(), |load, upstream| ModelLoad {
+            requests: load.requests + upstream.requests,
+            slots: load.slots + upstream.slots,
         })
     }
 }
 
-/// Whether any replica of a version could take a request.
+/// Returns whether any replica that has loaded a version is usable.
 pub fn any_usable(facts: &[UpstreamSnapshot], version: ShortHash) -> bool {
-    facts
-        .iter()
-        .any(|one| one.is_available() && has_loaded(one, Some(version)))
+    facts.iter().any(|u| u.is_available() && has_loaded(u, Some(version)))
 }
 
-/// The age of a moment, in whole milliseconds.
+/// Converts an age to whole milliseconds.
 pub(crate) fn age_ms(age: Option<Duration>) -> Option<u64> {
     age.map(|age| age.as_millis() as u64)
 }
