--- a/src/chat_face/gossip.rs
+++ b/src/chat_face/gossip.rs
@@ -1,9 +1,10 @@
-//! Gossip between VMs: signs of life, loads, sums and revisions, by UDP.
+//! Gossip between VMs over UDP: heartbeats, upstream loads, tallies and the
+//! configuration revision.
 //!
-//! Each round a VM sends one datagram to a VM of its hall, chosen at random,
-//! and every other round one to a VM of another hall. A datagram holds the
-//! newest items of each kind, so that news spreads in a few rounds at a cost
-//! that does not grow with the fleet.
+//! In each round a VM sends a datagram to [`FANOUT`] random VMs of its hall,
+//! and in every second round one to a random VM of another hall. A datagram
+//! holds a bounded number of the newest items of each kind, so updates spread
+//! within a few rounds and the cost per VM does not grow with the fleet.
 
 use std::{
     net::SocketAddr,
@@ -16,7 +17,7 @@
 
 use crate::{
     chat_face::{
-        view::{Peer, log_life_changes},
+        view::{Peer, log_liveness_changes},
         vm::Vm,
     },
     clock::BootInstant,
@@ -28,43 +29,44 @@
     task,
 };
 
-/// Signs of life in one datagram.
-const BEATS: usize = 24;
+/// The most heartbeats in one datagram, the sender's own included.
+const MAX_HEARTBEATS: usize = 24;
 
-/// Loads of the own hall in one datagram.
-const LOADS: usize = 14;
+/// The most loads of local upstreams in one datagram.
+const MAX_LOADS: usize = 14;
 
-/// Loads of other halls in one datagram to the own hall.
-const LOADS_REMOTE: usize = 6;
+/// The most loads of other halls' upstreams in one datagram within the hall.
+const MAX_REMOTE_LOADS: usize = 6;
 
-/// Sums in one datagram.
-const TALLIES: usize = 10;
+/// The most tallies in one datagram.
+const MAX_TALLIES: usize = 10;
 
-/// Sums in one report to the VM that adds up the hall.
-const REPORT_TALLIES: usize = 30;
+/// The most tallies in one report to the hall's aggregator.
+const MAX_REPORT_TALLIES: usize = 30;
 
-/// Rounds between two datagrams to another hall.
-const REMOTE_EVERY: u32 = 2;
+/// A datagram is sent to another hall once in this many rounds.
+const ROUNDS_PER_REMOTE: u32 = 2;
 
-/// Rounds between two reports.
-const REPORT_EVERY: u32 = 2;
+/// Tallies are reported to the aggregator once in this many rounds.
+const ROUNDS_PER_REPORT: u32 = 2;
 
-/// VMs of the hall that get a datagram each round.
-const FAN_OUT: usize = 2;
+/// The number of VMs of the hall that get a datagram each round.
+const FANOUT: usize = 2;
 
-/// Time over which evidence fades to half.
+/// Half-life of the evidence about model versions.
 const EVIDENCE_HALF_LIFE: Duration = Duration::from_secs(600);
 
-/// A notice is repeated after this time, in case the first was lost.
-const NOTICE_REPEAT: Duration = Duration::from_millis(150);
+/// A notice is sent a second time after this delay, in case the first
+/// datagram was lost.
+const NOTICE_RESEND_DELAY: Duration = Duration::from_millis(150);
 
-/// Dropped frames are logged at most this often.
-const DROP_LOG_PAUSE: Duration = Duration::from_secs(60);
+/// Minimum time between two log lines about dropped frames.
+const DROP_LOG_INTERVAL: Duration = Duration::from_secs(60);
 
-/// The largest datagram that can arrive.
-const RECEIVE_BYTES: usize = 65_536;
+/// Large enough for any UDP datagram.
+const RECEIVE_BUFFER_BYTES: usize = 65_536;
 
-/// The state of one VM's gossip.
+/// Sends and receives the gossip of one VM.
 pub(crate) struct Gossiper {
     socket: UdpSocket,
     drop_logged_at: Mutex<Option<BootInstant>>,
@@ -75,20 +77,21 @@
         Gossiper { socket, drop_logged_at: Mutex::new(None) }
     }
 
-    /// Sends a datagram; one that is lost is repaired by later ones.
+    /// Sends a datagram. Send errors are ignored: later datagrams make up for
+    /// a lost one.
     async fn send(&self, vm: &Vm, to: SocketAddr, datagram: &Datagram) {
         let frame = vm.codec.seal(datagram);
-        let sent = &vm.metrics.peer_bytes;
-        sent.with_label_values(&["udp"]).inc_by(frame.len() as u64);
+        let sent_bytes = &vm.metrics.peer_bytes;
+        sent_bytes.with_label_values(&["udp"]).inc_by(frame.len() as u64);
         let _ = self.socket.send_to(&frame, to).await;
     }
 
-    /// Tells the hall what an upstream has said of itself.
-    pub(crate) async fn notify(vm: &Arc<Vm>, mut notice: Notice) {
+    /// Sends a notice to every live peer of the hall, twice.
+    pub(crate) async fn broadcast_notice(vm: &Arc<Vm>, mut notice: Notice) {
         for attempt in 0..2 {
             if attempt > 0 {
-                task::sleep(NOTICE_REPEAT).await;
-                notice = notice.after(NOTICE_REPEAT);
+                task::sleep(NOTICE_RESEND_DELAY).await;
+                notice = notice.after(NOTICE_RESEND_DELAY);
             }
             for peer in vm.view.live_hall_peers() {
                 let datagram = Datagram::Notice(notice);
@@ -97,76 +100,78 @@
         }
     }
 
-    /// Runs the rounds, for as long as polled.
+    /// Runs a gossip round every `peers.gossip`, with 10 % jitter; never
+    /// returns.
     pub(crate) async fn round_loop(vm: Arc<Vm>) {
         let mut round = 0_u32;
         loop {
             let jitter = 0.9 + 0.2 * rand::random::<f64>();
             task::sleep(vm.settings.peers.gossip.mul_f64(jitter)).await;
             round = round.wrapping_add(1);
-            vm.gossiper.round(&vm, round).await;
+            vm.gossiper.run_round(&vm, round).await;
         }
     }
 
-    /// Tells some VMs at once that this one is leaving, or has news.
+    /// Gossips to every live peer of the hall at once, when a planned stop or
+    /// a new configuration should not wait for the next rounds.
     pub(crate) async fn gossip_to_hall(vm: &Arc<Vm>) {
-        let counter = vm.next_beat();
+        let counter = vm.next_heartbeat();
         for peer in vm.view.live_hall_peers() {
-            let gossip = Datagram::Gossip(message(vm, counter));
+            let gossip = Datagram::Gossip(build_gossip(vm, counter));
             vm.gossiper.send(vm, peer.address, &gossip).await;
         }
     }
 
-    async fn round(&self, vm: &Arc<Vm>, round: u32) {
+    async fn run_round(&self, vm: &Arc<Vm>, round: u32) {
         let now = vm.clock.now();
-        log_life_changes(&vm.view, &vm.view.tick(now));
-        fade_evidence(vm);
-        let counter = vm.next_beat();
+        log_liveness_changes(&vm.view, &vm.view.tick(now));
+        decay_evidence(vm);
+        let counter = vm.next_heartbeat();
         for peer in pick_hall_peers(vm) {
-            let gossip = Datagram::Gossip(message(vm, counter));
+            let gossip = Datagram::Gossip(build_gossip(vm, counter));
             self.send(vm, peer.address, &gossip).await;
         }
-        if round.is_multiple_of(REMOTE_EVERY)
+        if round.is_multiple_of(ROUNDS_PER_REMOTE)
             && let Some(peer) = pick_remote_peer(vm)
         {
-            let mut gossip = message(vm, counter);
-            // Signs of life matter in their own hall only.
+            let mut gossip = build_gossip(vm, counter);
+            // Liveness is tracked only within a hall.
             gossip.beats.clear();
-            gossip.loads = vm.view.loads(LOADS, 0, vm.clock.now());
+            gossip.loads = vm.view.loads(MAX_LOADS, 0, vm.clock.now());
             let datagram = Datagram::Gossip(gossip);
             self.send(vm, peer.address, &datagram).await;
         }
-        if round.is_multiple_of(REPORT_EVERY) {
-            self.report(vm).await;
+        if round.is_multiple_of(ROUNDS_PER_REPORT) {
+            self.report_tallies(vm).await;
         }
     }
 
-    /// Reports this VM's own sums to the VM that adds up the hall.
-    async fn report(&self, vm: &Arc<Vm>) {
+    /// Reports this VM's own tallies to the hall's aggregator.
+    async fn report_tallies(&self, vm: &Arc<Vm>) {
         let now = vm.clock.now();
         let due = {
             let mut tallies = vm.tallies.lock().expect("tallies lock");
-            tallies.due(REPORT_TALLIES, now)
+            tallies.take_due(MAX_REPORT_TALLIES, now)
         };
         if due.is_empty() {
             return;
         }
-        let me = vm.view.vm().clone();
-        let Some(adder) = hall_adder(vm) else { return };
-        if adder == me {
+        let own_id = vm.view.vm().clone();
+        let Some(aggregator) = hall_aggregator(vm) else { return };
+        if aggregator == own_id {
             let mut tallies = vm.tallies.lock().expect("tallies lock");
-            tallies.report(ShortHash::of(me.as_str()), &due, now);
+            tallies.record_report(ShortHash::of(own_id.as_str()), &due, now);
             return;
         }
-        if let Some(peer) = vm.view.peer(&adder) {
-            let datagram = Datagram::Report { vm: me, tallies: due };
+        if let Some(peer) = vm.view.peer(&aggregator) {
+            let datagram = Datagram::Report { vm: own_id, tallies: due };
             self.send(vm, peer.address, &datagram).await;
         }
     }
 
-    /// Receives datagrams, for as long as polled.
+    /// Receives and handles datagrams; never returns.
     pub(crate) async fn receive_loop(vm: Arc<Vm>) {
-        let mut buffer = vec![0; RECEIVE_BYTES];
+        let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
         loop {
             let received = vm.gossiper.socket.recv_from(&mut buffer).await;
             let Ok((length, _)) = received else {
@@ -174,71 +179,75 @@
                 continue;
             };
             match vm.codec.open::<Datagram>(&buffer[..length]) {
-                Ok(datagram) => take(&vm, datagram).await,
-                Err(fault) => vm.gossiper.drop_frame(&vm, fault),
+                Ok(datagram) => handle_datagram(&vm, datagram).await,
+                Err(fault) => vm.gossiper.record_dropped_frame(&vm, fault),
             }
         }
     }
 
-    fn drop_frame(&self, vm: &Vm, fault: FrameFault) {
+    fn record_dropped_frame(&self, vm: &Vm, fault: FrameFault) {
         let label = fault.as_str();
         vm.metrics.frames_dropped.with_label_values(&[label]).inc();
         let now = vm.clock.now();
-        let mut logged = self.drop_logged_at.lock().expect("gossip lock");
-        if logged.is_none_or(|at| now - at >= DROP_LOG_PAUSE) {
-            *logged = Some(now);
+        let mut logged_at = self.drop_logged_at.lock().expect("gossip lock");
+        if logged_at.is_none_or(|at| now - at >= DROP_LOG_INTERVAL) {
+            *logged_at = Some(now);
             Event::FrameDropped.log(format_args!("fault {label}"));
         }
     }
 }
 
-async fn take(vm: &Arc<Vm>, datagram: Datagram) {
+async fn handle_datagram(vm: &Arc<Vm>, datagram: Datagram) {
     let now = vm.clock.now();
     match datagram {
-        Datagram::Gossip(gossip) => take_gossip(vm, &gossip, now).await,
-        Datagram::Notice(notice) => take_notice(vm, notice, now),
+        Datagram::Gossip(gossip) => handle_gossip(vm, &gossip, now).await,
+        Datagram::Notice(notice) => handle_notice(vm, notice, now),
         Datagram::Report { vm: from, tallies } => {
             let mut own = vm.tallies.lock().expect("tallies lock");
-            own.report(ShortHash::of(from.as_str()), &tallies, now);
+            own.record_report(ShortHash::of(from.as_str()), &tallies, now);
         }
     }
 }
 
-fn take_notice(vm: &Vm, notice: Notice, now: BootInstant) {
+fn handle_notice(vm: &Vm, notice: Notice, now: BootInstant) {
     match notice {
         Notice::Leaving(short) => {
             let found = vm.view.upstream_by_short(short);
             if let Some(upstream) = found
                 && upstream.mark_leaving()
             {
-                log_leaving(&upstream, "told by another VM");
+                log_leaving(&upstream, "reported by another VM");
             }
         }
-        Notice::RateLimit(told) => {
-            let age = Duration::from_millis(told.age_ms.into());
-            let found = vm.view.upstream_by_short(told.upstream);
+        Notice::RateLimit(reported) => {
+            let age = Duration::from_millis(reported.age_ms.into());
+            let found = vm.view.upstream_by_short(reported.upstream);
             let (Some(upstream), Some(at)) = (found, now.checked_sub(age))
             else {
                 return;
             };
-            let word = &upstream.own_word;
+            let statements = &upstream.own_word;
             let draw = rand::random();
-            if let Some(news) = word.note_limit(told.rate, at, draw, now) {
+            if let Some(change) =
+                statements.note_limit(reported.rate, at, draw, now)
+            {
                 let id = &upstream.record.id;
-                let event = news.event();
-                event.log(format_args!("upstream {id}, told by another VM"));
+                let event = change.event();
+                event.log(format_args!(
+                    "upstream {id}, reported by another VM"
+                ));
             }
         }
     }
 }
 
-async fn take_gossip(vm: &Arc<Vm>, gossip: &Gossip, now: BootInstant) {
+async fn handle_gossip(vm: &Arc<Vm>, gossip: &Gossip, now: BootInstant) {
     if gossip.data_hall == *vm.view.data_hall() {
-        let changes = vm.view.observe_beats(&gossip.beats, now);
-        log_life_changes(&vm.view, &changes);
+        let changes = vm.view.observe_heartbeats(&gossip.beats, now);
+        log_liveness_changes(&vm.view, &changes);
     }
-    for upstream in vm.view.take_loads(&gossip.loads, now) {
-        log_leaving(&upstream, "told by another VM");
+    for upstream in vm.view.apply_loads(&gossip.loads, now) {
+        log_leaving(&upstream, "reported by another VM");
     }
     vm.tallies.lock().expect("tallies lock").merge(&gossip.tallies, now);
     let revision = vm.configuration.current().revision();
@@ -259,44 +268,45 @@
         .log(format_args!("upstream {}, {how}", upstream.record.id));
 }
 
-/// What this VM tells in one round.
-pub(crate) fn message(vm: &Vm, counter: u32) -> Gossip {
+/// Builds the gossip message for one round; `counter` is this VM's heartbeat.
+pub(crate) fn build_gossip(vm: &Vm, counter: u32) -> Gossip {
     let now = vm.clock.now();
-    let me = vm.identity();
-    let own = Beat {
-        vm: ShortHash::of(me.vm.as_str()),
-        incarnation: me.incarnation,
+    let own_identity = vm.identity();
+    let own_heartbeat = Beat {
+        vm: ShortHash::of(own_identity.vm.as_str()),
+        incarnation: own_identity.incarnation,
         counter,
         leaving: vm.is_stopping(),
     };
-    let mut beats = vm.view.beats(BEATS - 1);
-    beats.push(own);
+    let mut beats = vm.view.heartbeats(MAX_HEARTBEATS - 1);
+    beats.push(own_heartbeat);
     let proof_age = vm.configuration.proof_age(now);
     let mut gossip = Gossip {
-        vm: me.vm,
+        vm: own_identity.vm,
         data_hall: vm.view.data_hall().clone(),
-        incarnation: me.incarnation,
+        incarnation: own_identity.incarnation,
         peers: vm.peer_address,
         revision: vm.configuration.current().revision(),
         proof_age_ms: proof_age
             .map(|age| age.as_millis().min(u32::MAX.into()) as u32),
         beats,
-        loads: vm.view.loads(LOADS, LOADS_REMOTE, now),
+        loads: vm.view.loads(MAX_LOADS, MAX_REMOTE_LOADS, now),
         tallies: {
             let tallies = vm.tallies.lock().expect("tallies lock");
-            tallies.entries(TALLIES, now)
+            tallies.entries(MAX_TALLIES, now)
         },
     };
     shrink_to_fit(vm, &mut gossip);
     gossip
 }
 
-/// Leaves out the oldest items until the message fits a datagram.
+/// Drops items until the message fits into a datagram: the last of the loads
+/// or of the tallies, whichever are more, and heartbeats once both are empty.
 fn shrink_to_fit(vm: &Vm, gossip: &mut Gossip) {
-    let length = |gossip: &Gossip| {
+    let sealed_length = |gossip: &Gossip| {
         vm.codec.seal(&Datagram::Gossip(gossip.clone())).len()
     };
-    while length(gossip) > DATAGRAM_LIMIT_BYTES {
+    while sealed_length(gossip) > DATAGRAM_LIMIT_BYTES {
         let longest = gossip.loads.len().max(gossip.tallies.len());
         if longest == 0 {
             gossip.beats.remove(0);
@@ -310,31 +320,32 @@
 
 fn pick_hall_peers(vm: &Vm) -> Vec<Peer> {
     let hall = vm.view.data_hall();
-    // Silent VMs are told too: that is how they come back.
+    // Suspected and dead VMs are included, so that they can recover.
     let peers = vm.view.peers();
-    let there: Vec<&Peer> =
+    let local: Vec<&Peer> =
         peers.iter().filter(|peer| peer.data_hall == *hall).collect();
     let mut rng = rand::rng();
-    there.choose_multiple(&mut rng, FAN_OUT).map(|p| (*p).clone()).collect()
+    local.choose_multiple(&mut rng, FANOUT).map(|p| (*p).clone()).collect()
 }
 
 fn pick_remote_peer(vm: &Vm) -> Option<Peer> {
     let hall = vm.view.data_hall();
     let peers = vm.view.peers();
-    let away: Vec<&Peer> =
+    let remote: Vec<&Peer> =
         peers.iter().filter(|peer| peer.data_hall != *hall).collect();
-    away.choose(&mut rand::rng()).map(|peer| (*peer).clone())
+    remote.choose(&mut rand::rng()).map(|peer| (*peer).clone())
 }
 
-/// The VM that adds up the sums of this hall.
-fn hall_adder(vm: &Vm) -> Option<VmId> {
+/// Returns the VM that aggregates the tallies of this hall: the first live
+/// one in rendezvous order.
+fn hall_aggregator(vm: &Vm) -> Option<VmId> {
     let subject = format!("tallies of {}", vm.view.data_hall());
     vm.view.ranked_hall_vms(subject.as_bytes()).into_iter().next()
 }
 
-fn fade_evidence(vm: &Vm) {
+fn decay_evidence(vm: &Vm) {
     let round = vm.settings.peers.gossip.as_secs_f64();
     let half_life = EVIDENCE_HALF_LIFE.as_secs_f64();
     let factor = 0.5_f64.powf(round / half_life) as f32;
-    vm.tallies.lock().expect("tallies lock").fade(factor);
+    vm.tallies.lock().expect("tallies lock").decay(factor);
 }
--- a/src/chat_face/load.rs
+++ b/src/chat_face/load.rs
@@ -76,6 +76,6 @@
     upstream.set_load(report.running, report.waiting, versions, asked_at);
     if report.leaving && upstream.mark_leaving() {
         log_leaving(upstream, "by its own report");
-        Gossiper::notify(vm, Notice::Leaving(upstream.short)).await;
+        Gossiper::broadcast_notice(vm, Notice::Leaving(upstream.short)).await;
     }
 }
--- a/src/chat_face/membership.rs
+++ b/src/chat_face/membership.rs
@@ -1,8 +1,9 @@
-//! Which VMs of the data hall live: a pure state machine over time.
+//! Failure detector for the VMs of one data hall, without any I/O.
 //!
-//! Each VM counts up a heartbeat and passes on the counts that it knows. A
-//! count that has not grown for a while makes its VM suspected, then dead.
-//! A higher incarnation is a new life and replaces the old one at once.
+//! Each VM increments a heartbeat counter and gossips the counters that it
+//! knows. A VM whose counter stops advancing is first suspected, then
+//! considered dead. A higher incarnation means that the VM restarted; it
+//! replaces the older one at once.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -12,21 +13,21 @@
     message::{Beat, ShortHash},
 };
 
-/// What is believed about a VM.
+/// What the failure detector concludes about a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Liveness {
-    /// It lives.
+    /// Its heartbeat counter advances.
     Alive,
-    /// It has been silent for a while.
+    /// Its counter has not advanced for `suspect_after`.
     Suspected,
-    /// It has been silent for long.
+    /// Its counter has not advanced for `dead_after`.
     Dead,
-    /// It is in a planned stop.
+    /// It announced a planned stop.
     Leaving,
 }
 
 impl Liveness {
-    /// The word used in reports.
+    /// Returns the name used in `/status` and in metric labels.
     pub fn as_str(self) -> &'static str {
         match self {
             Liveness::Alive => "alive",
@@ -37,29 +38,29 @@
     }
 }
 
-/// What is known of one VM.
+/// What is known about one VM of the data hall.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its life.
+    /// Its latest known incarnation.
     pub incarnation: Incarnation,
-    /// What is believed about it.
-    pub life: Liveness,
+    /// The liveness of that incarnation.
+    pub liveness: Liveness,
     counter: u32,
-    grown_at: BootInstant,
+    advanced_at: BootInstant,
 }
 
-/// A change of belief.
+/// A change in the liveness of a VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LifeChange {
+pub struct LivenessChange {
     /// The VM.
     pub vm: ShortHash,
-    /// The life that the belief is about.
+    /// The incarnation that the change is about.
     pub incarnation: Incarnation,
-    /// The new belief.
-    pub life: Liveness,
+    /// The new liveness.
+    pub liveness: Liveness,
 }
 
-/// The VMs of one data hall, without this one.
+/// The other VMs of this VM's data hall, with their liveness.
 #[derive(Clone, Debug)]
 pub struct Membership {
     me: ShortHash,
@@ -68,12 +69,11 @@
     members: HashMap<ShortHash, Member>,
 }
 
-/// Time for which a dead VM is remembered, as a multiple of the silence
-/// after which it counts as dead.
+/// Time for which a silent VM is remembered, as a multiple of `dead_after`.
 const FORGET_FACTOR: u32 = 60;
 
 impl Membership {
-    /// Creates an empty membership.
+    /// Creates a membership without members; `me` is this VM.
     pub fn new(
         me: ShortHash,
         suspect_after: Duration,
@@ -82,86 +82,100 @@
         Membership { me, suspect_after, dead_after, members: HashMap::new() }
     }
 
-    /// Takes in a sign of life.
+    /// Records a heartbeat.
     ///
-    /// Returns the change of belief that it causes, if any.
+    /// Returns the change in liveness that it causes, if any. A heartbeat
+    /// that is not newer than the last one recorded has no effect.
     pub fn observe(
         &mut self,
         beat: &Beat,
         now: BootInstant,
-    ) -> Option<LifeChange> {
+    ) -> Option<LivenessChange> {
         if beat.vm == self.me {
             return None;
         }
         let known = self.members.get(&beat.vm);
-        let news = known.is_none_or(|member| {
-            let held = (member.incarnation, member.counter);
-            (beat.incarnation, beat.counter) > held
+        let is_newer = known.is_none_or(|member| {
+            let seen = (member.incarnation, member.counter);
+            (beat.incarnation, beat.counter) > seen
         });
-        if !news {
+        if !is_newer {
             return None;
         }
-        let life =
+        let liveness =
             if beat.leaving { Liveness::Leaving } else { Liveness::Alive };
-        let same = known.is_some_and(|member| {
-            member.life == life && member.incarnation == beat.incarnation
+        let is_unchanged = known.is_some_and(|member| {
+            member.liveness == liveness
+                && member.incarnation == beat.incarnation
         });
         let member = Member {
             incarnation: beat.incarnation,
-            life,
+            liveness,
             counter: beat.counter,
-            grown_at: now,
+            advanced_at: now,
         };
         self.members.insert(beat.vm, member);
         let incarnation = beat.incarnation;
-        (!same).then_some(LifeChange { vm: beat.vm, incarnation, life })
+        (!is_unchanged).then_some(LivenessChange {
+            vm: beat.vm,
+            incarnation,
+            liveness,
+        })
     }
 
-    /// Judges silence; to be called about once a gossip round.
-    pub fn tick(&mut self, now: BootInstant) -> Vec<LifeChange> {
+    /// Updates the liveness of VMs whose counter has not advanced; to be
+    /// called about once per gossip round.
+    pub fn tick(&mut self, now: BootInstant) -> Vec<LivenessChange> {
         let mut changes = Vec::new();
         let suspect_after = self.suspect_after;
         let dead_after = self.dead_after;
         for (vm, member) in &mut self.members {
-            let silence = now.saturating_duration_since(member.grown_at);
-            let life = match member.life {
+            let silence = now.saturating_duration_since(member.advanced_at);
+            let liveness = match member.liveness {
                 _ if silence > dead_after => Liveness::Dead,
                 Liveness::Leaving => Liveness::Leaving,
                 _ if silence > suspect_after => Liveness::Suspected,
-                life => life,
+                liveness => liveness,
             };
-            if life != member.life {
-                member.life = life;
+            if liveness != member.liveness {
+                member.liveness = liveness;
                 let incarnation = member.incarnation;
-                changes.push(LifeChange { vm: *vm, incarnation, life });
+                changes.push(LivenessChange {
+                    vm: *vm,
+                    incarnation,
+                    liveness,
+                });
             }
         }
         let forget_after = dead_after * FORGET_FACTOR;
         self.members.retain(|_, member| {
-            now.saturating_duration_since(member.grown_at) < forget_after
+            now.saturating_duration_since(member.advanced_at) < forget_after
         });
         changes
     }
 
-    /// What is known of a VM.
+    /// Returns what is known about another VM.
     pub fn get(&self, vm: ShortHash) -> Option<&Member> {
         self.members.get(&vm)
     }
 
-    /// Whether work may be given to a VM: it lives and is not suspected.
+    /// Returns whether work may be sent to a VM: it is alive and neither
+    /// suspected nor leaving. This VM itself always is.
     pub fn is_alive(&self, vm: ShortHash) -> bool {
         vm == self.me
-            || self.get(vm).is_some_and(|m| m.life == Liveness::Alive)
+            || self.get(vm).is_some_and(|m| m.liveness == Liveness::Alive)
     }
 
-    /// The latest signs of life, for passing on.
-    pub fn beats(&self, limit: usize) -> Vec<Beat> {
+    /// Returns the heartbeats that advanced last, to be gossiped on; dead VMs
+    /// are left out.
+    pub fn heartbeats(&self, limit: usize) -> Vec<Beat> {
         let mut newest: Vec<_> = self
             .members
             .iter()
-            .filter(|(_, member)| member.life != Liveness::Dead)
+            .filter(|(_, member)| member.liveness != Liveness::Dead)
             .collect();
-        newest.sort_by_key(|(_, member)| std::cmp::Reverse(member.grown_at));
+        newest
+            .sort_by_key(|(_, member)| std::cmp::Reverse(member.advanced_at));
         newest
             .into_iter()
             .take(limit)
@@ -169,14 +183,14 @@
                 vm: *vm,
                 incarnation: member.incarnation,
                 counter: member.counter,
-                leaving: member.life == Liveness::Leaving,
+                leaving: member.liveness == Liveness::Leaving,
             })
             .collect()
     }
 
-    /// The number of VMs known, by belief.
-    pub fn count(&self, life: Liveness) -> usize {
-        self.members.values().filter(|m| m.life == life).count()
+    /// Returns the number of other VMs with this liveness.
+    pub fn count(&self, liveness: Liveness) -> usize {
+        self.members.values().filter(|m| m.liveness == liveness).count()
     }
 }
 
@@ -201,22 +215,22 @@
     }
 
     #[test]
-    fn silence_is_suspected_before_it_is_death() {
+    fn a_silent_vm_is_suspected_before_it_is_dead() {
         let start = BootInstant::now();
         let mut members = membership();
         let first = members.observe(&beat(1, 1), start).unwrap();
-        assert_eq!(first.life, Liveness::Alive);
+        assert_eq!(first.liveness, Liveness::Alive);
         let at = |s: u64| start + Duration::from_secs(s);
         assert!(members.tick(at(2)).is_empty());
-        assert_eq!(members.tick(at(3))[0].life, Liveness::Suspected);
+        assert_eq!(members.tick(at(3))[0].liveness, Liveness::Suspected);
         assert!(!members.is_alive(VM));
-        assert_eq!(members.tick(at(5))[0].life, Liveness::Dead);
+        assert_eq!(members.tick(at(5))[0].liveness, Liveness::Dead);
         let again = members.observe(&beat(1, 2), at(6)).unwrap();
-        assert_eq!(again.life, Liveness::Alive);
+        assert_eq!(again.liveness, Liveness::Alive);
     }
 
     #[test]
-    fn old_news_does_not_bring_a_vm_back() {
+    fn a_stale_heartbeat_does_not_revive_a_vm() {
         let start = BootInstant::now();
         let mut members = membership();
         members.observe(&beat(2, 5), start);
@@ -228,7 +242,7 @@
     }
 
     #[test]
-    fn a_new_life_replaces_the_old_one() {
+    fn a_higher_incarnation_replaces_the_older_one() {
         let start = BootInstant::now();
         let mut members = membership();
         members.observe(&beat(1, 500), start);
--- a/src/chat_face/server.rs
+++ b/src/chat_face/server.rs
@@ -265,13 +265,16 @@
         }
         match read {
             Ok(Some(list)) => {
-                for upstream in vm.view.take_list(&list, now) {
+                for upstream in vm.view.apply_list(&list, now) {
                     log_leaving(&upstream, "by the platform's list");
-                    Gossiper::notify(&vm, Notice::Leaving(upstream.short))
-                        .await;
+                    Gossiper::broadcast_notice(
+                        &vm,
+                        Notice::Leaving(upstream.short),
+                    )
+                    .await;
                 }
             }
-            Ok(None) => vm.view.list_unchanged(now),
+            Ok(None) => vm.view.mark_list_unchanged(now),
             Err(_) => {}
         }
         let jitter = 0.9 + 0.2 * rand::random::<f64>();
--- a/src/chat_face/statement.rs
+++ b/src/chat_face/statement.rs
@@ -45,8 +45,10 @@
                 continue;
             };
             let vm = self.vm.clone();
-            task::spawn(async move { Gossiper::notify(&vm, notice).await })
-                .detach();
+            task::spawn(async move {
+                Gossiper::broadcast_notice(&vm, notice).await
+            })
+            .detach();
         }
     }
 }
--- a/src/chat_face/tally.rs
+++ b/src/chat_face/tally.rs
@@ -1,9 +1,10 @@
-//! Sums that VMs share: use of limits, and evidence about versions.
+//! Tallies that the fleet aggregates: the usage of organisations, and the
+//! evidence about model versions.
 //!
-//! Every VM keeps its own sums, which fade with time. It reports them to one
-//! VM of its data hall, which adds them up; the sum of each hall is passed
-//! on by gossip. A sum that is not renewed is dropped, so a VM or hall that
-//! is gone stops counting without anybody's word.
+//! Every VM keeps its own tallies; those of evidence decay over time. It
+//! reports them to its hall's aggregator, which adds them up, and the totals
+//! of the halls spread by gossip. A tally that is not refreshed expires, so a
+//! VM or hall that disappears stops counting without any message about it.
 
 use std::{
     collections::HashMap,
@@ -18,16 +19,17 @@
     message::{ShortHash, TallyEntry},
 };
 
-/// Time after which a sum that is not renewed is dropped.
-const REPORT_LIFETIME: Duration = Duration::from_secs(10);
+/// Time after which a tally that was not refreshed expires.
+const REPORT_MAX_AGE: Duration = Duration::from_secs(10);
 
-/// Changes smaller than this, relative to the value, are not reported.
-const REPORT_STEP: f32 = 0.02;
+/// Smaller changes, relative to the value, are not reported before the next
+/// refresh.
+const MIN_REPORTED_CHANGE: f32 = 0.02;
 
-/// Every sum is reported this often even if it did not change.
-const REFRESH: Duration = Duration::from_secs(4);
+/// Every tally is reported this often even if it did not change.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(4);
 
-/// What a sum is about.
+/// The subject of a tally.
 #[derive(
     Clone,
     Copy,
@@ -41,9 +43,9 @@
     Deserialize,
 )]
 pub enum TallyKey {
-    /// The use that an organisation makes.
+    /// The usage of an organisation; see [`usage`].
     Usage(ShortHash),
-    /// The answers of a version to an organisation's task.
+    /// How a version has answered an organisation's task; see [`evidence`].
     Evidence {
         /// The organisation.
         organisation: ShortHash,
@@ -54,48 +56,48 @@
     },
 }
 
-/// A sum of several figures; their meaning depends on the key.
+/// Several figures that are summed; their meaning depends on the key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Tally(pub [f32; 5]);
 
-/// The fields of a usage tally.
+/// The indices of the figures in a usage tally.
 pub mod usage {
-    /// Requests at once.
+    /// Requests in flight.
     pub const IN_FLIGHT: usize = 0;
-    /// Requests asked for, a second.
+    /// Requests received per second, whether or not they were admitted.
     pub const DEMAND_PER_S: usize = 1;
     /// Cost in the current hour, in currency units.
     pub const HOUR_COST: usize = 2;
 }
 
-/// The fields of an evidence tally.
+/// The indices of the figures in an evidence tally.
 pub mod evidence {
-    /// Answers and failures.
+    /// Attempts that were answered or failed.
     pub const ATTEMPTS: usize = 0;
-    /// Failures among them.
+    /// Attempts that failed.
     pub const ERRORS: usize = 1;
-    /// Answers that were rated.
+    /// Answers that have a rating.
     pub const RATED: usize = 2;
     /// Rated answers that met the quality target.
     pub const MET_TARGET: usize = 3;
-    /// Sum of the time to the first token, in seconds.
+    /// Sum of the times to the first token, in seconds.
     pub const FIRST_TOKEN_S: usize = 4;
 }
 
 impl Tally {
-    /// Scales every figure.
+    /// Returns the tally with every figure multiplied by `factor`.
     #[must_use]
     pub fn scaled(self, factor: f32) -> Tally {
         Tally(self.0.map(|value| value * factor))
     }
 
-    fn differs(self, other: Tally) -> bool {
+    fn differs_from(self, other: Tally) -> bool {
         self.0.iter().zip(other.0).any(|(a, b)| {
-            (a - b).abs() > REPORT_STEP * a.abs().max(b.abs()).max(0.5)
+            (a - b).abs() > MIN_REPORTED_CHANGE * a.abs().max(b.abs()).max(0.5)
         })
     }
 
-    fn is_nothing(self) -> bool {
+    fn is_negligible(self) -> bool {
         self.0.iter().all(|value| value.abs() < 1e-3)
     }
 }
@@ -121,196 +123,208 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Dated {
+struct DatedTally {
     tally: Tally,
     at: BootInstant,
 }
 
-impl Dated {
+impl DatedTally {
     fn is_fresh(&self, now: BootInstant) -> bool {
-        now.saturating_duration_since(self.at) < REPORT_LIFETIME
+        now.saturating_duration_since(self.at) < REPORT_MAX_AGE
     }
 }
 
-/// What one VM knows of all sums.
+/// The tallies that one VM knows.
 #[derive(Debug)]
 pub struct Tallies {
     data_hall: ShortHash,
+    /// This VM's own tallies.
     own: HashMap<TallyKey, Tally>,
-    reported: HashMap<TallyKey, Dated>,
-    reports: HashMap<(ShortHash, TallyKey), Dated>,
-    halls: HashMap<(ShortHash, TallyKey), Dated>,
+    /// What this VM last reported to its hall's aggregator.
+    last_reported: HashMap<TallyKey, DatedTally>,
+    /// At the aggregator: the last report of each VM of the hall.
+    vm_reports: HashMap<(ShortHash, TallyKey), DatedTally>,
+    /// The total of each data hall.
+    hall_totals: HashMap<(ShortHash, TallyKey), DatedTally>,
 }
 
 impl Tallies {
-    /// Creates an empty record for a VM of `data_hall`.
+    /// Creates an empty set of tallies for a VM of `data_hall`.
     pub fn new(data_hall: ShortHash) -> Tallies {
         Tallies {
             data_hall,
             own: HashMap::new(),
-            reported: HashMap::new(),
-            reports: HashMap::new(),
-            halls: HashMap::new(),
+            last_reported: HashMap::new(),
+            vm_reports: HashMap::new(),
+            hall_totals: HashMap::new(),
         }
     }
 
-    /// Adds to a sum of this VM.
+    /// Adds to one of this VM's own tallies.
     pub fn add(&mut self, key: TallyKey, tally: Tally) {
         let own = self.own.entry(key).or_default();
         *own = *own + tally;
     }
 
-    /// Replaces a sum of this VM.
+    /// Replaces one of this VM's own tallies.
     pub fn set(&mut self, key: TallyKey, tally: Tally) {
         self.own.insert(key, tally);
     }
 
-    /// Lets evidence fade by `factor`; usage is set anew instead.
-    pub fn fade(&mut self, factor: f32) {
+    /// Multiplies this VM's own evidence by `factor` and drops tallies that
+    /// are nearly zero.
+    ///
+    /// Usage does not decay; [`Tallies::set`] replaces it regularly.
+    pub fn decay(&mut self, factor: f32) {
         self.own.retain(|key, tally| {
             if matches!(key, TallyKey::Evidence { .. }) {
                 *tally = tally.scaled(factor);
             }
-            !tally.is_nothing()
+            !tally.is_negligible()
         });
     }
 
-    /// The sums that are due to be reported, at most `limit`.
-    pub fn due(
+    /// Returns at most `limit` of this VM's own tallies that are due to be
+    /// reported, and marks them as reported.
+    pub fn take_due(
         &mut self,
         limit: usize,
         now: BootInstant,
     ) -> Vec<(TallyKey, Tally)> {
-        let reported = &self.reported;
+        let last_reported = &self.last_reported;
         let mut due: Vec<(TallyKey, Tally)> = self
             .own
             .iter()
             .filter(|(key, tally)| {
-                reported.get(key).is_none_or(|last| {
-                    now.saturating_duration_since(last.at) >= REFRESH
-                        || last.tally.differs(**tally)
+                last_reported.get(key).is_none_or(|last| {
+                    now.saturating_duration_since(last.at) >= REFRESH_INTERVAL
+                        || last.tally.differs_from(**tally)
                 })
             })
             .map(|(key, tally)| (*key, *tally))
             .collect();
-        // The longest unreported go first when not all fit.
-        due.sort_by_key(|(key, _)| reported.get(key).map(|last| last.at));
+        // Those never reported go first, then those reported longest ago.
+        due.sort_by_key(|(key, _)| last_reported.get(key).map(|last| last.at));
         due.truncate(limit);
         for (key, tally) in &due {
-            let dated = Dated { tally: *tally, at: now };
-            self.reported.insert(*key, dated);
+            let entry = DatedTally { tally: *tally, at: now };
+            self.last_reported.insert(*key, entry);
         }
         due
     }
 
-    /// Takes in the report of a VM of this hall and adds up the hall.
-    pub fn report(
+    /// Records the report of a VM of this hall and updates the hall's totals,
+    /// at the hall's aggregator.
+    pub fn record_report(
         &mut self,
         vm: ShortHash,
         tallies: &[(TallyKey, Tally)],
         now: BootInstant,
     ) {
         for (key, tally) in tallies {
-            let dated = Dated { tally: *tally, at: now };
-            self.reports.insert((vm, *key), dated);
+            let entry = DatedTally { tally: *tally, at: now };
+            self.vm_reports.insert((vm, *key), entry);
         }
-        self.reports.retain(|_, dated| dated.is_fresh(now));
+        self.vm_reports.retain(|_, entry| entry.is_fresh(now));
         for (key, _) in tallies {
-            let sum = self.sum_reports(key);
-            let dated = Dated { tally: sum, at: now };
-            self.halls.insert((self.data_hall, *key), dated);
+            let sum = self.sum_vm_reports(key);
+            let entry = DatedTally { tally: sum, at: now };
+            self.hall_totals.insert((self.data_hall, *key), entry);
         }
     }
 
-    /// Takes in sums of halls that others passed on.
+    /// Merges hall totals received by gossip; the newer one of each wins.
     pub fn merge(&mut self, entries: &[TallyEntry], now: BootInstant) {
         for entry in entries {
             let age = Duration::from_millis(entry.age_ms.into());
             let Some(at) = now.checked_sub(age) else { continue };
-            let dated = Dated { tally: entry.tally, at };
-            let held = self.halls.entry((entry.data_hall, entry.key));
-            let held = held.or_insert(dated);
-            if at > held.at {
-                *held = dated;
+            let received = DatedTally { tally: entry.tally, at };
+            let known = self.hall_totals.entry((entry.data_hall, entry.key));
+            let known = known.or_insert(received);
+            if at > known.at {
+                *known = received;
             }
         }
-        self.halls.retain(|_, dated| dated.is_fresh(now));
+        self.hall_totals.retain(|_, entry| entry.is_fresh(now));
     }
 
-    /// The newest sums of halls, for passing on.
+    /// Returns the newest hall totals, to be gossiped on.
     pub fn entries(&self, limit: usize, now: BootInstant) -> Vec<TallyEntry> {
-        let mut newest: Vec<_> = self.halls.iter().collect();
-        newest.sort_by_key(|(_, dated)| std::cmp::Reverse(dated.at));
+        let mut newest: Vec<_> = self.hall_totals.iter().collect();
+        newest.sort_by_key(|(_, entry)| std::cmp::Reverse(entry.at));
         newest
             .into_iter()
             .take(limit)
-            .map(|((data_hall, key), dated)| {
-                let age = now.saturating_duration_since(dated.at);
+            .map(|((data_hall, key), entry)| {
+                let age = now.saturating_duration_since(entry.at);
                 TallyEntry {
                     data_hall: *data_hall,
                     key: *key,
                     age_ms: age.as_millis().min(u16::MAX.into()) as u16,
-                    tally: dated.tally,
+                    tally: entry.tally,
                 }
             })
             .collect()
     }
 
-    /// The sum over the fleet, as far as it is known here.
+    /// Returns the total over the fleet, as far as it is known here.
     pub fn total(&self, key: &TallyKey, now: BootInstant) -> Tally {
         let own = self.own.get(key).copied().unwrap_or_default();
         let mut total = own;
-        for ((data_hall, _), dated) in self.fresh_halls(key, now) {
+        for ((data_hall, _), entry) in self.fresh_hall_totals(key, now) {
             if *data_hall == self.data_hall {
-                // The hall's sum holds what this VM last reported.
-                let reported = self.reported.get(key);
-                let mine = reported.map(|r| r.tally).unwrap_or_default();
-                total = total + dated.tally - mine;
+                // The hall's total includes what this VM last reported.
+                let reported = self.last_reported.get(key);
+                let own_reported =
+                    reported.map(|r| r.tally).unwrap_or_default();
+                total = total + entry.tally - own_reported;
             } else {
-                total = total + dated.tally;
+                total = total + entry.tally;
             }
         }
         Tally(total.0.map(|value| value.max(0.0)))
     }
 
-    /// Forgets all evidence on a version.
-    pub fn forget_version(&mut self, gone: ShortHash) {
-        let keep = |key: &TallyKey| match key {
-            TallyKey::Evidence { version, .. } => *version != gone,
+    /// Removes all evidence about a version.
+    pub fn forget_version(&mut self, forgotten: ShortHash) {
+        let is_kept = |key: &TallyKey| match key {
+            TallyKey::Evidence { version, .. } => *version != forgotten,
             TallyKey::Usage(_) => true,
         };
-        self.own.retain(|key, _| keep(key));
-        self.reported.retain(|key, _| keep(key));
-        self.reports.retain(|(_, key), _| keep(key));
-        self.halls.retain(|(_, key), _| keep(key));
+        self.own.retain(|key, _| is_kept(key));
+        self.last_reported.retain(|key, _| is_kept(key));
+        self.vm_reports.retain(|(_, key), _| is_kept(key));
+        self.hall_totals.retain(|(_, key), _| is_kept(key));
     }
 
-    /// This VM's own sum.
+    /// Returns this VM's own tally; zero where there is none.
     pub fn own(&self, key: &TallyKey) -> Tally {
         self.own.get(key).copied().unwrap_or_default()
     }
 
-    /// Every key that anything is known of.
+    /// Returns the keys of this VM's own tallies and of all hall totals; a key
+    /// may occur more than once.
     pub fn keys(&self) -> impl Iterator<Item = TallyKey> + '_ {
-        let halls = self.halls.keys().map(|(_, key)| *key);
-        self.own.keys().copied().chain(halls)
+        let hall_keys = self.hall_totals.keys().map(|(_, key)| *key);
+        self.own.keys().copied().chain(hall_keys)
     }
 
-    fn fresh_halls<'a>(
+    fn fresh_hall_totals<'a>(
         &'a self,
         key: &'a TallyKey,
         now: BootInstant,
-    ) -> impl Iterator<Item = (&'a (ShortHash, TallyKey), &'a Dated)> {
-        self.halls
+    ) -> impl Iterator<Item = (&'a (ShortHash, TallyKey), &'a DatedTally)>
+    {
+        self.hall_totals
             .iter()
             .filter(move |((_, k), d)| k == key && d.is_fresh(now))
     }
 
-    fn sum_reports(&self, key: &TallyKey) -> Tally {
-        self.reports
+    fn sum_vm_reports(&self, key: &TallyKey) -> Tally {
+        self.vm_reports
             .iter()
             .filter(|((_, reported), _)| reported == key)
-            .fold(Tally::default(), |sum, (_, dated)| sum + dated.tally)
+            .fold(Tally::default(), |sum, (_, entry)| sum + entry.tally)
     }
 }
 
@@ -325,15 +339,15 @@
     }
 
     #[test]
-    fn a_hall_is_added_up_and_counted_once() {
+    fn a_vms_own_tally_is_counted_once_in_the_total() {
         let now = BootInstant::now();
         let hall = ShortHash(1);
         let (mut a, mut b) = (Tallies::new(hall), Tallies::new(hall));
         a.set(KEY, one(3.0));
         b.set(KEY, one(4.0));
-        let (from_a, from_b) = (a.due(10, now), b.due(10, now));
-        a.report(ShortHash(11), &from_a, now);
-        a.report(ShortHash(12), &from_b, now);
+        let (from_a, from_b) = (a.take_due(10, now), b.take_due(10, now));
+        a.record_report(ShortHash(11), &from_a, now);
+        a.record_report(ShortHash(12), &from_b, now);
         b.merge(&a.entries(10, now), now);
         assert_eq!(a.total(&KEY, now), one(7.0));
         assert_eq!(b.total(&KEY, now), one(7.0));
@@ -342,7 +356,7 @@
     }
 
     #[test]
-    fn what_is_not_renewed_stops_counting() {
+    fn a_total_that_is_not_refreshed_expires() {
         let now = BootInstant::now();
         let mut a = Tallies::new(ShortHash(1));
         let entry = TallyEntry {
@@ -353,19 +367,19 @@
         };
         a.merge(&[entry], now);
         assert_eq!(a.total(&KEY, now), one(5.0));
-        assert_eq!(a.total(&KEY, now + REPORT_LIFETIME), one(0.0));
+        assert_eq!(a.total(&KEY, now + REPORT_MAX_AGE), one(0.0));
     }
 
     #[test]
-    fn only_changes_and_refreshes_are_due() {
+    fn only_changed_or_unrefreshed_tallies_are_due() {
         let now = BootInstant::now();
         let mut a = Tallies::new(ShortHash(1));
         a.set(KEY, one(100.0));
-        assert_eq!(a.due(10, now).len(), 1);
+        assert_eq!(a.take_due(10, now).len(), 1);
         a.set(KEY, one(100.5));
-        assert!(a.due(10, now).is_empty());
+        assert!(a.take_due(10, now).is_empty());
         a.set(KEY, one(110.0));
-        assert_eq!(a.due(10, now).len(), 1);
-        assert_eq!(a.due(10, now + REFRESH).len(), 1);
+        assert_eq!(a.take_due(10, now).len(), 1);
+        assert_eq!(a.take_due(10, now + REFRESH_INTERVAL).len(), 1);
     }
 }
--- a/src/chat_face/view.rs
+++ b/src/chat_face/view.rs
@@ -1,8 +1,8 @@
-//! What this VM believes about the fleet: always usable, never waited for.
+//! This VM's eventually consistent view of the fleet.
 //!
-//! The view is fed by the platform's list, load reports, answers and gossip.
-//! Each item carries its age, and the choice of an upstream reads them as
-//! they are.
+//! The view is updated from the platform's list, load reports, upstream
+//! responses and gossip. Requests never wait for an update: each item carries
+//! its age, and upstream selection uses whatever is known.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -15,7 +15,7 @@
 
 use crate::{
     chat_face::{
-        membership::{LifeChange, Liveness, Membership},
+        membership::{Liveness, LivenessChange, Membership},
         platform_list::{ListedRole, ListedState, ListedVm},
     },
     clock::BootInstant,
@@ -30,11 +30,11 @@
     settings::PeerSettings,
 };
 
-/// Load figures of the own hall older than this are not passed on.
-const PASS_ON_AGE: Duration = Duration::from_secs(3);
+/// Loads of local upstreams older than this are not gossiped on.
+const LOCAL_MAX_AGE: Duration = Duration::from_secs(3);
 
-/// Load figures of other halls older than this are not passed on.
-const PASS_ON_AGE_REMOTE: Duration = Duration::from_secs(30);
+/// Loads of upstreams in other halls older than this are not gossiped on.
+const REMOTE_MAX_AGE: Duration = Duration::from_secs(30);
 
 /// Another entry VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -45,11 +45,11 @@
     pub data_hall: DataHallId,
     /// Where it listens for other VMs.
     pub address: SocketAddr,
-    /// Whether the platform lists it as leaving.
+    /// Whether the platform lists it as about to stop.
     pub leaving: bool,
 }
 
-/// The upstreams, by what they serve.
+/// The listed upstreams, indexed by name, hash, model and service.
 #[derive(Debug, Default)]
 struct Upstreams {
     by_id: HashMap<UpstreamId, Arc<Upstream>>,
@@ -82,31 +82,32 @@
     }
 }
 
-/// What this VM believes about the fleet.
-pub struct View {
+/// The upstreams and entry VMs that this VM knows, and their state.
+pub struct FleetView {
     vm: VmId,
     data_hall: DataHallId,
     upstreams: RwLock<Arc<Upstreams>>,
     peers: RwLock<Arc<Vec<Peer>>>,
-    /// The entry VMs that may own a rate limit, this one included.
+    /// The entry VMs, this one included, among which the owners of an
+    /// upstream's rate limit are chosen.
     roster: RwLock<Roster>,
     members: Mutex<Membership>,
     list_read_at: Mutex<Option<BootInstant>>,
 }
 
-impl View {
-    /// Creates the view of a VM that knows nothing yet.
+impl FleetView {
+    /// Creates an empty view; `vm` is this VM.
     pub fn new(
         vm: VmId,
         data_hall: DataHallId,
         settings: &PeerSettings,
-    ) -> View {
+    ) -> FleetView {
         let members = Membership::new(
             ShortHash::of(vm.as_str()),
             settings.suspect_after,
             settings.dead_after,
         );
-        View {
+        FleetView {
             vm,
             data_hall,
             upstreams: RwLock::default(),
@@ -117,42 +118,44 @@
         }
     }
 
-    /// This VM's name.
+    /// Returns this VM's name.
     pub fn vm(&self) -> &VmId {
         &self.vm
     }
 
-    /// This VM's data hall.
+    /// Returns this VM's data hall.
     pub fn data_hall(&self) -> &DataHallId {
         &self.data_hall
     }
 
-    /// Takes in the platform's list.
+    /// Replaces the known upstreams and peers by those of the platform's
+    /// list.
     ///
-    /// Returns the upstreams that are leaving and were not known to be.
-    pub fn take_list(
+    /// An upstream whose record is unchanged keeps its state. Returns the
+    /// upstreams that are newly known to be leaving.
+    pub fn apply_list(
         &self,
         list: &[ListedVm],
         now: BootInstant,
     ) -> Vec<Arc<Upstream>> {
         let known = self.upstreams();
-        let first = self.list_read_at().is_none();
+        let is_first_list = self.list_read_at().is_none();
         let mut newly_leaving = Vec::new();
         let mut all = Vec::new();
         for listed in list {
             let Some(record) = listed.upstream() else { continue };
-            let held = known.by_id.get(&record.id);
-            let upstream = match held.filter(|u| u.record == record) {
+            let existing = known.by_id.get(&record.id);
+            let upstream = match existing.filter(|u| u.record == record) {
                 Some(upstream) => upstream.clone(),
-                None => Arc::new(Upstream::new(record, !first, now)),
+                None => Arc::new(Upstream::new(record, !is_first_list, now)),
             };
             match listed.state {
                 ListedState::Leaving if upstream.mark_leaving() => {
                     newly_leaving.push(upstream.clone());
                 }
                 ListedState::Leaving => {}
-                // The list lags: another source may know better for a while,
-                // so only a replaced entry starts afresh.
+                // The list lags behind the other sources, so `Live` does not
+                // clear a known `leaving`; only a changed record does.
                 ListedState::Live => {}
             }
             all.push(upstream);
@@ -161,12 +164,13 @@
             Arc::new(Upstreams::new(all));
         *self.peers.write().expect("view lock") =
             Arc::new(self.listed_peers(list));
-        *self.roster.write().expect("view lock") = listed_roster(list);
+        *self.roster.write().expect("view lock") = build_roster(list);
         *self.list_read_at.lock().expect("view lock") = Some(now);
         newly_leaving
     }
 
-    /// What the choice needs to know of an upstream.
+    /// Returns what upstream selection needs to know about an upstream,
+    /// including the wait that its rate limit imposes on this VM.
     pub fn facts(
         &self,
         upstream: &Upstream,
@@ -174,28 +178,28 @@
     ) -> UpstreamFacts {
         let facts = upstream.facts(&self.data_hall, now);
         let (vm, hall) = (self.vm.as_str(), &upstream.record.data_hall);
-        let word = &upstream.own_word;
+        let statements = &upstream.own_word;
         let limit =
-            word.limit_wait(&self.roster, vm, upstream.short, hall, now);
+            statements.limit_wait(&self.roster, vm, upstream.short, hall, now);
         UpstreamFacts { backoff: facts.backoff.max(limit), ..facts }
     }
 
-    /// Notes that the list was read and had not changed.
-    pub fn list_unchanged(&self, now: BootInstant) {
+    /// Records that the list was read at `now` and had not changed.
+    pub fn mark_list_unchanged(&self, now: BootInstant) {
         *self.list_read_at.lock().expect("view lock") = Some(now);
     }
 
-    /// When the list was last read.
+    /// Returns when the list was last read; `None` before the first time.
     pub fn list_read_at(&self) -> Option<BootInstant> {
         *self.list_read_at.lock().expect("view lock")
     }
 
-    /// The replicas of a model.
+    /// Returns the replicas of a model.
     pub fn model_upstreams(&self, model: &ModelId) -> Vec<Arc<Upstream>> {
         self.upstreams().by_model.get(model).cloned().unwrap_or_default()
     }
 
-    /// The replicas of a plain service.
+    /// Returns the replicas of a plain service.
     pub fn service_upstreams(
         &self,
         service: &ServiceId,
@@ -204,12 +208,12 @@
         upstreams.by_service.get(service).cloned().unwrap_or_default()
     }
 
-    /// Every upstream.
+    /// Returns all listed upstreams, in no particular order.
     pub fn all_upstreams(&self) -> Vec<Arc<Upstream>> {
         self.upstreams().by_id.values().cloned().collect()
     }
 
-    /// The upstream of a short hash.
+    /// Returns the upstream whose name has this short hash.
     pub fn upstream_by_short(
         &self,
         short: ShortHash,
@@ -217,33 +221,34 @@
         self.upstreams().by_short.get(&short).cloned()
     }
 
-    /// The upstreams of this hall whose load this VM should ask for.
+    /// Returns the local upstreams whose load this VM polls.
+    ///
+    /// Each upstream is assigned to one live VM of the hall by rendezvous
+    /// hashing.
     pub fn upstreams_to_poll(&self) -> Vec<Arc<Upstream>> {
-        let members = self.live_hall_vms();
-        let mine = |upstream: &Arc<Upstream>| {
+        let vms = self.live_hall_vms();
+        let is_assigned = |upstream: &Arc<Upstream>| {
             upstream.record.data_hall == self.data_hall && {
                 let subject = upstream.record.id.as_str().as_bytes();
-                let ranked = rendezvous::rank(
-                    subject,
-                    members.iter().map(VmId::as_str),
-                );
+                let ranked =
+                    rendezvous::rank(subject, vms.iter().map(VmId::as_str));
                 ranked.first() == Some(&self.vm.as_str())
             }
         };
-        self.all_upstreams().into_iter().filter(mine).collect()
+        self.all_upstreams().into_iter().filter(is_assigned).collect()
     }
 
-    /// All other entry VMs that the platform lists.
+    /// Returns all other entry VMs that the platform lists.
     pub fn peers(&self) -> Arc<Vec<Peer>> {
         self.peers.read().expect("view lock").clone()
     }
 
-    /// The entry VM of a name.
+    /// Returns another entry VM by name, if it is listed.
     pub fn peer(&self, vm: &VmId) -> Option<Peer> {
         self.peers().iter().find(|peer| peer.vm == *vm).cloned()
     }
 
-    /// The other entry VMs of this hall that live, as far as known.
+    /// Returns the other entry VMs of this hall that are believed alive.
     pub fn live_hall_peers(&self) -> Vec<Peer> {
         let members = self.members.lock().expect("members lock");
         self.peers()
@@ -254,7 +259,7 @@
             .collect()
     }
 
-    /// The live entry VMs of this hall, this one included, sorted.
+    /// Returns the live entry VMs of this hall, this one included, by name.
     pub fn live_hall_vms(&self) -> Vec<VmId> {
         let peers = self.live_hall_peers();
         let mut vms: Vec<VmId> =
@@ -264,8 +269,8 @@
         vms
     }
 
-    /// The live entry VMs of this hall in the order in which they come into
-    /// question for `subject`.
+    /// Returns the live entry VMs of this hall, this one included, in
+    /// rendezvous order for `subject`, the preferred one first.
     pub fn ranked_hall_vms(&self, subject: &[u8]) -> Vec<VmId> {
         let mut vms = self.live_hall_vms();
         vms.sort_by_cached_key(|vm| {
@@ -275,7 +280,8 @@
         vms
     }
 
-    /// The data halls with entry VMs, this one included, sorted.
+    /// Returns the data halls with listed entry VMs and this VM's own, by
+    /// name.
     pub fn data_halls(&self) -> Vec<DataHallId> {
         let mut halls: BTreeSet<DataHallId> =
             self.peers().iter().map(|peer| peer.data_hall.clone()).collect();
@@ -283,42 +289,46 @@
         halls.into_iter().collect()
     }
 
-    /// Takes in signs of life.
-    pub fn observe_beats(
+    /// Records heartbeats and returns the changes in liveness.
+    pub fn observe_heartbeats(
         &self,
-        beats: &[Beat],
+        heartbeats: &[Beat],
         now: BootInstant,
-    ) -> Vec<LifeChange> {
+    ) -> Vec<LivenessChange> {
         let mut members = self.members.lock().expect("members lock");
-        beats.iter().filter_map(|beat| members.observe(beat, now)).collect()
+        heartbeats
+            .iter()
+            .filter_map(|heartbeat| members.observe(heartbeat, now))
+            .collect()
     }
 
-    /// Judges silence.
-    pub fn tick(&self, now: BootInstant) -> Vec<LifeChange> {
+    /// Runs the failure detector; see [`Membership::tick`].
+    pub fn tick(&self, now: BootInstant) -> Vec<LivenessChange> {
         self.members.lock().expect("members lock").tick(now)
     }
 
-    /// The latest signs of life.
-    pub fn beats(&self, limit: usize) -> Vec<Beat> {
-        self.members.lock().expect("members lock").beats(limit)
+    /// Returns the latest heartbeats, to be gossiped on.
+    pub fn heartbeats(&self, limit: usize) -> Vec<Beat> {
+        self.members.lock().expect("members lock").heartbeats(limit)
     }
 
-    /// The life that is believed of a VM of this hall.
+    /// Returns the latest known incarnation of another VM of this hall and
+    /// its liveness; `None` where no heartbeat of it is known.
     pub fn liveness(&self, vm: &VmId) -> Option<(Incarnation, Liveness)> {
         let members = self.members.lock().expect("members lock");
         let member = members.get(ShortHash::of(vm.as_str()))?;
-        Some((member.incarnation, member.life))
+        Some((member.incarnation, member.liveness))
     }
 
-    /// The number of other VMs of this hall, by belief.
-    pub fn count(&self, life: Liveness) -> usize {
-        self.members.lock().expect("members lock").count(life)
+    /// Returns the number of other VMs of this hall with this liveness.
+    pub fn count(&self, liveness: Liveness) -> usize {
+        self.members.lock().expect("members lock").count(liveness)
     }
 
-    /// Takes in load figures that another VM passed on.
+    /// Applies loads that another VM gossiped.
     ///
-    /// Returns the upstreams that are leaving and were not known to be.
-    pub fn take_loads(
+    /// Returns the upstreams that are newly known to be leaving.
+    pub fn apply_loads(
         &self,
         entries: &[LoadEntry],
         now: BootInstant,
@@ -342,31 +352,35 @@
         newly_leaving
     }
 
-    /// Loads for passing on: the newest of this hall's upstreams, and some
-    /// of other halls' drawn at random.
+    /// Returns loads to be gossiped on: the newest of local upstreams, and a
+    /// random sample of those in other halls.
     ///
-    /// What other halls have loaded changes rarely, and matters when this
-    /// hall cannot serve a request.
+    /// A sample is enough for other halls: their load matters only when this
+    /// hall cannot serve a request, and which versions they have loaded
+    /// changes rarely.
     pub fn loads(
         &self,
-        local: usize,
-        remote: usize,
+        local_limit: usize,
+        remote_limit: usize,
         now: BootInstant,
     ) -> Vec<LoadEntry> {
-        let (near, far): (Vec<_>, Vec<_>) = self
+        let (local_upstreams, remote_upstreams): (Vec<_>, Vec<_>) = self
             .all_upstreams()
             .into_iter()
             .partition(|u| u.record.data_hall == self.data_hall);
-        let mut entries: Vec<LoadEntry> = near
+        let mut entries: Vec<LoadEntry> = local_upstreams
             .iter()
-            .filter_map(|upstream| load_entry(upstream, PASS_ON_AGE, now))
+            .filter_map(|upstream| load_entry(upstream, LOCAL_MAX_AGE, now))
             .collect();
         entries.sort_by_key(|entry| entry.age_ms);
-        entries.truncate(local);
-        let drawn = far.choose_multiple(&mut rand::rng(), remote);
-        entries.extend(drawn.filter_map(|upstream| {
-            load_entry(upstream, PASS_ON_AGE_REMOTE, now)
-        }));
+        entries.truncate(local_limit);
+        let sampled =
+            remote_upstreams.choose_multiple(&mut rand::rng(), remote_limit);
+        entries.extend(
+            sampled.filter_map(|upstream| {
+                load_entry(upstream, REMOTE_MAX_AGE, now)
+            }),
+        );
         entries
     }
 
@@ -390,8 +404,8 @@
     }
 }
 
-/// The entry VMs that the platform lists and that take requests.
-fn listed_roster(list: &[ListedVm]) -> Roster {
+/// Collects the entry VMs that the platform lists as live.
+fn build_roster(list: &[ListedVm]) -> Roster {
     let mut roster = Roster::default();
     for listed in list.iter().filter(|one| one.state == ListedState::Live) {
         if let ListedRole::Entry { vm } = &listed.role {
@@ -403,35 +417,38 @@
 
 fn load_entry(
     upstream: &Upstream,
-    oldest: Duration,
+    max_age: Duration,
     now: BootInstant,
 ) -> Option<LoadEntry> {
     let load = upstream.load()?;
     let age = now.saturating_duration_since(load.at);
-    if age > oldest {
+    if age > max_age {
         return None;
     }
-    let small = |value: u32| value.min(u16::MAX.into()) as u16;
+    let saturate = |value: u32| value.min(u16::MAX.into()) as u16;
     Some(LoadEntry {
         upstream: upstream.short,
         age_ms: age.as_millis() as u16,
-        running: small(load.running),
-        waiting: small(load.waiting),
+        running: saturate(load.running),
+        waiting: saturate(load.waiting),
         slots: upstream.record.slots,
         leaving: upstream.is_leaving(),
         versions: load.versions,
     })
 }
 
-/// Logs what changed in the belief about other VMs.
-pub(crate) fn log_life_changes(view: &View, changes: &[LifeChange]) {
+/// Logs an event for each change in the liveness of another VM.
+pub(crate) fn log_liveness_changes(
+    view: &FleetView,
+    changes: &[LivenessChange],
+) {
     for change in changes {
         let peers = view.peers();
         let name = peers
             .iter()
             .find(|peer| ShortHash::of(peer.vm.as_str()) == change.vm)
             .map_or("(not listed)", |peer| peer.vm.as_str());
-        let event = match change.life {
+        let event = match change.liveness {
             Liveness::Alive => Event::PeerAlive,
             Liveness::Suspected => Event::PeerSuspected,
             Liveness::Dead => Event::PeerDead,
--- a/src/chat_face/vm.rs
+++ b/src/chat_face/vm.rs
@@ -34,7 +34,7 @@
         session::SessionKeys,
         steward::Steward,
         tally::Tallies,
-        view::View,
+        view::FleetView,
     },
     clock::{BootInstant, SharedClock},
     event::Event,
@@ -74,7 +74,7 @@
     pub(crate) configuration: ConfigurationCell,
     pub(crate) recent_changes: Mutex<VecDeque<Change>>,
     pub(crate) configuration_sources: (Sender<VmId>, Receiver<VmId>),
-    pub(crate) view: View,
+    pub(crate) view: FleetView,
     pub(crate) tallies: Mutex<Tallies>,
     pub(crate) limits: Limits,
     pub(crate) queue: Arc<Gate>,
@@ -97,7 +97,7 @@
     in_flight: UnderWay,
     incarnation: Incarnation,
     next_sequence: AtomicU64,
-    next_beat: AtomicU32,
+    next_heartbeat: AtomicU32,
     has_started: AtomicBool,
     is_stopping: AtomicBool,
 }
@@ -133,7 +133,7 @@
             configuration: ConfigurationCell::new(),
             recent_changes: Mutex::default(),
             configuration_sources: smol::channel::bounded(1),
-            view: View::new(
+            view: FleetView::new(
                 settings.vm.clone(),
                 hall.clone(),
                 &settings.peers,
@@ -164,7 +164,7 @@
             in_flight: UnderWay::default(),
             incarnation,
             next_sequence: AtomicU64::new(1),
-            next_beat: AtomicU32::new(1),
+            next_heartbeat: AtomicU32::new(1),
             has_started: AtomicBool::new(false),
             is_stopping: AtomicBool::new(false),
             settings,
@@ -213,8 +213,8 @@
     }
 
     /// The next heartbeat.
-    pub(crate) fn next_beat(&self) -> u32 {
-        self.next_beat.fetch_add(1, Ordering::Relaxed)
+    pub(crate) fn next_heartbeat(&self) -> u32 {
+        self.next_heartbeat.fetch_add(1, Ordering::Relaxed)
     }
 
     /// Counts a request as in flight while the guard lives.
@@ -345,15 +345,15 @@
     }
 
     fn update_peer_gauges(&self) {
-        let lives = [
+        let all = [
             Liveness::Alive,
             Liveness::Suspected,
             Liveness::Dead,
             Liveness::Leaving,
         ];
-        for life in lives {
-            let count = self.view.count(life) as i64;
-            let labels = &[life.as_str()];
+        for liveness in all {
+            let count = self.view.count(liveness) as i64;
+            let labels = &[liveness.as_str()];
             self.metrics.peers.with_label_values(labels).set(count);
         }
         let reports = self.claims.reports();
