--- a/src/chat_face/load.rs
+++ b/src/chat_face/load.rs
@@ -1,4 +1,7 @@
-//! Load reports of upstreams, asked for by one VM and told to its hall.
+//! Polling of the upstreams' load reports.
+//!
+//! Each upstream is polled by one VM of its data hall, which gossips the
+//! report to the others.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,27 +20,28 @@
     task,
 };
 
-/// Longest time that one report may take.
-const REPORT_LIMIT: Duration = Duration::from_millis(400);
+/// Timeout of one poll.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(400);
 
 const REPORT_LIMIT_BYTES: u64 = 64 * 1024;
 
-/// The load that an upstream reports of itself.
+/// The load report of an upstream, as JSON from its `/load`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests that it works on.
+    /// Requests that it is processing.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests in its own queue.
     pub waiting: u32,
-    /// Versions that it has loaded, as `model@version`.
+    /// Model versions that it has loaded, as `model@version`.
     #[serde(default)]
     pub versions: Vec<String>,
-    /// Whether it is leaving.
+    /// Whether it is about to stop and must get no new requests.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// Asks this VM's share of the upstreams for their load, while polled.
+/// Polls the load of the upstreams that are assigned to this VM, with 10 %
+/// jitter; never returns.
 pub(crate) async fn poll_loop(vm: Arc<Vm>) {
     loop {
         let jitter = 0.9 + 0.2 * rand::random::<f64>();
@@ -61,21 +65,23 @@
 }
 
 async fn poll(vm: &Arc<Vm>, upstream: &Arc<Upstream>) {
-    let asked_at = vm.clock.now();
+    let sent_at = vm.clock.now();
     let call = Call::new(upstream.record.address, Method::GET, "/load");
-    let answer = vm.http.fetch(call, REPORT_LIMIT, REPORT_LIMIT_BYTES).await;
-    let Ok(answer) = answer else { return };
-    if answer.status != 200 {
+    let response =
+        vm.http.fetch(call, REPORT_TIMEOUT, REPORT_LIMIT_BYTES).await;
+    let Ok(response) = response else { return };
+    if response.status != 200 {
         return;
     }
-    let Ok(report) = serde_json::from_slice::<LoadReport>(&answer.body) else {
+    let Ok(report) = serde_json::from_slice::<LoadReport>(&response.body)
+    else {
         return;
     };
     let versions =
         report.versions.iter().map(|name| ShortHash::of(name)).collect();
-    upstream.set_load(report.running, report.waiting, versions, asked_at);
+    upstream.set_load(report.running, report.waiting, versions, sent_at);
     if report.leaving && upstream.mark_leaving() {
-        log_leaving(upstream, "by its own report");
+        log_leaving(upstream, "reported by its load report");
         Gossiper::broadcast_notice(vm, Notice::Leaving(upstream.short)).await;
     }
 }
--- a/src/chat_face/rating.rs
+++ b/src/chat_face/rating.rs
@@ -1,4 +1,4 @@
-//! The platform's rating service: how good was this answer?
+//! Client of the platform's rating service, which scores answers.
 
 use std::time::Duration;
 
@@ -12,39 +12,39 @@
     unit::Share,
 };
 
-/// Longest time of one rating.
-const RATING_LIMIT: Duration = Duration::from_secs(3);
+/// Timeout of one rating.
+const RATING_TIMEOUT: Duration = Duration::from_secs(3);
 
-const ANSWER_LIMIT_BYTES: u64 = 4096;
+const RESPONSE_LIMIT_BYTES: u64 = 4096;
 
-/// What is to be rated.
+/// A request to rate an answer, sent as JSON.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RatingRequest {
-    /// Who asked.
+    /// The organisation whose request was answered.
     pub organisation: OrganisationId,
-    /// The task.
+    /// The name of the task, by which evidence is grouped.
     pub task: String,
     /// The model that answered.
     pub model: ModelId,
     /// Its version.
     pub version: VersionId,
-    /// What was asked.
+    /// The text of the prompt's last message.
     pub prompt: String,
-    /// The answer.
+    /// The text of the answer.
     pub answer: String,
 }
 
-/// A rating.
+/// The reply of the rating service.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Rating {
-    /// How good the answer is.
+    /// The quality of the answer, from 0 to 1.
     pub score: Share,
 }
 
-/// Asks the service at a URL that the settings checked.
+/// Requests a rating from the service at `url`, which the settings have
+/// validated.
 ///
-/// `None` means that there is no rating, for whatever reason; the caller
-/// then goes on without one.
+/// Returns `None` on any failure; the caller then continues without a rating.
 pub(crate) async fn rate(
     client: &HttpClient,
     url: &str,
@@ -55,11 +55,11 @@
     let call = Call::new(address, Method::POST, path)
         .header("content-type", "application/json")
         .body(body);
-    let answer =
-        client.fetch(call, RATING_LIMIT, ANSWER_LIMIT_BYTES).await.ok()?;
-    if answer.status != 200 {
+    let response =
+        client.fetch(call, RATING_TIMEOUT, RESPONSE_LIMIT_BYTES).await.ok()?;
+    if response.status != 200 {
         return None;
     }
-    let rating: Rating = serde_json::from_slice(&answer.body).ok()?;
+    let rating: Rating = serde_json::from_slice(&response.body).ok()?;
     Some(rating.score)
 }
--- a/src/chat_face/statement.rs
+++ b/src/chat_face/statement.rs
@@ -1,4 +1,4 @@
-//! What upstreams of the own interface say of themselves in their answers.
+//! Signals about an upstream in the status and headers of its responses.
 
 use hyper::HeaderMap;
 
@@ -14,15 +14,18 @@
     unit::RequestRate,
 };
 
-/// The header by which an upstream says that it is leaving, with the value 1.
-const LEAVING: &str = "lupinseam-leaving";
+/// The response header with which an upstream announces that it is about to
+/// stop; its value is then `1`.
+const LEAVING_HEADER: &str = "lupinseam-leaving";
 
-/// The header by which an upstream names the requests that it takes in a
-/// second from all VMs together, a decimal number.
-const RATE_LIMIT: &str = "lupinseam-rate-limit";
+/// The response header with which an upstream limits the requests per second
+/// that it accepts from all VMs together; its value is a decimal number.
+const RATE_LIMIT_HEADER: &str = "lupinseam-rate-limit";
 
 impl Core {
-    /// Takes in what an upstream says of itself in an answer.
+    /// Applies the signals in a response to the upstream's state, and sends
+    /// the other VMs of the data hall a notice of those that they should know
+    /// at once.
     pub(super) fn apply_upstream_statement(
         &self,
         chosen: &Chosen,
@@ -30,18 +33,20 @@
         headers: &HeaderMap,
     ) {
         let upstream = &chosen.upstream;
-        let statement = read_statement(status, headers);
+        let statement = parse_statement(status, headers);
         let (draw, now) = (rand::random(), self.vm.clock.now());
-        let word = &upstream.own_word;
-        for news in word.take(&statement, draw, chosen.chosen_at, now) {
-            match &news {
-                OwnNews::Leaving => log_leaving(upstream, "by its own answer"),
+        let reported = &upstream.own_word;
+        for change in reported.take(&statement, draw, chosen.chosen_at, now) {
+            match &change {
+                OwnNews::Leaving => {
+                    log_leaving(upstream, "reported by its response")
+                }
                 other => {
                     let id = &upstream.record.id;
                     other.event().log(format_args!("upstream {id}"));
                 }
             }
-            let Some(notice) = notice_of(&news, upstream.short) else {
+            let Some(notice) = notice_for(&change, upstream.short) else {
                 continue;
             };
             let vm = self.vm.clone();
@@ -53,23 +58,28 @@
     }
 }
 
-/// Reads what an upstream says of itself in the head of an answer.
-fn read_statement(status: u16, headers: &HeaderMap) -> Statement {
-    let ran = ![STATUS_UNAVAILABLE, STATUS_NOT_LOADED].contains(&status);
+/// Reads the signals from the head of a response.
+fn parse_statement(status: u16, headers: &HeaderMap) -> Statement {
+    let was_executed =
+        ![STATUS_UNAVAILABLE, STATUS_NOT_LOADED].contains(&status);
     Statement {
-        is_leaving: headers.get(LEAVING).is_some_and(|v| v == "1"),
+        is_leaving: headers.get(LEAVING_HEADER).is_some_and(|v| v == "1"),
         rest: Rest::read(status, headers),
-        rate_limit: RateLimit::read(headers.get_all(RATE_LIMIT), ran),
+        rate_limit: RateLimit::read(
+            headers.get_all(RATE_LIMIT_HEADER),
+            was_executed,
+        ),
         load: None,
     }
 }
 
-/// What the other VMs of the data hall are to know at once.
-fn notice_of(news: &OwnNews, upstream: ShortHash) -> Option<Notice> {
+/// Returns the notice to send to the other VMs of the data hall, if the
+/// change concerns them.
+fn notice_for(change: &OwnNews, upstream: ShortHash) -> Option<Notice> {
     let limit = |rate: Option<RequestRate>| {
         Notice::RateLimit(ToldLimit { upstream, rate, age_ms: 0 })
     };
-    match news {
+    match change {
         OwnNews::Leaving => Some(Notice::Leaving(upstream)),
         OwnNews::Limited(rate) => Some(limit(Some(*rate))),
         OwnNews::Unlimited => Some(limit(None)),
--- a/src/chat_face/steward.rs
+++ b/src/chat_face/steward.rs
@@ -1,9 +1,11 @@
-//! The steward of a data hall: the one VM that gives orders to upstreams.
+//! The steward of a data hall: the elected VM that orders upstreams to load
+//! and unload model versions.
 //!
-//! The steward holds a lease with an epoch. It checks the lease at the last
-//! moment before each order is sent, and its successor waits out the lease
-//! and the longest send. For upstreams that do not check the epoch, this is
-//! the only guard against two stewards.
+//! The steward holds a lease whose epoch serves as a fencing token. It checks
+//! the lease immediately before it sends an order, and a successor waits for
+//! the lease duration plus the longest send before it takes over. For
+//! upstreams that do not check the epoch, this is the only protection against
+//! orders from two stewards.
 
 use std::{
     sync::{Arc, Mutex},
@@ -27,13 +29,15 @@
     task,
 };
 
-/// Steps of the lease and looks at the upstreams, by share of the lease.
+/// How often within the lease duration the lease is renewed or watched, and
+/// the upstreams are checked.
 const STEPS_PER_LEASE: u32 = 12;
 
-/// Time that an upstream is given to carry out an order before the next.
-const ORDER_PAUSE: Duration = Duration::from_secs(5);
+/// How long the steward waits for the effect of an order before it sends the
+/// next one.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What an upstream is to do.
+/// What an order tells the upstream to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderAction {
@@ -43,21 +47,21 @@
     Unload,
 }
 
-/// An order to an upstream.
+/// An order to an upstream, sent as JSON to its `/orders`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// The epoch of the steward; an upstream that checks it refuses a lower
-    /// one than it has seen.
+    /// The epoch of the steward's lease; an upstream that checks it refuses
+    /// an epoch lower than the highest that it has seen.
     pub epoch: Epoch,
-    /// The steward.
+    /// The VM that sends the order.
     pub steward: VmLife,
-    /// What to do.
+    /// What to do with the version.
     pub action: OrderAction,
-    /// With which version, as `model@version`.
+    /// The version, as `model@version`.
     pub version: String,
 }
 
-/// The state of one VM's stewardship.
+/// One VM's side of the election, and the orders it sends while elected.
 pub(crate) struct Steward {
     lease: smol::lock::Mutex<Lease>,
     last_order: Mutex<Option<(Order, BootInstant)>>,
@@ -83,43 +87,44 @@
         }
     }
 
-    /// The epoch, while this VM was the steward at the last step.
+    /// Returns the lease's epoch if this VM was the steward at the last step.
     pub(crate) fn epoch(&self) -> Option<Epoch> {
         *self.epoch.lock().expect("steward lock")
     }
 
-    /// Keeps the lease and gives orders, for as long as polled.
+    /// Takes or renews the lease, and sends orders while this VM holds it;
+    /// never returns.
     pub(crate) async fn run_loop(vm: Arc<Vm>) {
-        let pause = vm.settings.steward.lease_ttl / STEPS_PER_LEASE;
+        let interval = vm.settings.steward.lease_ttl / STEPS_PER_LEASE;
         loop {
-            task::sleep(pause).await;
-            let is_wanted = !vm.is_stopping() && comes_into_question(&vm);
-            vm.steward.step(&vm, is_wanted).await;
+            task::sleep(interval).await;
+            let is_candidate = !vm.is_stopping() && is_lease_candidate(&vm);
+            vm.steward.step(&vm, is_candidate).await;
             if vm.steward.epoch().is_some() {
-                vm.steward.give_order(&vm).await;
+                vm.steward.send_next_order(&vm).await;
             }
         }
     }
 
-    /// Gives the lease back, for a planned stop.
+    /// Releases the lease, for a planned stop.
     pub(crate) async fn release(&self, vm: &Vm) {
         let mut lease = self.lease.lock().await;
-        // Without the store the lease runs out instead.
+        // If the store cannot be reached, the lease expires instead.
         let _ = lease.release(&*vm.store).await;
         *self.epoch.lock().expect("steward lock") = None;
     }
 
-    async fn step(&self, vm: &Vm, is_wanted: bool) {
+    async fn step(&self, vm: &Vm, is_candidate: bool) {
         let mut lease = self.lease.lock().await;
         let clock = vm.clock.clone();
         let now = move || clock.now();
-        let change = lease.step(&*vm.store, &now, is_wanted).await;
+        let change = lease.step(&*vm.store, &now, is_candidate).await;
         let epoch = lease.epoch(vm.clock.now());
-        let had = std::mem::replace(
+        let previous = std::mem::replace(
             &mut *self.epoch.lock().expect("steward lock"),
             epoch,
         );
-        match (change, had, epoch) {
+        match (change, previous, epoch) {
             (Ok(LeaseChange::Taken(epoch)), ..) => {
                 Event::StewardTaken.log(format_args!("epoch {}", epoch.0));
             }
@@ -130,12 +135,13 @@
         }
     }
 
-    /// Gives one order, if any is due.
+    /// Sends the next order, unless the last one is still pending.
     ///
-    /// One at a time keeps the weight store within its rate, and a version
-    /// that cannot be loaded from being ordered everywhere at once.
-    async fn give_order(&self, vm: &Arc<Vm>) {
-        if self.is_waiting_for_last(vm) {
+    /// One order at a time keeps the load on the store of model weights
+    /// within its rate, and keeps a version that fails to load from being
+    /// ordered at all upstreams at once.
+    async fn send_next_order(&self, vm: &Arc<Vm>) {
+        if self.is_last_order_pending(vm) {
             return;
         }
         let Some((upstream, action, version)) = next_order(vm) else {
@@ -163,12 +169,12 @@
         *self.last_order.lock().expect("steward lock") = Some((order, now));
     }
 
-    /// Whether the last order may still be being carried out.
-    fn is_waiting_for_last(&self, vm: &Vm) -> bool {
+    /// Returns whether the last order may still be in progress.
+    fn is_last_order_pending(&self, vm: &Vm) -> bool {
         let last = self.last_order.lock().expect("steward lock");
         let Some((order, at)) = &*last else { return false };
-        let passed = vm.clock.now().saturating_duration_since(*at);
-        passed < ORDER_PAUSE && !is_carried_out(vm, order)
+        let elapsed = vm.clock.now().saturating_duration_since(*at);
+        elapsed < ORDER_TIMEOUT && !is_complete(vm, order)
     }
 
     async fn send(
@@ -187,36 +193,39 @@
         let answer = vm.http.send_checked(call, limit, &may_send).await?;
         match answer {
             200 => Ok(()),
-            status => Err(SendError::Broken(format!("answered {status}"))),
+            status => Err(SendError::Broken(format!("status {status}"))),
         }
     }
 
-    /// Whether the lease outlasts a send that begins now.
-    fn may_send(&self, vm: &Vm, epoch: Epoch, longest: Duration) -> bool {
-        // The lease is free: its only other user is the loop that calls
-        // this.
+    /// Returns whether this VM still holds the lease for the whole duration
+    /// of a send that begins now.
+    fn may_send(&self, vm: &Vm, epoch: Epoch, send_limit: Duration) -> bool {
+        // The loop that calls this does not hold the lock here. If `release`
+        // does, the VM is stopping and sends nothing.
         let Some(lease) = self.lease.try_lock() else { return false };
-        lease.epoch(vm.clock.now() + longest) == Some(epoch)
+        lease.epoch(vm.clock.now() + send_limit) == Some(epoch)
     }
 }
 
-/// Whether this VM is first in line for the lease, so that not all ask.
-fn comes_into_question(vm: &Vm) -> bool {
-    const IN_LINE: usize = 2;
+/// Returns whether this VM is among the first VMs in rendezvous order, which
+/// alone try to take the lease, to spare the store.
+fn is_lease_candidate(vm: &Vm) -> bool {
+    const CANDIDATES: usize = 2;
     let subject = format!("steward of {}", vm.view.data_hall());
     let ranked = vm.view.ranked_hall_vms(subject.as_bytes());
-    ranked.iter().take(IN_LINE).any(|name| name == vm.view.vm())
+    ranked.iter().take(CANDIDATES).any(|name| name == vm.view.vm())
 }
 
-/// The next difference between what is and what should be loaded.
+/// Returns the first upstream, by name, whose loaded versions differ from the
+/// configuration, with the action that removes one difference.
 fn next_order(vm: &Vm) -> Option<(Arc<Upstream>, OrderAction, String)> {
     let configuration = vm.configuration.current();
     let mut upstreams = vm.view.all_upstreams();
     upstreams.sort_by(|a, b| a.record.id.cmp(&b.record.id));
     for upstream in &upstreams {
-        let own_hall = upstream.record.data_hall == *vm.view.data_hall();
+        let is_local = upstream.record.data_hall == *vm.view.data_hall();
         let Serves::Model(model) = &upstream.record.serves else { continue };
-        let Some(load) = upstream.load().filter(|_| own_hall) else {
+        let Some(load) = upstream.load().filter(|_| is_local) else {
             continue;
         };
         if upstream.is_leaving() {
@@ -237,8 +246,9 @@
     None
 }
 
-/// Whether the load reports show an order's effect anywhere still missing.
-fn is_carried_out(vm: &Vm, order: &Order) -> bool {
+/// Returns whether the load reports show that an order has taken effect: the
+/// next difference is no longer one that the same order would remove.
+fn is_complete(vm: &Vm, order: &Order) -> bool {
     let version = ShortHash::of(&order.version);
     match next_order(vm) {
         Some((_, action, next)) => {
