--- a/src/chat_face/platform_list.rs
+++ b/src/chat_face/platform_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of VMs: what it looks like and how it is read.
+//! Format and client of the platform's list of VMs.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -14,65 +14,66 @@
 
 const LIST_LIMIT_BYTES: u64 = 4 << 20;
 
-/// Longest time of one read.
-const READ_LIMIT: Duration = Duration::from_secs(2);
+/// Timeout of one read of the list.
+const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Whether a VM is to be given work.
+/// The state of a VM according to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedState {
-    /// It works.
+    /// It is in service.
     Live,
-    /// It will stop soon and must get no new work.
+    /// It is about to stop and must get no new work.
     Leaving,
 }
 
-/// What a listed VM is for.
+/// The role of a listed VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedRole {
-    /// An entry VM of this system.
+    /// An entry VM, which runs this program.
     Entry {
-        /// Its name.
+        /// The name of the VM.
         vm: VmId,
     },
     /// A replica of a model.
     Model {
-        /// Its name.
+        /// The name of the replica.
         upstream: UpstreamId,
-        /// The model.
+        /// The model that it serves.
         model: ModelId,
-        /// Requests that it can work on at once.
+        /// The number of requests that it can process concurrently.
         slots: u16,
-        /// Whether it checks the epoch of orders.
+        /// Whether it refuses orders with an outdated epoch.
         checks_fence: bool,
     },
     /// A replica of a plain service.
     Service {
-        /// Its name.
+        /// The name of the replica.
         upstream: UpstreamId,
-        /// The service.
+        /// The service that it provides.
         service: ServiceId,
-        /// Requests that it can work on at once.
+        /// The number of requests that it can process concurrently.
         slots: u16,
     },
 }
 
-/// One VM of the list.
+/// One entry of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedVm {
-    /// What it is for.
+    /// The role of the VM.
     pub role: ListedRole,
-    /// Its data hall.
+    /// The data hall in which the VM runs.
     pub data_hall: DataHallId,
-    /// Where it listens: for entry VMs the peer port, else HTTP.
+    /// The address on which it listens: the peer port of an entry VM, the
+    /// HTTP port of an upstream.
     pub address: SocketAddr,
-    /// Whether it is to be given work.
+    /// Whether it is in service or about to stop.
     pub state: ListedState,
 }
 
 impl ListedVm {
-    /// The upstream that the entry describes, if it is one.
+    /// Returns the record of the upstream, or `None` for an entry VM.
     pub fn upstream(&self) -> Option<UpstreamRecord> {
         let (id, serves, slots, checks_fence) = match &self.role {
             ListedRole::Entry { .. } => return None,
@@ -96,7 +97,8 @@
     }
 }
 
-/// Reads the list, and only what changed when nothing did.
+/// Reads the list with conditional requests, so that an unchanged list is not
+/// transferred again.
 pub(crate) struct ListReader {
     client: HttpClient,
     address: SocketAddr,
@@ -105,13 +107,15 @@
 }
 
 impl ListReader {
-    /// Creates a reader of the list at a URL that the settings checked.
+    /// Creates a reader of the list at `url`, which the settings have
+    /// validated.
     pub(crate) fn new(url: &str, client: HttpClient) -> ListReader {
         let (address, path) = split_url(url);
         ListReader { client, address, path, etag: None }
     }
 
-    /// Reads the list; `None` means that it did not change.
+    /// Reads the list. Returns `None` if it has not changed since the last
+    /// read.
     pub(crate) async fn read(
         &mut self,
     ) -> Result<Option<Vec<ListedVm>>, String> {
@@ -119,20 +123,20 @@
         if let Some(etag) = &self.etag {
             call = call.header("if-none-match", etag);
         }
-        let answer = self
+        let response = self
             .client
-            .fetch(call, READ_LIMIT, LIST_LIMIT_BYTES)
+            .fetch(call, READ_TIMEOUT, LIST_LIMIT_BYTES)
             .await
             .map_err(|error| error.to_string())?;
-        match answer.status {
+        match response.status {
             304 => Ok(None),
             200 => {
-                let list = serde_json::from_slice(&answer.body)
+                let list = serde_json::from_slice(&response.body)
                     .map_err(|error| error.to_string())?;
-                self.etag = answer.header("etag").map(str::to_owned);
+                self.etag = response.header("etag").map(str::to_owned);
                 Ok(Some(list))
             }
-            status => Err(format!("the list answered {status}")),
+            status => Err(format!("unexpected status {status}")),
         }
     }
 }
--- a/src/chat_face/session.rs
+++ b/src/chat_face/session.rs
@@ -1,8 +1,9 @@
-//! Session tokens: the version of a session, kept by the caller.
+//! Stateless session tokens, which pin a session to a model version.
 //!
-//! A token holds the organisation, the model and version, and an expiry,
-//! authenticated under a key derived from the cluster key. There is no table
-//! of sessions, so any VM can take any request of a session.
+//! A token contains the organisation, the model and version, and an expiry
+//! time, authenticated with a key derived from the cluster key. The caller
+//! sends it with each request of the session. No VM stores sessions, so any
+//! VM can serve any request of a session.
 
 use data_encoding::BASE64URL_NOPAD;
 use serde::{Deserialize, Serialize};
@@ -16,62 +17,66 @@
 const TAG_BYTES: usize = 16;
 const TOKEN_LIMIT_BYTES: usize = 1024;
 
-/// What a session is bound to.
+/// The contents of a session token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Session {
-    /// A number that no other session has, but by chance.
+    /// A number that is unique with high probability.
     pub number: u64,
-    /// The organisation.
+    /// The organisation that may use the session.
     pub organisation: OrganisationId,
-    /// The model.
+    /// The model of the session.
     pub model: ModelId,
-    /// The version.
+    /// The version to which the session is pinned.
     pub version: VersionId,
-    /// When the token ends, in milliseconds since the Unix epoch.
+    /// When the token expires, in milliseconds since the Unix epoch.
     pub expires_unix_ms: u64,
 }
 
-/// Issues and reads tokens.
+/// Issues and verifies session tokens.
 pub struct SessionKeys {
     key: [u8; 32],
 }
 
 impl SessionKeys {
-    /// Derives the key from the cluster key.
+    /// Derives the token key from the cluster key.
     pub fn new(cluster_key: &ClusterKey) -> SessionKeys {
         SessionKeys { key: cluster_key.session_key() }
     }
 
-    /// Writes a token.
+    /// Encodes and authenticates a session.
     ///
     /// # Panics
     ///
-    /// Never: a session has only names and numbers, which always encode.
+    /// Never: a session has only names and numbers, which can always be
+    /// encoded.
     pub fn issue(&self, session: &Session) -> String {
-        let mut bytes =
-            postcard::to_stdvec(session).expect("names and numbers encode");
+        let mut bytes = postcard::to_stdvec(session)
+            .expect("names and numbers can be encoded");
         let tag = blake3::keyed_hash(&self.key, &bytes);
         bytes.extend_from_slice(&tag.as_bytes()[..TAG_BYTES]);
         BASE64URL_NOPAD.encode(&bytes)
     }
 
-    /// Reads a token of an organisation.
+    /// Verifies a token that an organisation presents, and returns its
+    /// contents.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::SessionInvalid`] when it is forged, expired or another
-    /// organisation's.
+    /// [`ErrorKind::SessionInvalid`] when it is forged, has expired or belongs
+    /// to another organisation.
     pub fn verify(
         &self,
         token: &str,
         organisation: &OrganisationId,
         now_unix_ms: u64,
     ) -> Result<Session, Error> {
-        let session = self.open(token).ok_or_else(|| {
-            invalid("the session token is not one of this fleet")
+        let session = self.decode(token).ok_or_else(|| {
+            invalid("the session token is not valid for this fleet")
         })?;
         if session.organisation != *organisation {
-            return Err(invalid("the session is another organisation's"));
+            return Err(invalid(
+                "the session belongs to another organisation",
+            ));
         }
         if session.expires_unix_ms <= now_unix_ms {
             return Err(invalid("the session has expired"));
@@ -79,13 +84,14 @@
         Ok(session)
     }
 
-    fn open(&self, token: &str) -> Option<Session> {
+    /// Authenticates and decodes a token; `None` if it is not genuine.
+    fn decode(&self, token: &str) -> Option<Session> {
         if token.len() > TOKEN_LIMIT_BYTES {
             return None;
         }
         let bytes = BASE64URL_NOPAD.decode(token.as_bytes()).ok()?;
-        let split = bytes.len().checked_sub(TAG_BYTES)?;
-        let (body, tag) = bytes.split_at(split);
+        let body_length = bytes.len().checked_sub(TAG_BYTES)?;
+        let (body, tag) = bytes.split_at(body_length);
         let expected = blake3::keyed_hash(&self.key, body);
         let mut padded = [0; 32];
         padded[..TAG_BYTES].copy_from_slice(tag);
@@ -121,18 +127,18 @@
     }
 
     #[test]
-    fn a_token_is_read_by_its_organisation_in_time() {
+    fn a_token_is_valid_for_its_organisation_until_it_expires() {
         let token = keys("1").issue(&session());
         let desk = "desk".parse().unwrap();
-        let read = keys("1").verify(&token, &desk, 999).unwrap();
-        assert_eq!(read, session());
+        let session_read = keys("1").verify(&token, &desk, 999).unwrap();
+        assert_eq!(session_read, session());
         assert!(keys("1").verify(&token, &desk, 1000).is_err());
         let other = "other".parse().unwrap();
         assert!(keys("1").verify(&token, &other, 999).is_err());
     }
 
     #[test]
-    fn a_forged_token_is_refused() {
+    fn a_forged_token_is_rejected() {
         let token = keys("1").issue(&session());
         let desk = "desk".parse().unwrap();
         assert!(keys("2").verify(&token, &desk, 0).is_err());
--- a/src/chat_face/template.rs
+++ b/src/chat_face/template.rs
@@ -1,4 +1,5 @@
-//! Templates and versions: what operators state, checked when it is put.
+//! Templates of organisations and entries of model versions, as operators
+//! write them; they are validated before they are stored.
 
 use std::{collections::BTreeSet, fmt, str::FromStr};
 
@@ -11,16 +12,16 @@
     unit::{MicroCost, Share},
 };
 
-/// The most bearer keys of one organisation.
-pub const KEY_LIMIT: usize = 16;
+/// The maximum number of bearer keys of an organisation.
+pub const MAX_KEYS: usize = 16;
 
-/// The most models or services of one template.
-pub const RULE_LIMIT: usize = 64;
+/// The maximum number of models, and of services, in a template.
+pub const MAX_RULES: usize = 64;
 
-/// The most stages of a roll-out.
-pub const STAGE_LIMIT: usize = 16;
+/// The maximum number of stages of a roll-out.
+pub const MAX_STAGES: usize = 16;
 
-/// How urgent a request is.
+/// The priority of a request.
 #[derive(
     Clone,
     Copy,
@@ -36,7 +37,7 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
-    /// Somebody waits for the answer.
+    /// A user waits for the answer.
     #[default]
     Interactive,
     /// The answer may take hours.
@@ -44,10 +45,10 @@
 }
 
 impl Priority {
-    /// Every priority, most urgent first.
+    /// All priorities, the highest first.
     pub const ALL: [Priority; 2] = [Priority::Interactive, Priority::Batch];
 
-    /// The word used in headers and metric labels.
+    /// Returns the name used in headers and metric labels.
     pub fn as_str(self) -> &'static str {
         match self {
             Priority::Interactive => "interactive",
@@ -75,34 +76,37 @@
     }
 }
 
-/// A model that an organisation may use.
+/// Permission to use a model.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelRule {
     /// The model.
     pub model: ModelId,
-    /// The versions allowed; none named means every version.
+    /// The allowed versions; if empty, all versions are allowed.
     #[serde(default)]
     pub versions: Vec<VersionId>,
-    /// Whether a request to this model may be sent more than once.
+    /// Whether a request to this model is idempotent, so that it may be sent
+    /// more than once.
     #[serde(default = "yes")]
     pub repeatable: bool,
 }
 
-/// A plain service that an organisation may use.
+/// Permission to use a plain service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceRule {
     /// The service.
     pub service: ServiceId,
-    /// Whether a call other than GET or HEAD may be sent more than once.
+    /// Whether a call other than GET or HEAD is idempotent, so that it may be
+    /// sent more than once.
     pub repeatable: bool,
     /// The price of one call.
     #[serde(default)]
     pub call_price_micro: MicroCost,
 }
 
-/// What one organisation may use, at which quality and price.
+/// The configuration of one organisation: its keys, the models and services
+/// that it may use, its quality target and its limits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Template {
@@ -110,34 +114,36 @@
     pub organisation: OrganisationId,
     /// Hashes of its bearer keys.
     pub key_hashes: Vec<KeyHash>,
-    /// The models it may use.
+    /// The models that it may use.
     #[serde(default)]
     pub models: Vec<ModelRule>,
-    /// The plain services it may use.
+    /// The plain services that it may use.
     #[serde(default)]
     pub services: Vec<ServiceRule>,
-    /// The least rating that an answer should reach.
+    /// The rating that an answer should reach at least.
     #[serde(default = "default_quality")]
     pub quality_target: Share,
-    /// The most that one request may be expected to cost.
+    /// The upper limit of the expected cost of one request, in millionths of
+    /// a currency unit.
     #[serde(default = "no_cost_limit")]
     pub request_price_limit_micro: MicroCost,
-    /// The most that an hour may cost.
+    /// The upper limit of the cost per hour, in millionths of a currency
+    /// unit.
     #[serde(default = "no_cost_limit")]
     pub hour_price_limit_micro: MicroCost,
-    /// Requests a second, over the whole fleet.
+    /// The rate limit over the whole fleet, in requests per second.
     #[serde(default = "default_rate")]
     pub rate_per_s: f64,
-    /// Requests at once, over the whole fleet.
+    /// The limit of concurrent requests over the whole fleet.
     #[serde(default = "default_concurrency")]
     pub concurrency: u32,
-    /// Its share of a full queue, relative to other organisations.
+    /// Its weight in the fair queue, relative to other organisations.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// The priority of requests that name none.
+    /// The priority of requests that do not set one.
     #[serde(default)]
     pub default_priority: Priority,
-    /// Share of its sessions on a version that is rolling out, by stage.
+    /// The share of new sessions that go to a version in roll-out, by stage.
     #[serde(default = "default_stages")]
     pub rollout_stages: Vec<Share>,
 }
@@ -178,11 +184,11 @@
 }
 
 impl Template {
-    /// Reads a template from JSON and checks it.
+    /// Parses a template from JSON and validates it.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::InvalidInput`] naming the first field that is wrong.
+    /// [`ErrorKind::InvalidInput`] with the first invalid field.
     pub fn from_json(bytes: &[u8]) -> Result<Template, Error> {
         let template: Template = serde_json::from_slice(bytes)
             .map_err(|error| invalid(error.to_string()))?;
@@ -190,20 +196,20 @@
         Ok(template)
     }
 
-    /// Checks what the types alone do not.
+    /// Validates the rules that the types do not enforce.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::InvalidInput`] naming the first field that is wrong.
+    /// [`ErrorKind::InvalidInput`] with the first invalid field.
     pub fn validate(&self) -> Result<(), Error> {
-        if self.key_hashes.is_empty() || self.key_hashes.len() > KEY_LIMIT {
+        if self.key_hashes.is_empty() || self.key_hashes.len() > MAX_KEYS {
             return Err(invalid(format!(
-                "key_hashes must hold 1 to {KEY_LIMIT} hashes"
+                "key_hashes must hold 1 to {MAX_KEYS} hashes"
             )));
         }
-        if self.models.len() > RULE_LIMIT || self.services.len() > RULE_LIMIT {
+        if self.models.len() > MAX_RULES || self.services.len() > MAX_RULES {
             return Err(invalid(format!(
-                "at most {RULE_LIMIT} models and services"
+                "at most {MAX_RULES} models and services"
             )));
         }
         check_unique("models", self.models.iter().map(|r| &r.model))?;
@@ -217,33 +223,34 @@
         if !(1..=1000).contains(&self.weight) {
             return Err(invalid("weight must be 1 to 1000"));
         }
-        self.check_stages()
+        self.validate_stages()
     }
 
-    fn check_stages(&self) -> Result<(), Error> {
+    fn validate_stages(&self) -> Result<(), Error> {
         let stages = &self.rollout_stages;
-        if stages.is_empty() || stages.len() > STAGE_LIMIT {
+        if stages.is_empty() || stages.len() > MAX_STAGES {
             return Err(invalid(format!(
-                "rollout_stages must hold 1 to {STAGE_LIMIT} shares"
+                "rollout_stages must hold 1 to {MAX_STAGES} shares"
             )));
         }
         if stages.windows(2).any(|pair| pair[1] < pair[0]) {
-            return Err(invalid("rollout_stages must not fall"));
+            return Err(invalid("rollout_stages must not decrease"));
         }
         Ok(())
     }
 
-    /// The rule for a model, if the organisation may use it.
+    /// Returns the rule for a model, if the organisation may use it.
     pub fn model_rule(&self, model: &ModelId) -> Option<&ModelRule> {
         self.models.iter().find(|rule| rule.model == *model)
     }
 
-    /// The rule for a service, if the organisation may use it.
+    /// Returns the rule for a service, if the organisation may use it.
     pub fn service_rule(&self, service: &ServiceId) -> Option<&ServiceRule> {
         self.services.iter().find(|rule| rule.service == *service)
     }
 
-    /// The share of sessions on a version at `stage` of its roll-out.
+    /// Returns the share of new sessions for a version at `stage` of its
+    /// roll-out; stages past the last one use the last share.
     pub fn stage_share(&self, stage: u8) -> Share {
         let last = self.rollout_stages.len() - 1;
         self.rollout_stages[usize::from(stage).min(last)]
@@ -251,7 +258,7 @@
 }
 
 impl ModelRule {
-    /// Whether the rule allows a version.
+    /// Returns whether the rule allows a version.
     pub fn allows(&self, version: &VersionId) -> bool {
         self.versions.is_empty() || self.versions.contains(version)
     }
@@ -264,31 +271,31 @@
     let mut seen = BTreeSet::new();
     for name in names {
         if !seen.insert(name) {
-            return Err(invalid(format!("{field} names `{name}` twice")));
+            return Err(invalid(format!("{field} lists `{name}` twice")));
         }
     }
     Ok(())
 }
 
-/// Where a version stands in its life.
+/// The lifecycle state of a model version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VersionState {
-    /// Takes a share of new sessions, by stage.
+    /// Gets a share of new sessions that depends on the stage.
     RollingOut {
         /// The stage, from 0.
         stage: u8,
     },
-    /// Takes new sessions.
+    /// Gets new sessions.
     Serving,
-    /// Takes the requests of its sessions and no new session.
+    /// Gets requests of existing sessions, but no new session.
     Draining,
-    /// Takes nothing.
+    /// Gets no requests.
     Withdrawn,
 }
 
 impl VersionState {
-    /// Whether a request of a session on this version may run.
+    /// Returns whether requests of existing sessions may run on the version.
     pub fn serves_existing_sessions(self) -> bool {
         self != VersionState::Withdrawn
     }
@@ -307,7 +314,8 @@
     }
 }
 
-/// One version of a model: its state, its prices, what is expected of it.
+/// The configuration of a model version: its state, prices and expected
+/// quality.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VersionEntry {
@@ -315,29 +323,29 @@
     pub model: ModelId,
     /// The version.
     pub version: VersionId,
-    /// Where it stands.
+    /// Its lifecycle state.
     pub state: VersionState,
-    /// Price of a thousand tokens read.
+    /// The price of 1000 input tokens, in millionths of a currency unit.
     pub input_price_micro_per_1k: MicroCost,
-    /// Price of a thousand tokens written.
+    /// The price of 1000 output tokens, in millionths of a currency unit.
     pub output_price_micro_per_1k: MicroCost,
-    /// Chance that an answer meets a usual target, before any rating.
+    /// The prior probability that an answer meets the quality target.
     #[serde(default = "default_quality")]
     pub prior_quality: Share,
 }
 
 impl VersionEntry {
-    /// Reads an entry from JSON.
+    /// Parses an entry from JSON.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::InvalidInput`] naming the field that is wrong.
+    /// [`ErrorKind::InvalidInput`] with the invalid field.
     pub fn from_json(bytes: &[u8]) -> Result<VersionEntry, Error> {
         serde_json::from_slice(bytes)
             .map_err(|error| invalid(error.to_string()))
     }
 
-    /// The price of a request of these sizes.
+    /// Returns the price of a request with these token counts, rounded up.
     pub fn price(&self, input_tokens: u64, output_tokens: u64) -> MicroCost {
         let input = self.input_price_micro_per_1k.0 * input_tokens;
         let output = self.output_price_micro_per_1k.0 * output_tokens;
@@ -359,7 +367,7 @@
     }
 
     #[test]
-    fn defaults_fill_a_short_template() {
+    fn omitted_fields_take_their_defaults() {
         let template = template();
         assert_eq!(template.concurrency, 256);
         let rule = template.model_rule(&"large".parse().unwrap()).unwrap();
@@ -369,22 +377,22 @@
     }
 
     #[test]
-    fn wrong_templates_are_refused() {
-        let mut doubled = template();
-        doubled.models.push(doubled.models[0].clone());
-        assert!(doubled.validate().is_err());
-        let mut falling = template();
-        falling.rollout_stages.reverse();
-        assert!(falling.validate().is_err());
-        let mut rateless = template();
-        rateless.rate_per_s = f64::NAN;
-        assert!(rateless.validate().is_err());
+    fn invalid_templates_are_rejected() {
+        let mut duplicated = template();
+        duplicated.models.push(doubled.models[0].clone());
+        assert!(duplicated.validate().is_err());
+        let mut decreasing = template();
+        decreasing.rollout_stages.reverse();
+        assert!(decreasing.validate().is_err());
+        let mut without_rate = template();
+        without_rate.rate_per_s = f64::NAN;
+        assert!(without_rate.validate().is_err());
         let unknown = br#"{"organisation":"desk","colour":1}"#;
         assert!(Template::from_json(unknown).is_err());
     }
 
     #[test]
-    fn the_last_stage_holds_for_later_ones() {
+    fn stages_past_the_last_use_its_share() {
         assert_eq!(template().stage_share(200), Share::ONE);
     }
 }
