--- a/src/chat_face/gossip.rs
+++ b/src/chat_face/gossip.rs
@@ -252,7 +252,7 @@
     vm.tallies.lock().expect("tallies lock").merge(&gossip.tallies, now);
     let revision = vm.configuration.current().revision();
     if gossip.revision > revision {
-        vm.wake_configuration(gossip.vm.clone());
+        vm.request_configuration_fetch(gossip.vm.clone());
     } else if gossip.revision == revision
         && let Some(age_ms) = gossip.proof_age_ms
     {
--- a/src/chat_face/server.rs
+++ b/src/chat_face/server.rs
@@ -1,4 +1,4 @@
-//! The life of the process: bound, running, stopped.
+//! The lifecycle of the server: bind the listeners, run, stop gracefully.
 
 use std::{
     io,
@@ -20,7 +20,7 @@
         operators::Operators,
         platform_list::ListReader,
         steward::Steward,
-        vm::{Parts, Vm},
+        vm::{Vm, VmParts},
     },
     clock::{SharedClock, SystemClock},
     error::{Error, ErrorKind},
@@ -31,30 +31,33 @@
     task::{self, Task, within},
 };
 
-/// Largest head of a request that is read at all.
+/// The largest request head that is accepted.
 const HEAD_LIMIT_BYTES: usize = 64 * 1024;
 
-/// Time between two looks at limits and queue.
-const LIMITS_PERIOD: Duration = Duration::from_millis(500);
+/// Interval at which the organisations' limits are updated and the queue is
+/// checked.
+const LIMITS_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Part of the grace kept for bills and claims after the last request.
+/// The share of the grace period that is reserved for handing over claims and
+/// bills after the last request.
 const DRAIN_SHARE: f64 = 0.25;
 
-/// Time in which balancers notice that a VM is no longer ready.
-const NOTICE_TIME: Duration = Duration::from_millis(300);
+/// How long a stopping VM keeps accepting connections, so that load balancers
+/// notice that it is no longer ready.
+const READINESS_DELAY: Duration = Duration::from_millis(300);
 
-/// Where a VM listens, after binding.
+/// The addresses on which a VM listens, with the ports that were bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Addresses {
-    /// For callers.
+    /// The listener for callers.
     pub callers: SocketAddr,
-    /// For operators.
+    /// The listener for operators.
     pub operators: SocketAddr,
-    /// For other VMs.
+    /// The listener for other VMs, both TCP and UDP.
     pub peers: SocketAddr,
 }
 
-/// A server whose listeners are bound and which does nothing yet.
+/// The state of a server whose listeners are bound but not yet served.
 pub struct Bound {
     settings: Settings,
     clock: SharedClock,
@@ -65,7 +68,7 @@
     addresses: Addresses,
 }
 
-/// A server that runs.
+/// The state of a running server.
 pub struct Running {
     vm: Arc<Vm>,
     addresses: Addresses,
@@ -74,22 +77,23 @@
     tasks: Vec<Task<()>>,
 }
 
-/// How a planned stop went.
+/// The result of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopReport {
     /// How long it took.
     pub took: Duration,
-    /// Requests that were still in flight when the grace was over.
+    /// Requests that were aborted, as they were still in flight at the end of
+    /// the grace period.
     pub cut: usize,
     /// Bills that neither the store nor another VM has.
     pub lost_bills: usize,
 }
 
-/// A server in one state of its life.
+/// A server in state `S`: [`Bound`] or [`Running`].
 pub struct Server<S>(S);
 
 impl Server<Bound> {
-    /// Binds the listeners.
+    /// Binds all listeners.
     ///
     /// # Errors
     ///
@@ -99,15 +103,15 @@
         let callers = bind_tcp(listen.callers)?;
         let operators = bind_tcp(listen.operators)?;
         let (peer_tcp, peer_udp) = bind_peers(listen.peers)?;
-        let local = |listener: &StdTcpListener| {
-            listener.local_addr().map_err(|e| cannot_bind(e, "a listener"))
+        let local_address = |listener: &StdTcpListener| {
+            listener.local_addr().map_err(|e| bind_error(e, "a listener"))
         };
         let addresses = Addresses {
-            callers: local(&callers)?,
-            operators: local(&operators)?,
+            callers: local_address(&callers)?,
+            operators: local_address(&operators)?,
             peers: peer_udp
                 .local_addr()
-                .map_err(|e| cannot_bind(e, "the peer port"))?,
+                .map_err(|e| bind_error(e, "the peer port"))?,
         };
         Ok(Server(Bound {
             settings,
@@ -120,19 +124,19 @@
         }))
     }
 
-    /// Where it listens.
+    /// Returns the addresses on which it listens.
     pub fn addresses(&self) -> Addresses {
         self.0.addresses
     }
 
-    /// Starts all tasks and listeners.
+    /// Starts the background tasks and serves the listeners.
     ///
     /// # Errors
     ///
     /// [`ErrorKind::InvalidInput`] when a listener cannot be used.
     pub fn start(self) -> Result<Server<Running>, Error> {
         let bound = self.0;
-        let vm = Vm::new(Parts {
+        let vm = Vm::new(VmParts {
             settings: bound.settings,
             clock: bound.clock,
             gossiper: Gossiper::new(bound.peer_udp),
@@ -163,31 +167,32 @@
 }
 
 impl Server<Running> {
-    /// Where it listens.
+    /// Returns the addresses on which it listens.
     pub fn addresses(&self) -> Addresses {
         self.0.addresses
     }
 
-    /// Whether it takes requests.
+    /// Returns whether it accepts requests.
     pub fn is_ready(&self) -> bool {
         self.0.vm.is_ready()
     }
 
-    /// Waits until it takes requests, but not beyond `limit`.
+    /// Waits for at most `limit` until it accepts requests; returns whether it
+    /// does.
     pub async fn wait_ready(&self, limit: Duration) -> bool {
         configuration_sync::wait_ready(&self.0.vm, limit).await
     }
 
-    /// Stops as planned: no new request, all in flight to their end, claims
-    /// and bills handed on, and then the end of all tasks.
+    /// Stops gracefully: accepts no new requests, waits for those in flight,
+    /// hands over claims and bills, and then ends all tasks.
     pub async fn stop(self) -> StopReport {
         let Running { vm, callers, operators, tasks, .. } = self.0;
-        let begun = vm.clock.now();
+        let began_at = vm.clock.now();
         let grace = vm.settings.stop_grace;
         vm.begin_stop();
         Event::Stopping.log(format_args!("{} in flight", vm.in_flight()));
         Gossiper::gossip_to_hall(&vm).await;
-        task::sleep(NOTICE_TIME.min(grace)).await;
+        task::sleep(READINESS_DELAY.min(grace)).await;
         callers.stopper().stop();
         let drain = grace.mul_f64(DRAIN_SHARE);
         let cut = wait_for_requests(&vm, grace - drain).await;
@@ -196,30 +201,32 @@
         let lost_bills = Ledger::drain(&vm, drain).await;
         operators.stopper().stop();
         drop(tasks);
-        let took = vm.clock.now().saturating_duration_since(begun);
+        let took = vm.clock.now().saturating_duration_since(began_at);
         let report = StopReport { took, cut, lost_bills };
         if cut > 0 {
-            Event::StopCut.log(format_args!("{cut} requests were cut"));
+            Event::StopCut.log(format_args!("{cut} requests aborted"));
         }
         Event::Stopped.log(format_args!("{report:?}"));
         report
     }
 }
 
-/// Waits for requests in flight and for outcomes not yet recorded.
+/// Waits for at most `limit` until no request is in flight and all outcomes
+/// of claims are recorded.
 ///
-/// Returns the requests left when `limit` has passed.
+/// Returns the number of requests that are still in flight.
 async fn wait_for_requests(vm: &Arc<Vm>, limit: Duration) -> usize {
-    const LOOK: Duration = Duration::from_millis(20);
+    const POLL_INTERVAL: Duration = Duration::from_millis(20);
     let wait = async {
         while vm.in_flight() > 0 {
-            task::sleep(LOOK).await;
+            task::sleep(POLL_INTERVAL).await;
         }
         while vm.pending_outcomes.count() > 0 {
-            task::sleep(LOOK).await;
+            task::sleep(POLL_INTERVAL).await;
         }
     };
-    // Outcomes that cannot be recorded are unknown to a repeat, no more.
+    // An outcome that could not be recorded does no further harm: a repeated
+    // request is answered that the outcome is unknown.
     let _ = within(limit, wait).await;
     vm.in_flight()
 }
@@ -248,25 +255,26 @@
     ]
 }
 
-/// Reads the platform's list, for as long as polled.
+/// Reads the platform's list at regular intervals and applies it to the view;
+/// never returns.
 async fn list_loop(vm: Arc<Vm>) {
     let url = vm.settings.platform.list_url.clone();
     let mut reader = ListReader::new(&url, vm.http.clone());
-    let mut is_lost = false;
+    let mut is_failing = false;
     loop {
         let read = reader.read().await;
         let now = vm.clock.now();
-        if read.is_err() != is_lost {
-            is_lost = read.is_err();
+        if read.is_err() != is_failing {
+            is_failing = read.is_err();
             match &read {
                 Err(error) => Event::ListLost.log(error),
-                Ok(_) => Event::ListBack.log("read again"),
+                Ok(_) => Event::ListBack.log("the list was read"),
             }
         }
         match read {
             Ok(Some(list)) => {
                 for upstream in vm.view.apply_list(&list, now) {
-                    log_leaving(&upstream, "by the platform's list");
+                    log_leaving(&upstream, "reported by the platform's list");
                     Gossiper::broadcast_notice(
                         &vm,
                         Notice::Leaving(upstream.short),
@@ -278,15 +286,16 @@
             Err(_) => {}
         }
         let jitter = 0.9 + 0.2 * rand::random::<f64>();
-        let pause = vm.settings.platform.list_poll.mul_f64(jitter);
-        task::sleep(pause).await;
+        let interval = vm.settings.platform.list_poll.mul_f64(jitter);
+        task::sleep(interval).await;
     }
 }
 
-/// Shares limits out and lets waiting requests through, while polled.
+/// Updates this VM's share of the organisations' limits and admits queued
+/// requests at regular intervals; never returns.
 async fn limits_loop(vm: Arc<Vm>) {
     loop {
-        task::sleep(LIMITS_PERIOD).await;
+        task::sleep(LIMITS_INTERVAL).await;
         let configuration = vm.configuration.current();
         let templates: Vec<_> =
             configuration.templates().map(|p| p.value.clone()).collect();
@@ -305,11 +314,9 @@
     handler: impl trillium::Handler,
     body_limit_bytes: u64,
 ) -> Result<ServerHandle, Error> {
-    listener
-        .set_nonblocking(true)
-        .map_err(|e| cannot_bind(e, "a listener"))?;
+    listener.set_nonblocking(true).map_err(|e| bind_error(e, "a listener"))?;
     let listener = TcpListener::try_from(listener)
-        .map_err(|e| cannot_bind(e, "a listener"))?;
+        .map_err(|e| bind_error(e, "a listener"))?;
     let http = HttpConfig::default()
         .with_head_max_len(HEAD_LIMIT_BYTES)
         .with_received_body_max_len(body_limit_bytes);
@@ -324,44 +331,44 @@
 
 fn bind_tcp(address: SocketAddr) -> Result<StdTcpListener, Error> {
     StdTcpListener::bind(address)
-        .map_err(|error| cannot_bind(error, &address.to_string()))
+        .map_err(|error| bind_error(error, &address.to_string()))
 }
 
-/// Binds one port for both TCP and UDP.
+/// Binds the same port for TCP and UDP.
 ///
-/// When the kernel is to choose, its choice for one may be taken for the
-/// other; then it chooses again.
+/// If the port is 0, the port that the kernel picks for TCP may be in use for
+/// UDP; then another one is tried.
 fn bind_peers(address: SocketAddr) -> Result<(TcpListener, UdpSocket), Error> {
-    const TRIES: u32 = 16;
-    let mut last = None;
-    for _ in 0..TRIES {
+    const MAX_TRIES: u32 = 16;
+    let mut last_error = None;
+    for _ in 0..MAX_TRIES {
         let tcp = bind_tcp(address)?;
         let bound =
-            tcp.local_addr().map_err(|e| cannot_bind(e, "the peer port"))?;
+            tcp.local_addr().map_err(|e| bind_error(e, "the peer port"))?;
         match std::net::UdpSocket::bind(bound) {
-            Ok(udp) => return both_async(tcp, udp),
-            Err(error) => last = Some(error),
+            Ok(udp) => return into_async(tcp, udp),
+            Err(error) => last_error = Some(error),
         }
         if address.port() != 0 {
             break;
         }
     }
-    let error = last.unwrap_or_else(|| io::ErrorKind::AddrInUse.into());
-    Err(cannot_bind(error, "the peer port"))
+    let error = last_error.unwrap_or_else(|| io::ErrorKind::AddrInUse.into());
+    Err(bind_error(error, "the peer port"))
 }
 
-fn both_async(
+fn into_async(
     tcp: StdTcpListener,
     udp: std::net::UdpSocket,
 ) -> Result<(TcpListener, UdpSocket), Error> {
-    let failed = |error: io::Error| cannot_bind(error, "the peer port");
-    let tcp = TcpListener::try_from(tcp).map_err(failed)?;
-    let udp = UdpSocket::try_from(udp).map_err(failed)?;
+    let to_error = |error: io::Error| bind_error(error, "the peer port");
+    let tcp = TcpListener::try_from(tcp).map_err(to_error)?;
+    let udp = UdpSocket::try_from(udp).map_err(to_error)?;
     Ok((tcp, udp))
 }
 
-fn cannot_bind(error: io::Error, what: &str) -> Error {
+fn bind_error(error: io::Error, socket: &str) -> Error {
     Error::new(ErrorKind::InvalidInput)
         .context(error.to_string())
-        .context(format!("binding {what}"))
+        .context(format!("cannot bind {socket}"))
 }
--- a/src/chat_face/template.rs
+++ b/src/chat_face/template.rs
@@ -209,7 +209,7 @@
         }
         if self.models.len() > MAX_RULES || self.services.len() > MAX_RULES {
             return Err(invalid(format!(
-                "at most {MAX_RULES} models and services"
+                "models and services may have at most {MAX_RULES} entries each"
             )));
         }
         check_unique("models", self.models.iter().map(|r| &r.model))?;
@@ -379,7 +379,7 @@
     #[test]
     fn invalid_templates_are_rejected() {
         let mut duplicated = template();
-        duplicated.models.push(doubled.models[0].clone());
+        duplicated.models.push(duplicated.models[0].clone());
         assert!(duplicated.validate().is_err());
         let mut decreasing = template();
         decreasing.rollout_stages.reverse();
--- a/src/chat_face/vm.rs
+++ b/src/chat_face/vm.rs
@@ -1,4 +1,4 @@
-//! One entry VM: everything that its tasks and listeners share.
+//! The state of one entry VM that its listeners and background tasks share.
 
 use std::{
     collections::VecDeque,
@@ -49,11 +49,11 @@
     settings::Settings,
 };
 
-/// Counts things that are under way and not to be cut by a planned stop.
+/// Counts activities that a planned stop waits for.
 #[derive(Debug, Default)]
-pub(crate) struct UnderWay(AtomicUsize);
+pub(crate) struct ActivityCounter(AtomicUsize);
 
-impl UnderWay {
+impl ActivityCounter {
     pub(crate) fn begin(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
@@ -67,12 +67,13 @@
     }
 }
 
-/// One entry VM.
+/// The shared state of one entry VM.
 pub struct Vm {
     pub(crate) settings: Settings,
     pub(crate) clock: SharedClock,
     pub(crate) configuration: ConfigurationCell,
     pub(crate) recent_changes: Mutex<VecDeque<Change>>,
+    /// VMs that have a newer configuration, to fetch its changes from.
     pub(crate) configuration_sources: (Sender<VmId>, Receiver<VmId>),
     pub(crate) view: FleetView,
     pub(crate) tallies: Mutex<Tallies>,
@@ -93,17 +94,18 @@
     pub(crate) ledger: Ledger,
     pub(crate) steward: Steward,
     pub(crate) metrics: Arc<Metrics>,
-    pub(crate) pending_outcomes: UnderWay,
-    in_flight: UnderWay,
+    /// Claim outcomes that are not yet recorded.
+    pub(crate) pending_outcomes: ActivityCounter,
+    in_flight: ActivityCounter,
     incarnation: Incarnation,
     next_sequence: AtomicU64,
     next_heartbeat: AtomicU32,
-    has_started: AtomicBool,
+    is_configured: AtomicBool,
     is_stopping: AtomicBool,
 }
 
-/// What a VM is made of that was bound or made before it.
-pub(crate) struct Parts {
+/// The parts of a [`Vm`] that exist before it: settings and bound sockets.
+pub(crate) struct VmParts {
     pub(crate) settings: Settings,
     pub(crate) clock: SharedClock,
     pub(crate) gossiper: Gossiper,
@@ -111,14 +113,17 @@
 }
 
 impl Vm {
-    /// Puts a VM together; nothing runs yet.
-    pub(crate) fn new(parts: Parts) -> Arc<Vm> {
-        let Parts { settings, clock, gossiper, peer_address } = parts;
+    /// Creates the state of a VM without starting any task.
+    ///
+    /// The incarnation is the wall-clock time in microseconds, so that it
+    /// grows with each restart unless the clock is set back.
+    pub(crate) fn new(parts: VmParts) -> Arc<Vm> {
+        let VmParts { settings, clock, gossiper, peer_address } = parts;
         let now = clock.now();
-        let started = clock.system_time();
-        let since = started.duration_since(std::time::UNIX_EPOCH);
+        let started_at = clock.system_time();
+        let since_epoch = started_at.duration_since(std::time::UNIX_EPOCH);
         let incarnation =
-            Incarnation(since.unwrap_or_default().as_micros() as u64);
+            Incarnation(since_epoch.unwrap_or_default().as_micros() as u64);
         let life = VmLife { vm: settings.vm.clone(), incarnation };
         let hall = settings.data_hall.clone();
         let metrics = Arc::new(Metrics::new());
@@ -160,50 +165,52 @@
             ledger: Ledger::new(),
             steward: Steward::new(life, hall.as_str(), &settings.steward),
             metrics,
-            pending_outcomes: UnderWay::default(),
-            in_flight: UnderWay::default(),
+            pending_outcomes: ActivityCounter::default(),
+            in_flight: ActivityCounter::default(),
             incarnation,
             next_sequence: AtomicU64::new(1),
             next_heartbeat: AtomicU32::new(1),
-            has_started: AtomicBool::new(false),
+            is_configured: AtomicBool::new(false),
             is_stopping: AtomicBool::new(false),
             settings,
             clock,
         })
     }
 
-    /// This life of this VM.
+    /// Returns this VM's name and incarnation.
     pub(crate) fn identity(&self) -> VmLife {
         VmLife { vm: self.settings.vm.clone(), incarnation: self.incarnation }
     }
 
-    /// Whether it takes requests: it has a configuration to work by, and
-    /// knows upstreams and the VMs that hold its bills with it.
+    /// Returns whether the VM accepts requests: it has a configuration, has
+    /// read the platform's list of upstreams and peers, and is not stopping.
+    ///
+    /// The peers are needed as well, since they keep copies of its bills.
     pub(crate) fn is_ready(&self) -> bool {
-        self.has_started.load(Ordering::Relaxed)
+        self.is_configured.load(Ordering::Relaxed)
             && self.view.list_read_at().is_some()
             && !self.is_stopping()
     }
 
-    /// Whether a planned stop is under way.
+    /// Returns whether a planned stop has begun.
     pub(crate) fn is_stopping(&self) -> bool {
         self.is_stopping.load(Ordering::Relaxed)
     }
 
-    /// Notes that it has a configuration to work by.
+    /// Records that the VM has a configuration that it may use.
     pub(crate) fn mark_ready(&self) {
-        if !self.has_started.swap(true, Ordering::Relaxed) {
+        if !self.is_configured.swap(true, Ordering::Relaxed) {
             let revision = self.configuration.current().revision();
             Event::Ready.log(format_args!("revision {revision}"));
         }
     }
 
-    /// Begins a planned stop.
+    /// Marks the VM as stopping; from now on it is not ready.
     pub(crate) fn begin_stop(&self) {
         self.is_stopping.store(true, Ordering::Relaxed);
     }
 
-    /// The identity of the next request.
+    /// Returns a new request id.
     pub(crate) fn next_request_id(&self) -> RequestId {
         RequestId {
             vm: self.settings.vm.clone(),
@@ -212,35 +219,37 @@
         }
     }
 
-    /// The next heartbeat.
+    /// Returns the next value of this VM's heartbeat counter.
     pub(crate) fn next_heartbeat(&self) -> u32 {
         self.next_heartbeat.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Counts a request as in flight while the guard lives.
+    /// Counts a request as in flight until the returned guard is dropped.
     pub(crate) fn begin_request(self: &Arc<Vm>) -> InFlightRequest {
         self.in_flight.begin();
         InFlightRequest(self.clone())
     }
 
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     pub(crate) fn in_flight(&self) -> usize {
         self.in_flight.count()
     }
 
-    /// Whether the configuration is proven current, recently enough.
+    /// Returns whether the last proof that the configuration is current is no
+    /// older than `stale_after`.
     pub(crate) fn is_configuration_fresh(&self) -> bool {
         let age = self.configuration.proof_age(self.clock.now());
         age.is_some_and(|age| age <= self.settings.stale_after)
     }
 
-    /// Has the changes beyond this revision fetched from a VM.
-    pub(crate) fn wake_configuration(&self, from: VmId) {
-        // One fetch at a time is enough; gossip will tell again.
+    /// Requests a fetch of newer configuration changes from another VM.
+    pub(crate) fn request_configuration_fetch(&self, from: VmId) {
+        // If a fetch is already pending this one is dropped; gossip will
+        // trigger another.
         let _ = self.configuration_sources.0.try_send(from);
     }
 
-    /// Keeps changes to hand on to other VMs.
+    /// Keeps the latest changes without gaps, to send them to other VMs.
     pub(crate) fn remember_changes(&self, changes: &[Change]) {
         let mut recent = self.recent_changes.lock().expect("changes lock");
         for change in changes {
@@ -258,7 +267,8 @@
         }
     }
 
-    /// What is known of the replicas of a model.
+    /// Returns what upstream selection needs to know about each replica of a
+    /// model.
     pub(crate) fn upstream_facts(
         &self,
         model: &ModelId,
@@ -268,7 +278,7 @@
         upstreams.iter().map(|one| self.view.facts(one, now)).collect()
     }
 
-    /// Lets waiting requests through where there is room.
+    /// Admits queued requests of every model whose upstreams have capacity.
     pub(crate) fn wake_queue(&self) {
         let now = self.clock.now();
         let configuration = self.configuration.current();
@@ -281,7 +291,7 @@
         self.queue.wake(room, weight);
     }
 
-    /// Asks another VM, by name.
+    /// Sends a request to another VM, by name, and awaits its reply.
     pub(crate) async fn call_peer(
         &self,
         vm: &VmId,
@@ -294,12 +304,12 @@
         self.peer_client.call(peer.address, request, limit).await
     }
 
-    /// Finds a decision, here or at the VM that made it.
+    /// Finds a decision here or, by a request to it, at the VM that made it.
     pub(crate) async fn find_decision(
         &self,
         id: &RequestId,
     ) -> Option<Decision> {
-        const ASK_LIMIT: Duration = Duration::from_secs(1);
+        const CALL_TIMEOUT: Duration = Duration::from_secs(1);
         if let Some(decision) = self.decisions.get(id) {
             return Some(decision);
         }
@@ -307,13 +317,13 @@
             return None;
         }
         let request = PeerRequest::Decision(id.clone());
-        match self.call_peer(&id.vm, request, ASK_LIMIT).await {
+        match self.call_peer(&id.vm, request, CALL_TIMEOUT).await {
             Ok(PeerReply::Decision(found)) => found.map(|found| *found),
             _ => None,
         }
     }
 
-    /// Finds a bill, here or in the latest hours of the ledger.
+    /// Finds a bill here or in the latest hours of the ledger.
     pub(crate) async fn find_bill(&self, id: &RequestId) -> Option<Bill> {
         if let Some(bill) = self.ledger.find(id) {
             return Some(bill);
@@ -321,20 +331,20 @@
         crate::chains::ledger::search(self, id).await.ok().flatten()
     }
 
-    /// Brings the gauges up to date.
+    /// Updates the gauges; called before the metrics are rendered.
     pub(crate) fn update_gauges(&self) {
         let now = self.clock.now();
         let metrics = &self.metrics;
-        let as_ms = |age: Option<Duration>| {
+        let millis_or_unknown = |age: Option<Duration>| {
             age.map_or(-1, |age| age.as_millis() as i64)
         };
         let revision = self.configuration.current().revision();
         metrics.configuration_revision.set(revision.0 as i64);
-        let proof = self.configuration.proof_age(now);
-        metrics.configuration_age_ms.set(as_ms(proof));
-        let listed = self.view.list_read_at();
-        let listed = listed.map(|at| now.saturating_duration_since(at));
-        metrics.list_age_ms.set(as_ms(listed));
+        let proof_age = self.configuration.proof_age(now);
+        metrics.configuration_age_ms.set(millis_or_unknown(proof_age));
+        let read_at = self.view.list_read_at();
+        let list_age = read_at.map(|at| now.saturating_duration_since(at));
+        metrics.list_age_ms.set(millis_or_unknown(list_age));
         metrics.in_flight.set(self.in_flight() as i64);
         metrics.queued.set(self.queue.waiting() as i64);
         metrics.bills_waiting.set(self.ledger.waiting() as i64);
@@ -357,14 +367,14 @@
             self.metrics.peers.with_label_values(labels).set(count);
         }
         let reports = self.claims.reports();
-        let owned = |offline: bool| {
+        let count_owned = |offline: bool| {
             let slots = reports.iter().map(|(_, slot)| slot);
             let owned = slots.filter(|slot| slot.is_owner);
             owned.filter(|slot| slot.is_offline == offline).count() as i64
         };
         let slots = &self.metrics.claim_slots;
-        slots.with_label_values(&["online"]).set(owned(false));
-        slots.with_label_values(&["offline"]).set(owned(true));
+        slots.with_label_values(&["online"]).set(count_owned(false));
+        slots.with_label_values(&["offline"]).set(count_owned(true));
     }
 
     fn update_store_gauges(&self) {
@@ -395,7 +405,7 @@
                 let claims = &self.claims;
                 match claims.settle_here(&self, claim, outcome).await {
                     true => PeerReply::Done,
-                    false => refused("this VM does not own the slot"),
+                    false => refusal("this VM does not own the slot"),
                 }
             }
             PeerRequest::HoldClaims {
@@ -412,7 +422,7 @@
                     HoldRequest { slot, index, owner, first, claims };
                 match self.claims.hold_here(&self, request).await {
                     true => PeerReply::Done,
-                    false => refused("this VM may not hold the claims"),
+                    false => refusal("this VM must not hold these claims"),
                 }
             }
             PeerRequest::Bills(bills) => {
@@ -424,17 +434,17 @@
             PeerRequest::Knowledge
             | PeerRequest::Look { .. }
             | PeerRequest::News { .. } => {
-                refused("this VM follows no platform's store")
+                refusal("this VM does not watch a platform store")
             }
         }
     }
 }
 
-fn refused(reason: &str) -> PeerReply {
+fn refusal(reason: &str) -> PeerReply {
     PeerReply::Refused(reason.to_owned())
 }
 
-/// Counts a request as in flight while it lives.
+/// Counts a request as in flight until it is dropped.
 pub(crate) struct InFlightRequest(Arc<Vm>);
 
 impl Drop for InFlightRequest {
@@ -446,7 +456,7 @@
     }
 }
 
-/// The word for a slot's report, for `/status`.
+/// Returns the state of a claim slot as shown in `/status`.
 pub(crate) fn slot_state(report: &claims::SlotReport) -> &'static str {
     match (report.is_owner, report.is_offline) {
         (true, true) => "owned, offline",
