--- a/src/chat_face/operators.rs
+++ b/src/chat_face/operators.rs
@@ -1,4 +1,5 @@
-//! The operators' face: templates, versions, decisions, bills, status.
+//! The operators' HTTP API: templates, model versions, decisions, bills,
+//! status and metrics.
 
 use std::{fmt::Write, sync::Arc};
 
@@ -25,15 +26,15 @@
     secret::KeyHash,
 };
 
-/// Largest body of an operator's request.
+/// The largest request body that is accepted.
 const BODY_LIMIT_BYTES: u64 = 256 * 1024;
 
-/// Handles the requests of operators.
-pub(crate) struct Operators {
+/// The HTTP handler of the operators' listener.
+pub(crate) struct OperatorApi {
     pub(crate) vm: Arc<Vm>,
 }
 
-/// An answer to an operator.
+/// A successful response.
 struct Reply {
     status: u16,
     etag: Option<Revision>,
@@ -63,19 +64,19 @@
     }
 }
 
-/// A new state for a version, with the operator's reason.
+/// The body of a request to change the state of a model version.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StateChange {
     /// The new state.
     pub state: VersionState,
-    /// Why.
+    /// The reason, which is stored with the change.
     #[serde(default)]
     pub reason: String,
 }
 
 #[async_trait]
-impl Handler for Operators {
+impl Handler for OperatorApi {
     async fn run(&self, mut conn: Conn) -> Conn {
         let path = conn.path().to_owned();
         match path.as_str() {
@@ -85,19 +86,19 @@
             _ => {}
         }
         if !self.is_operator(&conn) {
-            let reason = "the operators' key is needed";
+            let reason = "the operators' key is required";
             return send_error(conn, ErrorKind::Unauthorized, reason);
         }
         let parts: Vec<&str> =
             path.split('/').filter(|part| !part.is_empty()).collect();
         match self.route(&mut conn, &parts).await {
             Ok(reply) => send_reply(conn, reply),
-            Err(error) => self.send_refusal(conn, &parts, &error),
+            Err(error) => self.send_error_reply(conn, &parts, &error),
         }
     }
 }
 
-impl Operators {
+impl OperatorApi {
     async fn route(
         &self,
         conn: &mut Conn,
@@ -125,8 +126,8 @@
                 self.set_state(conn, model, version).await
             }
             (Method::Get, ["decisions", id]) => {
-                let in_words = conn.querystring() == "words";
-                self.decision(id, in_words).await
+                let as_text = conn.querystring() == "words";
+                self.decision(id, as_text).await
             }
             (Method::Get, ["bills"]) => self.bills(conn).await,
             (
@@ -137,9 +138,9 @@
                     ..,
                 ],
             ) => Err(Error::new(ErrorKind::MethodNotAllowed)
-                .context("the path takes another method")),
+                .context("the path does not support this method")),
             _ => Err(Error::new(ErrorKind::NotFound)
-                .context(format!("there is nothing at {}", conn.path()))),
+                .context(format!("there is no resource at {}", conn.path()))),
         }
     }
 
@@ -187,12 +188,14 @@
         conn: &mut Conn,
         name: &str,
     ) -> Result<Reply, Error> {
-        let expected = read_expected(conn)?;
+        let expected = parse_expected(conn)?;
         let reason = read_reason(conn);
         let body = read_body(conn).await?;
         let template = Template::from_json(&body)?;
         if template.organisation.as_str() != name {
-            return Err(invalid("path and template name two organisations"));
+            return Err(invalid(
+                "the organisations in path and template differ",
+            ));
         }
         let edit = Edit::PutTemplate(Box::new(template));
         self.edit(edit, expected, &reason).await
@@ -203,7 +206,7 @@
         conn: &mut Conn,
         name: &str,
     ) -> Result<Reply, Error> {
-        let expected = read_expected(conn)?;
+        let expected = parse_expected(conn)?;
         let reason = read_reason(conn);
         let edit = Edit::RemoveTemplate(name.parse()?);
         self.edit(edit, expected, &reason).await
@@ -242,14 +245,14 @@
         model: &str,
         version: &str,
     ) -> Result<Reply, Error> {
-        let expected = read_expected(conn)?;
+        let expected = parse_expected(conn)?;
         let reason = read_reason(conn);
         let body = read_body(conn).await?;
         let entry = VersionEntry::from_json(&body)?;
         let same =
             entry.model.as_str() == model && entry.version.as_str() == version;
         if !same {
-            return Err(invalid("path and body name two versions"));
+            return Err(invalid("the versions in path and body differ"));
         }
         self.edit(Edit::PutVersion(entry), expected, &reason).await
     }
@@ -263,13 +266,14 @@
         let body = read_body(conn).await?;
         let change: StateChange = serde_json::from_slice(&body)
             .map_err(|error| invalid(error.to_string()))?;
-        let held = self.find_version(model, version)?;
-        let expected = match read_expected(conn) {
+        let current = self.find_version(model, version)?;
+        let expected = match parse_expected(conn) {
             Ok(expected) => expected,
-            // A state is stated whole, so the last word may win.
-            Err(_) => Expected::At(held.revision),
+            // The request sets a state that does not depend on the old one,
+            // so the last writer may win.
+            Err(_) => Expected::At(current.revision),
         };
-        let entry = VersionEntry { state: change.state, ..held.value };
+        let entry = VersionEntry { state: change.state, ..current.value };
         let edit = Edit::PutVersion(entry);
         self.edit(edit, expected, &change.reason).await
     }
@@ -286,33 +290,30 @@
         Ok(reply.with_etag(revision))
     }
 
-    async fn decision(
-        &self,
-        id: &str,
-        in_words: bool,
-    ) -> Result<Reply, Error> {
+    async fn decision(&self, id: &str, as_text: bool) -> Result<Reply, Error> {
         let id: RequestId = id.parse()?;
         if let Some(decision) = self.vm.find_decision(&id).await {
-            return match in_words {
+            return match as_text {
                 true => Ok(Reply::text(decision_text(&decision))),
                 false => Reply::json(&decision),
             };
         }
-        // The VM that decided may be gone; the bill tells the essence.
+        // The VM that made the decision may be gone; the bill has the main
+        // facts.
         let bill = self.vm.find_bill(&id).await.ok_or_else(|| {
             not_found(format!(
-                "no VM remembers {id}, and it is not in the latest hours of \
-                 the ledger"
+                "no VM has a decision for {id}, and the latest hours of the \
+                 ledger have no bill for it"
             ))
         })?;
-        match in_words {
+        match as_text {
             true => Ok(Reply::text(bill_text(&bill))),
             false => Reply::json(json!({ "bill": bill })),
         }
     }
 
     async fn bills(&self, conn: &Conn) -> Result<Reply, Error> {
-        let query = read_query(conn.querystring(), &self.vm)?;
+        let query = parse_bill_query(conn.querystring(), &self.vm)?;
         let bills = ledger::read_bills(&self.vm, &query).await?;
         let total = ledger::total(&bills);
         Reply::json(json!({
@@ -397,8 +398,14 @@
             .collect()
     }
 
-    /// Refuses; to the loser of two edits it shows what stands now.
-    fn send_refusal(&self, conn: Conn, parts: &[&str], error: &Error) -> Conn {
+    /// Sends an error response; after an edit conflict it includes the current
+    /// value and its revision.
+    fn send_error_reply(
+        &self,
+        conn: Conn,
+        parts: &[&str],
+        error: &Error,
+    ) -> Conn {
         let mut body = crate::answer::refusal_json(error, None);
         if error.kind() == ErrorKind::EditConflict {
             let current = match parts {
@@ -447,8 +454,9 @@
     Error::new(ErrorKind::NotFound).context(reason)
 }
 
-/// Reads what an edit demands: `If-Match: "7"` or `If-None-Match: *`.
-fn read_expected(conn: &Conn) -> Result<Expected, Error> {
+/// Parses the precondition of an edit: `If-Match: "7"`, `If-Match: *` or
+/// `If-None-Match: *`.
+fn parse_expected(conn: &Conn) -> Result<Expected, Error> {
     let headers = conn.request_headers();
     if let Some(tag) = headers.get_str(KnownHeaderName::IfMatch) {
         return match tag.trim().trim_matches('"') {
@@ -459,8 +467,8 @@
     match headers.get_str(KnownHeaderName::IfNoneMatch) {
         Some("*") => Ok(Expected::Absent),
         _ => Err(invalid(
-            "an edit needs `If-Match` with the revision it was made on, or \
-             `If-None-Match: *` for something new",
+            "an edit requires `If-Match` with the revision that it is based \
+             on, or `If-None-Match: *` to create something new",
         )),
     }
 }
@@ -481,7 +489,7 @@
     })
 }
 
-fn read_query(text: &str, vm: &Vm) -> Result<BillQuery, Error> {
+fn parse_bill_query(text: &str, vm: &Vm) -> Result<BillQuery, Error> {
     const DAY_MS: u64 = 24 * 3_600_000;
     let now = vm.clock.unix_ms();
     let mut query = BillQuery {
@@ -512,8 +520,8 @@
 
 fn bill_text(bill: &Bill) -> String {
     let mut text = format!(
-        "The VM that decided is gone; its bill says:\n{} asked, it ended as \
-         `{}`, at a cost of {}.\n",
+        "The VM that made the decision is gone; according to the bill, a \
+         request of {} ended as `{}`, at a cost of {}.\n",
         bill.organisation, bill.ended, bill.cost_micro
     );
     for part in &bill.parts {
@@ -524,7 +532,7 @@
         };
         let _ = writeln!(
             text,
-            "{what} ran at {}: {} tokens read, {} written, cost {}.",
+            "{what} ran at {}: {} input tokens, {} output tokens, cost {}.",
             part.upstream,
             part.input_tokens,
             part.output_tokens,
--- a/src/chat_face/server.rs
+++ b/src/chat_face/server.rs
@@ -17,7 +17,7 @@
         callers::Callers,
         gossip::{Gossiper, log_leaving},
         guard, load,
-        operators::Operators,
+        operators::OperatorApi,
         platform_list::ListReader,
         steward::Steward,
         vm::{Vm, VmParts},
@@ -153,7 +153,7 @@
         let limit = vm.settings.requests.body_limit_bytes + 1;
         let callers = Callers { vm: vm.clone() };
         let callers = serve_http(bound.callers, callers, limit)?;
-        let operators = Operators { vm: vm.clone() };
+        let operators = OperatorApi { vm: vm.clone() };
         let operators = serve_http(bound.operators, operators, limit)?;
         let tasks = start_tasks(&vm, bound.peer_tcp);
         Ok(Server(Running {
