--- a/src/chat_face/gossip.rs
+++ b/src/chat_face/gossip.rs
@@ -203,16 +203,20 @@
         Datagram::Gossip(gossip) => handle_gossip(vm, &gossip, now).await,
         Datagram::Notice(notice) => handle_notice(vm, notice, now),
         Datagram::Report { vm: from, tallies } => {
-            let mut own = vm.tallies.lock().expect("tallies lock");
-            own.record_report(ShortHash::of(from.as_str()), &tallies, now);
+            let mut own_tallies = vm.tallies.lock().expect("tallies lock");
+            own_tallies.record_report(
+                ShortHash::of(from.as_str()),
+                &tallies,
+                now,
+            );
         }
     }
 }
 
 fn handle_notice(vm: &Vm, notice: Notice, now: BootInstant) {
     match notice {
-        Notice::Leaving(short) => {
-            let found = vm.view.upstream_by_short(short);
+        Notice::Leaving(hash) => {
+            let found = vm.view.upstream_by_hash(hash);
             if let Some(upstream) = found
                 && upstream.mark_leaving()
             {
@@ -221,7 +225,7 @@
         }
         Notice::RateLimit(reported) => {
             let age = Duration::from_millis(reported.age_ms.into());
-            let found = vm.view.upstream_by_short(reported.upstream);
+            let found = vm.view.upstream_by_hash(reported.upstream);
             let (Some(upstream), Some(at)) = (found, now.checked_sub(age))
             else {
                 return;
--- a/src/chat_face/membership.rs
+++ b/src/chat_face/membership.rs
@@ -63,7 +63,7 @@
 /// The other VMs of this VM's data hall, with their liveness.
 #[derive(Clone, Debug)]
 pub struct Membership {
-    me: ShortHash,
+    own_vm: ShortHash,
     suspect_after: Duration,
     dead_after: Duration,
     members: HashMap<ShortHash, Member>,
@@ -73,13 +73,18 @@
 const FORGET_FACTOR: u32 = 60;
 
 impl Membership {
-    /// Creates a membership without members; `me` is this VM.
+    /// Creates a membership without members; `own_vm` is this VM.
     pub fn new(
-        me: ShortHash,
+        own_vm: ShortHash,
         suspect_after: Duration,
         dead_after: Duration,
     ) -> Membership {
-        Membership { me, suspect_after, dead_after, members: HashMap::new() }
+        Membership {
+            own_vm,
+            suspect_after,
+            dead_after,
+            members: HashMap::new(),
+        }
     }
 
     /// Records a heartbeat.
@@ -91,7 +96,7 @@
         beat: &Beat,
         now: BootInstant,
     ) -> Option<LivenessChange> {
-        if beat.vm == self.me {
+        if beat.vm == self.own_vm {
             return None;
         }
         let known = self.members.get(&beat.vm);
@@ -162,7 +167,7 @@
     /// Returns whether work may be sent to a VM: it is alive and neither
     /// suspected nor leaving. This VM itself always is.
     pub fn is_alive(&self, vm: ShortHash) -> bool {
-        vm == self.me
+        vm == self.own_vm
             || self.get(vm).is_some_and(|m| m.liveness == Liveness::Alive)
     }
 
--- a/src/chat_face/view.rs
+++ b/src/chat_face/view.rs
@@ -53,7 +53,7 @@
 #[derive(Debug, Default)]
 struct Upstreams {
     by_id: HashMap<UpstreamId, Arc<Upstream>>,
-    by_short: HashMap<ShortHash, Arc<Upstream>>,
+    by_hash: HashMap<ShortHash, Arc<Upstream>>,
     by_model: HashMap<ModelId, Vec<Arc<Upstream>>>,
     by_service: HashMap<ServiceId, Vec<Arc<Upstream>>>,
 }
@@ -75,7 +75,7 @@
                     .or_default()
                     .push(upstream.clone()),
             }
-            upstreams.by_short.insert(upstream.short, upstream.clone());
+            upstreams.by_hash.insert(upstream.short, upstream.clone());
             upstreams.by_id.insert(record.id.clone(), upstream);
         }
         upstreams
@@ -214,11 +214,8 @@
     }
 
     /// Returns the upstream whose name has this short hash.
-    pub fn upstream_by_short(
-        &self,
-        short: ShortHash,
-    ) -> Option<Arc<Upstream>> {
-        self.upstreams().by_short.get(&short).cloned()
+    pub fn upstream_by_hash(&self, hash: ShortHash) -> Option<Arc<Upstream>> {
+        self.upstreams().by_hash.get(&hash).cloned()
     }
 
     /// Returns the local upstreams whose load this VM polls.
@@ -335,7 +332,7 @@
     ) -> Vec<Arc<Upstream>> {
         let mut newly_leaving = Vec::new();
         for entry in entries {
-            let found = self.upstream_by_short(entry.upstream);
+            let found = self.upstream_by_hash(entry.upstream);
             let Some(upstream) = found else { continue };
             let age = Duration::from_millis(entry.age_ms.into());
             let Some(at) = now.checked_sub(age) else { continue };
