--- a/src/chat_face/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -13,24 +13,26 @@
 
 use crate::{
     answer::{Answer, Header},
-    chains::{
-        claim::{
-            BodyHash, ClaimKey, ClaimOutcome, ClaimRequest, ClaimVerdict,
-        },
-        claims::{Claims, GRANT_LIFETIME, verdict_label},
-    },
-    chat_face::{
-        chat::{TokenUse, answer_text},
-        choose::{Step, UpstreamWish, pick_upstream},
+    api::{
+        chat::{TokenUsage, answer_text},
         decision::{Attempt, AttemptEnd, UpstreamChoice, Verdict},
         estimate::{evidence_key, version_hash},
         rating::{self, RatingRequest},
         relay,
-        request::{Admitted, Core, Outcome, Planned, Request, ServiceCall},
+        request::{
+            Admitted, Outcome, Planned, Request, RequestContext, ServiceCall,
+        },
+        selection::{Step, UpstreamCriteria, pick_upstream},
         tally::{Tally, evidence},
         template::VersionEntry,
         vm::Vm,
     },
+    chains::{
+        claim::{
+            BodyHash, ClaimKey, ClaimOutcome, ClaimRequest, ClaimVerdict,
+        },
+        claims::{Claims, GRANT_LIFETIME, verdict_label},
+    },
     clock::BootInstant,
     error::{Error, ErrorKind},
     event::Event,
@@ -39,7 +41,7 @@
     },
     id::UpstreamId,
     message::ShortHash,
-    placing::upstream::{BreakerChange, InFlight, Upstream},
+    placing::upstream::{BreakerChange, InFlightGuard, Upstream},
     task::{self, within},
     unit::{MicroCost, Share},
 };
@@ -77,11 +79,11 @@
 }
 
 /// An upstream chosen for an attempt.
-pub(crate) struct Chosen {
+pub(crate) struct SelectedUpstream {
     pub(crate) upstream: Arc<Upstream>,
     pub(crate) choice: UpstreamChoice,
     pub(super) chosen_at: BootInstant,
-    _in_flight: InFlight,
+    _in_flight: InFlightGuard,
 }
 
 /// How an attempt failed.
@@ -136,8 +138,11 @@
             let now = vm.clock.now();
             let left = self.state.deadline.saturating_duration_since(now);
             let upstreams = vm.view.service_upstreams(&service);
-            let wish =
-                UpstreamWish { version: None, prefix: None, tried: &tried };
+            let wish = UpstreamCriteria {
+                version: None,
+                prefix: None,
+                tried: &tried,
+            };
             let chosen = self.core.choose(&upstreams, wish)?;
             let limit = match repeatable {
                 true => left.min(SERVICE_ATTEMPT_LIMIT),
@@ -204,15 +209,12 @@
         let chat = &self.state.admitted.call.chat;
         let output = chat
             .output_tokens
-            .unwrap_or(crate::chat_face::estimate::USUAL_OUTPUT_TOKENS);
+            .unwrap_or(crate::api::estimate::USUAL_OUTPUT_TOKENS);
         entry.price(chat.input_tokens, output)
     }
 
     /// Asks the planned versions in order until an answer is good enough.
-    async fn cascade(
-        &mut self,
-        pass: crate::chat_face::queue::Pass,
-    ) -> Outcome {
+    async fn cascade(&mut self, pass: crate::api::queue::Pass) -> Outcome {
         let steps = self.state.plan.steps.clone();
         let mut pass = Some(pass);
         let mut best = None;
@@ -248,7 +250,7 @@
     async fn ask_step(
         &mut self,
         step: &Step,
-        pass: &mut Option<crate::chat_face::queue::Pass>,
+        pass: &mut Option<crate::api::queue::Pass>,
     ) -> Result<WholeAnswer, Error> {
         let repeatable = self.state.repeatable;
         let mut tried: Vec<UpstreamId> = Vec::new();
@@ -292,9 +294,9 @@
         &mut self,
         entry: &VersionEntry,
         tried: &[UpstreamId],
-    ) -> Result<Chosen, Error> {
+    ) -> Result<SelectedUpstream, Error> {
         let upstreams = self.core.vm.view.model_upstreams(&entry.model);
-        let wish = UpstreamWish {
+        let wish = UpstreamCriteria {
             version: Some(version_hash(entry)),
             prefix: Some(self.state.admitted.call.chat.prefix),
             tried,
@@ -337,7 +339,7 @@
         self.core.end_attempt(AttemptEnd::Answered { status });
         let used = serde_json::from_slice::<Value>(&answer.body)
             .ok()
-            .and_then(|value| TokenUse::from_json(&value));
+            .and_then(|value| TokenUsage::from_json(&value));
         if let Some(used) = used {
             self.core.note_use(entry, used);
         }
@@ -408,7 +410,7 @@
     ) {
         let is_rolling = matches!(
             entry.state,
-            crate::chat_face::template::VersionState::RollingOut { .. }
+            crate::api::template::VersionState::RollingOut { .. }
         );
         if !is_rolling && rand::random::<f64>() >= LEARN_SHARE {
             return;
@@ -485,7 +487,7 @@
     }
 }
 
-impl Core {
+impl RequestContext {
     /// Claims the key of a request that may not be repeated.
     ///
     /// An error is how the request ends without being run.
@@ -614,8 +616,8 @@
     pub(crate) fn choose(
         &mut self,
         upstreams: &[Arc<Upstream>],
-        wish: UpstreamWish<'_>,
-    ) -> Result<Chosen, Error> {
+        wish: UpstreamCriteria<'_>,
+    ) -> Result<SelectedUpstream, Error> {
         let vm = &self.vm;
         let now = vm.clock.now();
         let facts: Vec<_> =
@@ -637,16 +639,21 @@
             .clone();
         // Lets the trial of an open breaker through; the pick saw it closed
         // or due.
-        upstream.try_enter(now);
-        upstream.own_word.note_sent(now);
+        upstream.allow_request(now);
+        upstream.reported_state.record_sent(now);
         let in_flight = upstream.begin();
-        Ok(Chosen { upstream, choice, chosen_at: now, _in_flight: in_flight })
+        Ok(SelectedUpstream {
+            upstream,
+            choice,
+            chosen_at: now,
+            _in_flight: in_flight,
+        })
     }
 
     /// Notes the attempt that begins.
     pub(crate) fn begin_attempt(
         &mut self,
-        chosen: &Chosen,
+        chosen: &SelectedUpstream,
         entry: Option<&VersionEntry>,
         price: MicroCost,
     ) {
@@ -662,7 +669,7 @@
     }
 
     /// Notes the tokens that the last attempt used.
-    pub(crate) fn note_use(&mut self, entry: &VersionEntry, used: TokenUse) {
+    pub(crate) fn note_use(&mut self, entry: &VersionEntry, used: TokenUsage) {
         if let Some(last) = self.decision.attempts.last_mut() {
             last.input_tokens = used.input;
             last.output_tokens = used.output;
@@ -673,7 +680,7 @@
     /// Sends an attempt and waits for the head of its answer.
     pub(crate) async fn ask(
         &self,
-        chosen: &Chosen,
+        chosen: &SelectedUpstream,
         sending: Sending,
     ) -> Result<Exchange, AttemptFault> {
         let limit = sending.limit;
@@ -701,7 +708,7 @@
     /// Sends an attempt and waits for the whole answer.
     pub(crate) async fn ask_whole(
         &self,
-        chosen: &Chosen,
+        chosen: &SelectedUpstream,
         sending: Sending,
     ) -> Result<WholeAnswer, AttemptFault> {
         let limit = sending.limit;
@@ -750,7 +757,7 @@
         done.unwrap_or(Err(AttemptFault::TimedOut))
     }
 
-    fn call(&self, chosen: &Chosen, sending: Sending) -> Call {
+    fn call(&self, chosen: &SelectedUpstream, sending: Sending) -> Call {
         let id = &self.decision.id;
         let attempt = self.decision.attempts.len();
         let address = chosen.upstream.record.address;
@@ -769,13 +776,17 @@
     }
 
     /// Tells the breaker of an upstream how an attempt went.
-    fn judge_upstream(&self, chosen: &Chosen, fault: Option<AttemptFault>) {
+    fn judge_upstream(
+        &self,
+        chosen: &SelectedUpstream,
+        fault: Option<AttemptFault>,
+    ) {
         let upstream = &chosen.upstream;
         let change = match fault {
             None | Some(AttemptFault::Cancelled | AttemptFault::TooLarge) => {
-                upstream.succeeded()
+                upstream.record_success()
             }
-            Some(_) => upstream.failed(self.vm.clock.now()),
+            Some(_) => upstream.record_failure(self.vm.clock.now()),
         };
         let event = match change {
             Some(BreakerChange::Opened) => Event::BreakerOpened,
--- a/src/chat_face/gossip.rs
+++ b/src/api/gossip.rs
@@ -16,15 +16,15 @@
 use smol::net::UdpSocket;
 
 use crate::{
-    chat_face::{
+    api::{
         view::{Peer, log_liveness_changes},
         vm::Vm,
     },
     clock::BootInstant,
     event::Event,
-    frame::{DATAGRAM_LIMIT_BYTES, FrameFault},
+    frame::{DATAGRAM_LIMIT_BYTES, FrameError},
     id::VmId,
-    message::{Beat, Datagram, Gossip, Notice, ShortHash},
+    message::{Datagram, Gossip, HeartbeatEntry, ShortHash, UpstreamNotice},
     placing::upstream::Upstream,
     task,
 };
@@ -87,11 +87,14 @@
     }
 
     /// Sends a notice to every live peer of the hall, twice.
-    pub(crate) async fn broadcast_notice(vm: &Arc<Vm>, mut notice: Notice) {
+    pub(crate) async fn broadcast_notice(
+        vm: &Arc<Vm>,
+        mut notice: UpstreamNotice,
+    ) {
         for attempt in 0..2 {
             if attempt > 0 {
                 task::sleep(NOTICE_RESEND_DELAY).await;
-                notice = notice.after(NOTICE_RESEND_DELAY);
+                notice = notice.aged_by(NOTICE_RESEND_DELAY);
             }
             for peer in vm.view.live_hall_peers() {
                 let datagram = Datagram::Notice(notice);
@@ -136,7 +139,7 @@
         {
             let mut gossip = build_gossip(vm, counter);
             // Liveness is tracked only within a hall.
-            gossip.beats.clear();
+            gossip.heartbeats.clear();
             gossip.loads = vm.view.loads(MAX_LOADS, 0, vm.clock.now());
             let datagram = Datagram::Gossip(gossip);
             self.send(vm, peer.address, &datagram).await;
@@ -164,7 +167,7 @@
             return;
         }
         if let Some(peer) = vm.view.peer(&aggregator) {
-            let datagram = Datagram::Report { vm: own_id, tallies: due };
+            let datagram = Datagram::TallyReport { vm: own_id, tallies: due };
             self.send(vm, peer.address, &datagram).await;
         }
     }
@@ -185,7 +188,7 @@
         }
     }
 
-    fn record_dropped_frame(&self, vm: &Vm, fault: FrameFault) {
+    fn record_dropped_frame(&self, vm: &Vm, fault: FrameError) {
         let label = fault.as_str();
         vm.metrics.frames_dropped.with_label_values(&[label]).inc();
         let now = vm.clock.now();
@@ -202,7 +205,7 @@
     match datagram {
         Datagram::Gossip(gossip) => handle_gossip(vm, &gossip, now).await,
         Datagram::Notice(notice) => handle_notice(vm, notice, now),
-        Datagram::Report { vm: from, tallies } => {
+        Datagram::TallyReport { vm: from, tallies } => {
             let mut own_tallies = vm.tallies.lock().expect("tallies lock");
             own_tallies.record_report(
                 ShortHash::of(from.as_str()),
@@ -213,9 +216,9 @@
     }
 }
 
-fn handle_notice(vm: &Vm, notice: Notice, now: BootInstant) {
+fn handle_notice(vm: &Vm, notice: UpstreamNotice, now: BootInstant) {
     match notice {
-        Notice::Leaving(hash) => {
+        UpstreamNotice::Leaving(hash) => {
             let found = vm.view.upstream_by_hash(hash);
             if let Some(upstream) = found
                 && upstream.mark_leaving()
@@ -223,17 +226,17 @@
                 log_leaving(&upstream, "reported by another VM");
             }
         }
-        Notice::RateLimit(reported) => {
+        UpstreamNotice::RateLimit(reported) => {
             let age = Duration::from_millis(reported.age_ms.into());
             let found = vm.view.upstream_by_hash(reported.upstream);
             let (Some(upstream), Some(at)) = (found, now.checked_sub(age))
             else {
                 return;
             };
-            let statements = &upstream.own_word;
+            let statements = &upstream.reported_state;
             let draw = rand::random();
             if let Some(change) =
-                statements.note_limit(reported.rate, at, draw, now)
+                statements.update_rate_limit(reported.rate, at, draw, now)
             {
                 let id = &upstream.record.id;
                 let event = change.event();
@@ -247,7 +250,7 @@
 
 async fn handle_gossip(vm: &Arc<Vm>, gossip: &Gossip, now: BootInstant) {
     if gossip.data_hall == *vm.view.data_hall() {
-        let changes = vm.view.observe_heartbeats(&gossip.beats, now);
+        let changes = vm.view.observe_heartbeats(&gossip.heartbeats, now);
         log_liveness_changes(&vm.view, &changes);
     }
     for upstream in vm.view.apply_loads(&gossip.loads, now) {
@@ -276,24 +279,24 @@
 pub(crate) fn build_gossip(vm: &Vm, counter: u32) -> Gossip {
     let now = vm.clock.now();
     let own_identity = vm.identity();
-    let own_heartbeat = Beat {
+    let own_heartbeat = HeartbeatEntry {
         vm: ShortHash::of(own_identity.vm.as_str()),
         incarnation: own_identity.incarnation,
         counter,
         leaving: vm.is_stopping(),
     };
-    let mut beats = vm.view.heartbeats(MAX_HEARTBEATS - 1);
-    beats.push(own_heartbeat);
+    let mut heartbeats = vm.view.heartbeats(MAX_HEARTBEATS - 1);
+    heartbeats.push(own_heartbeat);
     let proof_age = vm.configuration.proof_age(now);
     let mut gossip = Gossip {
         vm: own_identity.vm,
         data_hall: vm.view.data_hall().clone(),
         incarnation: own_identity.incarnation,
-        peers: vm.peer_address,
+        peer_address: vm.peer_address,
         revision: vm.configuration.current().revision(),
         proof_age_ms: proof_age
             .map(|age| age.as_millis().min(u32::MAX.into()) as u32),
-        beats,
+        heartbeats,
         loads: vm.view.loads(MAX_LOADS, MAX_REMOTE_LOADS, now),
         tallies: {
             let tallies = vm.tallies.lock().expect("tallies lock");
@@ -313,7 +316,7 @@
     while sealed_length(gossip) > DATAGRAM_LIMIT_BYTES {
         let longest = gossip.loads.len().max(gossip.tallies.len());
         if longest == 0 {
-            gossip.beats.remove(0);
+            gossip.heartbeats.remove(0);
         } else if gossip.loads.len() == longest {
             gossip.loads.pop();
         } else {
--- a/src/chat_face/load.rs
+++ b/src/api/load.rs
@@ -10,12 +10,12 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    chat_face::{
+    api::{
         gossip::{Gossiper, log_leaving},
         vm::Vm,
     },
     http_client::Call,
-    message::{Notice, ShortHash},
+    message::{ShortHash, UpstreamNotice},
     placing::upstream::Upstream,
     task,
 };
@@ -82,6 +82,10 @@
     upstream.set_load(report.running, report.waiting, versions, sent_at);
     if report.leaving && upstream.mark_leaving() {
         log_leaving(upstream, "reported by its load report");
-        Gossiper::broadcast_notice(vm, Notice::Leaving(upstream.short)).await;
+        Gossiper::broadcast_notice(
+            vm,
+            UpstreamNotice::Leaving(upstream.short_hash),
+        )
+        .await;
     }
 }
--- a/src/chat_face/membership.rs
+++ b/src/api/membership.rs
@@ -10,7 +10,7 @@
 use crate::{
     clock::BootInstant,
     id::Incarnation,
-    message::{Beat, ShortHash},
+    message::{HeartbeatEntry, ShortHash},
 };
 
 /// What the failure detector concludes about a VM.
@@ -93,7 +93,7 @@
     /// that is not newer than the last one recorded has no effect.
     pub fn observe(
         &mut self,
-        beat: &Beat,
+        beat: &HeartbeatEntry,
         now: BootInstant,
     ) -> Option<LivenessChange> {
         if beat.vm == self.own_vm {
@@ -173,7 +173,7 @@
 
     /// Returns the heartbeats that advanced last, to be gossiped on; dead VMs
     /// are left out.
-    pub fn heartbeats(&self, limit: usize) -> Vec<Beat> {
+    pub fn heartbeats(&self, limit: usize) -> Vec<HeartbeatEntry> {
         let mut newest: Vec<_> = self
             .members
             .iter()
@@ -184,7 +184,7 @@
         newest
             .into_iter()
             .take(limit)
-            .map(|(vm, member)| Beat {
+            .map(|(vm, member)| HeartbeatEntry {
                 vm: *vm,
                 incarnation: member.incarnation,
                 counter: member.counter,
@@ -205,8 +205,8 @@
 
     const VM: ShortHash = ShortHash(2);
 
-    fn beat(incarnation: u64, counter: u32) -> Beat {
-        Beat {
+    fn beat(incarnation: u64, counter: u32) -> HeartbeatEntry {
+        HeartbeatEntry {
             vm: VM,
             incarnation: Incarnation(incarnation),
             counter,
--- a/src/chat_face/operators.rs
+++ b/src/api/operators.rs
@@ -8,19 +8,19 @@
 use trillium::{Conn, Handler, KnownHeaderName, Method, async_trait};
 
 use crate::{
+    api::{
+        caller_api::{bearer_key, send_error, send_json, send_readiness},
+        decision::Decision,
+        rollout_guard,
+        template::{Template, VersionEntry, VersionState},
+        vm::{Vm, slot_state},
+    },
     chains::{
         bill::Bill,
         configuration::{Configuration, Edit, Expected, Versioned},
         configuration_sync,
         ledger::{self, BillQuery},
     },
-    chat_face::{
-        callers::{bearer, ready, send_error, send_json},
-        decision::Decision,
-        guard,
-        template::{Template, VersionEntry, VersionState},
-        vm::{Vm, slot_state},
-    },
     error::{Error, ErrorKind},
     id::{ModelId, OrganisationId, RequestId, Revision, VersionId},
     secret::KeyHash,
@@ -81,7 +81,7 @@
         let path = conn.path().to_owned();
         match path.as_str() {
             "/healthz" => return conn.ok("alive\n"),
-            "/readyz" => return ready(&self.vm, conn),
+            "/readyz" => return send_readiness(&self.vm, conn),
             "/metrics" => return self.metrics(conn),
             _ => {}
         }
@@ -148,7 +148,7 @@
         let Some(expected) = self.vm.settings.operators_key_hash else {
             return true;
         };
-        let key = bearer(conn.request_headers());
+        let key = bearer_key(conn.request_headers());
         key.is_some_and(|key| KeyHash::of(&key) == expected)
     }
 
@@ -328,8 +328,10 @@
         let now = vm.clock.now();
         let life = vm.identity();
         let configuration = vm.configuration.current();
-        let stopped =
-            guard::stopped_models(&configuration, &vm.guard.stopped());
+        let stopped = rollout_guard::stopped_versions(
+            &configuration,
+            &vm.guard.stopped(),
+        );
         let age = |age: Option<std::time::Duration>| {
             age.map(|age| age.as_millis() as u64)
         };
@@ -388,7 +390,7 @@
                     "data_hall": upstream.record.data_hall,
                     "serves": upstream.record.serves,
                     "leaving": facts.leaving,
-                    "failing": facts.broken,
+                    "failing": facts.breaker_open,
                     "requests": facts.requests,
                     "slots": facts.slots,
                     "load_age_ms":
@@ -515,7 +517,7 @@
 }
 
 fn decision_text(decision: &Decision) -> String {
-    format!("{}\n", decision.in_words())
+    format!("{}\n", decision.to_text())
 }
 
 fn bill_text(bill: &Bill) -> String {
--- a/src/chat_face/relay.rs
+++ b/src/api/relay.rs
@@ -15,15 +15,15 @@
     answer::{
         Answer, BrokenOff, Header, StreamBody, StreamPart, refusal_json,
     },
-    chains::claim::ClaimOutcome,
-    chat_face::{
-        chat::TokenUse,
+    api::{
+        chat::TokenUsage,
         decision::AttemptEnd,
-        dispatch::{AttemptFault, Chosen, fault_of},
+        dispatch::{AttemptFault, SelectedUpstream, fault_of},
         queue::Pass,
         request::{Planned, Request},
         template::VersionEntry,
     },
+    chains::claim::ClaimOutcome,
     error::{Error, ErrorKind},
     event::Event,
     http_client::Exchange,
@@ -46,7 +46,7 @@
 struct Source {
     exchange: Exchange,
     splitter: Splitter,
-    _chosen: Chosen,
+    _chosen: SelectedUpstream,
 }
 
 impl Source {
@@ -73,7 +73,7 @@
 struct Progress {
     last_id: Option<u64>,
     events: u64,
-    used: Option<TokenUse>,
+    used: Option<TokenUsage>,
     text: String,
 }
 
@@ -340,7 +340,7 @@
 
     async fn reopen(
         &mut self,
-        chosen: Chosen,
+        chosen: SelectedUpstream,
         last_id: u64,
     ) -> Result<(Source, sse::Event), AttemptFault> {
         let mut sending = self.request.sending(&self.entry, self.tried.len());
@@ -365,7 +365,7 @@
 
     fn note_use(&mut self, progress: &Progress) {
         let chat = &self.request.state.admitted.call.chat;
-        let used = progress.used.unwrap_or(TokenUse {
+        let used = progress.used.unwrap_or(TokenUsage {
             input: chat.input_tokens,
             output: progress.events,
         });
--- a/src/chat_face/request.rs
+++ b/src/api/request.rs
@@ -10,26 +10,26 @@
 
 use crate::{
     answer::{Answer, Header},
-    chains::{
-        bill::{Bill, BillPart, BillState},
-        claim::{ClaimOutcome, ClaimRequest},
-        claims::Claims,
-    },
-    chat_face::{
+    api::{
         chat::ChatRequest,
-        choose::{
-            self, Knowledge, NoPlan, Plan, RequestFacts, Room, any_usable,
-        },
         decision::{
             Asked, Attempt, AttemptEnd, Decision, SessionUse, Verdict,
         },
         estimate::version_hash,
-        limit::InUse,
+        organisation_limits::InUse,
         queue::{Entry, Pass},
+        selection::{
+            self, Knowledge, ModelLoad, NoPlan, Plan, RequestFacts, any_usable,
+        },
         session::Session,
         template::{Priority, ServiceRule, Template, VersionEntry},
         vm::{InFlightRequest, Vm},
     },
+    chains::{
+        bill::{Bill, BillPart, BillState},
+        claim::{ClaimOutcome, ClaimRequest},
+        claims::Claims,
+    },
     clock::BootInstant,
     error::{Error, ErrorKind, Run},
     id::OrganisationId,
@@ -63,7 +63,7 @@
 pub(crate) type Cancel = Receiver<()>;
 
 /// What all states of a request share.
-pub(crate) struct Core {
+pub(crate) struct RequestContext {
     pub(crate) vm: Arc<Vm>,
     pub(crate) decision: Decision,
     pub(crate) started: BootInstant,
@@ -111,7 +111,7 @@
 
 /// A request in one state of its life.
 pub(crate) struct Request<S> {
-    pub(crate) core: Core,
+    pub(crate) core: RequestContext,
     pub(crate) state: S,
 }
 
@@ -122,7 +122,7 @@
     /// Takes in a request.
     pub(crate) fn arrive(vm: &Arc<Vm>, cancel: Cancel) -> Request<Arrived> {
         let now = vm.clock.now();
-        let as_ms = |age: Option<Duration>| choose::age_ms(age);
+        let as_ms = |age: Option<Duration>| selection::age_ms(age);
         let list_read_at = vm.view.list_read_at();
         let decision = Decision {
             id: vm.next_request_id(),
@@ -142,7 +142,7 @@
             verdict: Verdict::Running,
         };
         Request {
-            core: Core {
+            core: RequestContext {
                 vm: vm.clone(),
                 decision,
                 started: now,
@@ -196,7 +196,7 @@
     }
 }
 
-impl Core {
+impl RequestContext {
     fn authorize(
         &mut self,
         headers: &CallHeaders,
@@ -534,7 +534,7 @@
             has_upstream: &has_upstream,
             now,
         };
-        let plan = choose::plan(&facts, &knowledge, rand::random())?;
+        let plan = selection::plan(&facts, &knowledge, rand::random())?;
         let repeatable = plan.steps.iter().all(|step| {
             let rule = template.model_rule(&step.entry.model);
             rule.is_some_and(|rule| rule.repeatable)
@@ -578,7 +578,7 @@
         let vm = core.vm.clone();
         let model = self.state.plan.steps[0].entry.model.clone();
         let now = vm.clock.now();
-        let room = Room::of(&vm.upstream_facts(&model, now));
+        let room = ModelLoad::of(&vm.upstream_facts(&model, now));
         let template = &self.state.admitted.template;
         let entry = Entry {
             model,
--- a/src/chat_face/guard.rs
+++ b/src/api/rollout_guard.rs
@@ -13,17 +13,17 @@
 };
 
 use crate::{
-    chains::{
-        configuration::{Configuration, Edit, Expected},
-        configuration_sync,
-        store::Backoff,
-    },
-    chat_face::{
+    api::{
         estimate::version_hash,
         tally::{Tallies, Tally, TallyKey, evidence},
         template::{VersionEntry, VersionState},
         vm::Vm,
     },
+    chains::{
+        configuration::{Configuration, Edit, Expected},
+        configuration_sync,
+        store::Backoff,
+    },
     error::ErrorKind,
     event::Event,
     id::{ModelId, Revision},
@@ -221,12 +221,12 @@
 
 /// The versions that this VM has stopped on its own judgement.
 #[derive(Default)]
-pub struct Guard {
+pub struct RolloutGuard {
     stopped: Mutex<HashSet<ShortHash>>,
     rolling: Mutex<HashSet<ShortHash>>,
 }
 
-impl Guard {
+impl RolloutGuard {
     /// The versions stopped here.
     pub fn stopped(&self) -> HashSet<ShortHash> {
         self.stopped.lock().expect("guard lock").clone()
@@ -238,7 +238,7 @@
     }
 
     /// Forgets stops that the configuration has taken over.
-    pub(crate) fn forget_settled(&self, configuration: &Configuration) {
+    pub(crate) fn clear_withdrawn(&self, configuration: &Configuration) {
         let withdrawn: HashSet<ShortHash> = configuration
             .all_versions()
             .filter(|part| part.value.state == VersionState::Withdrawn)
@@ -335,7 +335,7 @@
 }
 
 /// The model of a version, for reports.
-pub(crate) fn stopped_models(
+pub(crate) fn stopped_versions(
     configuration: &Configuration,
     stopped: &HashSet<ShortHash>,
 ) -> Vec<(ModelId, String)> {
--- a/src/chat_face/choose.rs
+++ b/src/api/selection.rs
@@ -10,8 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::{
-    chains::configuration::Configuration,
-    chat_face::{
+    api::{
         decision::{
             Candidate, Dropped, Preferred, SessionUse, UpstreamChoice,
         },
@@ -19,11 +18,12 @@
         tally::Tallies,
         template::{Template, VersionEntry, VersionState},
     },
+    chains::configuration::Configuration,
     clock::BootInstant,
     error::{Error, ErrorKind},
     id::{ModelId, UpstreamId, VersionId},
     message::ShortHash,
-    placing::{admission, upstream::UpstreamFacts},
+    placing::{admission, upstream::UpstreamSnapshot},
     unit::MicroCost,
 };
 
@@ -455,7 +455,7 @@
 
 /// What of a request matters to the choice of an upstream.
 #[derive(Clone, Copy, Debug)]
-pub struct UpstreamWish<'a> {
+pub struct UpstreamCriteria<'a> {
     /// The version that must be loaded, for model requests.
     pub version: Option<ShortHash>,
     /// The hash of the request's prefix, where affinity helps.
@@ -470,8 +470,8 @@
 ///
 /// [`ErrorKind::NoUpstream`] with the numbers of those left out.
 pub fn pick_upstream(
-    facts: &[UpstreamFacts],
-    wish: UpstreamWish<'_>,
+    facts: &[UpstreamSnapshot],
+    wish: UpstreamCriteria<'_>,
     seed: u64,
 ) -> Result<UpstreamChoice, Error> {
     let sorted = Sorted::new(facts, wish);
@@ -496,8 +496,8 @@
 
 /// The upstreams by usability.
 struct Sorted<'a> {
-    local: Vec<&'a UpstreamFacts>,
-    remote: Vec<&'a UpstreamFacts>,
+    local: Vec<&'a UpstreamSnapshot>,
+    remote: Vec<&'a UpstreamSnapshot>,
     leaving: u32,
     broken: u32,
     backing_off: u32,
@@ -507,7 +507,10 @@
 }
 
 impl<'a> Sorted<'a> {
-    fn new(facts: &'a [UpstreamFacts], wish: UpstreamWish<'_>) -> Sorted<'a> {
+    fn new(
+        facts: &'a [UpstreamSnapshot],
+        wish: UpstreamCriteria<'_>,
+    ) -> Sorted<'a> {
         let mut sorted = Sorted {
             local: Vec::new(),
             remote: Vec::new(),
@@ -520,7 +523,7 @@
         for one in facts {
             if one.leaving {
                 sorted.leaving += 1;
-            } else if one.broken || wish.tried.contains(&one.id) {
+            } else if one.breaker_open || wish.tried.contains(&one.id) {
                 sorted.broken += 1;
             } else if !one.backoff.is_zero() {
                 sorted.backing_off += 1;
@@ -547,12 +550,12 @@
             return error;
         }
         let draw = ChaCha8Rng::seed_from_u64(seed).random();
-        let back = admission::return_after_backoff(self.soonest, draw);
+        let back = admission::retry_after_backoff(self.soonest, draw);
         error.with_retry_after(back)
     }
 
     /// The own hall, unless it cannot or another has clearly more room.
-    fn pool(&self) -> Vec<&'a UpstreamFacts> {
+    fn pool(&self) -> Vec<&'a UpstreamSnapshot> {
         let overflow = !self.remote.is_empty()
             && fill(&self.local) > OVERFLOW_FILL
             && fill(&self.remote) < 1.0;
@@ -563,22 +566,22 @@
     }
 }
 
-fn fill(pool: &[&UpstreamFacts]) -> f64 {
+fn fill(pool: &[&UpstreamSnapshot]) -> f64 {
     let requests: f64 = pool.iter().map(|one| one.requests).sum();
     let slots: f64 = pool.iter().map(|one| one.slots).sum();
     if slots > 0.0 { requests / slots } else { f64::INFINITY }
 }
 
 /// Whether an upstream is known to have loaded a version.
-fn has_loaded(one: &UpstreamFacts, version: Option<ShortHash>) -> bool {
+fn has_loaded(one: &UpstreamSnapshot, version: Option<ShortHash>) -> bool {
     version.is_none_or(|version| one.versions.contains(&version))
 }
 
 fn prefer<'a>(
-    pool: &[&'a UpstreamFacts],
+    pool: &[&'a UpstreamSnapshot],
     prefix: Option<u64>,
     rng: &mut ChaCha8Rng,
-) -> (&'a UpstreamFacts, Preferred) {
+) -> (&'a UpstreamSnapshot, Preferred) {
     if let [only] = pool {
         return (only, Preferred::Only);
     }
@@ -595,10 +598,11 @@
 
 /// The upstream that probably holds the prefix, unless it is overloaded.
 fn home_of<'a>(
-    pool: &[&'a UpstreamFacts],
+    pool: &[&'a UpstreamSnapshot],
     prefix: u64,
-) -> Option<&'a UpstreamFacts> {
-    let weight = |one: &&&UpstreamFacts| mix(prefix ^ u64::from(one.short.0));
+) -> Option<&'a UpstreamSnapshot> {
+    let weight =
+        |one: &&&UpstreamSnapshot| mix(prefix ^ u64::from(one.short_hash.0));
     let home = pool.iter().max_by_key(weight)?;
     let mean = fill(pool);
     let bound = (mean * AFFINITY_BOUND * home.slots).max(1.0);
@@ -606,7 +610,7 @@
 }
 
 /// How full an upstream would be with one request more.
-fn pressure(one: &UpstreamFacts) -> f64 {
+fn pressure(one: &UpstreamSnapshot) -> f64 {
     (one.requests + 1.0) / one.slots.max(f64::MIN_POSITIVE)
 }
 
@@ -617,20 +621,20 @@
     value ^ (value >> 31)
 }
 
-/// Room left for new requests at replicas of one model, and their slots.
+/// ModelLoad left for new requests at replicas of one model, and their slots.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Room {
+pub struct ModelLoad {
     /// Requests believed to be held.
     pub requests: f64,
     /// Slots of usable replicas.
     pub slots: f64,
 }
 
-impl Room {
+impl ModelLoad {
     /// Adds up the usable replicas of a model.
-    pub fn of(facts: &[UpstreamFacts]) -> Room {
-        let usable = facts.iter().filter(|one| one.is_open());
-        usable.fold(Room::default(), |room, one| Room {
+    pub fn of(facts: &[UpstreamSnapshot]) -> ModelLoad {
+        let usable = facts.iter().filter(|one| one.is_available());
+        usable.fold(ModelLoad::default(), |room, one| ModelLoad {
             requests: room.requests + one.requests,
             slots: room.slots + one.slots,
         })
@@ -638,8 +642,10 @@
 }
 
 /// Whether any replica of a version could take a request.
-pub fn any_usable(facts: &[UpstreamFacts], version: ShortHash) -> bool {
-    facts.iter().any(|one| one.is_open() && has_loaded(one, Some(version)))
+pub fn any_usable(facts: &[UpstreamSnapshot], version: ShortHash) -> bool {
+    facts
+        .iter()
+        .any(|one| one.is_available() && has_loaded(one, Some(version)))
 }
 
 /// The age of a moment, in whole milliseconds.
--- a/src/chat_face/server.rs
+++ b/src/api/server.rs
@@ -12,20 +12,21 @@
 use trillium_server_common::ServerHandle;
 
 use crate::{
-    chains::{configuration_sync, ledger::Ledger},
-    chat_face::{
-        callers::Callers,
+    api::{
+        caller_api::CallerApi,
         gossip::{Gossiper, log_leaving},
-        guard, load,
+        load,
         operators::OperatorApi,
         platform_list::ListReader,
+        rollout_guard,
         steward::Steward,
         vm::{Vm, VmParts},
     },
+    chains::{configuration_sync, ledger::Ledger},
     clock::{SharedClock, SystemClock},
     error::{Error, ErrorKind},
     event::Event,
-    message::Notice,
+    message::UpstreamNotice,
     peer,
     settings::Settings,
     task::{self, Task, within},
@@ -151,7 +152,7 @@
             bound.addresses.peers
         ));
         let limit = vm.settings.requests.body_limit_bytes + 1;
-        let callers = Callers { vm: vm.clone() };
+        let callers = CallerApi { vm: vm.clone() };
         let callers = serve_http(bound.callers, callers, limit)?;
         let operators = OperatorApi { vm: vm.clone() };
         let operators = serve_http(bound.operators, operators, limit)?;
@@ -248,7 +249,7 @@
         task::spawn(configuration_sync::follow_loop(vm.clone())),
         task::spawn(configuration_sync::fetch_loop(vm.clone())),
         task::spawn(configuration_sync::staleness_loop(vm.clone())),
-        task::spawn(guard::watch_loop(vm.clone())),
+        task::spawn(rollout_guard::watch_loop(vm.clone())),
         task::spawn(Ledger::send_loop(vm.clone())),
         task::spawn(Ledger::commit_loop(vm.clone())),
         task::spawn(Steward::run_loop(vm.clone())),
@@ -277,7 +278,7 @@
                     log_leaving(&upstream, "reported by the platform's list");
                     Gossiper::broadcast_notice(
                         &vm,
-                        Notice::Leaving(upstream.short),
+                        UpstreamNotice::Leaving(upstream.short_hash),
                     )
                     .await;
                 }
--- a/src/chat_face/statement.rs
+++ b/src/api/statement.rs
@@ -3,13 +3,15 @@
 use hyper::HeaderMap;
 
 use crate::{
-    chat_face::{
-        dispatch::{Chosen, STATUS_NOT_LOADED, STATUS_UNAVAILABLE},
+    api::{
+        dispatch::{STATUS_NOT_LOADED, STATUS_UNAVAILABLE, SelectedUpstream},
         gossip::{Gossiper, log_leaving},
-        request::Core,
+        request::RequestContext,
+    },
+    message::{RateLimitReport, ShortHash, UpstreamNotice},
+    placing::signals::{
+        RateLimit, ReportedChange, RetryAfter, UpstreamSignals,
     },
-    message::{Notice, ShortHash, ToldLimit},
-    placing::statement::{OwnNews, RateLimit, Rest, Statement},
     task,
     unit::RequestRate,
 };
@@ -22,23 +24,23 @@
 /// that it accepts from all VMs together; its value is a decimal number.
 const RATE_LIMIT_HEADER: &str = "lupinseam-rate-limit";
 
-impl Core {
+impl RequestContext {
     /// Applies the signals in a response to the upstream's state, and sends
     /// the other VMs of the data hall a notice of those that they should know
     /// at once.
     pub(super) fn apply_upstream_statement(
         &self,
-        chosen: &Chosen,
+        chosen: &SelectedUpstream,
         status: u16,
         headers: &HeaderMap,
     ) {
         let upstream = &chosen.upstream;
         let statement = parse_statement(status, headers);
         let (draw, now) = (rand::random(), self.vm.clock.now());
-        let reported = &upstream.own_word;
-        for change in reported.take(&statement, draw, chosen.chosen_at, now) {
+        let reported = &upstream.reported_state;
+        for change in reported.apply(&statement, draw, chosen.chosen_at, now) {
             match &change {
-                OwnNews::Leaving => {
+                ReportedChange::Leaving => {
                     log_leaving(upstream, "reported by its response")
                 }
                 other => {
@@ -46,7 +48,7 @@
                     other.event().log(format_args!("upstream {id}"));
                 }
             }
-            let Some(notice) = notice_for(&change, upstream.short) else {
+            let Some(notice) = notice_for(&change, upstream.short_hash) else {
                 continue;
             };
             let vm = self.vm.clone();
@@ -59,12 +61,12 @@
 }
 
 /// Reads the signals from the head of a response.
-fn parse_statement(status: u16, headers: &HeaderMap) -> Statement {
+fn parse_statement(status: u16, headers: &HeaderMap) -> UpstreamSignals {
     let was_executed =
         ![STATUS_UNAVAILABLE, STATUS_NOT_LOADED].contains(&status);
-    Statement {
+    UpstreamSignals {
         is_leaving: headers.get(LEAVING_HEADER).is_some_and(|v| v == "1"),
-        rest: Rest::read(status, headers),
+        retry_after: RetryAfter::read(status, headers),
         rate_limit: RateLimit::read(
             headers.get_all(RATE_LIMIT_HEADER),
             was_executed,
@@ -75,14 +77,21 @@
 
 /// Returns the notice to send to the other VMs of the data hall, if the
 /// change concerns them.
-fn notice_for(change: &OwnNews, upstream: ShortHash) -> Option<Notice> {
+fn notice_for(
+    change: &ReportedChange,
+    upstream: ShortHash,
+) -> Option<UpstreamNotice> {
     let limit = |rate: Option<RequestRate>| {
-        Notice::RateLimit(ToldLimit { upstream, rate, age_ms: 0 })
+        UpstreamNotice::RateLimit(RateLimitReport {
+            upstream,
+            rate,
+            age_ms: 0,
+        })
     };
     match change {
-        OwnNews::Leaving => Some(Notice::Leaving(upstream)),
-        OwnNews::Limited(rate) => Some(limit(Some(*rate))),
-        OwnNews::Unlimited => Some(limit(None)),
+        ReportedChange::Leaving => Some(UpstreamNotice::Leaving(upstream)),
+        ReportedChange::RateLimited(rate) => Some(limit(Some(*rate))),
+        ReportedChange::RateLimitLifted => Some(limit(None)),
         _ => None,
     }
 }
--- a/src/chat_face/view.rs
+++ b/src/api/view.rs
@@ -14,17 +14,17 @@
 use rand::seq::IndexedRandom;
 
 use crate::{
-    chat_face::{
+    api::{
         membership::{Liveness, LivenessChange, Membership},
         platform_list::{ListedRole, ListedState, ListedVm},
     },
     clock::BootInstant,
     event::Event,
     id::{DataHallId, Incarnation, ModelId, ServiceId, UpstreamId, VmId},
-    message::{Beat, LoadEntry, ShortHash},
+    message::{HeartbeatEntry, LoadEntry, ShortHash},
     placing::{
         owners::Roster,
-        upstream::{Serves, Upstream, UpstreamFacts},
+        upstream::{Serves, Upstream, UpstreamSnapshot},
     },
     rendezvous,
     settings::PeerSettings,
@@ -75,7 +75,7 @@
                     .or_default()
                     .push(upstream.clone()),
             }
-            upstreams.by_hash.insert(upstream.short, upstream.clone());
+            upstreams.by_hash.insert(upstream.short_hash, upstream.clone());
             upstreams.by_id.insert(record.id.clone(), upstream);
         }
         upstreams
@@ -175,13 +175,18 @@
         &self,
         upstream: &Upstream,
         now: BootInstant,
-    ) -> UpstreamFacts {
-        let facts = upstream.facts(&self.data_hall, now);
+    ) -> UpstreamSnapshot {
+        let facts = upstream.snapshot(&self.data_hall, now);
         let (vm, hall) = (self.vm.as_str(), &upstream.record.data_hall);
-        let statements = &upstream.own_word;
-        let limit =
-            statements.limit_wait(&self.roster, vm, upstream.short, hall, now);
-        UpstreamFacts { backoff: facts.backoff.max(limit), ..facts }
+        let statements = &upstream.reported_state;
+        let limit = statements.rate_limit_wait(
+            &self.roster,
+            vm,
+            upstream.short_hash,
+            hall,
+            now,
+        );
+        UpstreamSnapshot { backoff: facts.backoff.max(limit), ..facts }
     }
 
     /// Records that the list was read at `now` and had not changed.
@@ -289,7 +294,7 @@
     /// Records heartbeats and returns the changes in liveness.
     pub fn observe_heartbeats(
         &self,
-        heartbeats: &[Beat],
+        heartbeats: &[HeartbeatEntry],
         now: BootInstant,
     ) -> Vec<LivenessChange> {
         let mut members = self.members.lock().expect("members lock");
@@ -305,7 +310,7 @@
     }
 
     /// Returns the latest heartbeats, to be gossiped on.
-    pub fn heartbeats(&self, limit: usize) -> Vec<Beat> {
+    pub fn heartbeats(&self, limit: usize) -> Vec<HeartbeatEntry> {
         self.members.lock().expect("members lock").heartbeats(limit)
     }
 
@@ -424,7 +429,7 @@
     }
     let saturate = |value: u32| value.min(u16::MAX.into()) as u16;
     Some(LoadEntry {
-        upstream: upstream.short,
+        upstream: upstream.short_hash,
         age_ms: age.as_millis() as u16,
         running: saturate(load.running),
         waiting: saturate(load.waiting),
--- a/src/chat_face/vm.rs
+++ b/src/api/vm.rs
@@ -13,6 +13,19 @@
 use smol::channel::{Receiver, Sender};
 
 use crate::{
+    api::{
+        decision::{Decision, DecisionLog},
+        gossip::Gossiper,
+        membership::Liveness,
+        organisation_limits::OrganisationLimits,
+        queue::DispatchQueue,
+        rollout_guard::RolloutGuard,
+        selection::ModelLoad,
+        session::SessionKeys,
+        steward::Steward,
+        tally::Tallies,
+        view::FleetView,
+    },
     chains::{
         bill::Bill,
         claim::VmLife,
@@ -23,19 +36,6 @@
         slot::HoldRequest,
         store::{HttpStore, SharedStore, StoreCounts},
     },
-    chat_face::{
-        choose::Room,
-        decision::{Decision, DecisionLog},
-        gossip::Gossiper,
-        guard::Guard,
-        limit::Limits,
-        membership::Liveness,
-        queue::Gate,
-        session::SessionKeys,
-        steward::Steward,
-        tally::Tallies,
-        view::FleetView,
-    },
     clock::{BootInstant, SharedClock},
     event::Event,
     frame::FrameCodec,
@@ -44,7 +44,7 @@
     message::{PeerReply, PeerRequest, ShortHash},
     metrics::Metrics,
     peer::{PeerClient, PeerError, PeerService},
-    placing::upstream::UpstreamFacts,
+    placing::upstream::UpstreamSnapshot,
     retry::RetryBudget,
     settings::Settings,
 };
@@ -77,10 +77,10 @@
     pub(crate) configuration_sources: (Sender<VmId>, Receiver<VmId>),
     pub(crate) view: FleetView,
     pub(crate) tallies: Mutex<Tallies>,
-    pub(crate) limits: Limits,
-    pub(crate) queue: Arc<Gate>,
+    pub(crate) limits: OrganisationLimits,
+    pub(crate) queue: Arc<DispatchQueue>,
     pub(crate) retry_budget: RetryBudget,
-    pub(crate) guard: Guard,
+    pub(crate) guard: RolloutGuard,
     pub(crate) decisions: DecisionLog,
     pub(crate) sessions: SessionKeys,
     pub(crate) http: HttpClient,
@@ -144,14 +144,14 @@
                 &settings.peers,
             ),
             tallies: Mutex::new(Tallies::new(ShortHash::of(hall.as_str()))),
-            limits: Limits::new(now),
-            queue: Gate::new(
+            limits: OrganisationLimits::new(now),
+            queue: DispatchQueue::new(
                 clock.clone(),
                 requests.queue_limit,
                 requests.batch_share,
             ),
             retry_budget: RetryBudget::new(requests.retry_share),
-            guard: Guard::default(),
+            guard: RolloutGuard::default(),
             decisions: DecisionLog::new(settings.decisions_kept),
             sessions: SessionKeys::new(&settings.cluster_key),
             http: HttpClient::new(requests.connect_timeout, clock.clone()),
@@ -273,7 +273,7 @@
         &self,
         model: &ModelId,
         now: BootInstant,
-    ) -> Vec<UpstreamFacts> {
+    ) -> Vec<UpstreamSnapshot> {
         let upstreams = self.view.model_upstreams(model);
         upstreams.iter().map(|one| self.view.facts(one, now)).collect()
     }
@@ -287,7 +287,7 @@
             template.map_or(1, |part| part.value.weight)
         };
         let room =
-            |model: &ModelId| Room::of(&self.upstream_facts(model, now));
+            |model: &ModelId| ModelLoad::of(&self.upstream_facts(model, now));
         self.queue.wake(room, weight);
     }
 
@@ -432,8 +432,8 @@
                 PeerReply::Decision(self.decisions.get(&id).map(Box::new))
             }
             PeerRequest::Knowledge
-            | PeerRequest::Look { .. }
-            | PeerRequest::News { .. } => {
+            | PeerRequest::PullKnowledge { .. }
+            | PeerRequest::KnowledgeDelta { .. } => {
                 refusal("this VM does not watch a platform store")
             }
         }
--- a/src/chains/claims.rs
+++ b/src/chains/claims.rs
@@ -12,14 +12,14 @@
 use smol::channel::{Receiver, Sender, bounded, unbounded};
 
 use crate::{
+    api::{
+        membership::Liveness, unresponsive::UnresponsiveVms, view::Peer,
+        vm::Vm,
+    },
     chains::{
         claim::{ClaimOutcome, ClaimRequest, ClaimVerdict, VmLife},
         slot::{HoldRequest, Slot, SlotPeers, redirect},
     },
-    chat_face::{
-        membership::Liveness, unresponsive::UnresponsiveVms, view::Peer,
-        vm::Vm,
-    },
     id::{DataHallId, VmId},
     message::{PeerReply, PeerRequest},
     peer::PeerError,
@@ -292,7 +292,7 @@
                 self.forget(slot, candidate);
                 Asked::Unreached
             }
-            Err(PeerError::Broken(_)) => {
+            Err(PeerError::OutcomeUnknown(_)) => {
                 self.forget(slot, candidate);
                 self.unresponsive.mark(candidate, vm.clock.now());
                 Asked::Broken
--- a/src/chains/configuration_sync.rs
+++ b/src/chains/configuration_sync.rs
@@ -7,12 +7,12 @@
 use std::{sync::Arc, time::Duration};
 
 use crate::{
+    api::{view::Peer, vm::Vm},
     chains::{
         chain::{self, Appended, Batch, WriteId},
         configuration::{Change, Configuration, Edit, Expected},
         store::{Backoff, Condition, StoreError},
     },
-    chat_face::{view::Peer, vm::Vm},
     error::{Error, ErrorKind},
     event::Event,
     id::Revision,
@@ -163,11 +163,11 @@
     Event::ConfigurationInForce.log(format_args!("revision {revision}"));
     // Whichever way it came, there is a configuration to work by.
     vm.mark_ready();
-    vm.guard.forget_settled(&vm.configuration.current());
+    vm.guard.clear_withdrawn(&vm.configuration.current());
     let vm = vm.clone();
     // The rest of the hall should not wait for its watch or a round.
     task::spawn(async move {
-        crate::chat_face::gossip::Gossiper::gossip_to_hall(&vm).await;
+        crate::api::gossip::Gossiper::gossip_to_hall(&vm).await;
     })
     .detach();
 }
--- a/src/crashes/mod.rs
+++ b/src/crashes/mod.rs
@@ -8,22 +8,22 @@
 //! # The way of a crash
 //!
 //! * [`digest`]: a request is known again by what it holds.
-//! * [`end_check`]: an attempt is lost; has its upstream ended?
-//! * [`record`]: what this VM knows of requests and of upstreams that ended,
+//! * [`crash_check`]: an attempt is lost; has its upstream ended?
+//! * [`tracker`]: what this VM knows of requests and of upstreams that ended,
 //!   and which requests it holds back.
-//! * [`verdict`]: the culprit is told from those that were there by chance.
-//! * [`sighting`], [`tellings`]: what VMs tell each other of it, in their
+//! * [`attribution`]: the culprit is told from those that were there by chance.
+//! * [`observation`], [`tellings`]: what VMs tell each other of it, in their
 //!   beats.
-//! * [`keeping`]: what is held back lies in the platform's store as well, for
+//! * [`persistence`]: what is held back lies in the platform's store as well, for
 //!   VMs that start later, if need be all of them.
 
+pub(crate) mod attribution;
+pub(crate) mod broadcast_queue;
+pub(crate) mod crash_check;
 pub mod digest;
-pub(crate) mod end_check;
-pub(crate) mod keeping;
-pub(crate) mod record;
-pub mod sighting;
-pub(crate) mod tellings;
-pub(crate) mod verdict;
+pub mod observation;
+pub(crate) mod persistence;
+pub(crate) mod tracker;
 
 #[cfg(test)]
 mod replay;
--- a/src/crashes/sighting.rs
+++ b/src/crashes/observation.rs
@@ -39,30 +39,32 @@
 
 /// What was seen of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Seen {
+pub enum RequestOutcome {
     /// An upstream ended while it had the request.
     Crashed(Crash),
     /// An upstream ran it to its end.
-    RanWhole,
+    Completed,
 }
 
 /// What one VM tells the others of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sighting {
+pub struct RequestObservation {
     /// The request.
     pub request: RequestDigest,
     /// What was seen of it.
-    pub seen: Seen,
+    pub outcome: RequestOutcome,
 }
 
-impl Sighting {
+impl RequestObservation {
     /// The sightings of upstreams that ended while they had a request.
     pub(crate) fn of_crashes(
         request: RequestDigest,
         crashes: Vec<Crash>,
-    ) -> impl Iterator<Item = Sighting> {
+    ) -> impl Iterator<Item = RequestObservation> {
         let crashes = crashes.into_iter();
-        crashes
-            .map(move |crash| Sighting { request, seen: Seen::Crashed(crash) })
+        crashes.map(move |crash| RequestObservation {
+            request,
+            outcome: RequestOutcome::Crashed(crash),
+        })
     }
 }
--- a/src/crashes/keeping.rs
+++ b/src/crashes/persistence.rs
@@ -11,12 +11,12 @@
 use crate::{
     chains::store::{Backoff, StoreError},
     clock::BootInstant,
-    crashes::record::REMEMBERED,
+    crashes::tracker::REMEMBERED,
     event::Event,
     gateway::{Gateway, fields},
     platform::{
         document,
-        store::{Committed, NewValue, WRITES_MOST},
+        store::{ConditionalWrite, MAX_WRITES, WriteOutcome},
     },
     task,
 };
@@ -33,16 +33,16 @@
     loop {
         task::sleep(LOOK_PERIOD).await;
         let now = gateway.clock.now();
-        let changes = gateway.crashes.sweep(now);
+        let changes = gateway.crashes.expire(now);
         gateway.note_crash_changes(&changes);
         let due = due(&gateway, now);
         if due.is_empty() {
             continue;
         }
         match write(&gateway, &due).await {
-            Ok(Committed::Done(_)) => backoff.reset(),
+            Ok(WriteOutcome::Committed(_)) => backoff.reset(),
             // Another VM has written it, which this one is to hear of first.
-            Ok(Committed::Refused | Committed::LeaseOver) => {
+            Ok(WriteOutcome::Conflict | WriteOutcome::LeaseExpired) => {
                 task::sleep(backoff.wait()).await;
             }
             Err(error) => {
@@ -57,30 +57,30 @@
 }
 
 /// What this VM is to write: nothing, unless it is the steward.
-fn due(gateway: &Gateway, now: BootInstant) -> Vec<NewValue> {
-    if !gateway.crashes.holds_any() {
+fn due(gateway: &Gateway, now: BootInstant) -> Vec<ConditionalWrite> {
+    if !gateway.crashes.has_quarantined() {
         return Vec::new();
     }
     let own_proof = gateway.knowledge.proof_age(now);
     if !gateway.peers.is_steward(own_proof, now) {
         return Vec::new();
     }
-    let held = gateway.crashes.held().into_iter();
+    let held = gateway.crashes.quarantined().into_iter();
     let missing = held.filter_map(|(request, crashes)| {
-        let key = document::crashing_key(request);
+        let key = document::crashing_request_key(request);
         if gateway.knowledge.version_of(&key).is_some() {
             return None;
         }
-        let value = document::write_crashes(&crashes);
-        Some(NewValue { key, value, expected: None })
+        let value = document::encode_crashes(&crashes);
+        Some(ConditionalWrite { key, value, expected: None })
     });
-    missing.take(WRITES_MOST).collect()
+    missing.take(MAX_WRITES).collect()
 }
 
 async fn write(
     gateway: &Gateway,
-    values: &[NewValue],
-) -> Result<Committed, StoreError> {
+    values: &[ConditionalWrite],
+) -> Result<WriteOutcome, StoreError> {
     let store = &gateway.store;
     let lease = store.take_lease(REMEMBERED).await?;
     let written = store.write_all(values, Some(lease)).await?;
--- a/src/facts/knowledge.rs
+++ b/src/facts/knowledge.rs
@@ -20,7 +20,7 @@
 use crate::{
     chains::store::StoreVersion,
     clock::BootInstant,
-    crashes::{digest::RequestDigest, sighting::Crash},
+    crashes::{digest::RequestDigest, observation::Crash},
     facts::{
         knowledge_pack,
         route::{RouteTable, TableVersion},
@@ -29,10 +29,10 @@
     placing::member::UpstreamEntry,
     platform::{
         document,
-        store::{Item, Items},
+        store::{StoreItem, StoreItems},
     },
     rendezvous,
-    rollouts::rollout::{Order, Status},
+    rollouts::rollout::{RolloutOrder, RolloutStatus},
     unit::Mbps,
 };
 
@@ -54,11 +54,11 @@
     /// The operator's configuration.
     Configuration(RouteTable),
     /// A roll-out was ordered.
-    RolloutOrdered(ServiceId, Order),
+    RolloutOrdered(ServiceId, RolloutOrder),
     /// The order of a roll-out was removed.
     RolloutOver(ServiceId),
     /// How far a roll-out is.
-    RolloutStatus(ServiceId, Status),
+    RolloutStatus(ServiceId, RolloutStatus),
     /// The upstreams of a data hall are to get no requests.
     EvacuationOrdered(DataHallId),
     /// They may get requests again.
@@ -225,7 +225,7 @@
     }
 
     /// Takes in one value that was read.
-    pub fn take_item(&self, item: Item) -> News {
+    pub fn take_item(&self, item: StoreItem) -> News {
         let mut mirror = self.mirror.lock().expect("mirror lock");
         let mut news = News::default();
         mirror.take(item, &mut news);
@@ -233,13 +233,13 @@
     }
 
     /// Whether any of these changes is new.
-    pub fn lacks_any(&self, changes: &Items) -> bool {
+    pub fn lacks_any(&self, changes: &StoreItems) -> bool {
         let mirror = self.mirror.lock().expect("mirror lock");
         changes.items.iter().any(|item| mirror.is_new(item))
     }
 
     /// Takes in changes that a watch brought.
-    pub fn take_changes(&self, changes: Items) -> News {
+    pub fn take_changes(&self, changes: StoreItems) -> News {
         self.mirror.lock().expect("mirror lock").take_changes(changes)
     }
 
@@ -248,19 +248,19 @@
     /// They may be known already in part, and something may be missing
     /// between them and what is known; only if neither is so does this VM
     /// know everything up to their version of the store afterwards.
-    pub fn take_told(&self, digest_before: u64, changes: Items) -> News {
+    pub fn take_told(&self, digest_before: u64, changes: StoreItems) -> News {
         let mut mirror = self.mirror.lock().expect("mirror lock");
         let as_of = match mirror.digest == digest_before {
             true => changes.as_of,
             false => mirror.as_of,
         };
-        mirror.take_changes(Items { items: changes.items, as_of })
+        mirror.take_changes(StoreItems { items: changes.items, as_of })
     }
 
     /// Takes in everything there is; what is not among it is gone.
     ///
     /// Nothing happens when it is older than what is known.
-    pub fn take_all(&self, all: Items) -> News {
+    pub fn take_all(&self, all: StoreItems) -> News {
         let mut mirror = self.mirror.lock().expect("mirror lock");
         let mut news = News::default();
         if all.as_of < mirror.as_of {
@@ -276,7 +276,7 @@
             .collect();
         for key in gone {
             let version = all.as_of;
-            mirror.take(Item { key, value: None, version }, &mut news);
+            mirror.take(StoreItem { key, value: None, version }, &mut news);
         }
         for item in all.items {
             mirror.take(item, &mut news);
@@ -297,7 +297,7 @@
         items.collect()
     }
 
-    fn take_changes(&mut self, changes: Items) -> News {
+    fn take_changes(&mut self, changes: StoreItems) -> News {
         let mut news = News::default();
         for item in changes.items {
             self.take(item, &mut news);
@@ -307,7 +307,7 @@
     }
 
     /// Whether an item changes what is known.
-    fn is_new(&self, item: &Item) -> bool {
+    fn is_new(&self, item: &StoreItem) -> bool {
         let held = self.items.get(&item.key);
         match (&item.value, held) {
             (_, Some((_, version))) => item.version > *version,
@@ -319,7 +319,7 @@
         }
     }
 
-    fn take(&mut self, item: Item, news: &mut News) {
+    fn take(&mut self, item: StoreItem, news: &mut News) {
         if !self.is_new(&item) {
             return;
         }
@@ -328,18 +328,18 @@
         }
         let Some(value) = item.value else {
             if self.items.remove(&item.key).is_some() {
-                news.facts.extend(document::read_removal(&item.key));
+                news.facts.extend(document::removal_fact(&item.key));
             }
             return;
         };
         self.digest ^= digest(&item.key, item.version);
-        let held = match document::read_fact(&item.key, &value) {
+        let held = match document::decode_fact(&item.key, &value) {
             Ok(fact) => {
                 news.facts.extend(fact);
                 value
             }
             Err(error) => {
-                news.facts.extend(document::read_unreadable(&item.key));
+                news.facts.extend(document::unreadable_fact(&item.key));
                 news.unreadable.push(Unreadable {
                     key: item.key.clone(),
                     reason: error.to_string(),
--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -15,17 +15,17 @@
 use crate::{
     chains::store::StoreVersion,
     crashes::{
-        sighting::Sighting,
-        tellings::{Audience, Source},
+        broadcast_queue::{Audience, Source},
+        observation::RequestObservation,
     },
     event::Event,
     facts::{knowledge::ChangedItem, knowledge_pack, peers::Receiver},
     gateway::{Gateway, fields},
-    message::{PeerReply, PeerRequest, ShortHash, ToldLimit, VmBeat},
+    message::{Heartbeat, PeerReply, PeerRequest, RateLimitReport, ShortHash},
     metrics::Metrics,
     peer::PeerService,
-    platform::store::{Item, Items},
-    rollouts::{evidence::HallEvidence, told::Way},
+    platform::store::{StoreItem, StoreItems},
+    rollouts::{evidence::HallEvidence, peer_evidence::Delivery},
     task,
 };
 
@@ -78,10 +78,11 @@
 pub(crate) async fn beat_loop(gateway: Arc<Gateway>, socket: UdpSocket) {
     loop {
         let jitter = 0.9 + 0.2 * rand::random::<f64>();
-        let regular = task::sleep(gateway.settings.beat.mul_f64(jitter));
+        let regular =
+            task::sleep(gateway.settings.heartbeat_interval.mul_f64(jitter));
         let early = async {
             task::sleep(BEAT_GAP).await;
-            gateway.early_beat.woken().await;
+            gateway.early_heartbeat.woken().await;
         };
         future::or(regular, early).await;
         send_beats(&gateway, &socket).await;
@@ -103,7 +104,7 @@
 /// The beats of one round: one for the VMs of the own data hall and one for
 /// those of others, which differ only in their echo.
 pub(crate) struct Round {
-    beat: VmBeat,
+    beat: Heartbeat,
     /// What only other halls are told, until the first of them is reached.
     for_others: Option<ForOthers>,
     receivers: std::vec::IntoIter<Receiver>,
@@ -113,8 +114,8 @@
 /// own one are.
 struct ForOthers {
     hall_evidence: Vec<HallEvidence>,
-    sightings: Vec<Sighting>,
-    rate_limits: Vec<ToldLimit>,
+    observations: Vec<RequestObservation>,
+    rate_limits: Vec<RateLimitReport>,
 }
 
 impl Round {
@@ -126,11 +127,13 @@
         let rollouts = &gateway.rollouts;
         let for_others = ForOthers {
             hall_evidence: rollouts.hall_evidence(hall, &beat.evidence, now),
-            sightings: gateway.crashes.to_tell(Audience::OtherHalls),
-            rate_limits: gateway.pool.take_limits(false, now),
+            observations: gateway
+                .crashes
+                .next_broadcasts(Audience::OtherHalls),
+            rate_limits: gateway.pool.take_rate_limits(false, now),
         };
-        beat.hall_evidence = rollouts.relays(&beat.evidence, now);
-        beat.sightings = gateway.crashes.to_tell(Audience::OwnHall);
+        beat.hall_evidence = rollouts.relayed_evidence(&beat.evidence, now);
+        beat.observations = gateway.crashes.next_broadcasts(Audience::OwnHall);
         let receivers = gateway.peers.receivers(now);
         Round {
             beat,
@@ -140,14 +143,14 @@
     }
 
     /// The next beat, and the VM that it goes to.
-    pub(crate) fn next_beat(&mut self) -> Option<(SocketAddr, &VmBeat)> {
+    pub(crate) fn next_beat(&mut self) -> Option<(SocketAddr, &Heartbeat)> {
         let receiver = self.receivers.next()?;
         if !receiver.is_near
             && let Some(told) = self.for_others.take()
         {
             self.beat.evidence = Vec::new();
             self.beat.hall_evidence = told.hall_evidence;
-            self.beat.sightings = told.sightings;
+            self.beat.observations = told.observations;
             self.beat.rate_limits = told.rate_limits;
         }
         self.beat.echo = receiver.echo;
@@ -156,35 +159,40 @@
 }
 
 /// What a VM has to tell the others now.
-fn beat(gateway: &Gateway) -> VmBeat {
+fn beat(gateway: &Gateway) -> Heartbeat {
     let peers = &gateway.peers;
     let now = gateway.clock.now();
     let number = peers.next_number(now);
-    let old =
-        |service: &_, target: &_| gateway.in_flight_at_old(service, target);
+    let old = |service: &_, target: &_| {
+        gateway.in_flight_at_other_versions(service, target)
+    };
     let age = gateway.knowledge.proof_age(now);
-    VmBeat {
+    Heartbeat {
         vm: peers.vm().to_owned(),
         data_hall: gateway.settings.data_hall.clone(),
-        link_mbps: gateway.settings.link,
-        peers: gateway.settings.peers,
+        link_mbps: gateway.settings.link_rate,
+        peer_address: gateway.settings.peer_address,
         incarnation: gateway.incarnation,
         number,
         echo: None,
         leaving: gateway.is_stopping(),
         as_of: gateway.knowledge.as_of().0,
         digest: gateway.knowledge.digest(),
-        table: gateway.knowledge.table_version().unwrap_or_default().0,
+        configuration_version: gateway
+            .knowledge
+            .table_version()
+            .unwrap_or_default()
+            .0,
         // Rounded up, so that a proof never seems younger than it is.
         proof_age_ms: age.map(|age| age.as_millis() as u32 + 1),
         can_watch: peers.can_watch(now),
-        work: gateway.pool.own_work(),
-        stated: gateway.pool.take_stated(now),
+        in_flight: gateway.pool.local_work(),
+        load_reports: gateway.pool.take_loads(now),
         failures: gateway.pool.take_failures(now),
         leaving_upstreams: gateway.pool.take_leaving(now),
-        rate_limits: gateway.pool.take_limits(true, now),
+        rate_limits: gateway.pool.take_rate_limits(true, now),
         evidence: gateway.rollouts.evidence(old, now),
-        sightings: Vec::new(),
+        observations: Vec::new(),
         hall_evidence: Vec::new(),
     }
 }
@@ -197,7 +205,7 @@
             task::sleep(Duration::from_millis(50)).await;
             continue;
         };
-        match gateway.peers.codec.open::<VmBeat>(&buffer[..length]) {
+        match gateway.peers.codec.open::<Heartbeat>(&buffer[..length]) {
             Ok(beat) => hear(&gateway, &beat),
             Err(fault) => {
                 let dropped = &gateway.metrics.frames_dropped;
@@ -208,7 +216,7 @@
 }
 
 /// Takes in a beat.
-pub(crate) fn hear(gateway: &Arc<Gateway>, beat: &VmBeat) {
+pub(crate) fn hear(gateway: &Arc<Gateway>, beat: &Heartbeat) {
     if beat.vm == gateway.peers.vm() {
         return;
     }
@@ -217,14 +225,14 @@
     if beat.digest == gateway.knowledge.digest() {
         gateway.peers.note_agreed(&beat.vm, now);
     }
-    gateway.pool.note_hall_heard(&beat.data_hall, now);
-    gateway.pool.set_peer_work(&beat.vm, &beat.work, now);
-    gateway.pool.hear_stated(&beat.stated, now);
+    gateway.pool.record_hall_heartbeat(&beat.data_hall, now);
+    gateway.pool.set_peer_work(&beat.vm, &beat.in_flight, now);
+    gateway.pool.apply_peer_loads(&beat.load_reports, now);
     let is_near = beat.data_hall == gateway.settings.data_hall;
-    gateway.hear_leaving(&beat.vm, &beat.leaving_upstreams);
-    gateway.hear_limits(&beat.vm, &beat.rate_limits, is_near);
+    gateway.merge_leaving_upstreams(&beat.vm, &beat.leaving_upstreams);
+    gateway.merge_rate_limits(&beat.vm, &beat.rate_limits, is_near);
     if is_near {
-        for unfit in gateway.pool.hear_failures(&beat.failures, now) {
+        for unfit in gateway.pool.apply_peer_failures(&beat.failures, now) {
             Event::UpstreamUnfit.record(fields(json!({
                 "upstream": unfit,
                 "told_by": beat.vm,
@@ -233,14 +241,14 @@
     }
     hear_evidence(gateway, beat, is_near);
     let source = if is_near { Source::OwnHall } else { Source::OtherHall };
-    gateway.hear_sightings(&beat.sightings, source);
+    gateway.merge_sightings(&beat.observations, source);
     if !knows_more {
         return;
     }
     gateway.peers.note_behind(now);
     let age = gateway.knowledge.proof_age(now);
     if age.is_none_or(|age| age > BEHIND_AFTER) {
-        let (gateway, from) = (gateway.clone(), beat.peers);
+        let (gateway, from) = (gateway.clone(), beat.peer_address);
         let work = async move {
             // If it fails, the next beat says again that this VM is behind.
             let _ = fetch(&gateway, from).await;
@@ -250,18 +258,18 @@
 }
 
 /// Takes in what a beat tells of the roll-outs that are running.
-fn hear_evidence(gateway: &Gateway, beat: &VmBeat, is_near: bool) {
+fn hear_evidence(gateway: &Gateway, beat: &Heartbeat, is_near: bool) {
     let now = gateway.clock.now();
     let rollouts = &gateway.rollouts;
     let own_hall = ShortHash::of(gateway.settings.data_hall.as_str());
     if is_near {
-        rollouts.hear(&beat.vm, &beat.evidence, now);
+        rollouts.merge_evidence(&beat.vm, &beat.evidence, now);
     }
-    let way = if is_near { Way::Relayed } else { Way::Direct };
+    let way = if is_near { Delivery::Relayed } else { Delivery::Direct };
     for sum in &beat.hall_evidence {
         // One of this hall comes from a VM that took it for another.
         if sum.data_hall != own_hall {
-            rollouts.hear_hall(sum, way, now);
+            rollouts.merge_hall_evidence(sum, way, now);
         }
     }
 }
@@ -270,12 +278,12 @@
 pub(crate) fn tell_news(
     gateway: &Arc<Gateway>,
     digest_before: u64,
-    changes: &Items,
+    changes: &StoreItems,
 ) {
     if changes.items.is_empty() {
         return;
     }
-    let own = gateway.settings.peers;
+    let own = gateway.settings.peer_address;
     let request = news(digest_before, changes, own);
     for address in gateway.peers.told(gateway.clock.now()) {
         let request = request.clone();
@@ -290,17 +298,21 @@
     }
 }
 
-fn news(digest_before: u64, changes: &Items, own: SocketAddr) -> PeerRequest {
-    let bytes = |item: &Item| item.value.as_ref().map_or(0, Vec::len);
+fn news(
+    digest_before: u64,
+    changes: &StoreItems,
+    own: SocketAddr,
+) -> PeerRequest {
+    let bytes = |item: &StoreItem| item.value.as_ref().map_or(0, Vec::len);
     if changes.items.iter().any(|item| bytes(item) > TOLD_BYTES) {
-        return PeerRequest::Look { from: own };
+        return PeerRequest::PullKnowledge { from: own };
     }
     let items = changes.items.iter().map(|item| ChangedItem {
         key: item.key.clone(),
         value: item.value.clone(),
         version: item.version.0,
     });
-    PeerRequest::News {
+    PeerRequest::KnowledgeDelta {
         digest_before,
         as_of: changes.as_of.0,
         items: items.collect(),
@@ -358,26 +370,27 @@
     let client = &gateway.peers.client;
     let reply =
         client.call(from, PeerRequest::Knowledge, KNOWLEDGE_LIMIT).await;
-    let Ok(PeerReply::Knowledge { as_of, packed, proof_age_ms, sightings }) =
+    let Ok(PeerReply::Knowledge { as_of, packed, proof_age_ms, observations }) =
         reply
     else {
         return false;
     };
-    gateway.hear_sightings(&sightings, Source::Kept);
+    gateway.merge_sightings(&observations, Source::Snapshot);
     if StoreVersion(as_of) <= gateway.knowledge.as_of() {
         return true;
     }
     let Some(items) = knowledge_pack::unpack(&packed) else {
         return false;
     };
-    let items = items.into_iter().map(|item| Item {
+    let items = items.into_iter().map(|item| StoreItem {
         key: item.key,
         value: Some(item.value),
         version: StoreVersion(item.version),
     });
-    let all = Items { items: items.collect(), as_of: StoreVersion(as_of) };
+    let all =
+        StoreItems { items: items.collect(), as_of: StoreVersion(as_of) };
     let news = gateway.knowledge.take_all(all);
-    gateway.take_news(news);
+    gateway.apply_news(news);
     let age = Duration::from_millis(proof_age_ms.into());
     if let Some(proven_at) = asked_at.checked_sub(age) {
         gateway.knowledge.prove(proven_at);
@@ -407,23 +420,23 @@
                     as_of: as_of.0,
                     packed: packed.to_vec(),
                     proof_age_ms: age.as_millis() as u32 + 1,
-                    sightings: self.crashes.all_held(),
+                    observations: self.crashes.quarantine_observations(),
                 }
             }
-            PeerRequest::News { digest_before, as_of, items } => {
-                let items = items.into_iter().map(|item| Item {
+            PeerRequest::KnowledgeDelta { digest_before, as_of, items } => {
+                let items = items.into_iter().map(|item| StoreItem {
                     key: item.key,
                     value: item.value,
                     version: StoreVersion(item.version),
                 });
                 let as_of = StoreVersion(as_of);
-                let changes = Items { items: items.collect(), as_of };
+                let changes = StoreItems { items: items.collect(), as_of };
                 // Whether anything is missing shows in the next beat.
                 let news = self.knowledge.take_told(digest_before, changes);
-                self.take_news(news);
+                self.apply_news(news);
                 PeerReply::Done
             }
-            PeerRequest::Look { from } => {
+            PeerRequest::PullKnowledge { from } => {
                 task::spawn(take_or_look(self, from)).detach();
                 PeerReply::Done
             }
--- a/src/facts/peers/tests.rs
+++ b/src/facts/peers/tests.rs
@@ -5,43 +5,44 @@
 use super::*;
 use crate::{
     clock::SystemClock,
-    gateway::{Gateway, tests::SETTINGS},
-    message::Work,
+    gateway::{Gateway, tests::MINIMAL_SETTINGS},
+    message::InFlightWork,
 };
 
 fn gateway() -> Arc<Gateway> {
-    let settings = GatewaySettings::from_ini(SETTINGS).expect("settings");
+    let settings =
+        GatewaySettings::from_ini(MINIMAL_SETTINGS).expect("settings");
     Gateway::new(settings, Arc::new(SystemClock))
 }
 
-fn beat(vm: usize, hall: &str, incarnation: u64, number: u32) -> VmBeat {
-    VmBeat {
+fn beat(vm: usize, hall: &str, incarnation: u64, number: u32) -> Heartbeat {
+    Heartbeat {
         vm: format!("vm-{vm}"),
         data_hall: hall.parse().unwrap(),
         link_mbps: Mbps(20),
-        peers: format!("127.0.0.1:{}", 1000 + vm).parse().unwrap(),
+        peer_address: format!("127.0.0.1:{}", 1000 + vm).parse().unwrap(),
         incarnation: Incarnation(incarnation),
         number,
         echo: None,
         leaving: false,
         as_of: 0,
         digest: 0,
-        table: 0,
+        configuration_version: 0,
         proof_age_ms: None,
         can_watch: true,
-        work: Vec::<(crate::message::ShortHash, Work)>::new(),
-        stated: Vec::new(),
+        in_flight: Vec::<(crate::message::ShortHash, InFlightWork)>::new(),
+        load_reports: Vec::new(),
         failures: Vec::new(),
         leaving_upstreams: Vec::new(),
         rate_limits: Vec::new(),
         evidence: Vec::new(),
-        sightings: Vec::new(),
+        observations: Vec::new(),
         hall_evidence: Vec::new(),
     }
 }
 
 /// Lets a VM hear a beat.
-fn hear(gateway: &Gateway, beat: &VmBeat) {
+fn hear(gateway: &Gateway, beat: &Heartbeat) {
     let now = gateway.clock.now();
     gateway.peers.hear(beat, &gateway.knowledge, now);
 }
@@ -102,7 +103,8 @@
     let first = before.iter().find(|vm| *vm != peers.vm()).unwrap();
     let number = first.strip_prefix("vm-").unwrap().parse().unwrap();
     let hall = hall(first).to_string();
-    let turned_away = VmBeat { can_watch: false, ..beat(number, &hall, 1, 2) };
+    let turned_away =
+        Heartbeat { can_watch: false, ..beat(number, &hall, 1, 2) };
     hear(&gateway, &turned_away);
     let after = peers.find_watchers(gateway.clock.now());
     assert_eq!(after.len(), WATCHERS);
@@ -181,7 +183,7 @@
 #[test]
 fn seeds_share_the_vms_that_they_record() {
     let seeds = "127.0.0.1:9, 127.0.0.7:9, 127.0.0.8:9";
-    let text = SETTINGS
+    let text = MINIMAL_SETTINGS
         .replace("[keys]", &format!("[peers]\nseeds = {seeds}\n[keys]"));
     let settings = GatewaySettings::from_ini(&text).expect("settings");
     let gateway = Gateway::new(settings, Arc::new(SystemClock));
@@ -297,8 +299,8 @@
 /// ```
 #[test]
 fn a_site_that_starts_follows_the_store_once_its_vms_hear_each_other() {
-    let text =
-        SETTINGS.replace("[keys]", "[peers]\nseeds = 127.0.0.9:1\n[keys]");
+    let text = MINIMAL_SETTINGS
+        .replace("[keys]", "[peers]\nseeds = 127.0.0.9:1\n[keys]");
     let settings = GatewaySettings::from_ini(&text).expect("settings");
     let gateway = Gateway::new(settings, Arc::new(SystemClock));
     gateway.peers.note_looked(gateway.clock.now());
@@ -312,8 +314,8 @@
 
 #[test]
 fn a_vm_that_knows_only_seeds_waits_for_them() {
-    let text =
-        SETTINGS.replace("[keys]", "[peers]\nseeds = 127.0.0.9:1\n[keys]");
+    let text = MINIMAL_SETTINGS
+        .replace("[keys]", "[peers]\nseeds = 127.0.0.9:1\n[keys]");
     let settings = GatewaySettings::from_ini(&text).expect("settings");
     let gateway = Gateway::new(settings, Arc::new(SystemClock));
     gateway.peers.note_looked(gateway.clock.now());
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     clock::BootInstant,
-    crashes::{digest::RequestDigest, end_check},
+    crashes::{crash_check, digest::RequestDigest},
     error::{Error, ErrorKind},
     facts::route::{Organisation, Repeat, Route},
     gateway::{
@@ -30,10 +30,10 @@
     message::ShortHash,
     placing::{
         admission,
-        health::Verdict,
-        member::{Member, Reading},
-        pool::{NoMember, SharedPrompt, Want},
-        upstream::InFlight,
+        health::AttemptOutcome,
+        member::{Member, PrefillGuard},
+        pool::{PickCriteria, PickError, PrefixAffinity},
+        upstream::InFlightGuard,
     },
     platform::headers::{self, AnswerHead},
     rollouts::choice::VersionChoice,
@@ -143,8 +143,8 @@
     /// The time expected until they are read.
     pub(crate) expected: Duration,
     /// Held until the first event is here.
-    pub(crate) reading: Option<Reading>,
-    _in_flight: InFlight,
+    pub(crate) reading: Option<PrefillGuard>,
+    _in_flight: InFlightGuard,
     _session: Option<SessionUse>,
 }
 
@@ -177,11 +177,11 @@
 
 impl Fault {
     /// What it says of the upstream, if that is to blame.
-    pub(crate) fn verdict(&self) -> Option<Verdict> {
+    pub(crate) fn verdict(&self) -> Option<AttemptOutcome> {
         match self {
             Fault::NotRun(..) | Fault::Poor(_) => None,
-            Fault::Unknown(..) => Some(Verdict::Lost),
-            Fault::Failed(_) => Some(Verdict::Failed),
+            Fault::Unknown(..) => Some(AttemptOutcome::Lost),
+            Fault::Failed(_) => Some(AttemptOutcome::Failed),
         }
     }
 }
@@ -245,7 +245,7 @@
     fn version_choice(&self, now: BootInstant) -> VersionChoice {
         let session = self.inbound.session.as_deref();
         let id = &self.inbound.id;
-        self.gateway.rollouts.rule(&self.service, session, id, now)
+        self.gateway.rollouts.choose_version(&self.service, session, id, now)
     }
 
     /// What the request asks of the choice among those not `tried`.
@@ -253,14 +253,17 @@
         &self,
         version: &'a VersionChoice,
         tried: &'a [ShortHash],
-    ) -> Want<'a> {
+    ) -> PickCriteria<'a> {
         let takes = self.gateway.service_times.of(&self.service);
-        Want {
+        PickCriteria {
             rule: version.rule.clone(),
-            prompt: self.shared_prompt(),
+            affinity: self.shared_prompt(),
             withdrawn: &version.withdrawn,
             tried,
-            most_fill: admission::fill_limit(self.route.aim, takes),
+            max_utilization: admission::utilization_limit(
+                self.route.aim,
+                takes,
+            ),
         }
     }
 
@@ -284,17 +287,17 @@
         let want = self.want(&version, &self.tried);
         let picked = self.gateway.pool.pick(&self.service, &want, now);
         let member = picked.map_err(|no_member| match no_member {
-            NoMember::Unknown => Error::new(ErrorKind::NoUpstream)
+            PickError::NoCandidate => Error::new(ErrorKind::NoUpstream)
                 .context(format!("no upstream of {}", self.service)),
-            NoMember::Evacuated => Error::new(ErrorKind::NoUpstream)
+            PickError::Evacuated => Error::new(ErrorKind::NoUpstream)
                 .context(format!("all of {} is evacuated", self.service)),
-            NoMember::BackingOff(left) => self.all_backing_off(left),
-            NoMember::Cold => Error::new(ErrorKind::Overloaded)
+            PickError::BackingOff(left) => self.all_backing_off(left),
+            PickError::Cold => Error::new(ErrorKind::Overloaded)
                 .context(format!("all of {} is cold", self.service))
                 .with_retry_after(RETRY_AFTER_COLD),
-            NoMember::Full => Error::new(ErrorKind::Overloaded)
+            PickError::Full => Error::new(ErrorKind::Overloaded)
                 .context(format!("{} is full", self.service))
-                .with_retry_after(admission::return_after(
+                .with_retry_after(admission::retry_after(
                     self.gateway.service_times.of(&self.service),
                     rand::random(),
                 )),
@@ -302,20 +305,20 @@
         let model = self.model.clone();
         trace.begin(&member, model.clone(), now);
         trace.note_version(&version);
-        self.tried.push(member.upstream.short);
+        self.tried.push(member.upstream.short_hash);
         let session = self.use_session(&member.entry.software, now);
         let tokens = self.inbound.prompt_tokens.unwrap_or(0);
-        let read_before = member.reading(now);
-        let read_most = member.reading_most(now);
-        let fill_before = member.fill(now);
+        let read_before = member.prefill_backlog(now);
+        let read_most = member.max_prefill_backlog(now);
+        let fill_before = member.utilization(now);
         let times = &self.gateway.read_times;
         let expected = times.expected(model.as_ref(), tokens);
-        let reading = (tokens > 0).then(|| member.read(expected));
+        let reading = (tokens > 0).then(|| member.begin_prefill(expected));
         if reading.is_some() {
-            self.gateway.pool.note_reading(expected);
+            self.gateway.pool.record_expected_prefill(expected);
         }
         if reading.is_some() && expected >= TOLD_READING {
-            self.gateway.early_beat.wake();
+            self.gateway.early_heartbeat.wake();
         }
         Ok(Attempt {
             _in_flight: member.upstream.begin(),
@@ -340,7 +343,7 @@
                 "all of {} have asked for fewer requests",
                 self.service
             ))
-            .with_retry_after(admission::return_after_backoff(
+            .with_retry_after(admission::retry_after_backoff(
                 left,
                 rand::random(),
             ))
@@ -350,11 +353,11 @@
     /// VM and each new try would begin at zero without this.
     fn check_not_held(&self) -> Result<(), Error> {
         let crashes = &self.gateway.crashes;
-        if !crashes.holds_any() {
+        if !crashes.has_quarantined() {
             return Ok(());
         }
         let digest = self.digest();
-        if !crashes.is_held(digest, self.gateway.clock.now()) {
+        if !crashes.is_quarantined(digest, self.gateway.clock.now()) {
             return Ok(());
         }
         Err(Error::new(ErrorKind::CrashesUpstreams)
@@ -365,7 +368,7 @@
     pub(crate) fn note_ran_whole(&self) {
         let now = self.gateway.clock.now();
         let crashes = &self.gateway.crashes;
-        let changes = crashes.note_ran_whole(self.digest(), now);
+        let changes = crashes.record_completed(self.digest(), now);
         self.gateway.note_crash_changes(&changes);
     }
 
@@ -382,17 +385,17 @@
     }
 
     /// The part of the prompt that is shared with most later requests.
-    fn shared_prompt(&self) -> Option<SharedPrompt> {
+    fn shared_prompt(&self) -> Option<PrefixAffinity> {
         let parts = &self.inbound.prompt;
         let (_, shared) = parts.split_last()?;
-        let subject = shared.last()?.id;
+        let prefix_hash = shared.last()?.id;
         let tokens = shared.iter().map(|part| part.tokens).sum();
         let times = &self.gateway.read_times;
         let saved = times.expected(self.model.as_ref(), tokens);
         let count = u32::try_from(tokens).unwrap_or(u32::MAX);
         let most = self.route.aim.mul_f64(KEPT_PROMPT_WAIT_PART);
         let spared = KEPT_TOKEN_WAIT.saturating_mul(count).min(most);
-        Some(SharedPrompt { subject, worth_waiting: saved + spared })
+        Some(PrefixAffinity { prefix_hash, cache_miss_cost: saved + spared })
     }
 
     fn urgency(&self) -> u8 {
@@ -458,7 +461,8 @@
             Ok(exchange) => exchange,
             Err(Some(SendError::NotSent(reason))) => {
                 let member = &attempt.member;
-                self.gateway.judge_upstream(member, Verdict::Unreachable);
+                self.gateway
+                    .judge_upstream(member, AttemptOutcome::Unreachable);
                 return Err(Fault::NotRun("unreachable", reason));
             }
             Err(Some(error)) => {
@@ -475,7 +479,7 @@
         let head =
             headers::read_answer(status, &exchange.headers, &self.inbound.id);
         let now = self.gateway.clock.now();
-        attempt.member.note_heard(now);
+        attempt.member.record_activity(now);
         if let Some(statement) = &head.statement {
             trace.note_statement(statement);
             let gateway = &self.gateway;
@@ -512,7 +516,7 @@
         loop {
             let now = gateway.clock.now();
             let waited = now.saturating_duration_since(since);
-            if waited >= most || member.is_over() {
+            if waited >= most || member.is_superseded() {
                 return;
             }
             let is_dead = least.is_some_and(|least| {
@@ -532,7 +536,7 @@
         trace: &mut Trace,
     ) -> Result<Reply, Fault> {
         let takes = self.gateway.service_times.of(&self.service);
-        let line = admission::wait_at(attempt.fill_before, takes);
+        let line = admission::queue_wait(attempt.fill_before, takes);
         let patience = self.route.aim.mul_f64(RETRY_AFTER_AIM) + line;
         let limit = self.limit(attempt, patience);
         let (mut exchange, _) = self.send(attempt, None, limit, trace).await?;
@@ -558,7 +562,7 @@
         }
         trace.part();
         trace.end_attempt("answered", "");
-        self.judge(attempt, Verdict::Good, Some(waited));
+        self.judge(attempt, AttemptOutcome::Success, Some(waited));
         self.learn_service_time(attempt);
         Ok(reply)
     }
@@ -569,7 +573,7 @@
         if attempt.fill_before < 1.0 {
             let now = self.gateway.clock.now();
             let took = now.saturating_duration_since(attempt.began_at);
-            self.gateway.service_times.learn(&self.service, took);
+            self.gateway.service_times.record(&self.service, took);
         }
     }
 
@@ -604,7 +608,7 @@
     /// waiting may still bring the rest.
     fn has_other_upstream(&self) -> bool {
         let now = self.gateway.clock.now();
-        self.gateway.pool.has_other(&self.service, &self.tried, now)
+        self.gateway.pool.has_untried(&self.service, &self.tried, now)
     }
 
     /// Whether the rest of a stream that broke off may be asked for.
@@ -625,27 +629,28 @@
     pub(crate) fn judge(
         &self,
         attempt: &Attempt,
-        verdict: Verdict,
+        verdict: AttemptOutcome,
         first_part: Option<Duration>,
     ) {
         let gateway = &self.gateway;
         let now = gateway.clock.now();
-        if verdict == Verdict::Lost {
-            end_check::note_lost(
+        if verdict == AttemptOutcome::Lost {
+            crash_check::record_lost_attempt(
                 gateway,
                 &attempt.member,
                 self.digest(),
                 attempt.began_at,
             );
         }
-        let says_nothing_of_version = verdict == Verdict::Failed
-            && gateway.pool.is_alone_suspect(&attempt.member, now);
+        let says_nothing_of_version = verdict == AttemptOutcome::Failed
+            && gateway.pool.is_isolated_failure(&attempt.member, now);
         gateway.judge_upstream(&attempt.member, verdict);
-        let ended = attempt.member.is_over() && verdict != Verdict::Good;
+        let ended = attempt.member.is_superseded()
+            && verdict != AttemptOutcome::Success;
         if says_nothing_of_version || ended {
             return;
         }
-        gateway.rollouts.record(
+        gateway.rollouts.record_answer(
             &self.service,
             &attempt.member.entry.software,
             &self.route.name,
@@ -734,7 +739,7 @@
 /// How long an upstream may give no sign of life: longer while it reads long
 /// prompts, since nothing else comes meanwhile.
 fn patience(member: &Member, least: Duration, now: BootInstant) -> Duration {
-    let reading = member.reading_most(now).mul_f64(READING_PART);
+    let reading = member.max_prefill_backlog(now).mul_f64(READING_PART);
     least + reading.min(READING_PATIENCE_MOST)
 }
 
--- a/src/gateway/limit_replay.rs
+++ b/src/gateway/limit_replay.rs
@@ -17,9 +17,9 @@
     gateway::test_fleet::{Fleet, STEP_MS},
     placing::{
         member::{Member, UpstreamEntry, UpstreamState},
-        pool::Want,
-        statement::{RateLimit, Statement},
-        upstream::InFlight,
+        pool::PickCriteria,
+        signals::{RateLimit, UpstreamSignals},
+        upstream::InFlightGuard,
     },
     unit::RequestRate,
 };
@@ -108,7 +108,7 @@
     ends_at: BootInstant,
     vm: usize,
     member: Arc<Member>,
-    _in_flight: InFlight,
+    _in_flight: InFlightGuard,
 }
 
 struct Replay {
@@ -156,12 +156,12 @@
     }
 
     fn make_trouble(&mut self) {
-        let passed_ms = self.fleet.passed_ms;
+        let passed_ms = self.fleet.elapsed_ms;
         match self.case.trouble {
             None => {}
             Some(Trouble::HallCutOff) => {
                 let is_cut = CUT_OFF_MS.contains(&passed_ms);
-                self.fleet.cut_off = is_cut.then_some(0);
+                self.fleet.partitioned_hall = is_cut.then_some(0);
             }
             Some(Trouble::Restarts) => {
                 let at = RESTARTS_MS.iter().position(|at| *at == passed_ms);
@@ -191,13 +191,13 @@
 
     fn names_limit(&self, upstream: usize) -> bool {
         let is_time =
-            (LIMITED_FROM_MS..LIMITED_TO_MS).contains(&self.fleet.passed_ms);
+            (LIMITED_FROM_MS..LIMITED_TO_MS).contains(&self.fleet.elapsed_ms);
         is_time && self.is_limited(upstream)
     }
 
     fn run(mut self) -> Figures {
         let mut due = 0.0;
-        while self.fleet.passed_ms < LENGTH_MS {
+        while self.fleet.elapsed_ms < LENGTH_MS {
             self.fleet.step();
             self.make_trouble();
             self.answer();
@@ -221,21 +221,23 @@
                 false => RateLimit::Unlimited,
             };
             if limit != RateLimit::Unlimited {
-                let passed_ms = self.fleet.passed_ms;
+                let passed_ms = self.fleet.elapsed_ms;
                 let told = self.told_at_ms.entry((work.vm, upstream));
                 told.or_insert(passed_ms);
             }
-            let statement =
-                Statement { rate_limit: Some(limit), ..Statement::default() };
+            let statement = UpstreamSignals {
+                rate_limit: Some(limit),
+                ..UpstreamSignals::default()
+            };
             let vm = self.fleet.vms[work.vm].clone();
-            let news = vm.pool.take_statement(
+            let news = vm.pool.apply_signals(
                 &work.member,
                 &statement,
                 now.checked_sub(WORK).unwrap(),
                 now,
             );
             if !news.is_empty() {
-                self.fleet.beat_early(work.vm);
+                self.fleet.schedule_early_heartbeat(work.vm);
             }
         }
     }
@@ -246,13 +248,13 @@
         let vm = self.fleet.vms[at].clone();
         let service = "writers".parse().unwrap();
         let now = self.fleet.clock.now();
-        let picked = vm.pool.pick(&service, &Want::default(), now);
+        let picked = vm.pool.pick(&service, &PickCriteria::default(), now);
         let Ok(member) = picked else {
             self.refused += 1;
             return;
         };
         let upstream = number(&member);
-        let passed_ms = self.fleet.passed_ms;
+        let passed_ms = self.fleet.elapsed_ms;
         let told_ms = self.told_at_ms.get(&(at, upstream));
         let was_told = told_ms.is_some_and(|told| passed_ms >= told + TOLD_MS);
         self.arrivals[upstream].push((passed_ms, was_told));
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -5,7 +5,7 @@
 //! * [`record`]: keeping the VMs recorded in the store.
 //! * [`server`]: its life, from start to planned stop.
 //! * [`watch`]: following the platform's store.
-//! * [`steward`]: recording how far roll-outs are.
+//! * [`rollout_status`]: recording how far roll-outs are.
 
 use std::{
     collections::HashMap,
@@ -21,9 +21,9 @@
 use crate::{
     clock::{BootInstant, SharedClock},
     crashes::{
-        record::{CrashRecord, HoldChange},
-        sighting::Sighting,
-        tellings::Source,
+        broadcast_queue::Source,
+        observation::RequestObservation,
+        tracker::{CrashTracker, QuarantineChange},
     },
     event::Event,
     facts::{
@@ -35,8 +35,8 @@
     metrics::Metrics,
     placing::{
         admission::ServiceTimes,
-        cascade::ReadTimes,
-        health::{HealthChange, Verdict},
+        cascade::PrefillTimes,
+        health::{AttemptOutcome, HealthChange},
         member::{Member, UpstreamState},
         pool::Pool,
         retry_window::RetryWindow,
@@ -56,8 +56,8 @@
 pub(crate) mod trace;
 
 pub(crate) mod record;
+pub(crate) mod rollout_status;
 pub(crate) mod server;
-pub(crate) mod steward;
 pub(crate) mod watch;
 
 use settings::GatewaySettings;
@@ -118,14 +118,14 @@
     pub(crate) knowledge: Knowledge,
     pub(crate) pool: Pool,
     pub(crate) rollouts: Rollouts,
-    pub(crate) crashes: CrashRecord,
-    pub(crate) read_times: ReadTimes,
+    pub(crate) crashes: CrashTracker,
+    pub(crate) read_times: PrefillTimes,
     pub(crate) service_times: ServiceTimes,
     pub(crate) peers: Peers,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) in_flight: InFlightCount,
     /// Has the next beat sent early.
-    pub(crate) early_beat: Wake,
+    pub(crate) early_heartbeat: Wake,
     pub(crate) incarnation: Incarnation,
     retries: Mutex<HashMap<ServiceId, Arc<RetryWindow>>>,
     store_ill_at: Mutex<Option<BootInstant>>,
@@ -150,9 +150,9 @@
                 settings.data_hall.clone(),
                 settings.warm_up_slack,
             ),
-            rollouts: Rollouts::new(settings.session_time),
-            crashes: CrashRecord::default(),
-            read_times: ReadTimes::default(),
+            rollouts: Rollouts::new(settings.session_timeout),
+            crashes: CrashTracker::default(),
+            read_times: PrefillTimes::default(),
             service_times: ServiceTimes::default(),
             peers: Peers::new(
                 &settings,
@@ -162,7 +162,7 @@
             ),
             metrics,
             in_flight: InFlightCount::default(),
-            early_beat: Wake::default(),
+            early_heartbeat: Wake::default(),
             incarnation,
             retries: Mutex::default(),
             store_ill_at: Mutex::new(None),
@@ -208,12 +208,16 @@
         }
         let now = self.clock.now();
         let proof_age = self.knowledge.proof_age(now);
-        self.peers.watch_role(proof_age, self.settings.revoke, now)
+        self.peers.watch_role(
+            proof_age,
+            self.settings.key_revocation_limit,
+            now,
+        )
     }
 
     /// Whether what is known is recent enough to accept keys by.
     pub(crate) fn is_fresh(&self, now: BootInstant) -> bool {
-        let limit = self.settings.revoke.mul_f64(KEY_PROOF_PART);
+        let limit = self.settings.key_revocation_limit.mul_f64(KEY_PROOF_PART);
         let age = self.knowledge.proof_age(now);
         age.is_some_and(|age| age <= limit)
     }
@@ -240,7 +244,7 @@
     /// The retry budget of a service.
     fn retries(&self, service: &ServiceId) -> Arc<RetryWindow> {
         let now = self.clock.now();
-        let bound = self.settings.retries;
+        let bound = self.settings.retry_bound;
         let mut retries = self.retries.lock().expect("retries lock");
         let window = retries
             .entry(service.clone())
@@ -256,7 +260,7 @@
     /// Whether a further attempt may be sent to a service.
     pub(crate) fn has_retry(&self, service: &ServiceId) -> bool {
         let now = self.clock.now();
-        self.retries(service).has_one(self.peers.fleet_size(), now)
+        self.retries(service).allows_retry(self.peers.fleet_size(), now)
     }
 
     /// Takes a further attempt at a service, if one is left.
@@ -282,7 +286,7 @@
     }
 
     /// Takes in what the store says.
-    pub(crate) fn take_news(&self, news: News) {
+    pub(crate) fn apply_news(&self, news: News) {
         self.note_unreadable(&news.unreadable);
         for fact in news.facts {
             self.take_fact(fact);
@@ -347,7 +351,7 @@
             Fact::RolloutOrdered(service, order) => {
                 let target = order.target.clone();
                 let allowed_ms = order.time_allowed.as_millis() as u64;
-                if self.rollouts.order(service.clone(), order, now) {
+                if self.rollouts.apply_order(service.clone(), order, now) {
                     Event::RolloutOrdered.record(fields(json!({
                         "service": service,
                         "target": target,
@@ -367,7 +371,7 @@
                         .record(fields(json!({ "data_hall": hall })));
                 }
             }
-            Fact::RolloutOver(service) => self.rollouts.forget(&service),
+            Fact::RolloutOver(service) => self.rollouts.remove(&service),
             Fact::RolloutStatus(service, status) => {
                 self.rollouts.set_status(&service, &status);
                 Event::RolloutRecorded.record(fields(json!({
@@ -377,9 +381,9 @@
                 })));
             }
             Fact::CrashingRequest(request, crashes) => {
-                let told: Vec<Sighting> =
-                    Sighting::of_crashes(request, crashes).collect();
-                self.hear_sightings(&told, Source::Kept);
+                let told: Vec<RequestObservation> =
+                    RequestObservation::of_crashes(request, crashes).collect();
+                self.merge_sightings(&told, Source::Snapshot);
             }
             Fact::Peer(vm, record) => {
                 self.pool.add_vm(&vm, &record.data_hall);
@@ -393,27 +397,31 @@
     }
 
     /// Takes in what was seen elsewhere of requests and crashes.
-    pub(crate) fn hear_sightings(&self, told: &[Sighting], source: Source) {
+    pub(crate) fn merge_sightings(
+        &self,
+        told: &[RequestObservation],
+        source: Source,
+    ) {
         let now = self.clock.now();
-        let changes = self.crashes.hear(told, source, now);
+        let changes = self.crashes.merge_observations(told, source, now);
         self.note_crash_changes(&changes);
         if !changes.is_empty() {
-            self.early_beat.wake();
+            self.early_heartbeat.wake();
         }
     }
 
     /// Logs which requests are held back from now on, or no longer.
-    pub(crate) fn note_crash_changes(&self, changes: &[HoldChange]) {
+    pub(crate) fn note_crash_changes(&self, changes: &[QuarantineChange]) {
         for change in changes {
             match change {
-                HoldChange::Held { request, ends } => {
+                QuarantineChange::Added { request, ends } => {
                     self.metrics.requests_held.inc();
                     Event::RequestHeld.record(fields(json!({
                         "request": request.to_string(),
                         "upstreams_ended": ends,
                     })));
                 }
-                HoldChange::Released(request) => {
+                QuarantineChange::Released(request) => {
                     self.metrics.requests_held.dec();
                     Event::RequestReleased.record(fields(
                         json!({ "request": request.to_string() }),
@@ -424,29 +432,33 @@
     }
 
     /// Takes in how an attempt at an upstream ended.
-    pub(crate) fn judge_upstream(&self, member: &Member, verdict: Verdict) {
+    pub(crate) fn judge_upstream(
+        &self,
+        member: &Member,
+        verdict: AttemptOutcome,
+    ) {
         // It failed because it ended; the one in its place has not.
-        if member.is_over() && verdict != Verdict::Good {
+        if member.is_superseded() && verdict != AttemptOutcome::Success {
             return;
         }
         let now = self.clock.now();
-        if verdict == Verdict::Unreachable {
-            member.note_unreachable(now);
+        if verdict == AttemptOutcome::Unreachable {
+            member.record_connect_failure(now);
         }
-        if self.pool.note_verdict(member, verdict, now) {
-            self.early_beat.wake();
+        if self.pool.record_outcome(member, verdict, now) {
+            self.early_heartbeat.wake();
         }
         let change = member.health.record(verdict, now);
         let event = match change {
             None => return,
-            Some(HealthChange::Unfit) => Event::UpstreamUnfit,
-            Some(HealthChange::Fit) => Event::UpstreamFit,
+            Some(HealthChange::Unhealthy) => Event::UpstreamUnfit,
+            Some(HealthChange::Healthy) => Event::UpstreamFit,
         };
         event.record(fields(json!({ "upstream": member.entry.id })));
     }
 
     /// This VM's requests at a service's upstreams of other versions.
-    pub(crate) fn in_flight_at_old(
+    pub(crate) fn in_flight_at_other_versions(
         &self,
         service: &ServiceId,
         target: &VersionId,
--- a/src/gateway/own_words/tests.rs
+++ b/src/gateway/own_words/tests.rs
@@ -9,7 +9,7 @@
     gateway::test_fleet::Fleet,
     placing::{
         member::{UpstreamEntry, UpstreamState},
-        statement::{RateLimit, Statement},
+        signals::{RateLimit, UpstreamSignals},
     },
 };
 
@@ -38,7 +38,7 @@
 }
 
 fn run_until(fleet: &mut Fleet, until_ms: u64) {
-    while fleet.passed_ms < until_ms {
+    while fleet.elapsed_ms < until_ms {
         fleet.step();
     }
 }
@@ -72,10 +72,11 @@
     let first = &fleet.vms[0];
     let now = fleet.clock.now();
     let member = first.pool.member(&"i-1".parse().unwrap()).unwrap();
-    let leaves = Statement { is_leaving: true, ..Statement::default() };
+    let leaves =
+        UpstreamSignals { is_leaving: true, ..UpstreamSignals::default() };
     first.hear(&member, &leaves, now);
-    fleet.beat_early(0);
-    let told_ms = fleet.passed_ms;
+    fleet.schedule_early_heartbeat(0);
+    let told_ms = fleet.elapsed_ms;
     run_until(&mut fleet, told_ms + HALL_MS);
     assert_eq!(senders(&fleet, 0..VMS_OF_HALL), 0, "its own hall");
     run_until(&mut fleet, told_ms + FLEET_MS);
@@ -97,7 +98,8 @@
     }
     let first = fleet.vms[0].clone();
     let member = first.pool.member(&"i-1".parse().unwrap()).unwrap();
-    let leaves = Statement { is_leaving: true, ..Statement::default() };
+    let leaves =
+        UpstreamSignals { is_leaving: true, ..UpstreamSignals::default() };
     first.hear(&member, &leaves, fleet.clock.now());
     let told =
         |fleet: &Fleet| first.pool.take_leaving(fleet.clock.now()).len();
@@ -112,8 +114,9 @@
     let now = fleet.clock.now();
     let id = "i-1".parse().unwrap();
     let members = fleet.vms.iter().filter_map(|vm| vm.pool.member(&id));
-    let limits =
-        members.filter_map(|member| member.upstream.own_word.limit_per_s(now));
+    let limits = members.filter_map(|member| {
+        member.upstream.reported_state.rate_limit_per_s(now)
+    });
     limits.count()
 }
 
@@ -127,9 +130,9 @@
         run_until(&mut fleet, 2_000);
         let first = fleet.vms[0].clone();
         let member = first.pool.member(&"i-1".parse().unwrap()).unwrap();
-        let says = |limit| Statement {
+        let says = |limit| UpstreamSignals {
             rate_limit: Some(limit),
-            ..Statement::default()
+            ..UpstreamSignals::default()
         };
         let named = says(RateLimit::At("1.4".parse().unwrap()));
         let unlimited = says(RateLimit::Unlimited);
@@ -137,8 +140,8 @@
         first.hear(&member, &unlimited, fleet.clock.now());
         for statement in [&named, &unlimited] {
             first.hear(&member, statement, fleet.clock.now());
-            fleet.beat_early(0);
-            let told_ms = fleet.passed_ms;
+            fleet.schedule_early_heartbeat(0);
+            let told_ms = fleet.elapsed_ms;
             run_until(&mut fleet, told_ms + FLEET_MS);
             let know = limited(&fleet);
             let all = fleet.vms.len();
--- a/src/gateway/record.rs
+++ b/src/gateway/record.rs
@@ -18,7 +18,7 @@
     gateway::{Gateway, fields},
     platform::{
         document,
-        store::{Committed, NewValue, WRITES_MOST},
+        store::{ConditionalWrite, MAX_WRITES, WriteOutcome},
     },
     task,
 };
@@ -100,7 +100,7 @@
         let now = self.gateway.clock.now();
         self.renew(now).await?;
         let due = self.due(now);
-        for records in due.chunks(WRITES_MOST) {
+        for records in due.chunks(MAX_WRITES) {
             self.write(records, now).await?;
         }
         Ok(())
@@ -119,7 +119,7 @@
     }
 
     /// The records that this VM has to write.
-    fn due(&mut self, now: BootInstant) -> Vec<NewValue> {
+    fn due(&mut self, now: BootInstant) -> Vec<ConditionalWrite> {
         let gateway = &self.gateway;
         let peers = &gateway.peers;
         let age = now.saturating_duration_since(self.started_at);
@@ -145,7 +145,7 @@
 
     async fn write(
         &mut self,
-        records: &[NewValue],
+        records: &[ConditionalWrite],
         now: BootInstant,
     ) -> Result<(), StoreError> {
         let store = &self.gateway.store;
@@ -158,16 +158,16 @@
             }
         };
         match store.write_all(records, Some(lease)).await? {
-            Committed::Done(_) => {
+            WriteOutcome::Committed(_) => {
                 self.gateway.peers.look();
                 Ok(())
             }
             // What this VM knows of a record is behind the store.
-            Committed::Refused => {
+            WriteOutcome::Conflict => {
                 self.gateway.peers.look();
                 Err(StoreError::NotDone("a record has changed".to_owned()))
             }
-            Committed::LeaseOver => {
+            WriteOutcome::LeaseExpired => {
                 self.lease = None;
                 Err(StoreError::NotDone("the lease is over".to_owned()))
             }
@@ -175,19 +175,23 @@
     }
 }
 
-fn own_record(gateway: &Gateway) -> NewValue {
+fn own_record(gateway: &Gateway) -> ConditionalWrite {
     let settings = &gateway.settings;
     let record = PeerRecord {
-        peers: settings.peers,
+        peers: settings.peer_address,
         data_hall: settings.data_hall.clone(),
-        link_mbps: settings.link,
+        link_mbps: settings.link_rate,
     };
     new_value(gateway, settings.vm.as_str(), &record)
 }
 
-fn new_value(gateway: &Gateway, vm: &str, record: &PeerRecord) -> NewValue {
+fn new_value(
+    gateway: &Gateway,
+    vm: &str,
+    record: &PeerRecord,
+) -> ConditionalWrite {
     let key = document::peer_key(&record.data_hall, vm);
-    NewValue {
+    ConditionalWrite {
         expected: gateway.knowledge.version_of(&key),
         value: document::write_peer(record),
         key,
--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -19,8 +19,8 @@
     http_client::Exchange,
     id::ModelId,
     placing::{
-        cascade::{Doubt, Kept, larger_model},
-        health::Verdict,
+        cascade::{EscalationInput, NoEscalation, escalation_target},
+        health::AttemptOutcome,
         member::Member,
     },
     platform::headers::{self, AnswerHead},
@@ -125,7 +125,7 @@
             match read.or(silent).await? {
                 Some(chunk) => {
                     self.events.push(&chunk);
-                    member.note_heard(job.gateway.clock.now());
+                    member.record_activity(job.gateway.clock.now());
                 }
                 None if self.events.is_empty() => return Ok(Brought::End),
                 None => {
@@ -171,7 +171,7 @@
                 self.watch_silence(member, since, Some(limit), most).await;
                 return;
             }
-            if left.is_zero() || member.is_over() {
+            if left.is_zero() || member.is_superseded() {
                 return;
             }
             task::sleep(left.min(WATCH_PERIOD)).await;
@@ -215,9 +215,9 @@
         attempt: &Attempt,
         model: &ModelId,
         confidence: Percent,
-    ) -> Result<ModelId, Kept> {
+    ) -> Result<ModelId, NoEscalation> {
         let now = self.gateway.clock.now();
-        let doubt = Doubt {
+        let doubt = EscalationInput {
             route: &self.route,
             model,
             confidence,
@@ -226,11 +226,12 @@
             tokens: attempt.tokens,
         };
         let times = &self.gateway.read_times;
-        let larger = larger_model(&doubt, times, attempt.read_before, now)?;
+        let larger =
+            escalation_target(&doubt, times, attempt.read_before, now)?;
         // An answer that is at hand is better than one that nobody gives.
         match self.can_ask_again(now) {
             true => Ok(larger),
-            false => Err(Kept::NoUpstream),
+            false => Err(NoEscalation::NoUpstream),
         }
     }
 
@@ -255,7 +256,7 @@
             Ok(Brought::Events(first)) => (first, false),
             Ok(Brought::End) => (Bytes::new(), true),
             Err(stop) => {
-                self.judge(&source.attempt, Verdict::Lost, None);
+                self.judge(&source.attempt, AttemptOutcome::Lost, None);
                 return Err(Fault::Unknown(stop.label(), stop.reason()));
             }
         };
@@ -263,7 +264,7 @@
         let waited = now.saturating_duration_since(source.attempt.began_at);
         source.attempt.reading = None;
         self.learn_read_time(&source.attempt, waited);
-        self.judge(&source.attempt, Verdict::Good, Some(waited));
+        self.judge(&source.attempt, AttemptOutcome::Success, Some(waited));
         trace.part();
         let head = Reply {
             status: hyper::StatusCode::OK,
@@ -285,11 +286,11 @@
         let left = self.left(self.gateway.clock.now());
         let read = exchange.read_whole(LIMIT_BYTES);
         let Some(Ok(answer)) = task::within(left, read).await else {
-            self.judge(&attempt, Verdict::Lost, None);
+            self.judge(&attempt, AttemptOutcome::Lost, None);
             return Fault::Unknown("broken", format!("status {status}"));
         };
         if status >= 500 {
-            self.judge(&attempt, Verdict::Failed, None);
+            self.judge(&attempt, AttemptOutcome::Failed, None);
         }
         let status = hyper::StatusCode::from_u16(status)
             .unwrap_or(hyper::StatusCode::BAD_GATEWAY);
@@ -301,7 +302,7 @@
         let was_free = attempt.read_before < FREE_READING;
         if let (true, Some(model)) = (was_free, &attempt.model) {
             let times = &self.gateway.read_times;
-            times.learn(model, attempt.tokens, waited);
+            times.record(model, attempt.tokens, waited);
         }
     }
 
@@ -389,7 +390,7 @@
     /// there is time left.
     fn must_wait(&self) -> bool {
         let now = self.job.gateway.clock.now();
-        let is_over = |source: &Source| source.attempt.member.is_over();
+        let is_over = |source: &Source| source.attempt.member.is_superseded();
         now < self.job.deadline
             && !self.source.as_ref().is_none_or(is_over)
             && !self.job.may_resume(now)
@@ -401,7 +402,7 @@
             return Err(BrokenOff);
         };
         let mut reason = stop.reason();
-        self.job.judge(&source.attempt, Verdict::Lost, None);
+        self.job.judge(&source.attempt, AttemptOutcome::Lost, None);
         self.note_end(stop.label(), &reason);
         // The upstream that is given up must stop before another goes on.
         let model = source.attempt.model.clone();
@@ -464,13 +465,13 @@
                 Ok(Source { attempt, exchange, events })
             }
             Ok((exchange, _)) => {
-                self.job.judge(&attempt, Verdict::Failed, None);
+                self.job.judge(&attempt, AttemptOutcome::Failed, None);
                 let reason = format!("status {}", exchange.status);
                 failed(self, "failed", reason)
             }
             Err(Fault::NotRun(label, reason)) => failed(self, label, reason),
             Err(Fault::Unknown(label, reason)) => {
-                self.job.judge(&attempt, Verdict::Lost, None);
+                self.job.judge(&attempt, AttemptOutcome::Lost, None);
                 failed(self, label, reason)
             }
             Err(Fault::Poor(_)) => failed(self, "poor", String::new()),
--- a/src/gateway/steward.rs
+++ b/src/gateway/rollout_status.rs
@@ -17,11 +17,11 @@
     message::ShortHash,
     platform::{
         document,
-        store::{Committed, NewValue},
+        store::{ConditionalWrite, WriteOutcome},
     },
     rollouts::{
-        registry::Due,
-        rollout::{Progress, Status},
+        registry::PendingStatus,
+        rollout::{RolloutProgress, RolloutStatus},
     },
     task,
 };
@@ -50,7 +50,7 @@
             continue;
         }
         let now = gateway.clock.now();
-        for (service, reason) in gateway.rollouts.judge(now) {
+        for (service, reason) in gateway.rollouts.evaluate(now) {
             Event::RolloutStopped.record(fields(json!({
                 "service": service,
                 "reason": reason,
@@ -59,7 +59,7 @@
         if now < record_from {
             continue;
         }
-        for due in due(&gateway, now) {
+        for due in due_records(&gateway, now) {
             if let Err(error) = record(&gateway, &due).await {
                 record_from = gateway.clock.now() + backoff.wait();
                 Event::RolloutNotRecorded.record(fields(json!({
@@ -75,20 +75,27 @@
 }
 
 /// What this VM is to record in the store.
-pub(crate) fn due(gateway: &Gateway, now: BootInstant) -> Vec<Due> {
+pub(crate) fn due_records(
+    gateway: &Gateway,
+    now: BootInstant,
+) -> Vec<PendingStatus> {
     let own_proof = gateway.knowledge.proof_age(now);
     let is_steward = gateway.peers.is_steward(own_proof, now);
-    let old =
-        |service: &_, target: &_| gateway.in_flight_at_old(service, target);
+    let old = |service: &_, target: &_| {
+        gateway.in_flight_at_other_versions(service, target)
+    };
     let halls = gateway.peers.other_halls();
     let halls: Vec<ShortHash> =
         halls.iter().map(|hall| ShortHash::of(hall.as_str())).collect();
-    gateway.rollouts.due(is_steward, old, &halls, now)
+    gateway.rollouts.pending_statuses(is_steward, old, &halls, now)
 }
 
 /// Writes a state over the one that stands there, unless that has ended the
 /// same roll-out; what stands there afterwards is taken in.
-async fn record(gateway: &Gateway, due: &Due) -> Result<(), StoreError> {
+async fn record(
+    gateway: &Gateway,
+    due: &PendingStatus,
+) -> Result<(), StoreError> {
     let key = document::status_key(&due.service);
     let held = gateway.store.read(&key).await?;
     let expected = held.as_ref().map(|item| item.version);
@@ -100,9 +107,11 @@
         return Ok(());
     }
     let value = document::write_status(&due.service, &due.status);
-    let state = NewValue { key, value, expected };
+    let state = ConditionalWrite { key, value, expected };
     let store = &gateway.store;
-    if let Committed::Done(version) = store.write_all(&[state], None).await? {
+    if let WriteOutcome::Committed(version) =
+        store.write_all(&[state], None).await?
+    {
         gateway.rollouts.set_status(&due.service, &due.status);
         Event::RolloutRecorded.record(fields(json!({
             "service": due.service,
@@ -115,7 +124,7 @@
 }
 
 /// Whether the state held is not to be replaced by `wanted`.
-fn stands(held: &Status, wanted: &Status) -> bool {
+fn stands(held: &RolloutStatus, wanted: &RolloutStatus) -> bool {
     held.target == wanted.target
-        && (held == wanted || held.progress != Progress::Running)
+        && (held == wanted || held.progress != RolloutProgress::Running)
 }
--- a/src/gateway/test_fleet.rs
+++ b/src/gateway/test_fleet.rs
@@ -15,7 +15,7 @@
         knowledge::PeerRecord,
         mesh::{self, Round},
     },
-    gateway::{Gateway, settings::GatewaySettings, tests::SETTINGS},
+    gateway::{Gateway, settings::GatewaySettings, tests::MINIMAL_SETTINGS},
     unit::Mbps,
 };
 
@@ -51,14 +51,14 @@
 pub(crate) struct Fleet {
     pub(crate) clock: Arc<TestClock>,
     pub(crate) vms: Vec<Arc<Gateway>>,
-    pub(crate) passed_ms: u64,
+    pub(crate) elapsed_ms: u64,
     by_address: HashMap<SocketAddr, usize>,
     /// When each VM sent its last beats.
     beat_at_ms: HashMap<usize, u64>,
     /// VMs that are to send the next ones soon.
     early: BTreeSet<usize>,
     /// A data hall whose beats reach no other, and that hears none.
-    pub(crate) cut_off: Option<usize>,
+    pub(crate) partitioned_hall: Option<usize>,
     vms_of_hall: usize,
 }
 
@@ -73,11 +73,11 @@
         let mut fleet = Fleet {
             clock,
             vms: Vec::new(),
-            passed_ms: 0,
+            elapsed_ms: 0,
             by_address: HashMap::new(),
             beat_at_ms: HashMap::new(),
             early: BTreeSet::new(),
-            cut_off: None,
+            partitioned_hall: None,
             vms_of_hall,
         };
         let count = halls * vms_of_hall;
@@ -89,7 +89,7 @@
 
     /// Starts a VM that knows of all of so many.
     fn start(&self, number: usize, count: usize) -> Arc<Gateway> {
-        let settings = SETTINGS
+        let settings = MINIMAL_SETTINGS
             .replace("id = vm-0", &format!("id = vm-{number}"))
             .replace("hall-a", &self.hall_name(number))
             .replace("127.0.0.1:3", &address(number).to_string());
@@ -115,7 +115,7 @@
     /// Whether what one VM sends reaches another.
     fn reaches(&self, from: usize, to: usize) -> bool {
         let halls = [from, to].map(|vm| vm / self.vms_of_hall);
-        let is_cut = |hall: &usize| Some(*hall) == self.cut_off;
+        let is_cut = |hall: &usize| Some(*hall) == self.partitioned_hall;
         halls[0] == halls[1] || !halls.iter().any(is_cut)
     }
 
@@ -127,14 +127,14 @@
     /// One step of time, with the beats that are due in it.
     pub(crate) fn step(&mut self) {
         self.clock.advance(Duration::from_millis(STEP_MS));
-        self.passed_ms += STEP_MS;
+        self.elapsed_ms += STEP_MS;
         for number in 0..self.vms.len() {
             // Beats of a hall are spread over their period.
             let phase = number as u64 * 7 * STEP_MS;
-            let is_regular = (self.passed_ms + phase).is_multiple_of(BEAT_MS);
+            let is_regular = (self.elapsed_ms + phase).is_multiple_of(BEAT_MS);
             let last_ms = self.beat_at_ms.get(&number).copied().unwrap_or(0);
             let is_early = self.early.contains(&number)
-                && self.passed_ms - last_ms >= BEAT_GAP_MS;
+                && self.elapsed_ms - last_ms >= BEAT_GAP_MS;
             if is_regular || is_early {
                 self.beat(number);
             }
@@ -143,12 +143,12 @@
 
     /// Has a VM that has news send its next beats after the least gap between
     /// two.
-    pub(crate) fn beat_early(&mut self, number: usize) {
+    pub(crate) fn schedule_early_heartbeat(&mut self, number: usize) {
         self.early.insert(number);
     }
 
     fn beat(&mut self, number: usize) {
-        self.beat_at_ms.insert(number, self.passed_ms);
+        self.beat_at_ms.insert(number, self.elapsed_ms);
         self.early.remove(&number);
         let mut round = Round::new(&self.vms[number]);
         while let Some((address, beat)) = round.next_beat() {
--- a/src/placing/admission/tests.rs
+++ b/src/placing/admission/tests.rs
@@ -19,7 +19,7 @@
 
 /// A way to turn callers away.
 struct Way {
-    fill_limit: f64,
+    utilization_limit: f64,
     /// When they come back, in milliseconds, by a draw from 0 to 1.
     return_ms: fn(f64) -> u64,
 }
@@ -33,7 +33,7 @@
 }
 
 fn return_ms(draw: f64) -> u64 {
-    return_after(Some(TAKES), draw).as_millis() as u64
+    retry_after(Some(TAKES), draw).as_millis() as u64
 }
 
 /// One replica: when each of its slots is free, and what it held lately.
@@ -87,7 +87,7 @@
             .map(|(fill, r)| (fill + random.random::<f64>() * 0.3, r))
             .min_by(|a, b| a.0.total_cmp(&b.0))
             .expect("a replica");
-        if fill < way.fill_limit {
+        if fill < way.utilization_limit {
             let work_ms = random.random_range(30..90);
             let end_ms = chosen.take(now_ms, work_ms);
             match end_ms - first_ms <= AIM_MS {
@@ -112,10 +112,10 @@
 /// everybody is let in, and comes late.
 #[test]
 fn a_short_line_serves_more_callers_in_time() {
-    let limit = fill_limit(Duration::from_millis(AIM_MS), Some(TAKES));
-    let by_slots = Way { fill_limit: FILL_LEAST, return_ms: |_| 400 };
-    let by_aim = Way { fill_limit: limit, return_ms };
-    let unlimited = Way { fill_limit: f64::MAX, return_ms };
+    let limit = utilization_limit(Duration::from_millis(AIM_MS), Some(TAKES));
+    let by_slots = Way { utilization_limit: FILL_LEAST, return_ms: |_| 400 };
+    let by_aim = Way { utilization_limit: limit, return_ms };
+    let unlimited = Way { utilization_limit: f64::MAX, return_ms };
     for (load, gain) in [(0.9, 0.02), (1.0, 0.1), (1.1, 0.04), (1.4, 0.02)] {
         let slots = play(load, &by_slots);
         let aim = play(load, &by_aim);
@@ -130,24 +130,24 @@
 #[test]
 fn the_limit_follows_what_a_request_takes() {
     let aim = Duration::from_millis(150);
-    let limit = |ms| fill_limit(aim, Some(Duration::from_millis(ms)));
-    assert_eq!(fill_limit(aim, None), FILL_LEAST);
+    let limit = |ms| utilization_limit(aim, Some(Duration::from_millis(ms)));
+    assert_eq!(utilization_limit(aim, None), FILL_LEAST);
     assert_eq!(limit(0), FILL_LEAST);
     assert!((limit(30) - 2.0).abs() < 1e-9);
     assert_eq!(limit(1), FILL_MOST);
     assert_eq!(limit(3000), FILL_LEAST);
-    assert_eq!(wait_at(0.5, Some(TAKES)), Duration::ZERO);
-    assert_eq!(wait_at(3.0, Some(TAKES)), TAKES * 2);
-    assert_eq!(wait_at(3.0, None), Duration::ZERO);
+    assert_eq!(queue_wait(0.5, Some(TAKES)), Duration::ZERO);
+    assert_eq!(queue_wait(3.0, Some(TAKES)), TAKES * 2);
+    assert_eq!(queue_wait(3.0, None), Duration::ZERO);
 }
 
 #[test]
 fn callers_come_back_when_places_are_free_and_not_together() {
-    assert_eq!(return_after(Some(TAKES), 0.0), TAKES / 2);
-    assert_eq!(return_after(Some(TAKES), 1.0), TAKES * 3 / 2);
-    assert_eq!(return_after(None, 0.0), RETURN_MOST);
+    assert_eq!(retry_after(Some(TAKES), 0.0), TAKES / 2);
+    assert_eq!(retry_after(Some(TAKES), 1.0), TAKES * 3 / 2);
+    assert_eq!(retry_after(None, 0.0), RETURN_MOST);
     let stream = Some(Duration::from_secs(4));
-    assert_eq!(return_after(stream, 0.5), RETURN_MOST);
+    assert_eq!(retry_after(stream, 0.5), RETURN_MOST);
 }
 
 #[test]
@@ -155,10 +155,10 @@
     let times = ServiceTimes::default();
     let service: ServiceId = "portal".parse().unwrap();
     assert_eq!(times.of(&service), None);
-    times.learn(&service, TAKES);
+    times.record(&service, TAKES);
     assert_eq!(times.of(&service), Some(TAKES));
     for _ in 0..200 {
-        times.learn(&service, TAKES * 2);
+        times.record(&service, TAKES * 2);
     }
     let learned = times.of(&service).unwrap();
     assert!(learned > TAKES.mul_f64(1.99), "{learned:?}");
--- a/src/placing/cascade/tests.rs
+++ b/src/placing/cascade/tests.rs
@@ -27,9 +27,9 @@
     confidence: u8,
     waiting: Duration,
     has_attempt: bool,
-) -> Result<ModelId, Kept> {
+) -> Result<ModelId, NoEscalation> {
     let now = BootInstant::now();
-    let doubt = Doubt {
+    let doubt = EscalationInput {
         route: &route(),
         model: &"small".parse().unwrap(),
         confidence: Percent::new(confidence).unwrap(),
@@ -37,7 +37,7 @@
         has_attempt,
         tokens: 1000,
     };
-    larger_model(&doubt, &ReadTimes::default(), waiting, now)
+    escalation_target(&doubt, &PrefillTimes::default(), waiting, now)
 }
 
 /// The largest confidence at which another model is asked, given time.
@@ -49,24 +49,27 @@
     assert_eq!(decide(10, Duration::ZERO, true), Ok(large));
     assert!(decide(DOUBTFUL, Duration::ZERO, true).is_ok());
     let sure = decide(ENOUGH_CONFIDENCE, Duration::ZERO, true);
-    assert_eq!(sure, Err(Kept::Sure));
-    assert_eq!(decide(90, Duration::ZERO, true), Err(Kept::Sure));
-    assert_eq!(decide(10, Duration::ZERO, false), Err(Kept::NoAttempt));
+    assert_eq!(sure, Err(NoEscalation::Sure));
+    assert_eq!(decide(90, Duration::ZERO, true), Err(NoEscalation::Sure));
+    assert_eq!(
+        decide(10, Duration::ZERO, false),
+        Err(NoEscalation::NoAttempt)
+    );
 }
 
 #[test]
 fn the_less_time_is_left_the_more_doubtful_it_must_be() {
     let near = Duration::from_millis(1500);
-    assert_eq!(decide(DOUBTFUL, near, true), Err(Kept::NoTime));
+    assert_eq!(decide(DOUBTFUL, near, true), Err(NoEscalation::NoTime));
     assert!(decide(5, near, true).is_ok());
     let gone = Duration::from_secs(2);
-    assert_eq!(decide(0, gone, true), Err(Kept::NoTime));
+    assert_eq!(decide(0, gone, true), Err(NoEscalation::NoTime));
 }
 
 #[test]
 fn the_largest_model_has_the_last_word() {
     let now = BootInstant::now();
-    let doubt = Doubt {
+    let doubt = EscalationInput {
         route: &route(),
         model: &"large".parse().unwrap(),
         confidence: Percent::new(0).unwrap(),
@@ -74,18 +77,18 @@
         has_attempt: true,
         tokens: 1000,
     };
-    let times = ReadTimes::default();
-    let kept = larger_model(&doubt, &times, Duration::ZERO, now);
-    assert_eq!(kept, Err(Kept::Largest));
+    let times = PrefillTimes::default();
+    let kept = escalation_target(&doubt, &times, Duration::ZERO, now);
+    assert_eq!(kept, Err(NoEscalation::Largest));
 }
 
 #[test]
 fn reading_times_are_learned_and_short_prompts_say_little() {
-    let times = ReadTimes::default();
+    let times = PrefillTimes::default();
     let model = "large".parse().unwrap();
     for _ in 0..50 {
-        times.learn(&model, 10_000, Duration::from_millis(610));
-        times.learn(&model, 300, Duration::from_millis(300));
+        times.record(&model, 10_000, Duration::from_millis(610));
+        times.record(&model, 300, Duration::from_millis(300));
     }
     let expected = times.expected(Some(&model), 10_000).as_millis();
     assert!((600..1000).contains(&expected), "{expected} ms");
--- a/src/placing/health.rs
+++ b/src/placing/health.rs
@@ -42,9 +42,9 @@
 
 /// How one attempt ended, as far as its upstream is to blame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum AttemptOutcome {
     /// It answered.
-    Good,
+    Success,
     /// It answered that it failed.
     Failed,
     /// It broke off or stayed silent.
@@ -71,9 +71,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthChange {
     /// It is unfit and left alone for a while.
-    Unfit,
+    Unhealthy,
     /// It answers again.
-    Fit,
+    Healthy,
 }
 
 impl Health {
@@ -90,7 +90,7 @@
     }
 
     /// Whether requests may go there.
-    pub fn is_sound(&self, now: BootInstant) -> bool {
+    pub fn is_healthy(&self, now: BootInstant) -> bool {
         let state = self.0.lock().expect("health lock");
         state.out_until.is_none_or(|until| now >= until)
     }
@@ -116,39 +116,43 @@
     /// Takes in how an attempt of another VM of the data hall ended.
     pub fn hear(
         &self,
-        verdict: Verdict,
+        verdict: AttemptOutcome,
         now: BootInstant,
     ) -> Option<HealthChange> {
         let mut state = self.0.lock().expect("health lock");
         state.fade(now);
         match verdict {
-            Verdict::Good => {
+            AttemptOutcome::Success => {
                 state.good += 1.0;
                 return None;
             }
-            Verdict::Failed | Verdict::Lost => state.bad += TOLD_FAILURE,
-            Verdict::Unreachable => state.bad += TOLD_UNREACHABLE,
+            AttemptOutcome::Failed | AttemptOutcome::Lost => {
+                state.bad += TOLD_FAILURE
+            }
+            AttemptOutcome::Unreachable => state.bad += TOLD_UNREACHABLE,
         }
         let is_news = state.out_until.is_none_or(|until| now >= until);
         if !is_news || !state.fails() {
             return None;
         }
         state.out_until = Some(now + state.pause);
-        Some(HealthChange::Unfit)
+        Some(HealthChange::Unhealthy)
     }
 
     /// Takes in how an attempt ended.
     pub fn record(
         &self,
-        verdict: Verdict,
+        verdict: AttemptOutcome,
         now: BootInstant,
     ) -> Option<HealthChange> {
         let mut state = self.0.lock().expect("health lock");
         state.fade(now);
         match verdict {
-            Verdict::Good => state.record_good(now),
-            Verdict::Failed | Verdict::Lost => state.record_bad(now),
-            Verdict::Unreachable => {
+            AttemptOutcome::Success => state.record_good(now),
+            AttemptOutcome::Failed | AttemptOutcome::Lost => {
+                state.record_bad(now)
+            }
+            AttemptOutcome::Unreachable => {
                 // One such failure says enough: the next request would wait
                 // for it as well.
                 state.in_a_row = UNFIT_IN_A_ROW;
@@ -188,7 +192,7 @@
         self.out_until = None;
         self.pause = PAUSE;
         self.bad = 0.0;
-        Some(HealthChange::Fit)
+        Some(HealthChange::Healthy)
     }
 
     fn record_bad(&mut self, now: BootInstant) -> Option<HealthChange> {
@@ -205,7 +209,7 @@
             return None;
         }
         self.out_until = Some(now + self.pause);
-        Some(HealthChange::Unfit)
+        Some(HealthChange::Unhealthy)
     }
 }
 
--- a/src/placing/member.rs
+++ b/src/placing/member.rs
@@ -14,13 +14,14 @@
 use crate::{
     clock::BootInstant,
     id::{
-        DataHallId, ServiceId, StartMs, UpstreamId, UpstreamLife, VersionId,
+        DataHallId, ServiceId, StartMs, UpstreamId, UpstreamIncarnation,
+        VersionId,
     },
-    message::{ShortHash, Work},
+    message::{InFlightWork, ShortHash},
     placing::{
         hall_way::HallWay,
         health::Health,
-        own_word::OwnWord,
+        reported_state::ReportedState,
         upstream::{Serves, Upstream, UpstreamRecord},
         warm_up::SentLately,
     },
@@ -85,8 +86,8 @@
 
 impl UpstreamEntry {
     /// The life that it is of.
-    pub fn life(&self) -> UpstreamLife {
-        UpstreamLife { id: self.id.clone(), started: self.started }
+    pub fn life(&self) -> UpstreamIncarnation {
+        UpstreamIncarnation { id: self.id.clone(), started: self.started }
     }
 
     /// How it stands to an entry that was told before.
@@ -143,7 +144,7 @@
     pub(super) sent_cold: Mutex<SentLately>,
     stated: Mutex<Option<Stated>>,
     /// Whether a later life has taken its place.
-    is_over: AtomicBool,
+    is_superseded: AtomicBool,
     /// Whether one did although it was not leaving.
     has_crashed: AtomicBool,
 }
@@ -171,7 +172,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct PeerCount {
-    work: Work,
+    work: InFlightWork,
     at: BootInstant,
 }
 
@@ -185,14 +186,14 @@
     fn reading_left_ms(&self, now: BootInstant) -> u32 {
         let age = now.saturating_duration_since(self.at).as_millis();
         let age_ms = u32::try_from(age).unwrap_or(u32::MAX);
-        u32::from(self.work.reading_ms).saturating_sub(age_ms)
+        u32::from(self.work.prefill_ms).saturating_sub(age_ms)
     }
 }
 
 impl Member {
     pub(super) fn new(
         entry: UpstreamEntry,
-        own_word: Arc<OwnWord>,
+        reported_state: Arc<ReportedState>,
         way: Arc<HallWay>,
         now: BootInstant,
     ) -> Member {
@@ -206,7 +207,7 @@
         };
         let short = ShortHash::of(&entry.life().to_string());
         let upstream =
-            Upstream::with_word(record, short, own_word, false, now);
+            Upstream::with_word(record, short, reported_state, false, now);
         Member {
             upstream: Arc::new(upstream),
             health: Health::new(now),
@@ -224,7 +225,7 @@
             cold_until: Mutex::new(Some(now + entry.warm_up_left)),
             sent_cold: Mutex::default(),
             stated: Mutex::default(),
-            is_over: AtomicBool::new(false),
+            is_superseded: AtomicBool::new(false),
             has_crashed: AtomicBool::new(false),
             entry,
         }
@@ -241,7 +242,7 @@
 
     /// How long it is to get no request of this VM; zero if it may have one.
     pub fn rest_left(&self, now: BootInstant) -> Duration {
-        self.upstream.own_word.rest_left(now)
+        self.upstream.reported_state.rest_left(now)
     }
 
     /// Its record with the state that was recorded last. What the upstream
@@ -266,7 +267,7 @@
 
     /// Notes that a later life has taken its place.
     pub(super) fn note_over(&self) {
-        self.is_over.store(true, Ordering::Relaxed);
+        self.is_superseded.store(true, Ordering::Relaxed);
         // Whoever had said so has ended as planned.
         if self.upstream.mark_leaving() {
             self.has_crashed.store(true, Ordering::Relaxed);
@@ -280,8 +281,8 @@
 
     /// Whether a later life has taken its place: nothing more comes from it,
     /// and what failed with it says nothing of its version.
-    pub fn is_over(&self) -> bool {
-        self.is_over.load(Ordering::Relaxed)
+    pub fn is_superseded(&self) -> bool {
+        self.is_superseded.load(Ordering::Relaxed)
     }
 
     /// Requests that it probably holds, of all VMs: those of the others by
@@ -300,7 +301,7 @@
     }
 
     /// How full it is: requests for each slot.
-    pub fn fill(&self, now: BootInstant) -> f64 {
+    pub fn utilization(&self, now: BootInstant) -> f64 {
         f64::from(self.requests(now)) / f64::from(self.entry.slots.max(1))
     }
 
@@ -317,14 +318,14 @@
     }
 
     /// Notes that something came from it.
-    pub fn note_heard(&self, now: BootInstant) {
+    pub fn record_activity(&self, now: BootInstant) {
         *self.heard_at.lock().expect("heard lock") = now;
-        self.way.note_heard(now);
+        self.way.record_activity(now);
     }
 
     /// Notes that no connection to it could be opened.
-    pub fn note_unreachable(&self, now: BootInstant) {
-        self.way.note_unreachable(now);
+    pub fn record_connect_failure(&self, now: BootInstant) {
+        self.way.record_connect_failure(now);
     }
 
     /// How long nothing has come from it.
@@ -340,7 +341,7 @@
     /// VMs of other data halls are heard rarely in a large fleet, and what
     /// they send there is not known here: in the same replay prompts wait for
     /// 44 ms with what engines state and 47 ms without, and 78 and 95 ms.
-    pub fn reading(&self, now: BootInstant) -> Duration {
+    pub fn prefill_backlog(&self, now: BootInstant) -> Duration {
         let own = self.reading_ms.load(Ordering::Relaxed);
         let others = *self.others_reading.lock().expect("told lock");
         let passed = now.saturating_duration_since(others.at);
@@ -357,11 +358,11 @@
 
     /// The most that it may still have to read: what other VMs have told may
     /// take longer than expected, or more may have come after it.
-    pub fn reading_most(&self, now: BootInstant) -> Duration {
+    pub fn max_prefill_backlog(&self, now: BootInstant) -> Duration {
         let own = self.reading_ms.load(Ordering::Relaxed);
         let told = self.others_reading.lock().expect("told lock").told_ms;
         let told = Duration::from_millis(u64::from(own) + u64::from(told));
-        told.max(self.reading(now))
+        told.max(self.prefill_backlog(now))
     }
 
     /// Takes in what the upstream stated at that time, where each request
@@ -386,16 +387,24 @@
     }
 
     /// Counts a prompt as being read there while the guard lives.
-    pub fn read(self: &Arc<Self>, expected: Duration) -> Reading {
+    pub fn begin_prefill(
+        self: &Arc<Self>,
+        expected: Duration,
+    ) -> PrefillGuard {
         let ms = u32::try_from(expected.as_millis()).unwrap_or(u32::MAX);
         self.reading_ms.fetch_add(ms, Ordering::Relaxed);
-        Reading { member: self.clone(), ms }
+        PrefillGuard { member: self.clone(), ms }
     }
 
     /// Takes in what another VM has there.
-    pub fn set_peer_work(&self, vm: &str, work: Work, now: BootInstant) {
+    pub fn set_peer_work(
+        &self,
+        vm: &str,
+        work: InFlightWork,
+        now: BootInstant,
+    ) {
         let mut counts = self.counts.lock().expect("counts lock");
-        if work == Work::default() {
+        if work == InFlightWork::default() {
             counts.remove(vm);
         } else {
             counts.insert(vm.to_owned(), PeerCount { work, at: now });
@@ -423,7 +432,7 @@
         self.others.store(requests.sum(), Ordering::Relaxed);
         let left_ms = counts.values().map(|c| c.reading_left_ms(now)).sum();
         let told_ms =
-            counts.values().map(|c| u32::from(c.work.reading_ms)).sum();
+            counts.values().map(|c| u32::from(c.work.prefill_ms)).sum();
         let told = ToldReading { left_ms, told_ms, at: now };
         *self.others_reading.lock().expect("told lock") = told;
     }
@@ -431,12 +440,12 @@
 
 /// Counts a prompt as being read while it lives.
 #[derive(Debug)]
-pub struct Reading {
+pub struct PrefillGuard {
     member: Arc<Member>,
     ms: u32,
 }
 
-impl Drop for Reading {
+impl Drop for PrefillGuard {
     fn drop(&mut self) {
         self.member.reading_ms.fetch_sub(self.ms, Ordering::Relaxed);
     }
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -23,8 +23,8 @@
         member::{
             Member, Succession, UpstreamEntry, UpstreamState, VANISHED_GRACE,
         },
-        own_word::UnlistedWords,
         owners::Roster,
+        reported_state::UnlistedWords,
         seen::SeenLately,
         warm_up::{self, WarmUp, WarmUpSlack},
     },
@@ -81,46 +81,46 @@
 
 /// A prompt that an upstream may have in its memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SharedPrompt {
+pub struct PrefixAffinity {
     /// What identifies the longest part shared with other requests.
-    pub subject: u64,
+    pub prefix_hash: u64,
     /// The wait that is worth taking to find it there.
-    pub worth_waiting: Duration,
+    pub cache_miss_cost: Duration,
 }
 
 /// What a request asks of the choice.
 #[derive(Clone, Debug)]
-pub struct Want<'a> {
+pub struct PickCriteria<'a> {
     /// Which software may answer it.
     pub rule: VersionRule,
     /// What it would like to find in an upstream's memory.
-    pub prompt: Option<SharedPrompt>,
+    pub affinity: Option<PrefixAffinity>,
     /// Versions of software that may not answer it at all.
     pub withdrawn: &'a [VersionId],
     /// Lives of upstreams that were asked already.
     pub tried: &'a [ShortHash],
     /// Requests for each slot of every upstream from which it is turned away.
-    pub most_fill: f64,
+    pub max_utilization: f64,
 }
 
-impl Default for Want<'_> {
+impl Default for PickCriteria<'_> {
     /// Whatever is free.
     fn default() -> Self {
-        Want {
+        PickCriteria {
             rule: VersionRule::Any,
-            prompt: None,
+            affinity: None,
             withdrawn: &[],
             tried: &[],
-            most_fill: FILL_LEAST,
+            max_utilization: FILL_LEAST,
         }
     }
 }
 
 /// Why there is no upstream for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoMember {
+pub enum PickError {
     /// None is known that may take it.
-    Unknown,
+    NoCandidate,
     /// All are in data halls whose upstreams are to get no requests.
     Evacuated,
     /// All have asked for fewer requests, and the first of them may get one
@@ -231,8 +231,9 @@
     fn begin_life(&self, entry: UpstreamEntry, now: BootInstant) {
         let way = self.way(&entry.data_hall);
         let life = ShortHash::of(&entry.life().to_string());
-        let own_word = self.unlisted.lock().expect("words lock").take(life);
-        let member = Arc::new(Member::new(entry, own_word, way, now));
+        let reported_state =
+            self.unlisted.lock().expect("words lock").take(life);
+        let member = Arc::new(Member::new(entry, reported_state, way, now));
         if member.entry.state == UpstreamState::Leaving {
             member.upstream.mark_leaving();
         }
@@ -250,9 +251,9 @@
         if is_sure {
             member.upstream.mark_leaving();
             // Its record may only have lapsed.
-            let word = member.upstream.own_word.clone();
+            let word = member.upstream.reported_state.clone();
             let mut unlisted = self.unlisted.lock().expect("words lock");
-            unlisted.keep(member.upstream.short, word, now);
+            unlisted.keep(member.upstream.short_hash, word, now);
             self.change(|by_id| {
                 by_id.remove(id);
             });
@@ -283,7 +284,7 @@
 
     /// Notes that a VM of a data hall was heard, so that the way there is open
     /// and failures to connect are the upstreams' own.
-    pub fn note_hall_heard(&self, hall: &DataHallId, now: BootInstant) {
+    pub fn record_hall_heartbeat(&self, hall: &DataHallId, now: BootInstant) {
         self.way(hall).note_beat(now);
     }
 
@@ -342,7 +343,8 @@
         now: BootInstant,
     ) -> bool {
         let roster = self.roster.read().expect("roster lock");
-        let (short, hall) = (member.upstream.short, &member.entry.data_hall);
+        let (short, hall) =
+            (member.upstream.short_hash, &member.entry.data_hall);
         let most = warm_up.most(self.slack);
         let part = warm_up::part(&roster, &self.vm, short, hall, most);
         member.sent_cold.lock().expect("sent lock").has_room(part, now)
@@ -351,13 +353,14 @@
     /// How long an upstream is to get no request of this VM, by what it has
     /// asked for; zero if it may have one.
     pub fn backoff(&self, member: &Member, now: BootInstant) -> Duration {
-        member.rest_left(now).max(self.limit_wait(member, now))
+        member.rest_left(now).max(self.rate_limit_wait(member, now))
     }
 
-    fn limit_wait(&self, member: &Member, now: BootInstant) -> Duration {
-        let (short, hall) = (member.upstream.short, &member.entry.data_hall);
-        let word = &member.upstream.own_word;
-        word.limit_wait(&self.roster, &self.vm, short, hall, now)
+    fn rate_limit_wait(&self, member: &Member, now: BootInstant) -> Duration {
+        let (short, hall) =
+            (member.upstream.short_hash, &member.entry.data_hall);
+        let word = &member.upstream.reported_state;
+        word.rate_limit_wait(&self.roster, &self.vm, short, hall, now)
     }
 
     fn way(&self, hall: &DataHallId) -> Arc<HallWay> {
@@ -408,23 +411,23 @@
     ///
     /// # Errors
     ///
-    /// A [`NoMember`] when none may take it.
+    /// A [`PickError`] when none may take it.
     pub fn pick(
         &self,
         service: &ServiceId,
-        want: &Want<'_>,
+        want: &PickCriteria<'_>,
         now: BootInstant,
-    ) -> Result<Arc<Member>, NoMember> {
+    ) -> Result<Arc<Member>, PickError> {
         let members = self.read();
         let open = self.candidates(&members, service, want, now)?;
-        let chosen = match want.prompt {
+        let chosen = match want.affinity {
             Some(prompt) => self.soonest(prompt, &open, now),
             None => self.emptiest(&open, now),
         };
         if chosen.is_cold(now) {
             chosen.sent_cold.lock().expect("sent lock").count(now);
         }
-        chosen.upstream.own_word.note_sent(now);
+        chosen.upstream.reported_state.record_sent(now);
         Ok(chosen.clone())
     }
 
@@ -432,7 +435,7 @@
     pub fn can_pick(
         &self,
         service: &ServiceId,
-        want: &Want<'_>,
+        want: &PickCriteria<'_>,
         now: BootInstant,
     ) -> bool {
         self.candidates(&self.read(), service, want, now).is_ok()
@@ -443,14 +446,17 @@
         &self,
         members: &'a Members,
         service: &ServiceId,
-        want: &Want<'_>,
+        want: &PickCriteria<'_>,
         now: BootInstant,
-    ) -> Result<Vec<&'a Arc<Member>>, NoMember> {
+    ) -> Result<Vec<&'a Arc<Member>>, PickError> {
         let all = members.by_service.get(service);
         let all = all.map_or(&[][..], Vec::as_slice);
         let open = self.open_to(all, service, want, now)?;
-        if open.iter().all(|member| member.fill(now) >= want.most_fill) {
-            return Err(NoMember::Full);
+        if open
+            .iter()
+            .all(|member| member.utilization(now) >= want.max_utilization)
+        {
+            return Err(PickError::Full);
         }
         Ok(open)
     }
@@ -461,9 +467,9 @@
         &self,
         all: &'a [Arc<Member>],
         service: &ServiceId,
-        want: &Want<'_>,
+        want: &PickCriteria<'_>,
         now: BootInstant,
-    ) -> Result<Vec<&'a Arc<Member>>, NoMember> {
+    ) -> Result<Vec<&'a Arc<Member>>, PickError> {
         let may_answer =
             |m: &&Arc<Member>| !want.withdrawn.contains(&m.entry.software);
         let open: Vec<&Arc<Member>> = all
@@ -472,35 +478,35 @@
             .filter(may_answer)
             .collect();
         if open.is_empty() {
-            return Err(NoMember::Unknown);
+            return Err(PickError::NoCandidate);
         }
         let open = self.without_evacuated(open);
         if open.is_empty() {
-            return Err(NoMember::Evacuated);
+            return Err(PickError::Evacuated);
         }
         // Before what is open only for now: a version on trial gets its share
         // also while the others can take no more.
         let open = without_avoided(open, &want.rule);
         if open.is_empty() {
-            return Err(NoMember::Unknown);
+            return Err(PickError::NoCandidate);
         }
         let open =
-            self.without_backoff(open, now).map_err(NoMember::BackingOff)?;
+            self.without_backoff(open, now).map_err(PickError::BackingOff)?;
         let open = self.without_cold(open, service, now);
         if open.is_empty() {
-            return Err(NoMember::Cold);
+            return Err(PickError::Cold);
         }
         let open = preferred(open, &want.rule);
-        let is_sound = |member: &&Arc<Member>| {
-            member.health.is_sound(now) && !self.is_cut_off(member, now)
+        let is_healthy = |member: &&Arc<Member>| {
+            member.health.is_healthy(now) && !self.is_cut_off(member, now)
         };
         let sound: Vec<&Arc<Member>> =
-            open.iter().copied().filter(is_sound).collect();
+            open.iter().copied().filter(is_healthy).collect();
         Ok(if sound.is_empty() { open } else { sound })
     }
 
     /// Whether an upstream whose life is not among `tried` may take a request.
-    pub fn has_other(
+    pub fn has_untried(
         &self,
         service: &ServiceId,
         tried: &[ShortHash],
@@ -591,7 +597,7 @@
             // Slightly shuffled, so that VMs that know the same do not all
             // go to the same place.
             let risk = member.health.failure_chance(now) * FAILURE_FILL;
-            member.fill(now) + risk + way + rand::random::<f64>() * 0.02
+            member.utilization(now) + risk + way + rand::random::<f64>() * 0.02
         };
         let filled = open.iter().map(|member| (fill(member), *member));
         let least = filled.min_by(|a, b| a.0.total_cmp(&b.0));
@@ -605,16 +611,16 @@
     /// of them is likely to have it.
     fn soonest<'a>(
         &self,
-        prompt: SharedPrompt,
+        prompt: PrefixAffinity,
         open: &[&'a Arc<Member>],
         now: BootInstant,
     ) -> &'a Arc<Member> {
         let mut order: Vec<&'a Arc<Member>> = open.to_vec();
         order.sort_by_cached_key(|member| {
-            let id = u64::from(member.upstream.short.0);
-            std::cmp::Reverse(rendezvous::mix(prompt.subject, id))
+            let id = u64::from(member.upstream.short_hash.0);
+            std::cmp::Reverse(rendezvous::mix(prompt.prefix_hash, id))
         });
-        let away = prompt.worth_waiting;
+        let away = prompt.cache_miss_cost;
         let wait = |place: usize, member: &Arc<Member>| {
             let read = match place {
                 0 => Duration::ZERO,
@@ -623,7 +629,7 @@
             };
             let running = RUNNING_SLOWS * member.requests(now);
             let risk = FAILURE_COST.mul_f64(member.health.failure_chance(now));
-            member.reading(now) + running + read + risk
+            member.prefill_backlog(now) + running + read + risk
         };
         let waits = order
             .iter()
@@ -634,7 +640,7 @@
     }
 
     /// Takes in the time that one more prompt is expected to take to be read.
-    pub fn note_reading(&self, expected: Duration) {
+    pub fn record_expected_prefill(&self, expected: Duration) {
         let us = u32::try_from(expected.as_micros()).unwrap_or(u32::MAX);
         let held = self.mean_reading_us.load(Ordering::Relaxed);
         let mean = match held {
@@ -654,7 +660,11 @@
 
     /// Whether an upstream has failed lately while most of those with its
     /// software have not, so that its failures say nothing of the software.
-    pub fn is_alone_suspect(&self, member: &Member, now: BootInstant) -> bool {
+    pub fn is_isolated_failure(
+        &self,
+        member: &Member,
+        now: BootInstant,
+    ) -> bool {
         if !member.health.is_suspect(now) {
             return false;
         }
@@ -687,14 +697,14 @@
         }
         let by_short = by_id.values();
         let by_short =
-            by_short.map(|m| (m.upstream.short, m.clone())).collect();
+            by_short.map(|m| (m.upstream.short_hash, m.clone())).collect();
         *held = Arc::new(Members { by_id, by_service, by_short });
     }
 }
 
 /// Whether an upstream takes requests and was not asked.
 fn is_open(member: &Member, tried: &[ShortHash], now: BootInstant) -> bool {
-    member.takes_requests(now) && !tried.contains(&member.upstream.short)
+    member.takes_requests(now) && !tried.contains(&member.upstream.short_hash)
 }
 
 /// Leaves out the upstreams whose software is to be avoided.
@@ -740,6 +750,6 @@
 #[cfg(test)]
 mod rest_replay;
 #[cfg(test)]
-mod statement_tests;
+mod signals_tests;
 #[cfg(test)]
 mod tests;
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::id::StartMs;
-use crate::message::Work;
+use crate::message::InFlightWork;
 use crate::placing::member::{LoadReport, PEER_COUNT_LIFETIME};
-use crate::placing::{hall_way::CUT_PAUSE, health::Verdict};
+use crate::placing::{hall_way::CUT_PAUSE, health::AttemptOutcome};
 
 pub(super) const SLACK: WarmUpSlack =
     WarmUpSlack { overshoot: 1.5, tolerance: 5.0 };
@@ -31,7 +31,7 @@
 
 pub(super) fn picks(
     pool: &Pool,
-    want: &Want<'_>,
+    want: &PickCriteria<'_>,
     now: BootInstant,
 ) -> Vec<String> {
     let service = "writers".parse().unwrap();
@@ -52,7 +52,7 @@
     let entries = [entry("i-1", "a", "v1"), entry("i-2", "a", "v1"), leaving];
     let pool = pool(&entries, now);
     let tried = [ShortHash::of("i-1")];
-    let want = Want { tried: &tried, ..Want::default() };
+    let want = PickCriteria { tried: &tried, ..PickCriteria::default() };
     assert_eq!(picks(&pool, &want, now), ["i-2"]);
 }
 
@@ -68,10 +68,10 @@
     let pool = pool(&[life(1)], now);
     let tried = [ShortHash::of(&life(1).life().to_string())];
     let service = "writers".parse().unwrap();
-    assert!(!pool.has_other(&service, &tried, now));
+    assert!(!pool.has_untried(&service, &tried, now));
     pool.set(life(2), now);
-    assert!(pool.has_other(&service, &tried, now));
-    let want = Want { tried: &tried, ..Want::default() };
+    assert!(pool.has_untried(&service, &tried, now));
+    let want = PickCriteria { tried: &tried, ..PickCriteria::default() };
     assert_eq!(picks(&pool, &want, now), ["i-1"]);
 }
 
@@ -81,7 +81,9 @@
     let entries = [entry("i-1", "a", "v1"), entry("i-2", "a", "v2")];
     let pool = pool(&entries, now);
     let new: VersionId = "v2".parse().unwrap();
-    let by = |rule| picks(&pool, &Want { rule, ..Want::default() }, now);
+    let by = |rule| {
+        picks(&pool, &PickCriteria { rule, ..PickCriteria::default() }, now)
+    };
     assert_eq!(by(VersionRule::Prefer(new.clone())), ["i-2"]);
     assert_eq!(by(VersionRule::Avoid(new.clone())), ["i-1"]);
     pool.remove(&"i-1".parse().unwrap(), true, now);
@@ -95,15 +97,16 @@
     let entries: Vec<UpstreamEntry> =
         (0..8).map(|n| entry(&format!("i-{n}"), "a", "v1")).collect();
     let pool = pool(&entries, now);
-    let prompt = SharedPrompt {
-        subject: 77,
-        worth_waiting: Duration::from_millis(100),
+    let prompt = PrefixAffinity {
+        prefix_hash: 77,
+        cache_miss_cost: Duration::from_millis(100),
     };
-    let want = Want { prompt: Some(prompt), ..Want::default() };
+    let want =
+        PickCriteria { affinity: Some(prompt), ..PickCriteria::default() };
     let home = picks(&pool, &want, now);
     assert_eq!(home.len(), 1);
     let member = pool.member(&home[0].parse().unwrap()).unwrap();
-    let reading = member.read(Duration::from_millis(60));
+    let reading = member.begin_prefill(Duration::from_millis(60));
     assert_ne!(picks(&pool, &want, now), home, "the second home is free");
     drop(reading);
     assert_eq!(picks(&pool, &want, now), home);
@@ -115,10 +118,10 @@
     let entries = [entry("i-1", "a", "v1"), entry("i-2", "a", "v1")];
     let pool = pool(&entries, now);
     let busy = pool.member(&"i-1".parse().unwrap()).unwrap();
-    let work = Work { requests: 9, reading_ms: 500 };
-    pool.set_peer_work("vm-2", &[(busy.upstream.short, work)], now);
+    let work = InFlightWork { requests: 9, prefill_ms: 500 };
+    pool.set_peer_work("vm-2", &[(busy.upstream.short_hash, work)], now);
     assert_eq!(busy.requests(now), 9);
-    assert_eq!(picks(&pool, &Want::default(), now), ["i-2"]);
+    assert_eq!(picks(&pool, &PickCriteria::default(), now), ["i-2"]);
     let later = now + PEER_COUNT_LIFETIME;
     pool.set_peer_work("vm-3", &[], later);
     assert_eq!(busy.requests(later), 0);
@@ -131,13 +134,13 @@
     let member = pool.member(&"i-1".parse().unwrap()).unwrap();
     let held: Vec<_> = (0..13).map(|_| member.upstream.begin()).collect();
     let service = "writers".parse().unwrap();
-    let picked = pool.pick(&service, &Want::default(), now);
-    assert_eq!(picked.unwrap_err(), NoMember::Full);
+    let picked = pool.pick(&service, &PickCriteria::default(), now);
+    assert_eq!(picked.unwrap_err(), PickError::Full);
     drop(held);
-    assert!(pool.pick(&service, &Want::default(), now).is_ok());
+    assert!(pool.pick(&service, &PickCriteria::default(), now).is_ok());
     let other = "nobody".parse().unwrap();
-    let picked = pool.pick(&other, &Want::default(), now);
-    assert_eq!(picked.unwrap_err(), NoMember::Unknown);
+    let picked = pool.pick(&other, &PickCriteria::default(), now);
+    assert_eq!(picked.unwrap_err(), PickError::NoCandidate);
 }
 
 #[test]
@@ -147,15 +150,15 @@
     let id = "i-1".parse().unwrap();
     pool.remove(&id, false, now);
     let soon = now + VANISHED_GRACE / 2;
-    assert_eq!(picks(&pool, &Want::default(), soon), ["i-1"]);
+    assert_eq!(picks(&pool, &PickCriteria::default(), soon), ["i-1"]);
     assert!(pool.sweep(soon).is_empty());
     pool.set(entry("i-1", "a", "v1"), soon);
     let late = now + VANISHED_GRACE * 2;
     assert!(pool.sweep(late).is_empty());
-    assert_eq!(picks(&pool, &Want::default(), late), ["i-1"]);
+    assert_eq!(picks(&pool, &PickCriteria::default(), late), ["i-1"]);
     pool.remove(&id, false, late);
     assert_eq!(pool.sweep(late + VANISHED_GRACE).len(), 1);
-    assert!(picks(&pool, &Want::default(), late).is_empty());
+    assert!(picks(&pool, &PickCriteria::default(), late).is_empty());
 }
 
 #[test]
@@ -170,21 +173,24 @@
     let pool = pool(&entries, now);
     for id in ["i-2", "i-3"] {
         let member = pool.member(&id.parse().unwrap()).unwrap();
-        member.health.record(Verdict::Unreachable, now);
-        member.note_unreachable(now);
+        member.health.record(AttemptOutcome::Unreachable, now);
+        member.record_connect_failure(now);
     }
-    assert_eq!(picks(&pool, &Want::default(), now), ["i-1"]);
+    assert_eq!(picks(&pool, &PickCriteria::default(), now), ["i-1"]);
     let other = pool.member(&"i-4".parse().unwrap()).unwrap();
     let limit = Duration::from_secs(1);
     let silent = now + CUT_SILENCE;
     assert!(pool.seems_dead(&other, CUT_SILENCE, limit, silent));
     assert!(!pool.seems_dead(&other, Duration::ZERO, limit, silent));
     let later = now + CUT_PAUSE / 2;
-    assert_eq!(picks(&pool, &Want::default(), later), ["i-1"]);
-    other.note_heard(now);
+    assert_eq!(picks(&pool, &PickCriteria::default(), later), ["i-1"]);
+    other.record_activity(now);
     let near = pool.member(&"i-1".parse().unwrap()).unwrap();
     let _held = [near.upstream.begin(), near.upstream.begin()];
-    assert!(picks(&pool, &Want::default(), now).contains(&"i-4".to_owned()));
+    assert!(
+        picks(&pool, &PickCriteria::default(), now)
+            .contains(&"i-4".to_owned())
+    );
 }
 
 #[test]
@@ -198,12 +204,12 @@
     let pool = pool(&entries, now);
     let member = |id: &str| pool.member(&id.parse().unwrap()).unwrap();
     for id in ["i-1", "i-2"] {
-        member(id).note_unreachable(now);
+        member(id).record_connect_failure(now);
     }
     assert!(pool.is_cut_off(&member("i-3"), now));
-    pool.note_hall_heard(&"b".parse().unwrap(), now);
+    pool.record_hall_heartbeat(&"b".parse().unwrap(), now);
     assert!(!pool.is_cut_off(&member("i-3"), now));
-    member("i-1").note_unreachable(now);
+    member("i-1").record_connect_failure(now);
     assert!(!pool.is_cut_off(&member("i-3"), now), "one says nothing");
 }
 
@@ -216,11 +222,11 @@
     let beat = Duration::from_millis(200);
     for _ in 0..10 {
         now += beat;
-        pool.note_hall_heard(&near, now);
-        pool.note_hall_heard(&far, now);
+        pool.record_hall_heartbeat(&near, now);
+        pool.record_hall_heartbeat(&far, now);
     }
     let member = pool.member(&"i-2".parse().unwrap()).unwrap();
-    member.note_heard(now);
+    member.record_activity(now);
     let began_at = now;
     let limit = Duration::from_secs(5);
     let silent = began_at + Duration::from_millis(1500);
@@ -230,9 +236,9 @@
     // beats: this VM stands there.
     let busy = pool.member(&"i-1".parse().unwrap()).unwrap();
     let _held: Vec<_> = (0..9).map(|_| busy.upstream.begin()).collect();
-    assert_eq!(picks(&pool, &Want::default(), silent), ["i-1"]);
-    pool.note_hall_heard(&far, silent);
-    assert_eq!(picks(&pool, &Want::default(), silent), ["i-2"]);
+    assert_eq!(picks(&pool, &PickCriteria::default(), silent), ["i-1"]);
+    pool.record_hall_heartbeat(&far, silent);
+    assert_eq!(picks(&pool, &PickCriteria::default(), silent), ["i-2"]);
 }
 
 #[test]
@@ -242,24 +248,30 @@
     let pool = pool(&entries, now);
     let (near, far) = ("a".parse().unwrap(), "b".parse().unwrap());
     let old: VersionId = "v1".parse().unwrap();
-    let prompt =
-        SharedPrompt { subject: 7, worth_waiting: Duration::from_secs(1) };
+    let prompt = PrefixAffinity {
+        prefix_hash: 7,
+        cache_miss_cost: Duration::from_secs(1),
+    };
     assert!(pool.evacuate(&near));
     assert!(!pool.evacuate(&near), "it is known already");
     for rule in [VersionRule::Any, VersionRule::Prefer(old.clone())] {
-        let want = Want { rule, prompt: Some(prompt), ..Want::default() };
+        let want = PickCriteria {
+            rule,
+            affinity: Some(prompt),
+            ..PickCriteria::default()
+        };
         assert_eq!(picks(&pool, &want, now), ["i-2"]);
     }
     // Also when nothing else is well.
     let other = pool.member(&"i-2".parse().unwrap()).unwrap();
-    other.health.record(Verdict::Unreachable, now);
-    assert_eq!(picks(&pool, &Want::default(), now), ["i-2"]);
+    other.health.record(AttemptOutcome::Unreachable, now);
+    assert_eq!(picks(&pool, &PickCriteria::default(), now), ["i-2"]);
     assert!(pool.evacuate(&far));
     let service = "writers".parse().unwrap();
-    let picked = pool.pick(&service, &Want::default(), now);
-    assert_eq!(picked.unwrap_err(), NoMember::Evacuated);
+    let picked = pool.pick(&service, &PickCriteria::default(), now);
+    assert_eq!(picked.unwrap_err(), PickError::Evacuated);
     assert!(pool.end_evacuation(&near, now));
-    assert_eq!(picks(&pool, &Want::default(), now), ["i-1"]);
+    assert_eq!(picks(&pool, &PickCriteria::default(), now), ["i-1"]);
 }
 
 #[test]
@@ -268,27 +280,30 @@
     let after = |ms| now + Duration::from_millis(ms);
     let entries = [entry("i-1", "a", "v1"), entry("i-2", "a", "v1")];
     let (here, there) = (pool(&entries, now), pool(&entries, now));
-    here.note_reading(Duration::from_millis(100));
-    there.note_reading(Duration::from_millis(100));
+    here.record_expected_prefill(Duration::from_millis(100));
+    there.record_expected_prefill(Duration::from_millis(100));
     let member = |pool: &Pool| pool.member(&"i-1".parse().unwrap()).unwrap();
     let load = LoadReport { running: 2, waiting: 6 };
     here.note_load(&member(&here), load, now);
     assert_eq!(member(&here).requests(now), 8);
-    assert_eq!(member(&here).reading(now), Duration::from_millis(600));
-    assert_eq!(picks(&here, &Want::default(), now), ["i-2"]);
+    assert_eq!(member(&here).prefill_backlog(now), Duration::from_millis(600));
+    assert_eq!(picks(&here, &PickCriteria::default(), now), ["i-2"]);
     // The others of the hall are told how old it is, and once.
-    let told = here.take_stated(after(100));
-    assert!(here.take_stated(after(100)).is_empty());
-    there.hear_stated(&told, after(100));
+    let told = here.take_loads(after(100));
+    assert!(here.take_loads(after(100)).is_empty());
+    there.apply_peer_loads(&told, after(100));
     assert_eq!(member(&there).requests(after(0)), 8);
     // What waited is read meanwhile, and other words count again.
     let later = after(500);
-    assert_eq!(member(&there).reading(later), Duration::from_millis(100));
+    assert_eq!(
+        member(&there).prefill_backlog(later),
+        Duration::from_millis(100)
+    );
     assert_eq!(member(&there).requests(after(5000)), 0);
     // What is older than the last word changes nothing.
     let free = LoadReport { running: 0, waiting: 0 };
     there.note_load(&member(&there), free, later);
-    there.hear_stated(&told, after(600));
+    there.apply_peer_loads(&told, after(600));
     assert_eq!(member(&there).requests(later), 0);
 }
 
@@ -299,11 +314,11 @@
         (0..4).map(|n| entry(&format!("i-{n}"), "a", "v2")).collect();
     let pool = pool(&entries, now);
     let member = |n: usize| pool.member(&entries[n].id).unwrap();
-    assert!(!pool.is_alone_suspect(&member(0), now));
-    member(0).health.record(Verdict::Failed, now);
-    assert!(pool.is_alone_suspect(&member(0), now));
-    member(1).health.record(Verdict::Failed, now);
-    assert!(!pool.is_alone_suspect(&member(0), now), "half of them fail");
+    assert!(!pool.is_isolated_failure(&member(0), now));
+    member(0).health.record(AttemptOutcome::Failed, now);
+    assert!(pool.is_isolated_failure(&member(0), now));
+    member(1).health.record(AttemptOutcome::Failed, now);
+    assert!(!pool.is_isolated_failure(&member(0), now), "half of them fail");
 }
 
 #[test]
@@ -313,10 +328,10 @@
     let pool = pool(&entries, now);
     let service = "writers".parse().unwrap();
     let first = [ShortHash::of("i-1")];
-    assert!(pool.has_other(&service, &first, now));
+    assert!(pool.has_untried(&service, &first, now));
     pool.evacuate(&"b".parse().unwrap());
-    assert!(!pool.has_other(&service, &first, now));
-    assert!(pool.has_other(&service, &[], now));
+    assert!(!pool.has_untried(&service, &first, now));
+    assert!(pool.has_untried(&service, &[], now));
 }
 
 #[test]
@@ -325,8 +340,8 @@
     let entries = [entry("i-1", "a", "v1"), entry("i-2", "a", "v1")];
     let pool = pool(&entries, now);
     let member = |id: &str| pool.member(&id.parse().unwrap()).unwrap();
-    let short = |id: &str| member(id).upstream.short;
-    let work = Work { requests: 3, reading_ms: 40 };
+    let short = |id: &str| member(id).upstream.short_hash;
+    let work = InFlightWork { requests: 3, prefill_ms: 40 };
     pool.set_peer_work("vm-2", &[(short("i-1"), work)], now);
     pool.set_peer_work("vm-2", &[(short("i-2"), work)], now);
     assert_eq!(member("i-1").requests(now), 0);
--- a/src/placing/upstream.rs
+++ b/src/placing/upstream.rs
@@ -15,7 +15,7 @@
     clock::BootInstant,
     id::{DataHallId, ModelId, ServiceId, UpstreamId},
     message::ShortHash,
-    placing::own_word::OwnWord,
+    placing::reported_state::ReportedState,
 };
 
 /// Failures in a row after which an upstream gets only trial requests.
@@ -102,9 +102,9 @@
     pub record: UpstreamRecord,
     /// The short hash that VMs tell each other of it by: of its name, or of
     /// one life where it may start again under that.
-    pub short: ShortHash,
+    pub short_hash: ShortHash,
     /// What it has said of itself.
-    pub own_word: Arc<OwnWord>,
+    pub reported_state: Arc<ReportedState>,
     seen_at: BootInstant,
     in_flight: AtomicU32,
     /// Whether the platform says that it is leaving, or a VM that was told.
@@ -115,17 +115,17 @@
 
 /// What the choice needs to know of one upstream, taken at one moment.
 #[derive(Clone, Debug, PartialEq)]
-pub struct UpstreamFacts {
+pub struct UpstreamSnapshot {
     /// Its name.
     pub id: UpstreamId,
     /// Its short hash.
-    pub short: ShortHash,
+    pub short_hash: ShortHash,
     /// Whether it stands in this VM's data hall.
     pub local: bool,
     /// Whether it is leaving.
     pub leaving: bool,
     /// Whether its breaker holds requests back.
-    pub broken: bool,
+    pub breaker_open: bool,
     /// How long it is to get no request of this VM, as it has asked for.
     pub backoff: Duration,
     /// Requests that it probably holds, own ones corrected.
@@ -138,10 +138,10 @@
     pub versions: Vec<ShortHash>,
 }
 
-impl UpstreamFacts {
+impl UpstreamSnapshot {
     /// Whether it may get a request now.
-    pub fn is_open(&self) -> bool {
-        !self.leaving && !self.broken && self.backoff.is_zero()
+    pub fn is_available(&self) -> bool {
+        !self.leaving && !self.breaker_open && self.backoff.is_zero()
     }
 }
 
@@ -154,24 +154,24 @@
         is_new: bool,
         now: BootInstant,
     ) -> Upstream {
-        let short = ShortHash::of(record.id.as_str());
-        Upstream::with_word(record, short, Arc::default(), is_new, now)
+        let short_hash = ShortHash::of(record.id.as_str());
+        Upstream::with_word(record, short_hash, Arc::default(), is_new, now)
     }
 
     /// The same, with the short hash that it is told by and what it has said
     /// of itself before.
     pub fn with_word(
         record: UpstreamRecord,
-        short: ShortHash,
-        own_word: Arc<OwnWord>,
+        short_hash: ShortHash,
+        reported_state: Arc<ReportedState>,
         is_new: bool,
         now: BootInstant,
     ) -> Upstream {
         let long_ago = now.checked_sub(SLOW_START).unwrap_or(now);
         Upstream {
-            short,
+            short_hash,
             record,
-            own_word,
+            reported_state,
             seen_at: if is_new { now } else { long_ago },
             in_flight: AtomicU32::new(0),
             leaving: AtomicBool::new(false),
@@ -181,9 +181,9 @@
     }
 
     /// Counts a request of this VM until the guard is dropped.
-    pub fn begin(self: &Arc<Self>) -> InFlight {
+    pub fn begin(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
-        InFlight(self.clone())
+        InFlightGuard(self.clone())
     }
 
     /// This VM's requests there.
@@ -194,7 +194,7 @@
     /// Marks it as leaving by another's word; returns whether that is news.
     pub fn mark_leaving(&self) -> bool {
         !self.leaving.swap(true, Ordering::Relaxed)
-            && !self.own_word.is_leaving()
+            && !self.reported_state.is_leaving()
     }
 
     /// Whether another says that it is leaving.
@@ -209,7 +209,7 @@
 
     /// Whether it is leaving, by anybody's word.
     pub fn is_leaving(&self) -> bool {
-        self.is_marked_leaving() || self.own_word.is_leaving()
+        self.is_marked_leaving() || self.reported_state.is_leaving()
     }
 
     /// Takes in a load figure unless a newer one is known.
@@ -236,7 +236,7 @@
 
     /// Whether a request may be sent now; lets one trial through an open
     /// breaker whose pause has passed.
-    pub fn try_enter(&self, now: BootInstant) -> bool {
+    pub fn allow_request(&self, now: BootInstant) -> bool {
         let mut breaker = self.breaker.lock().expect("breaker lock");
         match *breaker {
             Breaker::Closed { .. } => true,
@@ -250,7 +250,7 @@
     }
 
     /// Records that it answered.
-    pub fn succeeded(&self) -> Option<BreakerChange> {
+    pub fn record_success(&self) -> Option<BreakerChange> {
         let mut breaker = self.breaker.lock().expect("breaker lock");
         let was_open = !matches!(*breaker, Breaker::Closed { .. });
         *breaker = Breaker::Closed { failures: 0 };
@@ -258,7 +258,7 @@
     }
 
     /// Records that it failed to answer.
-    pub fn failed(&self, now: BootInstant) -> Option<BreakerChange> {
+    pub fn record_failure(&self, now: BootInstant) -> Option<BreakerChange> {
         let mut breaker = self.breaker.lock().expect("breaker lock");
         let (next, change) = match *breaker {
             Breaker::Closed { failures } if failures + 1 < BREAKER_LIMIT => {
@@ -281,11 +281,11 @@
     }
 
     /// What the choice needs to know.
-    pub fn facts(
+    pub fn snapshot(
         &self,
         own_hall: &DataHallId,
         now: BootInstant,
-    ) -> UpstreamFacts {
+    ) -> UpstreamSnapshot {
         let held = self.load.lock().expect("load lock");
         let load = held.as_ref().filter(|load| {
             now.saturating_duration_since(load.at) < LOAD_LIFETIME
@@ -296,13 +296,13 @@
             let since = f64::from(own) - f64::from(load.own_in_flight);
             (reported + since).max(f64::from(own))
         });
-        UpstreamFacts {
+        UpstreamSnapshot {
             id: self.record.id.clone(),
-            short: self.short,
+            short_hash: self.short_hash,
             local: self.record.data_hall == *own_hall,
             leaving: self.is_leaving(),
-            broken: self.is_broken(now),
-            backoff: self.own_word.rest_left(now),
+            breaker_open: self.is_broken(now),
+            backoff: self.reported_state.rest_left(now),
             requests,
             slots: f64::from(self.record.slots) * self.warmth(now),
             load_age: load.map(|load| now.saturating_duration_since(load.at)),
@@ -331,9 +331,9 @@
 
 /// Counts a request at an upstream while it lives.
 #[derive(Debug)]
-pub struct InFlight(Arc<Upstream>);
+pub struct InFlightGuard(Arc<Upstream>);
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
@@ -362,14 +362,14 @@
         let hall = "a".parse().unwrap();
         let first = upstream.begin();
         upstream.set_load(4, 1, vec![], now);
-        assert_eq!(upstream.facts(&hall, now).requests, 5.0);
+        assert_eq!(upstream.snapshot(&hall, now).requests, 5.0);
         let _second = upstream.begin();
-        assert_eq!(upstream.facts(&hall, now).requests, 6.0);
+        assert_eq!(upstream.snapshot(&hall, now).requests, 6.0);
         drop(first);
-        assert_eq!(upstream.facts(&hall, now).requests, 5.0);
+        assert_eq!(upstream.snapshot(&hall, now).requests, 5.0);
         assert!(!upstream.set_load(0, 0, vec![], now));
         let late = now + LOAD_LIFETIME;
-        assert_eq!(upstream.facts(&hall, late).requests, 1.0);
+        assert_eq!(upstream.snapshot(&hall, late).requests, 1.0);
     }
 
     #[test]
@@ -377,18 +377,18 @@
         let now = BootInstant::now();
         let upstream = upstream(now);
         for _ in 1..BREAKER_LIMIT {
-            assert_eq!(upstream.failed(now), None);
+            assert_eq!(upstream.record_failure(now), None);
         }
-        assert_eq!(upstream.failed(now), Some(BreakerChange::Opened));
-        assert!(!upstream.try_enter(now));
+        assert_eq!(upstream.record_failure(now), Some(BreakerChange::Opened));
+        assert!(!upstream.allow_request(now));
         let later = now + BREAKER_PAUSE;
-        assert!(upstream.try_enter(later));
-        assert!(!upstream.try_enter(later));
-        upstream.failed(later);
-        assert!(!upstream.try_enter(later + BREAKER_PAUSE));
-        assert!(upstream.try_enter(later + BREAKER_PAUSE * 2));
-        assert_eq!(upstream.succeeded(), Some(BreakerChange::Closed));
-        assert!(upstream.try_enter(later));
+        assert!(upstream.allow_request(later));
+        assert!(!upstream.allow_request(later));
+        upstream.record_failure(later);
+        assert!(!upstream.allow_request(later + BREAKER_PAUSE));
+        assert!(upstream.allow_request(later + BREAKER_PAUSE * 2));
+        assert_eq!(upstream.record_success(), Some(BreakerChange::Closed));
+        assert!(upstream.allow_request(later));
     }
 
     #[test]
@@ -397,9 +397,9 @@
         let record = upstream(now).record.clone();
         let upstream = Upstream::new(record, true, now);
         let hall = "b".parse().unwrap();
-        let first = upstream.facts(&hall, now);
+        let first = upstream.snapshot(&hall, now);
         assert!(!first.local);
         assert_eq!(first.slots, 2.0);
-        assert_eq!(upstream.facts(&hall, now + SLOW_START).slots, 10.0);
+        assert_eq!(upstream.snapshot(&hall, now + SLOW_START).slots, 10.0);
     }
 }
--- a/standins/src/measure.rs
+++ b/standins/src/measure.rs
@@ -13,10 +13,10 @@
 use hdrhistogram::Histogram;
 use hyper::Method;
 use lupinseam::{
-    chat_face::choose::{UpstreamWish, pick_upstream},
+    api::selection::{UpstreamCriteria, pick_upstream},
     http_client::{Call, HttpClient, Reuse},
     message::ShortHash,
-    placing::upstream::UpstreamFacts,
+    placing::upstream::UpstreamSnapshot,
 };
 use rand::{Rng, SeedableRng, seq::IndexedRandom};
 use rand_chacha::ChaCha8Rng;
@@ -441,13 +441,13 @@
 fn measure_choice(replicas: u32) -> Value {
     const ROUNDS: u32 = 20_000;
     let version = ShortHash(7);
-    let facts: Vec<UpstreamFacts> = (0..replicas)
-        .map(|n| UpstreamFacts {
+    let facts: Vec<UpstreamSnapshot> = (0..replicas)
+        .map(|n| UpstreamSnapshot {
             id: format!("u{n}").parse().expect("a name"),
-            short: ShortHash(n.wrapping_mul(2_654_435_761)),
+            short_hash: ShortHash(n.wrapping_mul(2_654_435_761)),
             local: true,
             leaving: n % 50 == 0,
-            broken: n % 70 == 0,
+            breaker_open: n % 70 == 0,
             backoff: Duration::ZERO,
             requests: f64::from(n % 13),
             slots: 16.0,
@@ -457,7 +457,7 @@
         .collect();
     let begun = Instant::now();
     for round in 0..ROUNDS {
-        let wish = UpstreamWish {
+        let wish = UpstreamCriteria {
             version: Some(version),
             prefix: Some(u64::from(round) << 20),
             tried: &[],
