--- a/src/api/gossip.rs
+++ b/src/api/gossip.rs
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Gossips to every live peer of the hall at once, when a planned stop or
-    /// a new configuration should not wait for the next rounds.
+    /// Gossips to every live peer of the hall at once, when a graceful
+    /// shutdown or a new configuration should not wait for the next rounds.
     pub(crate) async fn gossip_to_hall(vm: &Arc<Vm>) {
         let counter = vm.next_heartbeat();
         for peer in vm.view.live_hall_peers() {
@@ -233,10 +233,10 @@
             else {
                 return;
             };
-            let statements = &upstream.reported_state;
+            let state = &upstream.reported_state;
             let draw = rand::random();
             if let Some(change) =
-                statements.update_rate_limit(reported.rate, at, draw, now)
+                state.update_rate_limit(reported.rate, at, draw, now)
             {
                 let id = &upstream.record.id;
                 let event = change.event();
@@ -253,7 +253,7 @@
         let changes = vm.view.observe_heartbeats(&gossip.heartbeats, now);
         log_liveness_changes(&vm.view, &changes);
     }
-    for upstream in vm.view.apply_loads(&gossip.loads, now) {
+    for upstream in vm.view.merge_loads(&gossip.loads, now) {
         log_leaving(&upstream, "reported by another VM");
     }
     vm.tallies.lock().expect("tallies lock").merge(&gossip.tallies, now);
--- a/src/api/membership.rs
+++ b/src/api/membership.rs
@@ -22,7 +22,7 @@
     Suspected,
     /// Its counter has not advanced for `dead_after`.
     Dead,
-    /// It announced a planned stop.
+    /// It announced a graceful shutdown.
     Leaving,
 }
 
@@ -93,36 +93,39 @@
     /// that is not newer than the last one recorded has no effect.
     pub fn observe(
         &mut self,
-        beat: &HeartbeatEntry,
+        heartbeat: &HeartbeatEntry,
         now: BootInstant,
     ) -> Option<LivenessChange> {
-        if beat.vm == self.own_vm {
+        if heartbeat.vm == self.own_vm {
             return None;
         }
-        let known = self.members.get(&beat.vm);
+        let known = self.members.get(&heartbeat.vm);
         let is_newer = known.is_none_or(|member| {
             let seen = (member.incarnation, member.counter);
-            (beat.incarnation, beat.counter) > seen
+            (heartbeat.incarnation, heartbeat.counter) > seen
         });
         if !is_newer {
             return None;
         }
-        let liveness =
-            if beat.leaving { Liveness::Leaving } else { Liveness::Alive };
+        let liveness = if heartbeat.leaving {
+            Liveness::Leaving
+        } else {
+            Liveness::Alive
+        };
         let is_unchanged = known.is_some_and(|member| {
             member.liveness == liveness
-                && member.incarnation == beat.incarnation
+                && member.incarnation == heartbeat.incarnation
         });
         let member = Member {
-            incarnation: beat.incarnation,
+            incarnation: heartbeat.incarnation,
             liveness,
-            counter: beat.counter,
+            counter: heartbeat.counter,
             advanced_at: now,
         };
-        self.members.insert(beat.vm, member);
-        let incarnation = beat.incarnation;
+        self.members.insert(heartbeat.vm, member);
+        let incarnation = heartbeat.incarnation;
         (!is_unchanged).then_some(LivenessChange {
-            vm: beat.vm,
+            vm: heartbeat.vm,
             incarnation,
             liveness,
         })
@@ -205,7 +208,7 @@
 
     const VM: ShortHash = ShortHash(2);
 
-    fn beat(incarnation: u64, counter: u32) -> HeartbeatEntry {
+    fn heartbeat(incarnation: u64, counter: u32) -> HeartbeatEntry {
         HeartbeatEntry {
             vm: VM,
             incarnation: Incarnation(incarnation),
@@ -223,14 +226,14 @@
     fn a_silent_vm_is_suspected_before_it_is_dead() {
         let start = BootInstant::now();
         let mut members = membership();
-        let first = members.observe(&beat(1, 1), start).unwrap();
+        let first = members.observe(&heartbeat(1, 1), start).unwrap();
         assert_eq!(first.liveness, Liveness::Alive);
         let at = |s: u64| start + Duration::from_secs(s);
         assert!(members.tick(at(2)).is_empty());
         assert_eq!(members.tick(at(3))[0].liveness, Liveness::Suspected);
         assert!(!members.is_alive(VM));
         assert_eq!(members.tick(at(5))[0].liveness, Liveness::Dead);
-        let again = members.observe(&beat(1, 2), at(6)).unwrap();
+        let again = members.observe(&heartbeat(1, 2), at(6)).unwrap();
         assert_eq!(again.liveness, Liveness::Alive);
     }
 
@@ -238,11 +241,11 @@
     fn a_stale_heartbeat_does_not_revive_a_vm() {
         let start = BootInstant::now();
         let mut members = membership();
-        members.observe(&beat(2, 5), start);
+        members.observe(&heartbeat(2, 5), start);
         let later = start + Duration::from_secs(3);
         members.tick(later);
-        assert!(members.observe(&beat(2, 5), later).is_none());
-        assert!(members.observe(&beat(1, 99), later).is_none());
+        assert!(members.observe(&heartbeat(2, 5), later).is_none());
+        assert!(members.observe(&heartbeat(1, 99), later).is_none());
         assert!(!members.is_alive(VM));
     }
 
@@ -250,8 +253,8 @@
     fn a_higher_incarnation_replaces_the_older_one() {
         let start = BootInstant::now();
         let mut members = membership();
-        members.observe(&beat(1, 500), start);
-        let change = members.observe(&beat(2, 1), start).unwrap();
+        members.observe(&heartbeat(1, 500), start);
+        let change = members.observe(&heartbeat(2, 1), start).unwrap();
         assert_eq!(change.incarnation, Incarnation(2));
     }
 
@@ -259,7 +262,7 @@
     fn a_leaving_vm_gets_no_work() {
         let start = BootInstant::now();
         let mut members = membership();
-        let mut last = beat(1, 9);
+        let mut last = heartbeat(1, 9);
         last.leaving = true;
         members.observe(&last, start);
         assert!(!members.is_alive(VM));
--- a/src/api/operators.rs
+++ b/src/api/operators.rs
@@ -326,7 +326,7 @@
     fn status(&self) -> Value {
         let vm = &self.vm;
         let now = vm.clock.now();
-        let life = vm.identity();
+        let identity = vm.identity();
         let configuration = vm.configuration.current();
         let stopped = rollout_guard::stopped_versions(
             &configuration,
@@ -337,8 +337,8 @@
         };
         let listed = vm.view.list_read_at();
         json!({
-            "vm": life.vm,
-            "incarnation": life.incarnation.to_string(),
+            "vm": identity.vm,
+            "incarnation": identity.incarnation.to_string(),
             "data_hall": vm.view.data_hall(),
             "ready": vm.is_ready(),
             "revision": configuration.revision(),
@@ -362,11 +362,11 @@
         view.peers()
             .iter()
             .map(|peer| {
-                let life = view.liveness(&peer.vm);
+                let liveness = view.liveness(&peer.vm);
                 json!({
                     "vm": peer.vm,
                     "data_hall": peer.data_hall,
-                    "life": life.map(|(_, life)| life.as_str()),
+                    "life": liveness.map(|(_, liveness)| liveness.as_str()),
                 })
             })
             .collect()
@@ -384,17 +384,17 @@
         all.sort_by(|a, b| a.record.id.cmp(&b.record.id));
         all.iter()
             .map(|upstream| {
-                let facts = view.facts(upstream, now);
+                let snapshot = view.facts(upstream, now);
                 json!({
-                    "upstream": facts.id,
+                    "upstream": snapshot.id,
                     "data_hall": upstream.record.data_hall,
                     "serves": upstream.record.serves,
-                    "leaving": facts.leaving,
-                    "failing": facts.breaker_open,
-                    "requests": facts.requests,
-                    "slots": facts.slots,
+                    "leaving": snapshot.leaving,
+                    "failing": snapshot.breaker_open,
+                    "requests": snapshot.requests,
+                    "slots": snapshot.slots,
                     "load_age_ms":
-                        facts.load_age.map(|age| age.as_millis() as u64),
+                        snapshot.load_age.map(|age| age.as_millis() as u64),
                 })
             })
             .collect()
--- a/src/api/platform_list.rs
+++ b/src/api/platform_list.rs
@@ -44,7 +44,7 @@
         model: ModelId,
         /// The number of requests that it can process concurrently.
         slots: u16,
-        /// Whether it refuses orders with an outdated epoch.
+        /// Whether it rejects orders with an outdated epoch.
         checks_fence: bool,
     },
     /// A replica of a plain service.
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -78,7 +78,7 @@
     tasks: Vec<Task<()>>,
 }
 
-/// The result of a planned stop.
+/// The result of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopReport {
     /// How long it took.
--- a/src/api/statement.rs
+++ b/src/api/statement.rs
@@ -35,10 +35,10 @@
         headers: &HeaderMap,
     ) {
         let upstream = &chosen.upstream;
-        let statement = parse_statement(status, headers);
+        let signals = parse_signals(status, headers);
         let (draw, now) = (rand::random(), self.vm.clock.now());
-        let reported = &upstream.reported_state;
-        for change in reported.apply(&statement, draw, chosen.chosen_at, now) {
+        let state = &upstream.reported_state;
+        for change in state.apply(&signals, draw, chosen.chosen_at, now) {
             match &change {
                 ReportedChange::Leaving => {
                     log_leaving(upstream, "reported by its response")
@@ -61,7 +61,7 @@
 }
 
 /// Reads the signals from the head of a response.
-fn parse_statement(status: u16, headers: &HeaderMap) -> UpstreamSignals {
+fn parse_signals(status: u16, headers: &HeaderMap) -> UpstreamSignals {
     let was_executed =
         ![STATUS_UNAVAILABLE, STATUS_NOT_LOADED].contains(&status);
     UpstreamSignals {
--- a/src/api/steward.rs
+++ b/src/api/steward.rs
@@ -50,7 +50,7 @@
 /// An order to an upstream, sent as JSON to its `/orders`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// The epoch of the steward's lease; an upstream that checks it refuses
+    /// The epoch of the steward's lease; an upstream that checks it rejects
     /// an epoch lower than the highest that it has seen.
     pub epoch: Epoch,
     /// The VM that sends the order.
@@ -70,13 +70,13 @@
 
 impl Steward {
     pub(crate) fn new(
-        vm_life: VmLife,
+        identity: VmLife,
         hall: &str,
         settings: &crate::settings::StewardSettings,
     ) -> Steward {
         let lease = Lease::new(
             format!("lease/steward-{hall}"),
-            vm_life,
+            identity,
             settings.lease_ttl,
             settings.send_max,
         );
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Releases the lease, for a planned stop.
+    /// Releases the lease, for a graceful shutdown.
     pub(crate) async fn release(&self, vm: &Vm) {
         let mut lease = self.lease.lock().await;
         // If the store cannot be reached, the lease expires instead.
@@ -190,8 +190,8 @@
             .body(body);
         let limit = vm.settings.steward.send_max;
         let may_send = || self.may_send(vm, order.epoch, limit);
-        let answer = vm.http.send_checked(call, limit, &may_send).await?;
-        match answer {
+        let status = vm.http.send_checked(call, limit, &may_send).await?;
+        match status {
             200 => Ok(()),
             status => Err(SendError::Broken(format!("status {status}"))),
         }
--- a/src/api/template.rs
+++ b/src/api/template.rs
@@ -18,7 +18,7 @@
 /// The maximum number of models, and of services, in a template.
 pub const MAX_RULES: usize = 64;
 
-/// The maximum number of stages of a roll-out.
+/// The maximum number of stages of a rollout.
 pub const MAX_STAGES: usize = 16;
 
 /// The priority of a request.
@@ -143,7 +143,7 @@
     /// The priority of requests that do not set one.
     #[serde(default)]
     pub default_priority: Priority,
-    /// The share of new sessions that go to a version in roll-out, by stage.
+    /// The share of new sessions that go to a version in rollout, by stage.
     #[serde(default = "default_stages")]
     pub rollout_stages: Vec<Share>,
 }
@@ -250,7 +250,7 @@
     }
 
     /// Returns the share of new sessions for a version at `stage` of its
-    /// roll-out; stages past the last one use the last share.
+    /// rollout; stages past the last one use the last share.
     pub fn stage_share(&self, stage: u8) -> Share {
         let last = self.rollout_stages.len() - 1;
         self.rollout_stages[usize::from(stage).min(last)]
--- a/src/api/view.rs
+++ b/src/api/view.rs
@@ -176,17 +176,17 @@
         upstream: &Upstream,
         now: BootInstant,
     ) -> UpstreamSnapshot {
-        let facts = upstream.snapshot(&self.data_hall, now);
+        let snapshot = upstream.snapshot(&self.data_hall, now);
         let (vm, hall) = (self.vm.as_str(), &upstream.record.data_hall);
-        let statements = &upstream.reported_state;
-        let limit = statements.rate_limit_wait(
+        let state = &upstream.reported_state;
+        let wait = state.rate_limit_wait(
             &self.roster,
             vm,
             upstream.short_hash,
             hall,
             now,
         );
-        UpstreamSnapshot { backoff: facts.backoff.max(limit), ..facts }
+        UpstreamSnapshot { backoff: snapshot.backoff.max(wait), ..snapshot }
     }
 
     /// Records that the list was read at `now` and had not changed.
@@ -327,10 +327,10 @@
         self.members.lock().expect("members lock").count(liveness)
     }
 
-    /// Applies loads that another VM gossiped.
+    /// Merges the loads that another VM gossiped.
     ///
     /// Returns the upstreams that are newly known to be leaving.
-    pub fn apply_loads(
+    pub fn merge_loads(
         &self,
         entries: &[LoadEntry],
         now: BootInstant,
--- a/src/api/vm.rs
+++ b/src/api/vm.rs
@@ -49,7 +49,7 @@
     settings::Settings,
 };
 
-/// Counts activities that a planned stop waits for.
+/// Counts activities that a graceful shutdown waits for.
 #[derive(Debug, Default)]
 pub(crate) struct ActivityCounter(AtomicUsize);
 
@@ -124,7 +124,7 @@
         let since_epoch = started_at.duration_since(std::time::UNIX_EPOCH);
         let incarnation =
             Incarnation(since_epoch.unwrap_or_default().as_micros() as u64);
-        let life = VmLife { vm: settings.vm.clone(), incarnation };
+        let identity = VmLife { vm: settings.vm.clone(), incarnation };
         let hall = settings.data_hall.clone();
         let metrics = Arc::new(Metrics::new());
         let codec = FrameCodec::new(&settings.cluster_key);
@@ -163,7 +163,7 @@
             gossiper,
             claims: Claims::default(),
             ledger: Ledger::new(),
-            steward: Steward::new(life, hall.as_str(), &settings.steward),
+            steward: Steward::new(identity, hall.as_str(), &settings.steward),
             metrics,
             pending_outcomes: ActivityCounter::default(),
             in_flight: ActivityCounter::default(),
@@ -192,7 +192,7 @@
             && !self.is_stopping()
     }
 
-    /// Returns whether a planned stop has begun.
+    /// Returns whether a graceful shutdown has begun.
     pub(crate) fn is_stopping(&self) -> bool {
         self.is_stopping.load(Ordering::Relaxed)
     }
@@ -286,9 +286,9 @@
             let template = configuration.template(organisation);
             template.map_or(1, |part| part.value.weight)
         };
-        let room =
+        let load =
             |model: &ModelId| ModelLoad::of(&self.upstream_facts(model, now));
-        self.queue.wake(room, weight);
+        self.queue.wake(load, weight);
     }
 
     /// Sends a request to another VM, by name, and awaits its reply.
