--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -22,7 +22,7 @@
 pub mod selection;
 pub mod server;
 pub mod session;
-pub(crate) mod statement;
+pub(crate) mod signals;
 pub(crate) mod steward;
 pub mod tally;
 pub mod template;
