--- a/src/api/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -695,11 +695,7 @@
         };
         let result = self.bounded(limit, work).await;
         if let Ok(exchange) = &result {
-            self.apply_upstream_statement(
-                chosen,
-                exchange.status,
-                &exchange.headers,
-            );
+            self.apply_signals(chosen, exchange.status, &exchange.headers);
         }
         self.judge_upstream(chosen, result.as_ref().err().copied());
         result
@@ -724,11 +720,7 @@
         let work = async {
             let sent = self.vm.http.send(call, reuse).await;
             let exchange = sent.map_err(fault_of)?;
-            self.apply_upstream_statement(
-                chosen,
-                exchange.status,
-                &exchange.headers,
-            );
+            self.apply_signals(chosen, exchange.status, &exchange.headers);
             exchange.read_whole(most).await.map_err(fault_of)
         };
         let result = match can_cancel {
--- a/src/api/signals.rs
+++ b/src/api/signals.rs
@@ -28,7 +28,7 @@
     /// Applies the signals in a response to the upstream's state, and sends
     /// the other VMs of the data hall a notice of those that they should know
     /// at once.
-    pub(super) fn apply_upstream_statement(
+    pub(super) fn apply_signals(
         &self,
         chosen: &SelectedUpstream,
         status: u16,
