--- a/src/api/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -621,7 +621,7 @@
         let vm = &self.vm;
         let now = vm.clock.now();
         let facts: Vec<_> =
-            upstreams.iter().map(|u| vm.view.facts(u, now)).collect();
+            upstreams.iter().map(|u| vm.view.snapshot(u, now)).collect();
         let picked = pick_upstream(&facts, wish, rand::random());
         let choice = match picked {
             Ok(choice) => choice,
--- a/src/api/operators.rs
+++ b/src/api/operators.rs
@@ -384,7 +384,7 @@
         all.sort_by(|a, b| a.record.id.cmp(&b.record.id));
         all.iter()
             .map(|upstream| {
-                let snapshot = view.facts(upstream, now);
+                let snapshot = view.snapshot(upstream, now);
                 json!({
                     "upstream": snapshot.id,
                     "data_hall": upstream.record.data_hall,
--- a/src/api/view.rs
+++ b/src/api/view.rs
@@ -171,7 +171,7 @@
 
     /// Returns what upstream selection needs to know about an upstream,
     /// including the wait that its rate limit imposes on this VM.
-    pub fn facts(
+    pub fn snapshot(
         &self,
         upstream: &Upstream,
         now: BootInstant,
--- a/src/api/vm.rs
+++ b/src/api/vm.rs
@@ -275,7 +275,7 @@
         now: BootInstant,
     ) -> Vec<UpstreamSnapshot> {
         let upstreams = self.view.model_upstreams(model);
-        upstreams.iter().map(|one| self.view.facts(one, now)).collect()
+        upstreams.iter().map(|one| self.view.snapshot(one, now)).collect()
     }
 
     /// Admits queued requests of every model whose upstreams have capacity.
