--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -521,7 +521,7 @@
         let facts = self.request_facts();
         let stopped = vm.guard.stopped();
         let has_upstream = |entry: &VersionEntry| {
-            let upstreams = vm.upstream_facts(&entry.model, now);
+            let upstreams = vm.upstream_snapshots(&entry.model, now);
             any_usable(&upstreams, version_hash(entry))
         };
         let tallies = vm.tallies.lock().expect("tallies lock");
@@ -578,7 +578,7 @@
         let vm = core.vm.clone();
         let model = self.state.plan.steps[0].entry.model.clone();
         let now = vm.clock.now();
-        let room = ModelLoad::of(&vm.upstream_facts(&model, now));
+        let room = ModelLoad::of(&vm.upstream_snapshots(&model, now));
         let template = &self.state.admitted.template;
         let entry = Entry {
             model,
--- a/src/api/vm.rs
+++ b/src/api/vm.rs
@@ -269,7 +269,7 @@
 
     /// Returns what upstream selection needs to know about each replica of a
     /// model.
-    pub(crate) fn upstream_facts(
+    pub(crate) fn upstream_snapshots(
         &self,
         model: &ModelId,
         now: BootInstant,
@@ -286,8 +286,9 @@
             let template = configuration.template(organisation);
             template.map_or(1, |part| part.value.weight)
         };
-        let load =
-            |model: &ModelId| ModelLoad::of(&self.upstream_facts(model, now));
+        let load = |model: &ModelId| {
+            ModelLoad::of(&self.upstream_snapshots(model, now))
+        };
         self.queue.wake(load, weight);
     }
 
