--- a/src/api/operators.rs
+++ b/src/api/operators.rs
@@ -330,7 +330,7 @@
         let configuration = vm.configuration.current();
         let stopped = rollout_guard::stopped_versions(
             &configuration,
-            &vm.guard.stopped(),
+            &vm.rollout_guard.stopped(),
         );
         let age = |age: Option<std::time::Duration>| {
             age.map(|age| age.as_millis() as u64)
--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -519,7 +519,7 @@
         let configuration = vm.configuration.current();
         let template = &self.state.template;
         let facts = self.request_facts();
-        let stopped = vm.guard.stopped();
+        let stopped = vm.rollout_guard.stopped();
         let has_upstream = |entry: &VersionEntry| {
             let upstreams = vm.upstream_snapshots(&entry.model, now);
             any_usable(&upstreams, version_hash(entry))
--- a/src/api/rollout_guard.rs
+++ b/src/api/rollout_guard.rs
@@ -280,7 +280,7 @@
         let mut failed = false;
         for (entry, why) in bad {
             let name = format!("{} {}", entry.model, entry.version);
-            if vm.guard.stop(version_hash(&entry)) {
+            if vm.rollout_guard.stop(version_hash(&entry)) {
                 Event::VersionStopped.log(format_args!("{name}: {why}"));
             }
             failed |= !withdraw(&vm, entry, &name, &why).await;
@@ -295,7 +295,7 @@
 
 /// A version that is rolled out again is judged anew.
 fn forget_old_evidence(vm: &Vm, configuration: &Configuration) {
-    let new = vm.guard.newly_rolling(configuration);
+    let new = vm.rollout_guard.newly_rolling(configuration);
     if new.is_empty() {
         return;
     }
--- a/src/api/vm.rs
+++ b/src/api/vm.rs
@@ -80,7 +80,7 @@
     pub(crate) limits: OrganisationLimits,
     pub(crate) queue: Arc<DispatchQueue>,
     pub(crate) retry_budget: RetryBudget,
-    pub(crate) guard: RolloutGuard,
+    pub(crate) rollout_guard: RolloutGuard,
     pub(crate) decisions: DecisionLog,
     pub(crate) sessions: SessionKeys,
     pub(crate) http: HttpClient,
@@ -151,7 +151,7 @@
                 requests.batch_share,
             ),
             retry_budget: RetryBudget::new(requests.retry_share),
-            guard: RolloutGuard::default(),
+            rollout_guard: RolloutGuard::default(),
             decisions: DecisionLog::new(settings.decisions_kept),
             sessions: SessionKeys::new(&settings.cluster_key),
             http: HttpClient::new(requests.connect_timeout, clock.clone()),
@@ -349,7 +349,7 @@
         metrics.in_flight.set(self.in_flight() as i64);
         metrics.queued.set(self.queue.waiting() as i64);
         metrics.bills_waiting.set(self.ledger.waiting() as i64);
-        let stopped = self.guard.stopped().len();
+        let stopped = self.rollout_guard.stopped().len();
         metrics.versions_stopped.set(stopped as i64);
         self.update_peer_gauges();
         self.update_store_gauges();
--- a/src/chains/configuration_sync.rs
+++ b/src/chains/configuration_sync.rs
@@ -163,7 +163,7 @@
     Event::ConfigurationInForce.log(format_args!("revision {revision}"));
     // Whichever way it came, there is a configuration to work by.
     vm.mark_ready();
-    vm.guard.clear_withdrawn(&vm.configuration.current());
+    vm.rollout_guard.clear_withdrawn(&vm.configuration.current());
     let vm = vm.clone();
     // The rest of the hall should not wait for its watch or a round.
     task::spawn(async move {
