--- a/src/api/operators.rs
+++ b/src/api/operators.rs
@@ -347,7 +347,7 @@
             "list_age_ms":
                 age(listed.map(|at| now.saturating_duration_since(at))),
             "in_flight": vm.in_flight(),
-            "queued": vm.queue.waiting(),
+            "queued": vm.dispatch_queue.waiting(),
             "bills_waiting": vm.ledger.waiting(),
             "steward_epoch": vm.steward.epoch(),
             "stopped_versions": stopped,
--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -586,7 +586,7 @@
             priority: core.decision.priority,
             deadline: self.state.admitted.deadline,
         };
-        let pass = vm.queue.enter(&entry, room).await;
+        let pass = vm.dispatch_queue.enter(&entry, room).await;
         let waited = vm.clock.now().saturating_duration_since(now);
         core.decision.queued_ms = waited.as_millis() as u64;
         pass
--- a/src/api/vm.rs
+++ b/src/api/vm.rs
@@ -78,7 +78,7 @@
     pub(crate) view: FleetView,
     pub(crate) tallies: Mutex<Tallies>,
     pub(crate) limits: OrganisationLimits,
-    pub(crate) queue: Arc<DispatchQueue>,
+    pub(crate) dispatch_queue: Arc<DispatchQueue>,
     pub(crate) retry_budget: RetryBudget,
     pub(crate) rollout_guard: RolloutGuard,
     pub(crate) decisions: DecisionLog,
@@ -145,7 +145,7 @@
             ),
             tallies: Mutex::new(Tallies::new(ShortHash::of(hall.as_str()))),
             limits: OrganisationLimits::new(now),
-            queue: DispatchQueue::new(
+            dispatch_queue: DispatchQueue::new(
                 clock.clone(),
                 requests.queue_limit,
                 requests.batch_share,
@@ -289,7 +289,7 @@
         let load = |model: &ModelId| {
             ModelLoad::of(&self.upstream_snapshots(model, now))
         };
-        self.queue.wake(load, weight);
+        self.dispatch_queue.wake(load, weight);
     }
 
     /// Sends a request to another VM, by name, and awaits its reply.
@@ -347,7 +347,7 @@
         let list_age = read_at.map(|at| now.saturating_duration_since(at));
         metrics.list_age_ms.set(millis_or_unknown(list_age));
         metrics.in_flight.set(self.in_flight() as i64);
-        metrics.queued.set(self.queue.waiting() as i64);
+        metrics.queued.set(self.dispatch_queue.waiting() as i64);
         metrics.bills_waiting.set(self.ledger.waiting() as i64);
         let stopped = self.rollout_guard.stopped().len();
         metrics.versions_stopped.set(stopped as i64);
@@ -451,7 +451,7 @@
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
         self.0.in_flight.end();
-        if self.0.queue.waiting() > 0 {
+        if self.0.dispatch_queue.waiting() > 0 {
             self.0.wake_queue();
         }
     }
