--- a/src/api/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -668,7 +668,7 @@
         let vm = &self.vm;
         let now = vm.clock.now();
         let facts: Vec<_> =
-            upstreams.iter().map(|u| vm.view.facts(u, now)).collect();
+            upstreams.iter().map(|u| vm.view.snapshot(u, now)).collect();
         let picked = pick_upstream(&facts, criteria, rand::random());
         let choice = match picked {
             Ok(choice) => choice,
@@ -746,11 +746,8 @@
         };
         let result = self.until_cancelled(limit, work).await;
         if let Ok(exchange) = &result {
-            self.apply_upstream_statement(
-                selected,
-                exchange.status,
-                &exchange.headers,
-            );
+            self.apply_signals(
+                selected, exchange.status, &exchange.headers);
         }
         self.report_to_breaker(selected, result.as_ref().err().copied());
         result
@@ -778,11 +775,8 @@
         let work = async {
             let sent = self.vm.http.send(call, reuse).await;
             let exchange = sent.map_err(attempt_fault)?;
-            self.apply_upstream_statement(
-                selected,
-                exchange.status,
-                &exchange.headers,
-            );
+            self.apply_signals(
+                selected, exchange.status, &exchange.headers);
             exchange.read_whole(most).await.map_err(attempt_fault)
         };
         let result = match can_cancel {
--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -540,9 +540,9 @@
         let configuration = vm.configuration.current();
         let template = &self.state.template;
         let facts = self.request_facts();
-        let stopped = vm.guard.stopped();
+        let stopped = vm.rollout_guard.stopped();
         let has_upstream = |entry: &VersionEntry| {
-            let upstreams = vm.upstream_facts(&entry.model, now);
+            let upstreams = vm.upstream_snapshots(&entry.model, now);
             any_usable(&upstreams, version_hash(entry))
         };
         let tallies = vm.tallies.lock().expect("tallies lock");
@@ -606,7 +606,7 @@
         let vm = context.vm.clone();
         let model = self.state.plan.steps[0].entry.model.clone();
         let now = vm.clock.now();
-        let load = ModelLoad::of(&vm.upstream_facts(&model, now));
+        let load = ModelLoad::of(&vm.upstream_snapshots(&model, now));
         let template = &self.state.admitted.template;
         let entry = QueuedRequest {
             model,
@@ -614,7 +614,7 @@
             priority: context.decision.priority,
             deadline: self.state.admitted.deadline,
         };
-        let permit = vm.queue.enter(&entry, load).await;
+        let permit = vm.dispatch_queue.enter(&entry, load).await;
         let waited = vm.clock.now().saturating_duration_since(now);
         context.decision.queued_ms = waited.as_millis() as u64;
         permit
--- a/src/api/rollout_guard.rs
+++ b/src/api/rollout_guard.rs
@@ -310,7 +310,7 @@
         let mut failed = false;
         for (entry, why) in bad {
             let name = format!("{} {}", entry.model, entry.version);
-            if vm.guard.stop(version_hash(&entry)) {
+            if vm.rollout_guard.stop(version_hash(&entry)) {
                 Event::VersionStopped.log(format_args!("{name}: {why}"));
             }
             failed |= !withdraw(&vm, entry, &name, &why).await;
@@ -326,7 +326,7 @@
 /// Clears the evidence about versions that start a rollout, so that one that
 /// is rolled out again is tested on new evidence only.
 fn clear_evidence_of_new_rollouts(vm: &Vm, configuration: &Configuration) {
-    let new = vm.guard.newly_rolling_out(configuration);
+    let new = vm.rollout_guard.newly_rolling_out(configuration);
     if new.is_empty() {
         return;
     }
