--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -21,9 +21,9 @@
     facts::route::{Organisation, Repeat, Route},
     gateway::{
         Gateway,
-        inbound::{AttemptHead, Inbound},
         relay_events::EventRelay,
-        trace::{End, Trace},
+        request_head::{AttemptHead, RequestHead},
+        trace::{RequestEnd, Trace},
     },
     http_client::{Call, Exchange, Reuse, SendError},
     id::{ModelId, ServiceId, VersionId},
@@ -35,55 +35,55 @@
         pool::{NoMember, SharedPrompt, Want},
         upstream::InFlight,
     },
-    platform::headers::{self, AnswerHead},
+    platform::headers::{self, ResponseHead},
     rollouts::choice::VersionChoice,
     task,
 };
 
 /// Time left below which no further attempt is made: it could not answer.
-const LEAST_LEFT: Duration = Duration::from_millis(5);
+const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
 
 /// Largest answer that is held whole.
-const ANSWER_LIMIT_BYTES: u64 = 16 << 20;
+const MAX_RESPONSE_BYTES: u64 = 16 << 20;
 
 /// Part of its aim after which a short repeatable request is tried elsewhere.
-const RETRY_AFTER_AIM: f64 = 0.6;
+const RETRY_AIM_FRACTION: f64 = 0.6;
 
 /// Wait that is taken, beside the time to read it, for each token of a prompt
 /// that need not be read again: reading it holds up what runs beside it and
 /// takes memory from other prompts. Measured in `docs/ROUNDS.md`.
-const KEPT_TOKEN_WAIT: Duration = Duration::from_micros(300);
+const CACHED_TOKEN_WAIT: Duration = Duration::from_micros(300);
 
 /// Part of the aim that this wait may take at most.
-const KEPT_PROMPT_WAIT_PART: f64 = 0.25;
+const CACHED_PROMPT_WAIT_FRACTION: f64 = 0.25;
 
 /// Time for which an upstream may give no sign of life while it has work.
-const SILENCE_LIMIT: Duration = Duration::from_millis(900);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Upstreams that a request may fail to reach beyond its attempts.
-const UNREACHED: usize = 4;
+const MAX_CONNECT_FAILURES: usize = 4;
 
 /// Time for which the head of a stream is waited for whatever is expected.
-const HEAD_LEAST: Duration = Duration::from_millis(500);
+const MIN_HEAD_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Expected time to read a prompt from which the other VMs are told at once
 /// that it is being read: they would send theirs to the same upstream until
 /// the next beat says so. On a calm simulated day with six VMs, 4 of 1,253
 /// attempts at engines were given up as silent with it, and 60 of 1,298
 /// without.
-const TOLD_READING: Duration = Duration::from_millis(80);
+const ANNOUNCED_PREFILL_TIME: Duration = Duration::from_millis(80);
 
 /// How many times the expected time the head of a stream may take.
-const HEAD_FACTOR: f64 = 2.5;
+const HEAD_TIMEOUT_FACTOR: f64 = 2.5;
 
 /// Part of the time expected for the prompts it reads that is added to that.
-const READING_PART: f64 = 1.5;
+const PREFILL_PATIENCE_FACTOR: f64 = 1.5;
 
 /// The most that is added; an upstream that died seems to read for ever.
-const READING_PATIENCE_MOST: Duration = Duration::from_millis(2500);
+const MAX_PREFILL_PATIENCE: Duration = Duration::from_millis(2500);
 
 /// Time between two looks at a silent upstream.
-pub(crate) const WATCH_PERIOD: Duration = Duration::from_millis(150);
+pub(crate) const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Wait that a caller is told when every upstream is cold and has what it
 /// bears.
@@ -95,7 +95,7 @@
     pub(crate) route: Arc<Route>,
     pub(crate) service: ServiceId,
     pub(crate) organisation: Option<Organisation>,
-    pub(crate) inbound: Inbound,
+    pub(crate) request: RequestHead,
     pub(crate) body: Bytes,
     /// When the caller, or the operator's limit, gives up.
     pub(crate) deadline: BootInstant,
@@ -133,11 +133,11 @@
     pub(crate) model: Option<ModelId>,
     pub(crate) began_at: BootInstant,
     /// What was being read there before.
-    pub(crate) read_before: Duration,
+    pub(crate) prefill_before: Duration,
     /// The most that may have been read there before.
-    pub(crate) read_most: Duration,
+    pub(crate) max_prefill_before: Duration,
     /// Requests for each slot there before.
-    pub(crate) fill_before: f64,
+    pub(crate) load_before: f64,
     /// Tokens of the prompt.
     pub(crate) tokens: u64,
     /// The time expected until they are read.
@@ -145,17 +145,17 @@
     /// Held until the first event is here.
     pub(crate) reading: Option<Reading>,
     _in_flight: InFlight,
-    _session: Option<SessionUse>,
+    _session: Option<SessionGuard>,
 }
 
 /// An attempt of a session, which counts as under way while it lives.
-struct SessionUse {
+struct SessionGuard {
     gateway: Arc<Gateway>,
     service: ServiceId,
     session: String,
 }
 
-impl Drop for SessionUse {
+impl Drop for SessionGuard {
     fn drop(&mut self) {
         let now = self.gateway.clock.now();
         let rollouts = &self.gateway.rollouts;
@@ -164,7 +164,7 @@
 }
 
 /// Why an attempt brought no answer that ends the request.
-pub(crate) enum Fault {
+pub(crate) enum AttemptError {
     /// It did not run there.
     NotRun(&'static str, String),
     /// It may have run there.
@@ -172,16 +172,16 @@
     /// It ran and failed; this is the upstream's own answer.
     Failed(Box<Reply>),
     /// A larger model is to be asked.
-    Poor(ModelId),
+    LowConfidence(ModelId),
 }
 
-impl Fault {
+impl AttemptError {
     /// What it says of the upstream, if that is to blame.
     pub(crate) fn verdict(&self) -> Option<Verdict> {
         match self {
-            Fault::NotRun(..) | Fault::Poor(_) => None,
-            Fault::Unknown(..) => Some(Verdict::Lost),
-            Fault::Failed(_) => Some(Verdict::Failed),
+            AttemptError::NotRun(..) | AttemptError::LowConfidence(_) => None,
+            AttemptError::Unknown(..) => Some(Verdict::Lost),
+            AttemptError::Failed(_) => Some(Verdict::Failed),
         }
     }
 }
@@ -192,33 +192,33 @@
         self.gateway.count_request(&self.service);
         loop {
             let now = self.gateway.clock.now();
-            if self.left(now) < LEAST_LEFT {
+            if self.time_left(now) < MIN_TIME_LEFT {
                 return self.refuse(trace, ErrorKind::DeadlineExceeded, "");
             }
-            let attempt = match self.begin(&mut trace, now) {
+            let attempt = match self.begin_attempt(&mut trace, now) {
                 Ok(attempt) => attempt,
                 Err(error) => return self.refuse_with(trace, error),
             };
-            let fault = match self.route.is_stream {
-                true => match self.ask_stream(attempt, &mut trace).await {
+            let error = match self.route.is_stream {
+                true => match self.fetch_stream(attempt, &mut trace).await {
                     Ok(opened) => return opened.into_reply(self, trace),
-                    Err(fault) => fault,
+                    Err(error) => error,
                 },
-                false => match self.ask_whole(&attempt, &mut trace).await {
+                false => match self.fetch_whole(&attempt, &mut trace).await {
                     Ok(reply) => {
-                        trace.end(End::Answered(reply.status.as_u16()));
+                        trace.end(RequestEnd::Answered(reply.status.as_u16()));
                         return reply;
                     }
-                    Err(fault) => {
-                        if let Some(verdict) = fault.verdict() {
-                            self.judge(&attempt, verdict, None);
+                    Err(error) => {
+                        if let Some(verdict) = error.verdict() {
+                            self.record_attempt(&attempt, verdict, None);
                         }
-                        fault
+                        error
                     }
                 },
             };
-            if let Err(reply) = self.go_on(fault, &mut trace) {
-                return self.end_with(reply, trace);
+            if let Err(reply) = self.prepare_retry(error, &mut trace) {
+                return self.fail(reply, trace);
             }
         }
     }
@@ -226,11 +226,11 @@
     /// What the request is known again by.
     pub(crate) fn digest(&self) -> RequestDigest {
         *self.digest.get_or_init(|| {
-            let inbound = &self.inbound;
+            let request = &self.request;
             let organisation = self.organisation.as_ref();
             RequestDigest::of(
-                inbound.method.as_str(),
-                &inbound.path,
+                request.method.as_str(),
+                &request.path,
                 organisation.map(|o| &o.id),
                 &self.body,
             )
@@ -238,13 +238,13 @@
     }
 
     /// The time left at `now`.
-    pub(crate) fn left(&self, now: BootInstant) -> Duration {
+    pub(crate) fn time_left(&self, now: BootInstant) -> Duration {
         self.deadline.saturating_duration_since(now)
     }
 
     fn version_choice(&self, now: BootInstant) -> VersionChoice {
-        let session = self.inbound.session.as_deref();
-        let id = &self.inbound.id;
+        let session = self.request.session.as_deref();
+        let id = &self.request.id;
         self.gateway.rollouts.rule(&self.service, session, id, now)
     }
 
@@ -266,7 +266,7 @@
 
     /// Whether there is an upstream for another attempt, be it the one that
     /// was asked last.
-    pub(crate) fn can_ask_again(&self, now: BootInstant) -> bool {
+    pub(crate) fn has_upstream_for_retry(&self, now: BootInstant) -> bool {
         let tried = self.tried.split_last().map_or(&[][..], |(_, rest)| rest);
         let version = self.version_choice(now);
         let want = self.want(&version, tried);
@@ -274,7 +274,7 @@
     }
 
     /// Chooses an upstream and counts it as busy.
-    pub(crate) fn begin(
+    pub(crate) fn begin_attempt(
         &mut self,
         trace: &mut Trace,
         now: BootInstant,
@@ -300,21 +300,21 @@
                 )),
         })?;
         let model = self.model.clone();
-        trace.begin(&member, model.clone(), now);
+        trace.begin_attempt(&member, model.clone(), now);
         trace.note_version(&version);
         self.tried.push(member.upstream.short);
-        let session = self.use_session(&member.entry.software, now);
-        let tokens = self.inbound.prompt_tokens.unwrap_or(0);
-        let read_before = member.reading(now);
-        let read_most = member.reading_most(now);
-        let fill_before = member.fill(now);
+        let session = self.begin_session(&member.entry.software, now);
+        let tokens = self.request.prompt_tokens.unwrap_or(0);
+        let prefill_before = member.reading(now);
+        let max_prefill_before = member.reading_most(now);
+        let load_before = member.fill(now);
         let times = &self.gateway.read_times;
         let expected = times.expected(model.as_ref(), tokens);
         let reading = (tokens > 0).then(|| member.read(expected));
         if reading.is_some() {
             self.gateway.pool.note_reading(expected);
         }
-        if reading.is_some() && expected >= TOLD_READING {
+        if reading.is_some() && expected >= ANNOUNCED_PREFILL_TIME {
             self.gateway.early_heartbeat.wake();
         }
         Ok(Attempt {
@@ -323,9 +323,9 @@
             member,
             model,
             began_at: now,
-            read_before,
-            read_most,
-            fill_before,
+            prefill_before,
+            max_prefill_before,
+            load_before,
             tokens,
             expected,
             reading,
@@ -362,7 +362,7 @@
     }
 
     /// Notes that an upstream ran the request to its end.
-    pub(crate) fn note_ran_whole(&self) {
+    pub(crate) fn note_completed(&self) {
         let now = self.gateway.clock.now();
         let crashes = &self.gateway.crashes;
         let changes = crashes.note_ran_whole(self.digest(), now);
@@ -370,32 +370,32 @@
     }
 
     /// Notes that an attempt of the request's session goes to a version.
-    fn use_session(
+    fn begin_session(
         &self,
         software: &VersionId,
         now: BootInstant,
-    ) -> Option<SessionUse> {
-        let session = self.inbound.session.clone()?;
+    ) -> Option<SessionGuard> {
+        let session = self.request.session.clone()?;
         let (gateway, service) = (self.gateway.clone(), self.service.clone());
         gateway.rollouts.begin_session(&service, &session, software, now);
-        Some(SessionUse { gateway, service, session })
+        Some(SessionGuard { gateway, service, session })
     }
 
     /// The part of the prompt that is shared with most later requests.
     fn shared_prompt(&self) -> Option<SharedPrompt> {
-        let parts = &self.inbound.prompt;
+        let parts = &self.request.prompt;
         let (_, shared) = parts.split_last()?;
         let subject = shared.last()?.id;
         let tokens = shared.iter().map(|part| part.tokens).sum();
         let times = &self.gateway.read_times;
         let saved = times.expected(self.model.as_ref(), tokens);
         let count = u32::try_from(tokens).unwrap_or(u32::MAX);
-        let most = self.route.aim.mul_f64(KEPT_PROMPT_WAIT_PART);
-        let spared = KEPT_TOKEN_WAIT.saturating_mul(count).min(most);
+        let most = self.route.aim.mul_f64(CACHED_PROMPT_WAIT_FRACTION);
+        let spared = CACHED_TOKEN_WAIT.saturating_mul(count).min(most);
         Some(SharedPrompt { subject, worth_waiting: saved + spared })
     }
 
-    fn urgency(&self) -> u8 {
+    fn priority(&self) -> u8 {
         let organisation = self.organisation.as_ref();
         let own = organisation.and_then(|o| o.priority);
         own.unwrap_or(self.route.priority).min(9)
@@ -409,19 +409,19 @@
     ) -> Call {
         let organisation = self.organisation.as_ref();
         let head = AttemptHead {
-            time_left: self.left(self.gateway.clock.now()),
+            time_left: self.time_left(self.gateway.clock.now()),
             upstream: &attempt.member.entry.id,
             organisation: organisation.map(|o| &o.id),
             model: attempt.model.as_ref(),
             resume_after,
-            urgency: self.route.is_stream.then(|| self.urgency()),
+            priority: self.route.is_stream.then(|| self.priority()),
         };
         let mut call = Call::new(
             attempt.member.entry.address,
-            self.inbound.method.clone(),
-            self.inbound.path.clone(),
+            self.request.method.clone(),
+            self.request.path.clone(),
         );
-        call.headers = headers::write_attempt(&self.inbound, &head);
+        call.headers = headers::write_attempt(&self.request, &head);
         call.body = self.body.clone();
         call
     }
@@ -433,7 +433,7 @@
         resume_after: Option<u64>,
         limit: Duration,
         trace: &mut Trace,
-    ) -> Result<(Exchange, AnswerHead), Fault> {
+    ) -> Result<(Exchange, ResponseHead), AttemptError> {
         let reuse = match self.route.repeat {
             Repeat::Any => Reuse::Pooled,
             // On a connection of its own, a failure to connect is known to
@@ -442,15 +442,15 @@
         };
         let call = self.call(attempt, resume_after);
         let http = self.gateway.http.clone();
-        let can_try_again = self.can_try_again();
+        let can_replace_attempt = self.can_replace_attempt();
         let answered = async {
             let sent = http.send(call, reuse).await;
             sent.map_err(Some)
         };
         let silent = async {
             let (member, since) = (&attempt.member, attempt.began_at);
-            let least = can_try_again.then_some(SILENCE_LIMIT);
-            self.watch_silence(member, since, least, limit).await;
+            let least = can_replace_attempt.then_some(SILENCE_TIMEOUT);
+            self.wait_for_silence(member, since, least, limit).await;
             Err(None)
         };
         let sent = answered.or(silent).await;
@@ -458,36 +458,46 @@
             Ok(exchange) => exchange,
             Err(Some(SendError::NotSent(reason))) => {
                 let member = &attempt.member;
-                self.gateway.judge_upstream(member, Verdict::Unreachable);
-                return Err(Fault::NotRun("unreachable", reason));
+                self.gateway.record_verdict(member, Verdict::Unreachable);
+                return Err(AttemptError::NotRun("unreachable", reason));
             }
             Err(Some(error)) => {
                 self.note_sent();
-                return Err(Fault::Unknown("broken", error.to_string()));
+                return Err(AttemptError::Unknown(
+                    "broken",
+                    error.to_string(),
+                ));
             }
             Err(None) => {
                 self.note_sent();
-                return Err(Fault::Unknown("silent", String::new()));
+                return Err(AttemptError::Unknown("silent", String::new()));
             }
         };
         self.sent += 1;
         let status = exchange.status;
-        let head =
-            headers::read_answer(status, &exchange.headers, &self.inbound.id);
+        let head = headers::read_response(
+            status,
+            &exchange.headers,
+            &self.request.id,
+        );
         let now = self.gateway.clock.now();
         attempt.member.note_heard(now);
         if let Some(statement) = &head.statement {
             trace.note_statement(statement);
             let gateway = &self.gateway;
-            gateway.hear(&attempt.member, statement, attempt.began_at);
+            gateway.apply_statement(
+                &attempt.member,
+                statement,
+                attempt.began_at,
+            );
         }
-        if !head.is_ours && !head.not_run {
+        if !head.matches_request && !head.not_executed {
             self.may_have_run = true;
             let reason = "the answer belongs to another request".to_owned();
-            return Err(Fault::Unknown("foreign", reason));
+            return Err(AttemptError::Unknown("foreign", reason));
         }
-        if head.not_run {
-            return Err(Fault::NotRun("declined", status.to_string()));
+        if head.not_executed {
+            return Err(AttemptError::NotRun("declined", status.to_string()));
         }
         self.may_have_run = true;
         Ok((exchange, head))
@@ -501,7 +511,7 @@
     /// Returns when `most` has passed since `since`, or when the upstream has
     /// given no sign of life for `least`, or for longer while it reads long
     /// prompts. Without `least` its silence is no reason to return.
-    pub(crate) async fn watch_silence(
+    pub(crate) async fn wait_for_silence(
         &self,
         member: &Member,
         since: BootInstant,
@@ -522,43 +532,48 @@
             if is_dead {
                 return;
             }
-            task::sleep((most - waited).min(WATCH_PERIOD)).await;
+            task::sleep((most - waited).min(SILENCE_CHECK_INTERVAL)).await;
         }
     }
 
-    async fn ask_whole(
+    async fn fetch_whole(
         &mut self,
         attempt: &Attempt,
         trace: &mut Trace,
-    ) -> Result<Reply, Fault> {
+    ) -> Result<Reply, AttemptError> {
         let takes = self.gateway.service_times.of(&self.service);
-        let line = admission::wait_at(attempt.fill_before, takes);
-        let patience = self.route.aim.mul_f64(RETRY_AFTER_AIM) + line;
-        let limit = self.limit(attempt, patience);
+        let line = admission::wait_at(attempt.load_before, takes);
+        let patience = self.route.aim.mul_f64(RETRY_AIM_FRACTION) + line;
+        let limit = self.attempt_timeout(attempt, patience);
         let (mut exchange, _) = self.send(attempt, None, limit, trace).await?;
         exchange.allow_end_at_close();
-        let headers = headers::answer_headers(&exchange.headers);
+        let headers = headers::response_headers(&exchange.headers);
         let now = self.gateway.clock.now();
         let waited = now.saturating_duration_since(attempt.began_at);
-        let body_limit = self.left(now);
-        let read = exchange.read_whole(ANSWER_LIMIT_BYTES);
+        let body_limit = self.time_left(now);
+        let read = exchange.read_whole(MAX_RESPONSE_BYTES);
         let answer = match task::within(body_limit, read).await {
             Some(Ok(answer)) => answer,
             Some(Err(error)) => {
-                return Err(Fault::Unknown("broken", error.to_string()));
+                return Err(AttemptError::Unknown(
+                    "broken",
+                    error.to_string(),
+                ));
+            }
+            None => {
+                return Err(AttemptError::Unknown("silent", String::new()));
             }
-            None => return Err(Fault::Unknown("silent", String::new())),
         };
-        self.note_ran_whole();
+        self.note_completed();
         let status = status_of(answer.status)?;
         let body = ReplyBody::Whole(answer.body);
         let reply = Reply { status, headers, body };
         if status.is_server_error() {
-            return Err(Fault::Failed(Box::new(reply)));
+            return Err(AttemptError::Failed(Box::new(reply)));
         }
-        trace.part();
+        trace.note_body_part();
         trace.end_attempt("answered", "");
-        self.judge(attempt, Verdict::Good, Some(waited));
+        self.record_attempt(attempt, Verdict::Good, Some(waited));
         self.learn_service_time(attempt);
         Ok(reply)
     }
@@ -566,7 +581,7 @@
     /// Takes in what an attempt took that has just ended well, unless it had
     /// to wait for a slot.
     pub(crate) fn learn_service_time(&self, attempt: &Attempt) {
-        if attempt.fill_before < 1.0 {
+        if attempt.load_before < 1.0 {
             let now = self.gateway.clock.now();
             let took = now.saturating_duration_since(attempt.began_at);
             self.gateway.service_times.learn(&self.service, took);
@@ -576,26 +591,33 @@
     /// How long the head of a stream is waited for before another upstream
     /// is asked, since an answer can get lost although its upstream is well;
     /// where none can be asked, to the end.
-    pub(crate) fn head_limit(&self, attempt: &Attempt) -> Duration {
-        let busy = attempt.read_most + attempt.expected;
-        self.limit(attempt, HEAD_LEAST + busy.mul_f64(HEAD_FACTOR))
+    pub(crate) fn head_timeout(&self, attempt: &Attempt) -> Duration {
+        let busy = attempt.max_prefill_before + attempt.expected;
+        self.attempt_timeout(
+            attempt,
+            MIN_HEAD_TIMEOUT + busy.mul_f64(HEAD_TIMEOUT_FACTOR),
+        )
     }
 
     /// How long an attempt's answer is waited for: with patience where another
     /// could be made, else to the end.
-    fn limit(&self, attempt: &Attempt, patience: Duration) -> Duration {
-        let left = self.left(attempt.began_at);
-        match self.can_try_again() {
+    fn attempt_timeout(
+        &self,
+        attempt: &Attempt,
+        patience: Duration,
+    ) -> Duration {
+        let left = self.time_left(attempt.began_at);
+        match self.can_replace_attempt() {
             true => patience.min(left),
             false => left,
         }
     }
 
     /// Whether another attempt could be made if the one under way failed.
-    pub(crate) fn can_try_again(&self) -> bool {
+    pub(crate) fn can_replace_attempt(&self) -> bool {
         self.route.repeat == Repeat::Any
             && self.sent + 1 < self.route.attempts
-            && self.gateway.has_retry(&self.service)
+            && self.gateway.can_retry(&self.service)
             && self.has_other_upstream()
     }
 
@@ -611,18 +633,18 @@
     pub(crate) fn may_resume(&self, now: BootInstant) -> bool {
         self.route.repeat == Repeat::Any
             && now < self.deadline
-            && self.has_attempt()
+            && self.has_attempt_left()
             && self.has_other_upstream()
     }
 
     /// Whether the route's attempts and the retry budget leave one more.
-    pub(crate) fn has_attempt(&self) -> bool {
+    pub(crate) fn has_attempt_left(&self) -> bool {
         self.sent < self.route.attempts
-            && self.gateway.has_retry(&self.service)
+            && self.gateway.can_retry(&self.service)
     }
 
     /// Records how the attempt's upstream did.
-    pub(crate) fn judge(
+    pub(crate) fn record_attempt(
         &self,
         attempt: &Attempt,
         verdict: Verdict,
@@ -640,7 +662,7 @@
         }
         let says_nothing_of_version = verdict == Verdict::Failed
             && gateway.pool.is_alone_suspect(&attempt.member, now);
-        gateway.judge_upstream(&attempt.member, verdict);
+        gateway.record_verdict(&attempt.member, verdict);
         let ended = attempt.member.is_over() && verdict != Verdict::Good;
         if says_nothing_of_version || ended {
             return;
@@ -654,50 +676,54 @@
         );
     }
 
-    /// Decides whether another attempt is made after a fault; if not,
+    /// Decides whether another attempt is made after a error; if not,
     /// returns what the caller gets.
-    fn go_on(
+    fn prepare_retry(
         &mut self,
-        fault: Fault,
+        error: AttemptError,
         trace: &mut Trace,
-    ) -> Result<(), Outcome> {
-        let (is_repeatable, outcome) = match fault {
-            Fault::NotRun(label, reason) => {
+    ) -> Result<(), FinalFailure> {
+        let (is_repeatable, outcome) = match error {
+            AttemptError::NotRun(label, reason) => {
                 trace.end_attempt(label, &reason);
-                (true, Outcome::NotRun(reason))
+                (true, FinalFailure::NotRun(reason))
             }
-            Fault::Unknown(label, reason) => {
+            AttemptError::Unknown(label, reason) => {
                 trace.note_digest(self.digest());
                 trace.end_attempt(label, &reason);
-                (self.route.repeat == Repeat::Any, Outcome::Unknown(reason))
+                (
+                    self.route.repeat == Repeat::Any,
+                    FinalFailure::Unknown(reason),
+                )
             }
-            Fault::Poor(model) => {
+            AttemptError::LowConfidence(model) => {
                 trace.end_attempt("poor", "");
                 self.model = Some(model);
                 self.tried.pop();
                 return Ok(());
             }
-            Fault::Failed(reply) => {
+            AttemptError::Failed(reply) => {
                 let status = reply.status.as_u16();
                 trace.end_attempt("failed", &status.to_string());
-                (self.route.repeat == Repeat::Any, Outcome::Failed(reply))
+                (self.route.repeat == Repeat::Any, FinalFailure::Failed(reply))
             }
         };
         // What reached no upstream is no load on them, and costs no retry.
         let may_go_on = is_repeatable
             && self.sent < self.route.attempts
-            && self.tried.len() < self.route.attempts as usize + UNREACHED
+            && self.tried.len()
+                < self.route.attempts as usize + MAX_CONNECT_FAILURES
             && (self.sent == 0 || self.gateway.try_retry(&self.service));
         if may_go_on { Ok(()) } else { Err(outcome) }
     }
 
-    fn end_with(self, outcome: Outcome, trace: Trace) -> Reply {
+    fn fail(self, outcome: FinalFailure, trace: Trace) -> Reply {
         match outcome {
-            Outcome::Failed(reply) => {
-                trace.end(End::Answered(reply.status.as_u16()));
+            FinalFailure::Failed(reply) => {
+                trace.end(RequestEnd::Answered(reply.status.as_u16()));
                 *reply
             }
-            Outcome::NotRun(reason) => {
+            FinalFailure::NotRun(reason) => {
                 let now = self.gateway.clock.now();
                 match self.gateway.pool.service_backoff(&self.service, now) {
                     Some(left) => {
@@ -707,7 +733,7 @@
                     None => self.refuse(trace, ErrorKind::Overloaded, &reason),
                 }
             }
-            Outcome::Unknown(reason) => {
+            FinalFailure::Unknown(reason) => {
                 self.refuse(trace, ErrorKind::UpstreamFailed, &reason)
             }
         }
@@ -727,34 +753,38 @@
                 .context(error.to_string()),
             false => error,
         };
-        refuse(&self.inbound.id, trace, &error)
+        refuse(&self.request.id, trace, &error)
     }
 }
 
 /// How long an upstream may give no sign of life: longer while it reads long
 /// prompts, since nothing else comes meanwhile.
 fn patience(member: &Member, least: Duration, now: BootInstant) -> Duration {
-    let reading = member.reading_most(now).mul_f64(READING_PART);
-    least + reading.min(READING_PATIENCE_MOST)
+    let reading = member.reading_most(now).mul_f64(PREFILL_PATIENCE_FACTOR);
+    least + reading.min(MAX_PREFILL_PATIENCE)
 }
 
 /// How a request ends when no attempt brought an answer.
-enum Outcome {
+enum FinalFailure {
     NotRun(String),
     Unknown(String),
     Failed(Box<Reply>),
 }
 
-fn status_of(status: u16) -> Result<StatusCode, Fault> {
+fn status_of(status: u16) -> Result<StatusCode, AttemptError> {
     StatusCode::from_u16(status)
-        .map_err(|error| Fault::Unknown("broken", error.to_string()))
+        .map_err(|error| AttemptError::Unknown("broken", error.to_string()))
 }
 
 /// The router's own answer to a request.
 pub(crate) fn refuse(id: &str, trace: Trace, error: &Error) -> Reply {
     let answer = error.kind().answer();
-    trace.end(End::Refused(answer.status, answer.code, error.to_string()));
-    let mut headers = headers::own_answer_headers(id);
+    trace.end(RequestEnd::Refused(
+        answer.status,
+        answer.code,
+        error.to_string(),
+    ));
+    let mut headers = headers::local_response_headers(id);
     if let Some(wait) = error.retry_after() {
         let wait_s = format!("{:.3}", wait.as_secs_f64());
         if let Ok(value) = wait_s.parse() {
--- a/src/gateway/ingress.rs
+++ b/src/gateway/ingress.rs
@@ -32,8 +32,8 @@
     gateway::{
         Gateway,
         forward::{Job, Reply, ReplyBody, refuse},
-        inbound::{Inbound, ModelWish},
-        relay_events::{self, BrokenOff},
+        relay_events::{self, StreamAborted},
+        request_head::{RequestHead, RequestedModel},
         trace::Trace,
     },
     placing::cascade::first_model,
@@ -43,16 +43,16 @@
 
 /// Added to the longest rest of a connection before it is closed, so that the
 /// caller's own bound, which is shorter, comes first.
-const REST_GRACE: Duration = Duration::from_millis(500);
+const IDLE_GRACE: Duration = Duration::from_millis(500);
 
 /// The least read buffer that the HTTP library takes, in bytes.
-const BUFFER_LEAST_BYTES: usize = 8 << 10;
+const MIN_BUFFER_BYTES: usize = 8 << 10;
 
 /// Longest time for a body to arrive once its head is here.
-const BODY_TIME: Duration = Duration::from_secs(10);
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Time that a caller waits who does not say how long.
-const USUAL_TIME: Duration = Duration::from_secs(30);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Wait that a caller is told while this VM cannot tell what is allowed; by
 /// then the balancer sends it to another VM.
@@ -61,19 +61,19 @@
 /// Time after its start for which a VM that is not ready lets callers wait
 /// although the store has failed it: that may be over at the next try, and
 /// a short request still has most of its time.
-const FIRST_KNOWLEDGE_LEAST: Duration = Duration::from_millis(300);
+const MIN_STARTUP_WAIT: Duration = Duration::from_millis(300);
 
 /// Longest time after its start for which a VM that is not ready lets callers
 /// wait while the store has not failed it. Where hundreds of VMs start at
 /// once, everything that they have to know takes 0.4 to 0.7 s to come; a
 /// caller that is refused meanwhile finds the next VM no further, and after a
 /// second it gives up by itself.
-const FIRST_KNOWLEDGE_MOST: Duration = Duration::from_millis(800);
+const MAX_STARTUP_WAIT: Duration = Duration::from_millis(800);
 
 /// Time between two looks at whether a VM that starts is ready.
-const FIRST_KNOWLEDGE_LOOK: Duration = Duration::from_millis(5);
+const STARTUP_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-type AnswerBody = UnsyncBoxBody<Bytes, BrokenOff>;
+type AnswerBody = UnsyncBoxBody<Bytes, StreamAborted>;
 
 /// Accepts callers until told to stop.
 ///
@@ -83,13 +83,14 @@
     listener: TcpListener,
     closing: Receiver<()>,
 ) {
-    wait_for_knowledge(&gateway).await;
+    wait_until_ready(&gateway).await;
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let gateway = gateway.clone();
                 let closing = closing.clone();
-                task::spawn(converse(gateway, stream, closing)).detach();
+                task::spawn(serve_connection(gateway, stream, closing))
+                    .detach();
             }
             // Out of file descriptors, say; others must be closed first.
             Err(_) => task::sleep(Duration::from_millis(20)).await,
@@ -98,24 +99,24 @@
 }
 
 /// Lets the first callers wait a moment for what a VM that starts learns.
-async fn wait_for_knowledge(gateway: &Gateway) {
+async fn wait_until_ready(gateway: &Gateway) {
     let began_at = gateway.clock.now();
     while !gateway.is_ready() {
         let waited = gateway.clock.now().saturating_duration_since(began_at);
         let limit = match gateway.has_store_failed() {
-            true => FIRST_KNOWLEDGE_LEAST,
-            false => FIRST_KNOWLEDGE_MOST,
+            true => MIN_STARTUP_WAIT,
+            false => MAX_STARTUP_WAIT,
         };
         if waited >= limit {
             // From now on each request is told whether it can be served.
             return;
         }
-        task::sleep(FIRST_KNOWLEDGE_LOOK).await;
+        task::sleep(STARTUP_CHECK_INTERVAL).await;
     }
 }
 
 /// Serves one connection to its end.
-async fn converse(
+async fn serve_connection(
     gateway: Arc<Gateway>,
     stream: TcpStream,
     closing: Receiver<()>,
@@ -126,12 +127,12 @@
     let limits = gateway.knowledge.table().unwrap_or_default().limits();
     let service = service_fn(|request| {
         let gateway = gateway.clone();
-        async move { Ok::<_, Infallible>(answer(gateway, request).await) }
+        async move { Ok::<_, Infallible>(handle(gateway, request).await) }
     });
     let connection = http1::Builder::new()
         .timer(SmolTimer::new())
-        .header_read_timeout(limits.idle_time + REST_GRACE)
-        .max_buf_size(limits.head_bytes.max(BUFFER_LEAST_BYTES))
+        .header_read_timeout(limits.idle_time + IDLE_GRACE)
+        .max_buf_size(limits.head_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(FuturesIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let ended = future::or(
@@ -153,7 +154,7 @@
     }
 }
 
-async fn answer(
+async fn handle(
     gateway: Arc<Gateway>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
@@ -161,19 +162,19 @@
     // states both a length and chunks; the library hides whether one did.
     let is_chunked = request.headers().contains_key(TRANSFER_ENCODING);
     let _in_flight = gateway.in_flight.enter();
-    let (reply, must_close) = match read(&gateway, request).await {
+    let (reply, must_close) = match read_request(&gateway, request).await {
         Ok((job, trace)) => (job.run(trace).await, false),
         Err(refusal) => *refusal,
     };
-    let closes = is_chunked || must_close || gateway.is_stopping();
-    write(&gateway, reply, closes)
+    let must_close_after = is_chunked || must_close || gateway.is_stopping();
+    into_response(&gateway, reply, must_close_after)
 }
 
 /// A refusal, and whether the connection is closed after it.
 type Refusal = Box<(Reply, bool)>;
 
 /// Reads a request and admits it.
-async fn read(
+async fn read_request(
     gateway: &Arc<Gateway>,
     request: Request<Incoming>,
 ) -> Result<(Job, Trace), Refusal> {
@@ -183,20 +184,20 @@
         let clock = gateway.clock.clone();
         Trace::new(id, clock, gateway.metrics.clone())
     };
-    let inbound = match headers::read_request(&head) {
-        Ok(inbound) => inbound,
+    let request = match headers::read_request(&head) {
+        Ok(request) => request,
         Err(error) => {
             let reply = refuse("", trace(""), &error);
             return Err(Box::new((reply, true)));
         }
     };
-    let mut trace = trace(&inbound.id);
-    trace.of(&inbound);
-    let admitted = match admit(gateway, &inbound, &mut trace) {
+    let mut trace = trace(&request.id);
+    trace.note_request(&request);
+    let admitted = match admit(gateway, &request, &mut trace) {
         Ok(admitted) => admitted,
         Err(error) => {
             let has_body = !body.is_end_stream();
-            let reply = refuse(&inbound.id, trace, &error);
+            let reply = refuse(&request.id, trace, &error);
             return Err(Box::new((reply, has_body)));
         }
     };
@@ -204,14 +205,15 @@
     let body = match read_body(body, limit).await {
         Ok(body) => body,
         Err(error) => {
-            let reply = refuse(&inbound.id, trace, &error);
+            let reply = refuse(&request.id, trace, &error);
             return Err(Box::new((reply, true)));
         }
     };
     let route = admitted.route;
-    let time = inbound.time_left.unwrap_or(USUAL_TIME).min(route.time_limit);
-    let model = match inbound.model {
-        Some(ModelWish::Any) => first_model(&route),
+    let time =
+        request.time_left.unwrap_or(DEFAULT_TIMEOUT).min(route.time_limit);
+    let model = match request.model {
+        Some(RequestedModel::Any) => first_model(&route),
         _ => None,
     };
     let job = Job {
@@ -219,7 +221,7 @@
         service: route.target(rand::random()).clone(),
         route,
         organisation: admitted.organisation,
-        inbound,
+        request,
         body,
         deadline: started_at + time,
         started_at,
@@ -241,7 +243,7 @@
 /// Decides whether a request may run at all.
 fn admit(
     gateway: &Gateway,
-    inbound: &Inbound,
+    request: &RequestHead,
     trace: &mut Trace,
 ) -> Result<Admitted, Error> {
     let now = gateway.clock.now();
@@ -254,34 +256,34 @@
         return Err(stale("no configuration is known yet"));
     };
     let age = gateway.knowledge.proof_age(now);
-    trace.judged_by(table.version(), age);
+    trace.note_configuration(table.version(), age);
     if !gateway.may_accept_keys(now) {
         return Err(stale("the configuration known may be out of date"));
     }
-    let route = table.route(&inbound.host, inbound.path_only());
+    let route = table.route(&request.host, request.path_only());
     let Some(route) = route.cloned() else {
         return Err(Error::new(ErrorKind::NotFound)
             .context("no route has this host and path"));
     };
-    trace.on_route(route.clone());
+    trace.note_route(route.clone());
     let organisation = match table.has_keys() && !route.is_public {
         false => None,
-        true => Some(read_key(&table, inbound)?),
+        true => Some(check_key(&table, request)?),
     };
     if let Some(organisation) = &organisation {
-        trace.asked_by(organisation.id.clone());
+        trace.note_organisation(organisation.id.clone());
     }
     Ok(Admitted { table, route, organisation })
 }
 
-fn read_key(
+fn check_key(
     table: &RouteTable,
-    inbound: &Inbound,
+    request: &RequestHead,
 ) -> Result<Organisation, Error> {
     let refused = |reason: &str| {
         Error::new(ErrorKind::Unauthorized).context(reason.to_owned())
     };
-    let Some(key) = &inbound.key else {
+    let Some(key) = &request.key else {
         return Err(refused("the request has no key"));
     };
     let organisation = table.organisation(key);
@@ -316,29 +318,29 @@
         }
         Ok(whole.freeze())
     };
-    let read = task::within(BODY_TIME, work).await;
+    let read = task::within(BODY_TIMEOUT, work).await;
     read.unwrap_or_else(|| Err(broken("it took too long".to_owned())))
 }
 
-fn write(
+fn into_response(
     gateway: &Arc<Gateway>,
     reply: Reply,
-    closes: bool,
+    must_close_after: bool,
 ) -> Response<AnswerBody> {
     let body = match reply.body {
         ReplyBody::Whole(bytes) => Full::new(bytes)
             .map_err(|never: Infallible| match never {})
             .boxed_unsync(),
         ReplyBody::Events(relay) => {
-            let held = gateway.in_flight.enter();
-            let events = relay_events::into_body(relay, held);
+            let guard = gateway.in_flight.enter();
+            let events = relay_events::into_body(relay, guard);
             BodyExt::boxed_unsync(StreamBody::new(events))
         }
     };
     let mut response = Response::new(body);
     *response.status_mut() = reply.status;
     *response.headers_mut() = reply.headers;
-    if closes {
+    if must_close_after {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,10 +1,10 @@
 //! One entry VM before a platform: what its tasks and listeners share.
 //!
 //! * [`settings`]: its settings.
-//! * [`own_words`]: hearing what upstreams say of themselves.
-//! * [`record`]: keeping the VMs recorded in the store.
+//! * [`upstream_signals`]: hearing what upstreams say of themselves.
+//! * [`vm_registration`]: keeping the VMs recorded in the store.
 //! * [`server`]: its life, from start to planned stop.
-//! * [`watch`]: following the platform's store.
+//! * [`store_watch`]: following the platform's store.
 //! * [`rollout_status`]: recording how far roll-outs are.
 
 use std::{
@@ -49,22 +49,22 @@
 pub mod settings;
 
 pub(crate) mod forward;
-pub mod inbound;
 pub(crate) mod ingress;
-pub(crate) mod own_words;
 pub(crate) mod relay_events;
+pub mod request_head;
 pub(crate) mod trace;
+pub(crate) mod upstream_signals;
 
-pub(crate) mod record;
 pub(crate) mod rollout_status;
 pub(crate) mod server;
-pub(crate) mod watch;
+pub(crate) mod store_watch;
+pub(crate) mod vm_registration;
 
 use settings::GatewaySettings;
 
 /// Longest time to open a connection to an upstream, which is at most a few
 /// milliseconds away; nothing was sent yet, so trying another costs nothing.
-const CONNECT_LIMIT: Duration = Duration::from_millis(150);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Part of the time after which a key that was taken away must be refused,
 /// up to which knowledge is recent enough to accept keys by.
@@ -73,14 +73,14 @@
 /// arrives, which is after it was sent; so only clocks that run unlike need
 /// the rest. Each hundredth serves callers for 50 ms longer when a store with
 /// a bound of five seconds is away.
-const KEY_PROOF_PART: f64 = 0.93;
+const KEY_FRESHNESS_FRACTION: f64 = 0.93;
 
 /// Time that the store must have been well before a record that vanished
 /// means that its upstream leaves; a live one is back within two seconds.
-const STORE_WELL: Duration = Duration::from_millis(2500);
+const STORE_HEALTHY_TIME: Duration = Duration::from_millis(2500);
 
 /// Values that cannot be read which are logged of those that come at once.
-const UNREADABLE_LOGGED: usize = 20;
+const MAX_UNREADABLE_LOGGED: usize = 20;
 
 /// Counts the requests that this VM is working on.
 #[derive(Clone, Debug, Default)]
@@ -88,9 +88,9 @@
 
 impl InFlightCount {
     /// Counts one more while the guard lives.
-    pub(crate) fn enter(&self) -> Held {
+    pub(crate) fn enter(&self) -> InFlightGuard {
         self.0.fetch_add(1, Ordering::Relaxed);
-        Held(self.0.clone())
+        InFlightGuard(self.0.clone())
     }
 
     /// How many there are.
@@ -101,9 +101,9 @@
 
 /// Counts a request while it lives.
 #[derive(Debug)]
-pub(crate) struct Held(Arc<AtomicUsize>);
+pub(crate) struct InFlightGuard(Arc<AtomicUsize>);
 
-impl Drop for Held {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -128,7 +128,7 @@
     pub(crate) early_heartbeat: Wake,
     pub(crate) incarnation: Incarnation,
     retries: Mutex<HashMap<ServiceId, Arc<RetryWindow>>>,
-    store_ill_at: Mutex<Option<BootInstant>>,
+    store_failed_at: Mutex<Option<BootInstant>>,
     is_stopping: AtomicBool,
     was_fresh: AtomicBool,
 }
@@ -142,7 +142,7 @@
         let incarnation = Incarnation(clock.unix_ms() * 1000);
         let metrics = Arc::new(Metrics::new());
         Arc::new(Gateway {
-            http: HttpClient::new(CONNECT_LIMIT, clock.clone()),
+            http: HttpClient::new(CONNECT_TIMEOUT, clock.clone()),
             store: PlatformStore::new(settings.store, clock.clone()),
             knowledge: Knowledge::default(),
             pool: Pool::new(
@@ -165,7 +165,7 @@
             early_heartbeat: Wake::default(),
             incarnation,
             retries: Mutex::default(),
-            store_ill_at: Mutex::new(None),
+            store_failed_at: Mutex::new(None),
             is_stopping: AtomicBool::new(false),
             was_fresh: AtomicBool::new(false),
             settings,
@@ -217,7 +217,8 @@
 
     /// Whether what is known is recent enough to accept keys by.
     pub(crate) fn is_fresh(&self, now: BootInstant) -> bool {
-        let limit = self.settings.key_revocation_limit.mul_f64(KEY_PROOF_PART);
+        let limit =
+            self.settings.key_revocation_limit.mul_f64(KEY_FRESHNESS_FRACTION);
         let age = self.knowledge.proof_age(now);
         age.is_some_and(|age| age <= limit)
     }
@@ -258,7 +259,7 @@
     }
 
     /// Whether a further attempt may be sent to a service.
-    pub(crate) fn has_retry(&self, service: &ServiceId) -> bool {
+    pub(crate) fn can_retry(&self, service: &ServiceId) -> bool {
         let now = self.clock.now();
         self.retries(service).has_one(self.peers.fleet_size(), now)
     }
@@ -270,26 +271,28 @@
     }
 
     /// Notes that the store does not answer as it should.
-    pub(crate) fn note_store_ill(&self) {
+    pub(crate) fn note_store_failure(&self) {
         let now = self.clock.now();
-        *self.store_ill_at.lock().expect("store lock") = Some(now);
+        *self.store_failed_at.lock().expect("store lock") = Some(now);
     }
 
     /// Whether the store has ever not answered as it should.
     pub(crate) fn has_store_failed(&self) -> bool {
-        self.store_ill_at.lock().expect("store lock").is_some()
+        self.store_failed_at.lock().expect("store lock").is_some()
     }
 
-    fn is_store_well(&self, now: BootInstant) -> bool {
-        let ill_at = *self.store_ill_at.lock().expect("store lock");
-        ill_at.is_none_or(|at| now.saturating_duration_since(at) >= STORE_WELL)
+    fn is_store_healthy(&self, now: BootInstant) -> bool {
+        let failed_at = *self.store_failed_at.lock().expect("store lock");
+        failed_at.is_none_or(|at| {
+            now.saturating_duration_since(at) >= STORE_HEALTHY_TIME
+        })
     }
 
     /// Takes in what the store says.
     pub(crate) fn apply_news(&self, news: News) {
         self.note_unreadable(&news.unreadable);
         for fact in news.facts {
-            self.take_fact(fact);
+            self.apply_fact(fact);
         }
     }
 
@@ -298,11 +301,11 @@
     fn note_unreadable(&self, unreadable: &[Unreadable]) {
         let count = u64::try_from(unreadable.len()).unwrap_or(u64::MAX);
         self.metrics.entries_unreadable.inc_by(count);
-        let left_out = unreadable.len().saturating_sub(UNREADABLE_LOGGED);
+        let left_out = unreadable.len().saturating_sub(MAX_UNREADABLE_LOGGED);
         for (number, value) in
-            unreadable.iter().take(UNREADABLE_LOGGED).enumerate()
+            unreadable.iter().take(MAX_UNREADABLE_LOGGED).enumerate()
         {
-            let is_last = number + 1 == UNREADABLE_LOGGED;
+            let is_last = number + 1 == MAX_UNREADABLE_LOGGED;
             Event::EntryUnreadable.record(fields(json!({
                 "key": value.key,
                 "reason": value.reason,
@@ -311,7 +314,7 @@
         }
     }
 
-    fn take_fact(&self, fact: Fact) {
+    fn apply_fact(&self, fact: Fact) {
         let now = self.clock.now();
         match fact {
             Fact::Configuration(table) => {
@@ -341,7 +344,7 @@
             // there goes on to its end.
             Fact::UpstreamUnreadable(id) => self.pool.remove(&id, true, now),
             Fact::UpstreamGone(id) => {
-                let is_sure = self.is_store_well(now);
+                let is_sure = self.is_store_healthy(now);
                 Event::UpstreamGone.record(fields(json!({
                     "upstream": id,
                     "sure": is_sure,
@@ -428,7 +431,7 @@
     }
 
     /// Takes in how an attempt at an upstream ended.
-    pub(crate) fn judge_upstream(&self, member: &Member, verdict: Verdict) {
+    pub(crate) fn record_verdict(&self, member: &Member, verdict: Verdict) {
         // It failed because it ended; the one in its place has not.
         if member.is_over() && verdict != Verdict::Good {
             return;
@@ -472,8 +475,8 @@
 #[cfg(test)]
 mod limit_replay;
 #[cfg(test)]
+mod suspension_tests;
+#[cfg(test)]
 pub(crate) mod test_fleet;
 #[cfg(test)]
 pub(crate) mod tests;
-#[cfg(test)]
-mod wake_tests;
--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -13,8 +13,11 @@
 use crate::{
     clock::BootInstant,
     gateway::{
-        forward::{Attempt, Fault, Job, Reply, ReplyBody, WATCH_PERIOD},
-        trace::{End, Trace},
+        forward::{
+            Attempt, AttemptError, Job, Reply, ReplyBody,
+            SILENCE_CHECK_INTERVAL,
+        },
+        trace::{RequestEnd, Trace},
     },
     http_client::Exchange,
     id::ModelId,
@@ -23,7 +26,7 @@
         health::Verdict,
         member::Member,
     },
-    platform::headers::{self, AnswerHead},
+    platform::headers::{self, ResponseHead},
     sse::Splitter,
     task,
     unit::Percent,
@@ -31,41 +34,41 @@
 
 /// Longest silence within a stream before another upstream is asked, as a
 /// part of the pause that is still in time.
-const PAUSE_PART: f64 = 0.45;
+const STALL_FRACTION: f64 = 0.45;
 
 /// The same where the route states no pause.
-const PAUSE_LIMIT: Duration = Duration::from_secs(2);
+const STALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Reading that may be under way at an upstream while the time of another
 /// prompt is still worth learning from.
-const FREE_READING: Duration = Duration::from_millis(20);
+const MAX_OTHER_PREFILL: Duration = Duration::from_millis(20);
 
 /// Silence after which the rest of a stream counts as lost although its
 /// upstream is well.
-const LOST_AFTER: Duration = Duration::from_millis(2500);
+const MAX_STALL: Duration = Duration::from_millis(2500);
 
 /// The stream broke off for good.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct BrokenOff;
+pub(crate) struct StreamAborted;
 
-impl std::fmt::Display for BrokenOff {
+impl std::fmt::Display for StreamAborted {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the stream broke off")
     }
 }
 
-impl std::error::Error for BrokenOff {}
+impl std::error::Error for StreamAborted {}
 
 /// A stream from one upstream.
-struct Source {
+struct UpstreamStream {
     attempt: Attempt,
     exchange: Exchange,
     events: Splitter,
 }
 
 /// A stream whose first events are here.
-pub(crate) struct Opened {
-    source: Source,
+pub(crate) struct OpenedStream {
+    source: UpstreamStream,
     head: Reply,
     first: Bytes,
     last_event: Option<u64>,
@@ -73,76 +76,81 @@
 }
 
 /// What a source brought.
-enum Brought {
+enum StreamRead {
     Events(Bytes),
     End,
 }
 
 /// Why a source brings nothing more.
-enum Stop {
+enum StreamError {
     Broken(String),
     Silent,
 }
 
-impl Stop {
+impl StreamError {
     fn label(&self) -> &'static str {
         match self {
-            Stop::Broken(_) => "broken",
-            Stop::Silent => "silent",
+            StreamError::Broken(_) => "broken",
+            StreamError::Silent => "silent",
         }
     }
 
     fn reason(&self) -> String {
         match self {
-            Stop::Broken(reason) => reason.clone(),
-            Stop::Silent => String::new(),
+            StreamError::Broken(reason) => reason.clone(),
+            StreamError::Silent => String::new(),
         }
     }
 }
 
-impl Source {
+impl UpstreamStream {
     /// The next whole events after `last`, which is moved on.
     async fn next(
         &mut self,
         job: &Job,
         last: &mut Option<u64>,
         limit: Duration,
-    ) -> Result<Brought, Stop> {
+    ) -> Result<StreamRead, StreamError> {
         loop {
             let ready = self.take_events(last)?;
             if !ready.is_empty() {
-                return Ok(Brought::Events(ready));
+                return Ok(StreamRead::Events(ready));
             }
             let member = self.attempt.member.clone();
             let read = async {
                 let chunk = self.exchange.next_chunk().await;
-                chunk.map_err(|error| Stop::Broken(error.to_string()))
+                chunk.map_err(|error| StreamError::Broken(error.to_string()))
             };
             let silent = async {
-                job.watch_stream(&member, limit).await;
-                Err(Stop::Silent)
+                job.wait_for_stall(&member, limit).await;
+                Err(StreamError::Silent)
             };
             match read.or(silent).await? {
                 Some(chunk) => {
                     self.events.push(&chunk);
                     member.note_heard(job.gateway.clock.now());
                 }
-                None if self.events.is_empty() => return Ok(Brought::End),
+                None if self.events.is_empty() => return Ok(StreamRead::End),
                 None => {
-                    return Err(Stop::Broken("within an event".into()));
+                    return Err(StreamError::Broken("within an event".into()));
                 }
             }
         }
     }
 
-    fn take_events(&mut self, last: &mut Option<u64>) -> Result<Bytes, Stop> {
+    fn take_events(
+        &mut self,
+        last: &mut Option<u64>,
+    ) -> Result<Bytes, StreamError> {
         let mut ready = BytesMut::new();
         loop {
             let next = self.events.next();
             let event = match next {
                 Ok(Some(event)) => event,
                 Ok(None) => return Ok(ready.freeze()),
-                Err(_) => return Err(Stop::Broken("event too large".into())),
+                Err(_) => {
+                    return Err(StreamError::Broken("event too large".into()));
+                }
             };
             if let Some(id) = event.id {
                 if last.is_some_and(|last| id <= last) {
@@ -161,56 +169,60 @@
     ///
     /// Whether that is possible is looked at again and again: an upstream may
     /// be left only once a rest or a cut is over.
-    async fn watch_stream(&self, member: &Member, limit: Duration) {
+    async fn wait_for_stall(&self, member: &Member, limit: Duration) {
         let since = self.gateway.clock.now();
         loop {
             let now = self.gateway.clock.now();
-            let left = self.left(now);
+            let left = self.time_left(now);
             if self.may_resume(now) {
-                let most = self.left(since).min(LOST_AFTER);
-                self.watch_silence(member, since, Some(limit), most).await;
+                let most = self.time_left(since).min(MAX_STALL);
+                self.wait_for_silence(member, since, Some(limit), most).await;
                 return;
             }
             if left.is_zero() || member.is_over() {
                 return;
             }
-            task::sleep(left.min(WATCH_PERIOD)).await;
+            task::sleep(left.min(SILENCE_CHECK_INTERVAL)).await;
         }
     }
 
     /// Asks one upstream for a stream, up to its first events.
-    pub(crate) async fn ask_stream(
+    pub(crate) async fn fetch_stream(
         &mut self,
         attempt: Attempt,
         trace: &mut Trace,
-    ) -> Result<Opened, Fault> {
-        let limit = self.head_limit(&attempt);
+    ) -> Result<OpenedStream, AttemptError> {
+        let limit = self.head_timeout(&attempt);
         let sent = self.send(&attempt, None, limit, trace).await;
         let (exchange, head) = match sent {
             Ok(sent) => sent,
-            Err(fault) => {
-                if let Some(verdict) = fault.verdict() {
-                    self.judge(&attempt, verdict, None);
+            Err(error) => {
+                if let Some(verdict) = error.verdict() {
+                    self.record_attempt(&attempt, verdict, None);
                 }
-                return Err(fault);
+                return Err(error);
             }
         };
         if let (Some(confidence), Some(model)) =
             (head.confidence, &attempt.model)
         {
-            let larger = self.larger(&attempt, model, confidence);
-            trace.note_confidence(confidence, larger.as_ref().err().copied());
-            if let Ok(model) = larger
+            let escalation_model =
+                self.escalation_model(&attempt, model, confidence);
+            trace.note_confidence(
+                confidence,
+                escalation_model.as_ref().err().copied(),
+            );
+            if let Ok(model) = escalation_model
                 && self.gateway.try_retry(&self.service)
             {
-                return Err(Fault::Poor(model));
+                return Err(AttemptError::LowConfidence(model));
             }
         }
         self.open(attempt, exchange, trace).await
     }
 
     /// The larger model to ask instead of the one that has answered.
-    fn larger(
+    fn escalation_model(
         &self,
         attempt: &Attempt,
         model: &ModelId,
@@ -222,14 +234,15 @@
             model,
             confidence,
             started_at: self.started_at,
-            has_attempt: self.has_attempt(),
+            has_attempt: self.has_attempt_left(),
             tokens: attempt.tokens,
         };
         let times = &self.gateway.read_times;
-        let larger = larger_model(&doubt, times, attempt.read_before, now)?;
+        let escalation_model =
+            larger_model(&doubt, times, attempt.prefill_before, now)?;
         // An answer that is at hand is better than one that nobody gives.
-        match self.can_ask_again(now) {
-            true => Ok(larger),
+        match self.has_upstream_for_retry(now) {
+            true => Ok(escalation_model),
             false => Err(Kept::NoUpstream),
         }
     }
@@ -239,38 +252,41 @@
         attempt: Attempt,
         mut exchange: Exchange,
         trace: &mut Trace,
-    ) -> Result<Opened, Fault> {
+    ) -> Result<OpenedStream, AttemptError> {
         exchange.allow_end_at_close();
         let status = exchange.status;
-        let headers = headers::answer_headers(&exchange.headers);
+        let headers = headers::response_headers(&exchange.headers);
         if status != 200 {
             return Err(self.failed(attempt, exchange, headers).await);
         }
-        let mut last_event = self.inbound.last_event;
+        let mut last_event = self.request.last_event;
         let mut source =
-            Source { attempt, exchange, events: Splitter::default() };
-        let limit = self.first_limit();
+            UpstreamStream { attempt, exchange, events: Splitter::default() };
+        let limit = self.first_event_timeout();
         let brought = source.next(self, &mut last_event, limit).await;
         let (first, ended) = match brought {
-            Ok(Brought::Events(first)) => (first, false),
-            Ok(Brought::End) => (Bytes::new(), true),
+            Ok(StreamRead::Events(first)) => (first, false),
+            Ok(StreamRead::End) => (Bytes::new(), true),
             Err(stop) => {
-                self.judge(&source.attempt, Verdict::Lost, None);
-                return Err(Fault::Unknown(stop.label(), stop.reason()));
+                self.record_attempt(&source.attempt, Verdict::Lost, None);
+                return Err(AttemptError::Unknown(
+                    stop.label(),
+                    stop.reason(),
+                ));
             }
         };
         let now = self.gateway.clock.now();
         let waited = now.saturating_duration_since(source.attempt.began_at);
         source.attempt.reading = None;
         self.learn_read_time(&source.attempt, waited);
-        self.judge(&source.attempt, Verdict::Good, Some(waited));
-        trace.part();
+        self.record_attempt(&source.attempt, Verdict::Good, Some(waited));
+        trace.note_body_part();
         let head = Reply {
             status: hyper::StatusCode::OK,
             headers,
             body: ReplyBody::Whole(Bytes::new()),
         };
-        Ok(Opened { source, head, first, last_event, ended })
+        Ok(OpenedStream { source, head, first, last_event, ended })
     }
 
     /// Reads the answer of an upstream that did not open a stream.
@@ -279,43 +295,46 @@
         attempt: Attempt,
         exchange: Exchange,
         headers: hyper::HeaderMap,
-    ) -> Fault {
+    ) -> AttemptError {
         const LIMIT_BYTES: u64 = 1 << 20;
         let status = exchange.status;
-        let left = self.left(self.gateway.clock.now());
+        let left = self.time_left(self.gateway.clock.now());
         let read = exchange.read_whole(LIMIT_BYTES);
         let Some(Ok(answer)) = task::within(left, read).await else {
-            self.judge(&attempt, Verdict::Lost, None);
-            return Fault::Unknown("broken", format!("status {status}"));
+            self.record_attempt(&attempt, Verdict::Lost, None);
+            return AttemptError::Unknown(
+                "broken",
+                format!("status {status}"),
+            );
         };
         if status >= 500 {
-            self.judge(&attempt, Verdict::Failed, None);
+            self.record_attempt(&attempt, Verdict::Failed, None);
         }
         let status = hyper::StatusCode::from_u16(status)
             .unwrap_or(hyper::StatusCode::BAD_GATEWAY);
         let body = ReplyBody::Whole(answer.body);
-        Fault::Failed(Box::new(Reply { status, headers, body }))
+        AttemptError::Failed(Box::new(Reply { status, headers, body }))
     }
 
     fn learn_read_time(&self, attempt: &Attempt, waited: Duration) {
-        let was_free = attempt.read_before < FREE_READING;
+        let was_free = attempt.prefill_before < MAX_OTHER_PREFILL;
         if let (true, Some(model)) = (was_free, &attempt.model) {
             let times = &self.gateway.read_times;
             times.learn(model, attempt.tokens, waited);
         }
     }
 
-    fn first_limit(&self) -> Duration {
-        self.pause_limit().max(self.route.aim)
+    fn first_event_timeout(&self) -> Duration {
+        self.stall_timeout().max(self.route.aim)
     }
 
-    fn pause_limit(&self) -> Duration {
+    fn stall_timeout(&self) -> Duration {
         let aim = self.route.pause_aim;
-        aim.map_or(PAUSE_LIMIT, |pause| pause.mul_f64(PAUSE_PART))
+        aim.map_or(STALL_TIMEOUT, |pause| pause.mul_f64(STALL_FRACTION))
     }
 }
 
-impl Opened {
+impl OpenedStream {
     /// The answer that goes on as its events come.
     pub(crate) fn into_reply(self, job: Job, trace: Trace) -> Reply {
         let relay = EventRelay {
@@ -334,7 +353,7 @@
 pub(crate) struct EventRelay {
     job: Job,
     trace: Option<Trace>,
-    source: Option<Source>,
+    source: Option<UpstreamStream>,
     first: Option<Bytes>,
     last_event: Option<u64>,
     ended: bool,
@@ -342,7 +361,9 @@
 
 impl EventRelay {
     /// The next events, or `None` after the last.
-    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, BrokenOff> {
+    pub(crate) async fn next(
+        &mut self,
+    ) -> Result<Option<Bytes>, StreamAborted> {
         if let Some(first) = self.first.take()
             && !first.is_empty()
         {
@@ -353,21 +374,21 @@
                 self.finish();
                 return Ok(None);
             }
-            let limit = self.job.pause_limit();
+            let limit = self.job.stall_timeout();
             let Some(source) = &mut self.source else {
-                return Err(BrokenOff);
+                return Err(StreamAborted);
             };
             let last = &mut self.last_event;
             match source.next(&self.job, last, limit).await {
-                Ok(Brought::Events(events)) => {
+                Ok(StreamRead::Events(events)) => {
                     if let Some(trace) = &mut self.trace {
-                        trace.part();
+                        trace.note_body_part();
                     }
                     return Ok(Some(events));
                 }
-                Ok(Brought::End) => self.ended = true,
+                Ok(StreamRead::End) => self.ended = true,
                 // Nobody else can be asked, and it may still go on.
-                Err(Stop::Silent) if self.must_wait() => {}
+                Err(StreamError::Silent) if self.must_wait() => {}
                 Err(stop) => self.resume(stop).await?,
             }
         }
@@ -376,12 +397,12 @@
     fn finish(&mut self) {
         if let Some(source) = self.source.take() {
             self.job.learn_service_time(&source.attempt);
-            self.job.note_ran_whole();
+            self.job.note_completed();
             source.exchange.finish();
         }
         if let Some(mut trace) = self.trace.take() {
             trace.end_attempt("answered", "");
-            trace.end(End::Answered(200));
+            trace.end(RequestEnd::Answered(200));
         }
     }
 
@@ -389,19 +410,23 @@
     /// there is time left.
     fn must_wait(&self) -> bool {
         let now = self.job.gateway.clock.now();
-        let is_over = |source: &Source| source.attempt.member.is_over();
+        let is_over =
+            |source: &UpstreamStream| source.attempt.member.is_over();
         now < self.job.deadline
             && !self.source.as_ref().is_none_or(is_over)
             && !self.job.may_resume(now)
     }
 
     /// Asks another upstream for the rest.
-    async fn resume(&mut self, stop: Stop) -> Result<(), BrokenOff> {
+    async fn resume(
+        &mut self,
+        stop: StreamError,
+    ) -> Result<(), StreamAborted> {
         let Some(source) = self.source.take() else {
-            return Err(BrokenOff);
+            return Err(StreamAborted);
         };
         let mut reason = stop.reason();
-        self.job.judge(&source.attempt, Verdict::Lost, None);
+        self.job.record_attempt(&source.attempt, Verdict::Lost, None);
         self.note_end(stop.label(), &reason);
         // The upstream that is given up must stop before another goes on.
         let model = source.attempt.model.clone();
@@ -409,18 +434,18 @@
         loop {
             let now = self.job.gateway.clock.now();
             if !self.job.may_resume(now) {
-                return self.break_off(reason);
+                return self.abort(reason);
             }
             // Where nobody is left to ask, nothing is taken from the budget,
             // which other requests need.
-            let mut attempt = match self.begin(now) {
+            let mut attempt = match self.begin_attempt(now) {
                 Ok(attempt) => attempt,
-                Err(nobody) => return self.break_off(nobody),
+                Err(nobody) => return self.abort(nobody),
             };
             attempt.model.clone_from(&model);
             if !self.job.gateway.try_retry(&self.job.service) {
                 self.note_end("not_sent", "the retry budget is spent");
-                return self.break_off(reason);
+                return self.abort(reason);
             }
             match self.try_resume(attempt).await {
                 Ok(source) => {
@@ -433,21 +458,21 @@
     }
 
     /// Chooses the upstream that is asked for the rest.
-    fn begin(&mut self, now: BootInstant) -> Result<Attempt, String> {
+    fn begin_attempt(&mut self, now: BootInstant) -> Result<Attempt, String> {
         let Some(trace) = &mut self.trace else {
             return Err("ended".to_owned());
         };
-        self.job.begin(trace, now).map_err(|error| error.to_string())
+        self.job.begin_attempt(trace, now).map_err(|error| error.to_string())
     }
 
     async fn try_resume(
         &mut self,
         mut attempt: Attempt,
-    ) -> Result<Source, String> {
+    ) -> Result<UpstreamStream, String> {
         let Some(trace) = &mut self.trace else {
             return Err("ended".to_owned());
         };
-        let limit = self.job.head_limit(&attempt);
+        let limit = self.job.head_timeout(&attempt);
         let last = self.last_event;
         let sent = self.job.send(&attempt, last, limit, trace).await;
         let failed = |relay: &mut EventRelay, label, reason: String| {
@@ -455,26 +480,30 @@
             Err(reason)
         };
         match sent {
-            Ok((mut exchange, AnswerHead { .. }))
+            Ok((mut exchange, ResponseHead { .. }))
                 if exchange.status == 200 =>
             {
                 exchange.allow_end_at_close();
                 attempt.reading = None;
                 let events = Splitter::default();
-                Ok(Source { attempt, exchange, events })
+                Ok(UpstreamStream { attempt, exchange, events })
             }
             Ok((exchange, _)) => {
-                self.job.judge(&attempt, Verdict::Failed, None);
+                self.job.record_attempt(&attempt, Verdict::Failed, None);
                 let reason = format!("status {}", exchange.status);
                 failed(self, "failed", reason)
             }
-            Err(Fault::NotRun(label, reason)) => failed(self, label, reason),
-            Err(Fault::Unknown(label, reason)) => {
-                self.job.judge(&attempt, Verdict::Lost, None);
+            Err(AttemptError::NotRun(label, reason)) => {
+                failed(self, label, reason)
+            }
+            Err(AttemptError::Unknown(label, reason)) => {
+                self.job.record_attempt(&attempt, Verdict::Lost, None);
                 failed(self, label, reason)
             }
-            Err(Fault::Poor(_)) => failed(self, "poor", String::new()),
-            Err(Fault::Failed(reply)) => {
+            Err(AttemptError::LowConfidence(_)) => {
+                failed(self, "poor", String::new())
+            }
+            Err(AttemptError::Failed(reply)) => {
                 failed(self, "failed", format!("status {}", reply.status))
             }
         }
@@ -487,27 +516,28 @@
         }
     }
 
-    fn break_off(&mut self, reason: String) -> Result<(), BrokenOff> {
+    fn abort(&mut self, reason: String) -> Result<(), StreamAborted> {
         if let Some(trace) = self.trace.take() {
-            trace.end(End::Broken(reason));
+            trace.end(RequestEnd::Aborted(reason));
         }
-        Err(BrokenOff)
+        Err(StreamAborted)
     }
 }
 
 /// The relay as a body of an HTTP answer.
 pub(crate) fn into_body(
     relay: Box<EventRelay>,
-    held: crate::gateway::Held,
-) -> impl futures_lite::Stream<Item = Result<hyper::body::Frame<Bytes>, BrokenOff>>
-+ Send {
-    let state = Some((relay, held));
+    guard: crate::gateway::InFlightGuard,
+) -> impl futures_lite::Stream<
+    Item = Result<hyper::body::Frame<Bytes>, StreamAborted>,
+> + Send {
+    let state = Some((relay, guard));
     futures_lite::stream::unfold(state, |state| async move {
-        let (mut relay, held) = state?;
+        let (mut relay, guard) = state?;
         match relay.next().await {
             Ok(Some(events)) => {
                 let frame = hyper::body::Frame::data(events);
-                Some((Ok(frame), Some((relay, held))))
+                Some((Ok(frame), Some((relay, guard))))
             }
             Ok(None) => None,
             Err(broken) => {
--- a/src/gateway/inbound.rs
+++ b/src/gateway/request_head.rs
@@ -8,7 +8,7 @@
 
 /// The head of a caller's request.
 #[derive(Clone, Debug)]
-pub struct Inbound {
+pub struct RequestHead {
     /// The id that the caller gave this try of its request.
     pub id: String,
     /// The method.
@@ -22,11 +22,11 @@
     /// How long the caller waits, counted from when it sent the request.
     pub time_left: Option<Duration>,
     /// The model that the caller wants, if the request is for a model.
-    pub model: Option<ModelWish>,
+    pub model: Option<RequestedModel>,
     /// The tokens of the prompt, if the request is for a model.
     pub prompt_tokens: Option<u64>,
     /// The parts of the prompt in order; the last is the request's own.
-    pub prompt: Vec<PromptPart>,
+    pub prompt: Vec<PromptSegment>,
     /// The last event that the caller has of a stream it takes up again.
     pub last_event: Option<u64>,
     /// The session that the request belongs to.
@@ -35,7 +35,7 @@
     pub headers: HeaderMap,
 }
 
-impl Inbound {
+impl RequestHead {
     /// The path without its query.
     pub fn path_only(&self) -> &str {
         self.path.split('?').next().unwrap_or("/")
@@ -44,7 +44,7 @@
 
 /// Which model a caller wants.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ModelWish {
+pub enum RequestedModel {
     /// The router chooses.
     Any,
     /// This one.
@@ -53,7 +53,7 @@
 
 /// A part of a prompt; requests with the same first parts share them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PromptPart {
+pub struct PromptSegment {
     /// What identifies its text.
     pub id: u64,
     /// Its length in tokens.
@@ -74,5 +74,5 @@
     /// The last event that the caller has already.
     pub resume_after: Option<u64>,
     /// How urgent it is at the upstream, 0 (first) to 9.
-    pub urgency: Option<u8>,
+    pub priority: Option<u8>,
 }
--- a/src/gateway/rollout_status.rs
+++ b/src/gateway/rollout_status.rs
@@ -27,17 +27,17 @@
 };
 
 /// Time between two looks at the roll-outs.
-const PERIOD: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Longest wait after a state could not be recorded.
-const RECORD_MOST: Duration = Duration::from_secs(1);
+const MAX_RETRY_WAIT: Duration = Duration::from_secs(1);
 
 /// Looks after the roll-outs for as long as it is polled.
 pub(crate) async fn run(gateway: Arc<Gateway>) {
-    let mut backoff = Backoff::new(PERIOD, RECORD_MOST);
+    let mut backoff = Backoff::new(CHECK_INTERVAL, MAX_RETRY_WAIT);
     let mut record_from = gateway.clock.now();
     loop {
-        task::sleep(PERIOD).await;
+        task::sleep(CHECK_INTERVAL).await;
         gateway.note_freshness();
         gateway.peers.sweep(gateway.clock.now());
         for id in gateway.pool.sweep(gateway.clock.now()) {
@@ -87,20 +87,20 @@
     gateway.rollouts.due(is_steward, old, &halls, now)
 }
 
-/// Writes a state over the one that stands there, unless that has ended the
-/// same roll-out; what stands there afterwards is taken in.
+/// Writes a state over the one that is_final there, unless that has ended the
+/// same roll-out; what is_final there afterwards is taken in.
 async fn record(gateway: &Gateway, due: &Due) -> Result<(), StoreError> {
     let key = document::status_key(&due.service);
     let held = gateway.store.read(&key).await?;
     let expected = held.as_ref().map(|item| item.version);
     let value = held.and_then(|item| item.value);
-    if let Some(held) = value.and_then(|v| document::read_status(&v).ok())
-        && stands(&held, &due.status)
+    if let Some(held) = value.and_then(|v| document::decode_status(&v).ok())
+        && is_final(&held, &due.status)
     {
         gateway.rollouts.set_status(&due.service, &held);
         return Ok(());
     }
-    let value = document::write_status(&due.service, &due.status);
+    let value = document::encode_status(&due.service, &due.status);
     let state = ConditionalWrite { key, value, expected };
     let store = &gateway.store;
     if let WriteOutcome::Committed(version) =
@@ -118,7 +118,7 @@
 }
 
 /// Whether the state held is not to be replaced by `wanted`.
-fn stands(held: &Status, wanted: &Status) -> bool {
+fn is_final(held: &Status, wanted: &Status) -> bool {
     held.target == wanted.target
         && (held == wanted || held.progress != Progress::Running)
 }
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -25,8 +25,8 @@
     event::Event,
     facts::mesh,
     gateway::{
-        Gateway, fields, ingress, record, rollout_status,
-        settings::GatewaySettings, watch,
+        Gateway, fields, ingress, rollout_status, settings::GatewaySettings,
+        store_watch, vm_registration,
     },
     logging,
     platform::headers::READY_PATH,
@@ -35,13 +35,13 @@
 
 /// Time after a planned stop begins for which connections stay open: the
 /// platform asks every second, and takes a VM out after two misses.
-const LEAVE_TIME: Duration = Duration::from_millis(2300);
+const DRAIN_NOTICE_TIME: Duration = Duration::from_millis(2300);
 
 /// Part of the grace of a planned stop that is kept for the end itself.
-const END_TIME: Duration = Duration::from_millis(700);
+const FINAL_RESERVE: Duration = Duration::from_millis(700);
 
 /// Time between two looks at what is still in flight.
-const LOOK_PERIOD: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs a VM until SIGTERM or SIGINT.
 ///
@@ -68,16 +68,16 @@
     let gateway = Gateway::new(settings, Arc::new(SystemClock));
     let (close, closing) = smol::channel::bounded::<()>(1);
     let tasks = [
-        task::spawn(watch::run(gateway.clone())),
-        task::spawn(watch::prove_loop(gateway.clone())),
-        task::spawn(record::run(gateway.clone())),
+        task::spawn(store_watch::run(gateway.clone())),
+        task::spawn(store_watch::revalidate_loop(gateway.clone())),
+        task::spawn(vm_registration::run(gateway.clone())),
         task::spawn(rollout_status::run(gateway.clone())),
         task::spawn(keeping::run(gateway.clone())),
         task::spawn(mesh::beat_loop(gateway.clone(), datagrams.clone())),
         task::spawn(mesh::hear_loop(gateway.clone(), datagrams)),
         task::spawn(mesh::serve(gateway.clone(), streams)),
-        task::spawn(serve_plain(gateway.clone(), readiness)),
-        task::spawn(serve_plain(gateway.clone(), metrics)),
+        task::spawn(serve_status(gateway.clone(), readiness)),
+        task::spawn(serve_status(gateway.clone(), metrics)),
     ];
     let callers =
         task::spawn(ingress::serve(gateway.clone(), callers, closing));
@@ -105,14 +105,14 @@
 /// says which ones wait for the next start.
 fn reload(gateway: &Gateway, path: &Path) {
     let outcome = match GatewaySettings::from_file(path) {
-        Ok(settings) if same(&settings, &gateway.settings) => "unchanged",
+        Ok(settings) if are_equal(&settings, &gateway.settings) => "unchanged",
         Ok(_) => "changed; takes effect at the next start",
         Err(_) => "faulty; the settings in force stay",
     };
     Event::Reloaded.record(fields(json!({ "outcome": outcome })));
 }
 
-fn same(a: &GatewaySettings, b: &GatewaySettings) -> bool {
+fn are_equal(a: &GatewaySettings, b: &GatewaySettings) -> bool {
     format!("{a:?}") == format!("{b:?}")
 }
 
@@ -124,21 +124,21 @@
 ) {
     let began_at = gateway.clock.now();
     let ends_at =
-        began_at + gateway.settings.stop_grace.saturating_sub(END_TIME);
+        began_at + gateway.settings.stop_grace.saturating_sub(FINAL_RESERVE);
     gateway.begin_stop();
     let in_flight = gateway.in_flight.count();
     Event::Stopping.record(fields(json!({ "in_flight": in_flight })));
-    task::sleep(LEAVE_TIME).await;
+    task::sleep(DRAIN_NOTICE_TIME).await;
     // Nothing is taken any more: a request that came now might not end
     // before the process must. A caller that is refused the connection tries
     // another VM.
     callers.cancel().await;
     close.close();
     while gateway.in_flight.count() > 0 && gateway.clock.now() < ends_at {
-        task::sleep(LOOK_PERIOD).await;
+        task::sleep(CHECK_INTERVAL).await;
     }
     // The last answers are written when their requests have ended.
-    task::sleep(LOOK_PERIOD).await;
+    task::sleep(CHECK_INTERVAL).await;
     let cut = gateway.in_flight.count();
     let event = match cut {
         0 => Event::Stopped,
@@ -150,25 +150,25 @@
         "took_ms": passed.as_millis() as u64,
     })));
     // Time for the log's thread to write the line.
-    task::sleep(LOOK_PERIOD).await;
+    task::sleep(CHECK_INTERVAL).await;
 }
 
 /// Answers the platform's question and serves metrics.
-async fn serve_plain(gateway: Arc<Gateway>, listener: TcpListener) {
+async fn serve_status(gateway: Arc<Gateway>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let gateway = gateway.clone();
-                task::spawn(converse(gateway, stream)).detach();
+                task::spawn(serve_status_connection(gateway, stream)).detach();
             }
-            Err(_) => task::sleep(LOOK_PERIOD).await,
+            Err(_) => task::sleep(CHECK_INTERVAL).await,
         }
     }
 }
 
-async fn converse(gateway: Arc<Gateway>, stream: TcpStream) {
+async fn serve_status_connection(gateway: Arc<Gateway>, stream: TcpStream) {
     let service = service_fn(|request: Request<Incoming>| {
-        let response = plain(&gateway, request.uri().path());
+        let response = status_response(&gateway, request.uri().path());
         future::ready(Ok::<_, Infallible>(response))
     });
     let connection = http1::Builder::new()
@@ -177,7 +177,7 @@
     let _ = connection.await;
 }
 
-fn plain(gateway: &Gateway, path: &str) -> Response<Full<Bytes>> {
+fn status_response(gateway: &Gateway, path: &str) -> Response<Full<Bytes>> {
     let (status, text) = match path {
         READY_PATH if gateway.is_ready() => (StatusCode::OK, "ready\n".into()),
         READY_PATH => {
--- a/src/gateway/wake_tests.rs
+++ b/src/gateway/suspension_tests.rs
@@ -129,7 +129,7 @@
         ("accepts keys", gateway.may_accept_keys(now)),
         ("is ready", gateway.is_ready()),
         ("holds back", gateway.crashes.is_held(REQUEST, now)),
-        ("may retry", gateway.has_retry(&service())),
+        ("may retry", gateway.can_retry(&service())),
         ("has an upstream", picked.is_ok()),
         ("is cold", picked.is_ok_and(|member| member.is_cold(now))),
         ("is steward", gateway.peers.is_steward(own_proof, now)),
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -12,7 +12,7 @@
     crashes::digest::RequestDigest,
     event::Event,
     facts::route::{Route, TableVersion},
-    gateway::inbound::Inbound,
+    gateway::request_head::RequestHead,
     id::{ModelId, OrganisationId},
     metrics::{Metrics, OTHER},
     placing::{
@@ -50,15 +50,15 @@
 
 /// How a request ended.
 #[derive(Clone, Debug)]
-pub(crate) enum End {
+pub(crate) enum RequestEnd {
     /// With an upstream's answer, of this status.
     Answered(u16),
     /// With an answer of the router, of this status and code.
     Refused(u16, &'static str, String),
     /// Its answer broke off.
-    Broken(String),
+    Aborted(String),
     /// Its caller left.
-    Left,
+    CallerLeft,
 }
 
 /// The record of one request.
@@ -109,7 +109,7 @@
     }
 
     /// Notes by which configuration it is judged.
-    pub(crate) fn judged_by(
+    pub(crate) fn note_configuration(
         &mut self,
         table: TableVersion,
         proof_age: Option<Duration>,
@@ -119,14 +119,14 @@
     }
 
     /// Notes its route.
-    pub(crate) fn on_route(&mut self, route: Arc<Route>) {
+    pub(crate) fn note_route(&mut self, route: Arc<Route>) {
         self.route = Some(route);
     }
 
     /// Notes what its head says.
-    pub(crate) fn of(&mut self, inbound: &Inbound) {
-        self.prompt_tokens = inbound.prompt_tokens;
-        self.session.clone_from(&inbound.session);
+    pub(crate) fn note_request(&mut self, request: &RequestHead) {
+        self.prompt_tokens = request.prompt_tokens;
+        self.session.clone_from(&request.session);
     }
 
     /// Notes what the request is known again by.
@@ -135,12 +135,12 @@
     }
 
     /// Notes who is asking.
-    pub(crate) fn asked_by(&mut self, organisation: OrganisationId) {
+    pub(crate) fn note_organisation(&mut self, organisation: OrganisationId) {
         self.organisation = Some(organisation);
     }
 
     /// Notes that an attempt begins.
-    pub(crate) fn begin(
+    pub(crate) fn begin_attempt(
         &mut self,
         member: &Member,
         model: Option<ModelId>,
@@ -212,7 +212,7 @@
     }
 
     /// Notes that a part of the answer goes out.
-    pub(crate) fn part(&mut self) {
+    pub(crate) fn note_body_part(&mut self) {
         let passed_ms = self.passed_ms();
         self.first_part_ms.get_or_insert(passed_ms);
         if let Some(last_part_ms) = self.last_part_ms {
@@ -223,7 +223,7 @@
     }
 
     /// Ends the record.
-    pub(crate) fn end(mut self, end: End) {
+    pub(crate) fn end(mut self, end: RequestEnd) {
         self.write(end);
     }
 
@@ -232,7 +232,7 @@
         now.saturating_duration_since(self.started_at).as_millis() as u64
     }
 
-    fn write(&mut self, end: End) {
+    fn write(&mut self, end: RequestEnd) {
         self.is_ended = true;
         self.count(&end);
         let mut fields = Map::new();
@@ -259,31 +259,31 @@
         let attempts = self.attempts.iter().map(AttemptTrace::to_json);
         put("attempts", attempts.collect());
         match &end {
-            End::Answered(status) => put("status", json!(status)),
-            End::Refused(status, code, reason) => {
+            RequestEnd::Answered(status) => put("status", json!(status)),
+            RequestEnd::Refused(status, code, reason) => {
                 put("status", json!(status));
                 put("code", json!(code));
                 put("reason", json!(reason));
             }
-            End::Broken(reason) => {
+            RequestEnd::Aborted(reason) => {
                 put("code", json!("broken_off"));
                 put("reason", json!(reason));
             }
-            End::Left => put("code", json!("caller_left")),
+            RequestEnd::CallerLeft => put("code", json!("caller_left")),
         }
         let event = match end {
-            End::Answered(_) => Event::RequestEnded,
+            RequestEnd::Answered(_) => Event::RequestEnded,
             _ => Event::RequestFailed,
         };
         event.record(fields);
     }
 
-    fn count(&self, end: &End) {
+    fn count(&self, end: &RequestEnd) {
         let code = match end {
-            End::Answered(_) => "answered",
-            End::Refused(_, code, _) => code,
-            End::Broken(_) => "broken_off",
-            End::Left => "caller_left",
+            RequestEnd::Answered(_) => "answered",
+            RequestEnd::Refused(_, code, _) => code,
+            RequestEnd::Aborted(_) => "broken_off",
+            RequestEnd::CallerLeft => "caller_left",
         };
         let organisation = self.organisation.as_ref();
         let organisation = organisation.map_or(OTHER, |o| o.as_str());
@@ -304,7 +304,7 @@
 impl Drop for Trace {
     fn drop(&mut self) {
         if !self.is_ended {
-            self.write(End::Left);
+            self.write(RequestEnd::CallerLeft);
         }
     }
 }
--- a/src/gateway/record.rs
+++ b/src/gateway/vm_registration.rs
@@ -24,73 +24,73 @@
 };
 
 /// Time between two looks at which VMs are not recorded.
-const LOOK_PERIOD: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time after its start when a seed begins to record others: by then all that
 /// started with it have sent their first beat, half a second after theirs.
-const GATHER_TIME: Duration = Duration::from_millis(900);
+const SEED_DELAY: Duration = Duration::from_millis(900);
 
 /// Time after which a seed also records the VMs that are another seed's to
 /// record, which may be gone.
-const OTHERS_AFTER: Duration = Duration::from_secs(3);
+const TAKEOVER_DELAY: Duration = Duration::from_secs(3);
 
 /// Time after which a VM records itself that nobody has recorded, longer than
 /// the seeds take; and what is added at random, so that VMs do not all write
 /// at once.
-const OWN_AFTER: Duration = Duration::from_secs(5);
-const OWN_SPREAD: Duration = Duration::from_secs(2);
+const SELF_REGISTRATION_DELAY: Duration = Duration::from_secs(5);
+const SELF_REGISTRATION_JITTER: Duration = Duration::from_secs(2);
 
 /// Lifetime of the lease of records, the longest there is: it only keeps the
 /// list from growing, and liveness is told by beats.
-const LIFETIME: Duration = Duration::from_secs(600);
+const LEASE_TTL: Duration = Duration::from_secs(600);
 
 /// Time between two renewals of that lease; one may fail.
-const RENEWAL: Duration = Duration::from_secs(200);
+const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_secs(200);
 
 /// First and longest wait after the store could not be written.
-const RETRY_LEAST: Duration = Duration::from_millis(100);
-const RETRY_MOST: Duration = Duration::from_secs(5);
+const MIN_RETRY_WAIT: Duration = Duration::from_millis(100);
+const MAX_RETRY_WAIT: Duration = Duration::from_secs(5);
 
 /// Keeps VMs recorded for as long as it is polled.
 pub(crate) async fn run(gateway: Arc<Gateway>) {
-    let mut keeper = Keeper::new(gateway);
+    let mut registrar = Registrar::new(gateway);
     loop {
-        task::sleep(LOOK_PERIOD).await;
-        match keeper.keep().await {
-            Ok(()) => keeper.backoff.reset(),
+        task::sleep(CHECK_INTERVAL).await;
+        match registrar.keep().await {
+            Ok(()) => registrar.backoff.reset(),
             Err(error) => {
                 Event::RecordNotKept.record(fields(json!({
                     "reason": error.to_string(),
                 })));
-                task::sleep(keeper.backoff.wait()).await;
+                task::sleep(registrar.backoff.wait()).await;
             }
         }
     }
 }
 
-struct Keeper {
+struct Registrar {
     gateway: Arc<Gateway>,
     backoff: Backoff,
     started_at: BootInstant,
     /// When this VM records itself if nobody else does; counted from when it
     /// was last recorded.
-    own_due_at: BootInstant,
-    lease: Option<HeldLease>,
+    self_due_at: BootInstant,
+    lease: Option<RecordLease>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct HeldLease {
+struct RecordLease {
     id: u64,
     renewed_at: BootInstant,
 }
 
-impl Keeper {
-    fn new(gateway: Arc<Gateway>) -> Keeper {
+impl Registrar {
+    fn new(gateway: Arc<Gateway>) -> Registrar {
         let now = gateway.clock.now();
-        Keeper {
-            backoff: Backoff::new(RETRY_LEAST, RETRY_MOST),
+        Registrar {
+            backoff: Backoff::new(MIN_RETRY_WAIT, MAX_RETRY_WAIT),
             started_at: now,
-            own_due_at: now + OWN_AFTER,
+            self_due_at: now + SELF_REGISTRATION_DELAY,
             lease: None,
             gateway,
         }
@@ -108,12 +108,14 @@
 
     async fn renew(&mut self, now: BootInstant) -> Result<(), StoreError> {
         let Some(held) = self.lease else { return Ok(()) };
-        if now.saturating_duration_since(held.renewed_at) < RENEWAL {
+        if now.saturating_duration_since(held.renewed_at)
+            < LEASE_RENEWAL_INTERVAL
+        {
             return Ok(());
         }
         let is_held = self.gateway.store.renew_lease(held.id).await?;
         // With the lease, the records are gone as well, and are due again.
-        let renewed = HeldLease { renewed_at: now, ..held };
+        let renewed = RecordLease { renewed_at: now, ..held };
         self.lease = is_held.then_some(renewed);
         Ok(())
     }
@@ -123,19 +125,19 @@
         let gateway = &self.gateway;
         let peers = &gateway.peers;
         let age = now.saturating_duration_since(self.started_at);
-        if !gateway.knowledge.is_read() || age < GATHER_TIME {
+        if !gateway.knowledge.is_read() || age < SEED_DELAY {
             return Vec::new();
         }
         let mut records = Vec::new();
         let own = own_record(gateway);
         if gateway.knowledge.holds(&own.key, &own.value) {
-            let spread = OWN_SPREAD.mul_f64(rand::random());
-            self.own_due_at = now + OWN_AFTER + spread;
-        } else if peers.is_seed() || now >= self.own_due_at {
+            let spread = SELF_REGISTRATION_JITTER.mul_f64(rand::random());
+            self.self_due_at = now + SELF_REGISTRATION_DELAY + spread;
+        } else if peers.is_seed() || now >= self.self_due_at {
             records.push(own);
         }
-        let with_others = age >= OTHERS_AFTER;
-        let unrecorded = peers.unrecorded(with_others, now);
+        let takes_over = age >= TAKEOVER_DELAY;
+        let unrecorded = peers.unrecorded(takes_over, now);
         let others = unrecorded
             .iter()
             .map(|(vm, record)| new_value(gateway, vm, record));
@@ -152,8 +154,8 @@
         let lease = match self.lease {
             Some(held) => held.id,
             None => {
-                let id = store.take_lease(LIFETIME).await?;
-                self.lease = Some(HeldLease { id, renewed_at: now });
+                let id = store.take_lease(LEASE_TTL).await?;
+                self.lease = Some(RecordLease { id, renewed_at: now });
                 id
             }
         };
@@ -193,7 +195,7 @@
     let key = document::peer_key(&record.data_hall, vm);
     ConditionalWrite {
         expected: gateway.knowledge.version_of(&key),
-        value: document::write_peer(record),
+        value: document::encode_peer(record),
         key,
     }
 }
