--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -1,9 +1,9 @@
-//! Carrying out a request: attempts at upstreams until one answers.
+//! Forwards a request: makes attempts at upstreams until one answers.
 //!
-//! A request that may not be repeated is sent a second time only when the
-//! first upstream stated that it did not run, or nothing of it can have
-//! arrived. Everything else goes by the route's attempts, the time left and
-//! the retry budget.
+//! A request that may not be repeated is sent again only if the first upstream
+//! stated that it did not execute it, or if no byte of it can have arrived
+//! there. Other retries are limited by the attempts of the route, the time
+//! left and the retry budget.
 
 use std::{
     sync::{Arc, OnceLock},
@@ -40,56 +40,62 @@
     task,
 };
 
-/// Time left below which no further attempt is made: it could not answer.
+/// Minimum time left for another attempt; with less, no answer can arrive
+/// before the deadline.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
 
-/// Largest answer that is held whole.
+/// Largest response that is buffered whole.
 const MAX_RESPONSE_BYTES: u64 = 16 << 20;
 
-/// Part of its aim after which a short repeatable request is tried elsewhere.
+/// Fraction of the latency target after which a short repeatable request is
+/// retried at another upstream.
 const RETRY_AIM_FRACTION: f64 = 0.6;
 
-/// Wait that is taken, beside the time to read it, for each token of a prompt
-/// that need not be read again: reading it holds up what runs beside it and
-/// takes memory from other prompts. Measured in `docs/ROUNDS.md`.
+/// Extra queueing time that is accepted per prompt token that an upstream has
+/// cached, on top of the prefill time that the cache saves: a second prefill
+/// delays the requests that run beside it and evicts other prompts from the
+/// KV cache. `docs/ROUNDS.md` has the figures.
 const CACHED_TOKEN_WAIT: Duration = Duration::from_micros(300);
 
-/// Part of the aim that this wait may take at most.
+/// Largest fraction of the latency target that this extra wait may take.
 const CACHED_PROMPT_WAIT_FRACTION: f64 = 0.25;
 
-/// Time for which an upstream may give no sign of life while it has work.
+/// Time for which an upstream that has work may stay silent before it is
+/// taken for dead.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Upstreams that a request may fail to reach beyond its attempts.
+/// Upstreams that a request may fail to reach in addition to its attempts.
 const MAX_CONNECT_FAILURES: usize = 4;
 
-/// Time for which the head of a stream is waited for whatever is expected.
+/// Minimum wait for the response head of a stream.
 const MIN_HEAD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Expected time to read a prompt from which the other VMs are told at once
-/// that it is being read: they would send theirs to the same upstream until
-/// the next beat says so. On a calm simulated day with six VMs, 4 of 1,253
-/// attempts at engines were given up as silent with it, and 60 of 1,298
-/// without.
+/// Expected prefill time from which the other VMs are told about it at once:
+/// until the next heartbeat they would send their prompts to the same
+/// upstream. On a calm simulated day with six VMs, 4 of 1,253 attempts at
+/// engines were given up as silent with this announcement, and 60 of 1,298
+/// without it.
 const ANNOUNCED_PREFILL_TIME: Duration = Duration::from_millis(80);
 
-/// How many times the expected time the head of a stream may take.
+/// Factor on the expected prefill time in the wait for the head of a stream.
 const HEAD_TIMEOUT_FACTOR: f64 = 2.5;
 
-/// Part of the time expected for the prompts it reads that is added to that.
+/// Factor on the prefill time under way at an upstream that is added to its
+/// silence timeout.
 const PREFILL_PATIENCE_FACTOR: f64 = 1.5;
 
-/// The most that is added; an upstream that died seems to read for ever.
+/// Largest time that is added to the silence timeout: a prefill at an upstream
+/// that died never ends.
 const MAX_PREFILL_PATIENCE: Duration = Duration::from_millis(2500);
 
-/// Time between two looks at a silent upstream.
+/// Interval between two checks of a silent upstream.
 pub(crate) const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Wait that a caller is told when every upstream is cold and has what it
-/// bears.
+/// `Retry-After` sent when every upstream is warming up and has as many
+/// requests as it can take.
 const RETRY_AFTER_COLD: Duration = Duration::from_millis(400);
 
-/// A request on its way.
+/// A request that is being forwarded.
 pub(crate) struct Job {
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) route: Arc<Route>,
@@ -97,58 +103,59 @@
     pub(crate) organisation: Option<Organisation>,
     pub(crate) request: RequestHead,
     pub(crate) body: Bytes,
-    /// When the caller, or the operator's limit, gives up.
+    /// When the time of the caller or the limit of the route ends, whichever
+    /// is first.
     pub(crate) deadline: BootInstant,
     pub(crate) started_at: BootInstant,
-    /// The model to ask, where the caller leaves the choice.
+    /// The model to ask, if the caller leaves the choice to the router.
     pub(crate) model: Option<ModelId>,
-    /// Lives of upstreams that were asked.
+    /// The upstream incarnations that were chosen for an attempt.
     pub(crate) tried: Vec<ShortHash>,
-    /// Upstreams that the request was sent to, of those.
+    /// The number of attempts that may have reached their upstream.
     pub(crate) sent: u32,
-    /// Whether it may have run anywhere.
+    /// Whether any upstream may have executed the request.
     pub(crate) may_have_run: bool,
-    /// What it is known again by, once that was asked.
+    /// Identifies the request when it is sent again; computed on first use.
     pub(crate) digest: OnceLock<RequestDigest>,
 }
 
-/// An answer to a caller.
+/// A response to a caller.
 pub(crate) struct Reply {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: ReplyBody,
 }
 
-/// The body of an answer.
+/// The body of a response.
 pub(crate) enum ReplyBody {
-    /// All of it.
+    /// The whole body.
     Whole(Bytes),
-    /// Events as they come.
+    /// Server-sent events, relayed as they arrive.
     Events(Box<EventRelay>),
 }
 
-/// An upstream that an attempt goes to, counted as busy with it.
+/// An attempt at one upstream, counted as in flight there while it lives.
 pub(crate) struct Attempt {
     pub(crate) member: Arc<Member>,
     pub(crate) model: Option<ModelId>,
     pub(crate) began_at: BootInstant,
-    /// What was being read there before.
+    /// Prefill time that was under way at the upstream when it began.
     pub(crate) prefill_before: Duration,
-    /// The most that may have been read there before.
+    /// Upper estimate of that prefill time.
     pub(crate) max_prefill_before: Duration,
-    /// Requests for each slot there before.
+    /// Requests per slot at the upstream when it began.
     pub(crate) load_before: f64,
-    /// Tokens of the prompt.
-    pub(crate) tokens: u64,
-    /// The time expected until they are read.
-    pub(crate) expected: Duration,
-    /// Held until the first event is here.
-    pub(crate) reading: Option<Reading>,
+    /// Tokens of the prompt; 0 if unknown.
+    pub(crate) prompt_tokens: u64,
+    /// Expected prefill time of the prompt.
+    pub(crate) expected_prefill: Duration,
+    /// Counts the prefill at the upstream until the first event arrives.
+    pub(crate) prefill: Option<Reading>,
     _in_flight: InFlight,
     _session: Option<SessionGuard>,
 }
 
-/// An attempt of a session, which counts as under way while it lives.
+/// Marks a session as in use until its attempt ends.
 struct SessionGuard {
     gateway: Arc<Gateway>,
     service: ServiceId,
@@ -163,20 +170,20 @@
     }
 }
 
-/// Why an attempt brought no answer that ends the request.
+/// Why an attempt brought no response to pass on.
 pub(crate) enum AttemptError {
-    /// It did not run there.
+    /// The upstream did not execute the request: label and reason.
     NotRun(&'static str, String),
-    /// It may have run there.
+    /// The upstream may have executed the request: label and reason.
     Unknown(&'static str, String),
-    /// It ran and failed; this is the upstream's own answer.
+    /// The upstream executed the request and failed; holds its response.
     Failed(Box<Reply>),
-    /// A larger model is to be asked.
+    /// The model was not confident enough; holds the larger model to ask.
     LowConfidence(ModelId),
 }
 
 impl AttemptError {
-    /// What it says of the upstream, if that is to blame.
+    /// Returns the verdict on the upstream; `None` if it is not at fault.
     pub(crate) fn verdict(&self) -> Option<Verdict> {
         match self {
             AttemptError::NotRun(..) | AttemptError::LowConfidence(_) => None,
@@ -187,7 +194,7 @@
 }
 
 impl Job {
-    /// Carries the request out.
+    /// Forwards the request and returns the response for its caller.
     pub(crate) async fn run(mut self, mut trace: Trace) -> Reply {
         self.gateway.count_request(&self.service);
         loop {
@@ -223,7 +230,7 @@
         }
     }
 
-    /// What the request is known again by.
+    /// Returns the digest that identifies the request when it is sent again.
     pub(crate) fn digest(&self) -> RequestDigest {
         *self.digest.get_or_init(|| {
             let request = &self.request;
@@ -237,7 +244,7 @@
         })
     }
 
-    /// The time left at `now`.
+    /// Returns the time left until the deadline.
     pub(crate) fn time_left(&self, now: BootInstant) -> Duration {
         self.deadline.saturating_duration_since(now)
     }
@@ -248,24 +255,24 @@
         self.gateway.rollouts.rule(&self.service, session, id, now)
     }
 
-    /// What the request asks of the choice among those not `tried`.
+    /// Builds the criteria for choosing an upstream that is not in `tried`.
     fn want<'a>(
         &self,
         version: &'a VersionChoice,
         tried: &'a [ShortHash],
     ) -> Want<'a> {
-        let takes = self.gateway.service_times.of(&self.service);
+        let service_time = self.gateway.service_times.of(&self.service);
         Want {
             rule: version.rule.clone(),
             prompt: self.shared_prompt(),
             withdrawn: &version.withdrawn,
             tried,
-            most_fill: admission::fill_limit(self.route.aim, takes),
+            most_fill: admission::fill_limit(self.route.aim, service_time),
         }
     }
 
-    /// Whether there is an upstream for another attempt, be it the one that
-    /// was asked last.
+    /// Whether an upstream is available for another attempt; the one that was
+    /// asked last counts as well.
     pub(crate) fn has_upstream_for_retry(&self, now: BootInstant) -> bool {
         let tried = self.tried.split_last().map_or(&[][..], |(_, rest)| rest);
         let version = self.version_choice(now);
@@ -273,7 +280,7 @@
         self.gateway.pool.can_pick(&self.service, &want, now)
     }
 
-    /// Chooses an upstream and counts it as busy.
+    /// Chooses an upstream and begins an attempt at it.
     pub(crate) fn begin_attempt(
         &mut self,
         trace: &mut Trace,
@@ -286,14 +293,15 @@
         let member = picked.map_err(|no_member| match no_member {
             NoMember::Unknown => Error::new(ErrorKind::NoUpstream)
                 .context(format!("no upstream of {}", self.service)),
-            NoMember::Evacuated => Error::new(ErrorKind::NoUpstream)
-                .context(format!("all of {} is evacuated", self.service)),
+            NoMember::Evacuated => Error::new(ErrorKind::NoUpstream).context(
+                format!("all upstreams of {} are evacuated", self.service),
+            ),
             NoMember::BackingOff(left) => self.all_backing_off(left),
             NoMember::Cold => Error::new(ErrorKind::Overloaded)
-                .context(format!("all of {} is cold", self.service))
+                .context(format!("all upstreams of {} are cold", self.service))
                 .with_retry_after(RETRY_AFTER_COLD),
             NoMember::Full => Error::new(ErrorKind::Overloaded)
-                .context(format!("{} is full", self.service))
+                .context(format!("all upstreams of {} are full", self.service))
                 .with_retry_after(admission::return_after(
                     self.gateway.service_times.of(&self.service),
                     rand::random(),
@@ -304,17 +312,18 @@
         trace.note_version(&version);
         self.tried.push(member.upstream.short);
         let session = self.begin_session(&member.entry.software, now);
-        let tokens = self.request.prompt_tokens.unwrap_or(0);
+        let prompt_tokens = self.request.prompt_tokens.unwrap_or(0);
         let prefill_before = member.reading(now);
         let max_prefill_before = member.reading_most(now);
         let load_before = member.fill(now);
         let times = &self.gateway.read_times;
-        let expected = times.expected(model.as_ref(), tokens);
-        let reading = (tokens > 0).then(|| member.read(expected));
-        if reading.is_some() {
-            self.gateway.pool.note_reading(expected);
+        let expected_prefill = times.expected(model.as_ref(), prompt_tokens);
+        let prefill =
+            (prompt_tokens > 0).then(|| member.read(expected_prefill));
+        if prefill.is_some() {
+            self.gateway.pool.note_reading(expected_prefill);
         }
-        if reading.is_some() && expected >= ANNOUNCED_PREFILL_TIME {
+        if prefill.is_some() && expected_prefill >= ANNOUNCED_PREFILL_TIME {
             self.gateway.early_heartbeat.wake();
         }
         Ok(Attempt {
@@ -326,18 +335,18 @@
             prefill_before,
             max_prefill_before,
             load_before,
-            tokens,
-            expected,
-            reading,
+            prompt_tokens,
+            expected_prefill,
+            prefill,
         })
     }
 
-    /// The refusal while all upstreams have asked for fewer requests and none
-    /// may get one, for this time yet.
+    /// Returns the error for a service whose upstreams all back off for at
+    /// least `left`.
     fn all_backing_off(&self, left: Duration) -> Error {
         Error::new(ErrorKind::Overloaded)
             .context(format!(
-                "all of {} have asked for fewer requests",
+                "all upstreams of {} have asked for fewer requests",
                 self.service
             ))
             .with_retry_after(admission::return_after_backoff(
@@ -346,8 +355,9 @@
             ))
     }
 
-    /// Whoever runs this request ends, and all that runs there with it; each
-    /// VM and each new try would begin at zero without this.
+    /// Refuses a request that is known to crash upstreams: an upstream that
+    /// crashes takes all its requests along, and without this check every VM
+    /// and every retry would crash another one.
     fn check_not_held(&self) -> Result<(), Error> {
         let crashes = &self.gateway.crashes;
         if !crashes.holds_any() {
@@ -357,11 +367,12 @@
         if !crashes.is_held(digest, self.gateway.clock.now()) {
             return Ok(());
         }
-        Err(Error::new(ErrorKind::CrashesUpstreams)
-            .context(format!("upstreams have ended under request {digest}")))
+        Err(Error::new(ErrorKind::CrashesUpstreams).context(format!(
+            "upstreams crashed while they ran request {digest}"
+        )))
     }
 
-    /// Notes that an upstream ran the request to its end.
+    /// Records that an upstream ran the request to its end without a crash.
     pub(crate) fn note_completed(&self) {
         let now = self.gateway.clock.now();
         let crashes = &self.gateway.crashes;
@@ -369,7 +380,8 @@
         self.gateway.note_crash_changes(&changes);
     }
 
-    /// Notes that an attempt of the request's session goes to a version.
+    /// Records which version an attempt of the session goes to; `None` if the
+    /// request belongs to no session.
     fn begin_session(
         &self,
         software: &VersionId,
@@ -381,7 +393,9 @@
         Some(SessionGuard { gateway, service, session })
     }
 
-    /// The part of the prompt that is shared with most later requests.
+    /// Returns the prefix of the prompt that later requests share, with the
+    /// queueing time that reusing its cache is worth: all segments but the
+    /// last, which is the request's own.
     fn shared_prompt(&self) -> Option<SharedPrompt> {
         let parts = &self.request.prompt;
         let (_, shared) = parts.split_last()?;
@@ -401,7 +415,7 @@
         own.unwrap_or(self.route.priority).min(9)
     }
 
-    /// The call that an attempt makes.
+    /// Builds the HTTP request of an attempt.
     pub(crate) fn call(
         &self,
         attempt: &Attempt,
@@ -426,7 +440,7 @@
         call
     }
 
-    /// Sends an attempt and waits for the head of its answer.
+    /// Sends an attempt and waits at most `limit` for its response head.
     pub(crate) async fn send(
         &mut self,
         attempt: &Attempt,
@@ -436,8 +450,8 @@
     ) -> Result<(Exchange, ResponseHead), AttemptError> {
         let reuse = match self.route.repeat {
             Repeat::Any => Reuse::Pooled,
-            // On a connection of its own, a failure to connect is known to
-            // come before the first byte.
+            // On a new connection, a failure to connect is known to precede
+            // the first byte of the request.
             Repeat::Never => Reuse::Fresh,
         };
         let call = self.call(attempt, resume_after);
@@ -449,8 +463,8 @@
         };
         let silent = async {
             let (member, since) = (&attempt.member, attempt.began_at);
-            let least = can_replace_attempt.then_some(SILENCE_TIMEOUT);
-            self.wait_for_silence(member, since, least, limit).await;
+            let max_silence = can_replace_attempt.then_some(SILENCE_TIMEOUT);
+            self.wait_for_silence(member, since, max_silence, limit).await;
             Err(None)
         };
         let sent = answered.or(silent).await;
@@ -458,7 +472,7 @@
             Ok(exchange) => exchange,
             Err(Some(SendError::NotSent(reason))) => {
                 let member = &attempt.member;
-                self.gateway.record_verdict(member, Verdict::Unreachable);
+                self.gateway.record_outcome(member, Verdict::Unreachable);
                 return Err(AttemptError::NotRun("unreachable", reason));
             }
             Err(Some(error)) => {
@@ -483,9 +497,9 @@
         let now = self.gateway.clock.now();
         attempt.member.note_heard(now);
         if let Some(statement) = &head.statement {
-            trace.note_statement(statement);
+            trace.note_signals(statement);
             let gateway = &self.gateway;
-            gateway.apply_statement(
+            gateway.apply_signals(
                 &attempt.member,
                 statement,
                 attempt.began_at,
@@ -493,7 +507,7 @@
         }
         if !head.matches_request && !head.not_executed {
             self.may_have_run = true;
-            let reason = "the answer belongs to another request".to_owned();
+            let reason = "response belongs to another request".to_owned();
             return Err(AttemptError::Unknown("foreign", reason));
         }
         if head.not_executed {
@@ -508,31 +522,33 @@
         self.may_have_run = true;
     }
 
-    /// Returns when `most` has passed since `since`, or when the upstream has
-    /// given no sign of life for `least`, or for longer while it reads long
-    /// prompts. Without `least` its silence is no reason to return.
+    /// Waits until `limit` has passed since `since`, until the upstream has
+    /// been replaced by a later incarnation, or until it has been silent for
+    /// `max_silence`. While the upstream is busy with long prefills, the
+    /// allowed silence is longer. Without `max_silence`, silence does not end
+    /// the wait.
     pub(crate) async fn wait_for_silence(
         &self,
         member: &Member,
         since: BootInstant,
-        least: Option<Duration>,
-        most: Duration,
+        max_silence: Option<Duration>,
+        limit: Duration,
     ) {
         let gateway = &self.gateway;
         loop {
             let now = gateway.clock.now();
             let waited = now.saturating_duration_since(since);
-            if waited >= most || member.is_over() {
+            if waited >= limit || member.is_over() {
                 return;
             }
-            let is_dead = least.is_some_and(|least| {
-                let patience = patience(member, least, now);
+            let is_dead = max_silence.is_some_and(|max_silence| {
+                let patience = patience(member, max_silence, now);
                 gateway.pool.seems_dead(member, waited, patience, now)
             });
             if is_dead {
                 return;
             }
-            task::sleep((most - waited).min(SILENCE_CHECK_INTERVAL)).await;
+            task::sleep((limit - waited).min(SILENCE_CHECK_INTERVAL)).await;
         }
     }
 
@@ -541,9 +557,9 @@
         attempt: &Attempt,
         trace: &mut Trace,
     ) -> Result<Reply, AttemptError> {
-        let takes = self.gateway.service_times.of(&self.service);
-        let line = admission::wait_at(attempt.load_before, takes);
-        let patience = self.route.aim.mul_f64(RETRY_AIM_FRACTION) + line;
+        let service_time = self.gateway.service_times.of(&self.service);
+        let queue_wait = admission::wait_at(attempt.load_before, service_time);
+        let patience = self.route.aim.mul_f64(RETRY_AIM_FRACTION) + queue_wait;
         let limit = self.attempt_timeout(attempt, patience);
         let (mut exchange, _) = self.send(attempt, None, limit, trace).await?;
         exchange.allow_end_at_close();
@@ -578,8 +594,8 @@
         Ok(reply)
     }
 
-    /// Takes in what an attempt took that has just ended well, unless it had
-    /// to wait for a slot.
+    /// Learns the service time from an attempt that has just succeeded,
+    /// unless it had to queue for a slot.
     pub(crate) fn learn_service_time(&self, attempt: &Attempt) {
         if attempt.load_before < 1.0 {
             let now = self.gateway.clock.now();
@@ -588,19 +604,19 @@
         }
     }
 
-    /// How long the head of a stream is waited for before another upstream
-    /// is asked, since an answer can get lost although its upstream is well;
-    /// where none can be asked, to the end.
+    /// Returns how long to wait for the response head of a stream before
+    /// another upstream is asked, since a response can get lost although the
+    /// upstream is healthy. If no other can be asked, it is all the time left.
     pub(crate) fn head_timeout(&self, attempt: &Attempt) -> Duration {
-        let busy = attempt.max_prefill_before + attempt.expected;
+        let busy = attempt.max_prefill_before + attempt.expected_prefill;
         self.attempt_timeout(
             attempt,
             MIN_HEAD_TIMEOUT + busy.mul_f64(HEAD_TIMEOUT_FACTOR),
         )
     }
 
-    /// How long an attempt's answer is waited for: with patience where another
-    /// could be made, else to the end.
+    /// Returns how long to wait for the response of an attempt: `patience` if
+    /// another attempt could replace it, else all the time left.
     fn attempt_timeout(
         &self,
         attempt: &Attempt,
@@ -613,7 +629,7 @@
         }
     }
 
-    /// Whether another attempt could be made if the one under way failed.
+    /// Whether another attempt could be made if the current one failed.
     pub(crate) fn can_replace_attempt(&self) -> bool {
         self.route.repeat == Repeat::Any
             && self.sent + 1 < self.route.attempts
@@ -621,15 +637,15 @@
             && self.has_other_upstream()
     }
 
-    /// Whether an upstream is left that was not asked and may be: without one,
-    /// a silent attempt or stream that is given up ends as a failure, where
-    /// waiting may still bring the rest.
+    /// Whether an available upstream is left that was not tried. Without one,
+    /// giving up a silent attempt or stream makes it fail, whereas waiting may
+    /// still bring the rest.
     fn has_other_upstream(&self) -> bool {
         let now = self.gateway.clock.now();
         self.gateway.pool.has_other(&self.service, &self.tried, now)
     }
 
-    /// Whether the rest of a stream that broke off may be asked for.
+    /// Whether a broken stream may be resumed at another upstream.
     pub(crate) fn may_resume(&self, now: BootInstant) -> bool {
         self.route.repeat == Repeat::Any
             && now < self.deadline
@@ -637,13 +653,16 @@
             && self.has_other_upstream()
     }
 
-    /// Whether the route's attempts and the retry budget leave one more.
+    /// Whether the attempts of the route and the retry budget leave one more.
     pub(crate) fn has_attempt_left(&self) -> bool {
         self.sent < self.route.attempts
             && self.gateway.can_retry(&self.service)
     }
 
-    /// Records how the attempt's upstream did.
+    /// Records the outcome of an attempt for the health of its upstream, for
+    /// roll-outs and for the detection of crashes.
+    ///
+    /// `first_part` is the time until the first part of a good response.
     pub(crate) fn record_attempt(
         &self,
         attempt: &Attempt,
@@ -662,7 +681,7 @@
         }
         let says_nothing_of_version = verdict == Verdict::Failed
             && gateway.pool.is_alone_suspect(&attempt.member, now);
-        gateway.record_verdict(&attempt.member, verdict);
+        gateway.record_outcome(&attempt.member, verdict);
         let ended = attempt.member.is_over() && verdict != Verdict::Good;
         if says_nothing_of_version || ended {
             return;
@@ -676,8 +695,8 @@
         );
     }
 
-    /// Decides whether another attempt is made after a error; if not,
-    /// returns what the caller gets.
+    /// Decides whether another attempt is made after an error; if not,
+    /// returns why the request fails.
     fn prepare_retry(
         &mut self,
         error: AttemptError,
@@ -708,7 +727,8 @@
                 (self.route.repeat == Repeat::Any, FinalFailure::Failed(reply))
             }
         };
-        // What reached no upstream is no load on them, and costs no retry.
+        // Until something reached an upstream, nothing is taken from the
+        // retry budget: it bounds the load on upstreams.
         let may_go_on = is_repeatable
             && self.sent < self.route.attempts
             && self.tried.len()
@@ -744,11 +764,12 @@
         self.refuse_with(trace, error)
     }
 
-    /// The router's own answer; one that promises that the request did not
-    /// run is given only when that is so.
+    /// Refuses the request. An error that tells the caller that the request
+    /// did not run is replaced if an upstream may have executed it.
     fn refuse_with(self, trace: Trace, error: Error) -> Reply {
-        let promises = error.kind().answer().run == crate::error::Run::NotRun;
-        let error = match promises && self.may_have_run {
+        let claims_not_run =
+            error.kind().answer().run == crate::error::Run::NotRun;
+        let error = match claims_not_run && self.may_have_run {
             true => Error::new(ErrorKind::UpstreamFailed)
                 .context(error.to_string()),
             false => error,
@@ -757,14 +778,18 @@
     }
 }
 
-/// How long an upstream may give no sign of life: longer while it reads long
-/// prompts, since nothing else comes meanwhile.
-fn patience(member: &Member, least: Duration, now: BootInstant) -> Duration {
-    let reading = member.reading_most(now).mul_f64(PREFILL_PATIENCE_FACTOR);
-    least + reading.min(MAX_PREFILL_PATIENCE)
+/// Returns how long an upstream may stay silent: longer while it is busy with
+/// long prefills, since it sends nothing else meanwhile.
+fn patience(
+    member: &Member,
+    max_silence: Duration,
+    now: BootInstant,
+) -> Duration {
+    let prefill = member.reading_most(now).mul_f64(PREFILL_PATIENCE_FACTOR);
+    max_silence + prefill.min(MAX_PREFILL_PATIENCE)
 }
 
-/// How a request ends when no attempt brought an answer.
+/// How a request fails when no further attempt is made.
 enum FinalFailure {
     NotRun(String),
     Unknown(String),
@@ -776,7 +801,7 @@
         .map_err(|error| AttemptError::Unknown("broken", error.to_string()))
 }
 
-/// The router's own answer to a request.
+/// Ends the trace of a request and returns the error response to it.
 pub(crate) fn refuse(id: &str, trace: Trace, error: &Error) -> Reply {
     let answer = error.kind().answer();
     trace.end(RequestEnd::Refused(
--- a/src/gateway/ingress.rs
+++ b/src/gateway/ingress.rs
@@ -1,8 +1,9 @@
-//! Callers of a VM before a platform: HTTP/1.1 in, a typed request out.
+//! The HTTP/1.1 listener for callers: reads and admits requests.
 //!
-//! `trillium`, which the other listeners use, cannot cut an answer so that it
-//! is visibly broken, nor bound heads and rests by settings that change, so
-//! this listener is built on `hyper`.
+//! `trillium`, which the other listeners use, cannot abort a response so that
+//! the caller sees that it is incomplete, nor limit request heads and idle
+//! time by settings that change at run time, so this listener is built on
+//! `hyper`.
 
 use std::{
     convert::Infallible,
@@ -41,43 +42,43 @@
     task,
 };
 
-/// Added to the longest rest of a connection before it is closed, so that the
-/// caller's own bound, which is shorter, comes first.
+/// Added to the idle timeout before a connection is closed, so that a caller
+/// with the same timeout closes it first.
 const IDLE_GRACE: Duration = Duration::from_millis(500);
 
-/// The least read buffer that the HTTP library takes, in bytes.
+/// Smallest read buffer that the HTTP library accepts.
 const MIN_BUFFER_BYTES: usize = 8 << 10;
 
-/// Longest time for a body to arrive once its head is here.
+/// Timeout for a request body, from the end of the request head.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time that a caller waits who does not say how long.
+/// Timeout of a request whose caller states none.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Wait that a caller is told while this VM cannot tell what is allowed; by
-/// then the balancer sends it to another VM.
+/// `Retry-After` sent while this VM has no up-to-date configuration; by then
+/// the load balancer sends the caller to another VM.
 const RETRY_AFTER_STALE: Duration = Duration::from_millis(500);
 
 /// Time after its start for which a VM that is not ready lets callers wait
-/// although the store has failed it: that may be over at the next try, and
-/// a short request still has most of its time.
+/// even if the store has failed: the next attempt to read it may succeed, and
+/// a short request still has most of its time left.
 const MIN_STARTUP_WAIT: Duration = Duration::from_millis(300);
 
 /// Longest time after its start for which a VM that is not ready lets callers
-/// wait while the store has not failed it. Where hundreds of VMs start at
-/// once, everything that they have to know takes 0.4 to 0.7 s to come; a
-/// caller that is refused meanwhile finds the next VM no further, and after a
-/// second it gives up by itself.
+/// wait while the store has not failed. If hundreds of VMs start at once, they
+/// need 0.4 to 0.7 s to load their state. A caller that is refused meanwhile
+/// finds the next VM in the same state, and after a second it gives up.
 const MAX_STARTUP_WAIT: Duration = Duration::from_millis(800);
 
-/// Time between two looks at whether a VM that starts is ready.
+/// Interval between two checks whether a VM that starts is ready.
 const STARTUP_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 type AnswerBody = UnsyncBoxBody<Bytes, StreamAborted>;
 
-/// Accepts callers until told to stop.
+/// Accepts connections of callers for as long as it is polled.
 ///
-/// Connections are closed after their answer once `closing` is closed.
+/// Once `closing` is closed, each connection is closed after the response
+/// under way.
 pub(crate) async fn serve(
     gateway: Arc<Gateway>,
     listener: TcpListener,
@@ -92,13 +93,14 @@
                 task::spawn(serve_connection(gateway, stream, closing))
                     .detach();
             }
-            // Out of file descriptors, say; others must be closed first.
+            // For example out of file descriptors: wait until some are closed.
             Err(_) => task::sleep(Duration::from_millis(20)).await,
         }
     }
 }
 
-/// Lets the first callers wait a moment for what a VM that starts learns.
+/// Delays the first connections until the VM is ready, within the limits
+/// above.
 async fn wait_until_ready(gateway: &Gateway) {
     let began_at = gateway.clock.now();
     while !gateway.is_ready() {
@@ -108,21 +110,21 @@
             false => MAX_STARTUP_WAIT,
         };
         if waited >= limit {
-            // From now on each request is told whether it can be served.
+            // From now on, each request is answered by the current state.
             return;
         }
         task::sleep(STARTUP_CHECK_INTERVAL).await;
     }
 }
 
-/// Serves one connection to its end.
+/// Serves one connection until it is closed.
 async fn serve_connection(
     gateway: Arc<Gateway>,
     stream: TcpStream,
     closing: Receiver<()>,
 ) {
-    // Without it, small events wait for each other; it cannot fail on an
-    // open connection.
+    // Nagle's algorithm would delay small events. This cannot fail on an open
+    // connection.
     let _ = stream.set_nodelay(true);
     let limits = gateway.knowledge.table().unwrap_or_default().limits();
     let service = service_fn(|request| {
@@ -137,8 +139,8 @@
     let mut connection = std::pin::pin!(connection);
     let ended = future::or(
         async {
-            // What a caller does wrong is answered by the library, and one
-            // that is gone needs no answer.
+            // The library answers malformed requests itself, and a caller
+            // that has closed the connection needs no response.
             let _ = connection.as_mut().await;
             true
         },
@@ -158,8 +160,9 @@
     gateway: Arc<Gateway>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
-    // By the standard, a connection is not used again after a request that
-    // states both a length and chunks; the library hides whether one did.
+    // By RFC 9112, a connection must be closed after a request with both
+    // `Content-Length` and `Transfer-Encoding`. The library hides the former,
+    // so every connection is closed after a chunked request.
     let is_chunked = request.headers().contains_key(TRANSFER_ENCODING);
     let _in_flight = gateway.in_flight.enter();
     let (reply, must_close) = match read_request(&gateway, request).await {
@@ -170,10 +173,10 @@
     into_response(&gateway, reply, must_close_after)
 }
 
-/// A refusal, and whether the connection is closed after it.
+/// An error response, and whether the connection is closed after it.
 type Refusal = Box<(Reply, bool)>;
 
-/// Reads a request and admits it.
+/// Reads a request and admits it, or returns the response that refuses it.
 async fn read_request(
     gateway: &Arc<Gateway>,
     request: Request<Incoming>,
@@ -234,13 +237,14 @@
     Ok((job, trace))
 }
 
+/// What admission has found out about a request.
 struct Admitted {
     table: Arc<RouteTable>,
     route: Arc<crate::facts::route::Route>,
     organisation: Option<Organisation>,
 }
 
-/// Decides whether a request may run at all.
+/// Decides by configuration, route and key whether a request may run.
 fn admit(
     gateway: &Gateway,
     request: &RequestHead,
@@ -253,12 +257,12 @@
             .with_retry_after(RETRY_AFTER_STALE)
     };
     let Some(table) = gateway.knowledge.table() else {
-        return Err(stale("no configuration is known yet"));
+        return Err(stale("no configuration has been read yet"));
     };
     let age = gateway.knowledge.proof_age(now);
     trace.note_configuration(table.version(), age);
     if !gateway.may_accept_keys(now) {
-        return Err(stale("the configuration known may be out of date"));
+        return Err(stale("the configuration may be out of date"));
     }
     let route = table.route(&request.host, request.path_only());
     let Some(route) = route.cloned() else {
@@ -287,7 +291,7 @@
         return Err(refused("the request has no key"));
     };
     let organisation = table.organisation(key);
-    organisation.cloned().ok_or_else(|| refused("nobody holds this key"))
+    organisation.cloned().ok_or_else(|| refused("the key is unknown"))
 }
 
 async fn read_body(
@@ -302,14 +306,15 @@
     if stated > limit_bytes as u64 {
         return Err(too_large());
     }
-    let broken = |reason: String| {
+    let incomplete = |reason: String| {
         Error::new(ErrorKind::InvalidInput)
-            .context(format!("the body is not whole: {reason}"))
+            .context(format!("the body is incomplete: {reason}"))
     };
     let work = async {
         let mut whole = BytesMut::with_capacity(stated as usize);
         while let Some(frame) = body.frame().await {
-            let frame = frame.map_err(|error| broken(error.to_string()))?;
+            let frame =
+                frame.map_err(|error| incomplete(error.to_string()))?;
             let Ok(data) = frame.into_data() else { continue };
             if whole.len() + data.len() > limit_bytes {
                 return Err(too_large());
@@ -319,7 +324,7 @@
         Ok(whole.freeze())
     };
     let read = task::within(BODY_TIMEOUT, work).await;
-    read.unwrap_or_else(|| Err(broken("it took too long".to_owned())))
+    read.unwrap_or_else(|| Err(incomplete("timed out".to_owned())))
 }
 
 fn into_response(
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -88,9 +88,9 @@
 
 impl InFlightCount {
     /// Counts one more while the guard lives.
-    pub(crate) fn enter(&self) -> InFlightGuard {
+    pub(crate) fn enter(&self) -> RequestGuard {
         self.0.fetch_add(1, Ordering::Relaxed);
-        InFlightGuard(self.0.clone())
+        RequestGuard(self.0.clone())
     }
 
     /// How many there are.
@@ -101,9 +101,9 @@
 
 /// Counts a request while it lives.
 #[derive(Debug)]
-pub(crate) struct InFlightGuard(Arc<AtomicUsize>);
+pub(crate) struct RequestGuard(Arc<AtomicUsize>);
 
-impl Drop for InFlightGuard {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -431,7 +431,7 @@
     }
 
     /// Takes in how an attempt at an upstream ended.
-    pub(crate) fn record_verdict(&self, member: &Member, verdict: Verdict) {
+    pub(crate) fn record_outcome(&self, member: &Member, verdict: Verdict) {
         // It failed because it ended; the one in its place has not.
         if member.is_over() && verdict != Verdict::Good {
             return;
--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -1,9 +1,11 @@
-//! Relaying a stream of events, resumed at another upstream when it breaks.
+//! Relays a stream of server-sent events and resumes it at another upstream
+//! when it breaks.
 //!
-//! Only whole events go out, each once and in order. When an upstream breaks
-//! off or falls silent, the rest is asked for after the last event that went
-//! out; the caller sees one answer. If nobody can go on, the answer is cut
-//! so that it cannot be taken for whole.
+//! Only whole events are relayed, each once and in order. When the connection
+//! to an upstream breaks or the upstream stays silent, the rest is requested
+//! from another one, starting after the last relayed event; the caller sees a
+//! single response. If no upstream can continue, the response is aborted so
+//! that the caller cannot take it for complete.
 
 use std::time::Duration;
 
@@ -33,40 +35,41 @@
 };
 
 /// Longest silence within a stream before another upstream is asked, as a
-/// part of the pause that is still in time.
+/// fraction of the target for the pause between two events.
 const STALL_FRACTION: f64 = 0.45;
 
-/// The same where the route states no pause.
+/// Longest silence within a stream if the route has no target for pauses.
 const STALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Reading that may be under way at an upstream while the time of another
-/// prompt is still worth learning from.
+/// Largest prefill backlog of an upstream at which the prefill time of another
+/// prompt is still learned from: with more, the time includes the wait for
+/// those prefills.
 const MAX_OTHER_PREFILL: Duration = Duration::from_millis(20);
 
-/// Silence after which the rest of a stream counts as lost although its
-/// upstream is well.
+/// Silence after which the rest of a stream counts as lost even if its
+/// upstream seems healthy.
 const MAX_STALL: Duration = Duration::from_millis(2500);
 
-/// The stream broke off for good.
+/// The stream ended early and could not be resumed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct StreamAborted;
 
 impl std::fmt::Display for StreamAborted {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the stream broke off")
+        f.write_str("the stream ended early and could not be resumed")
     }
 }
 
 impl std::error::Error for StreamAborted {}
 
-/// A stream from one upstream.
+/// A stream of events from one upstream.
 struct UpstreamStream {
     attempt: Attempt,
     exchange: Exchange,
     events: Splitter,
 }
 
-/// A stream whose first events are here.
+/// A stream whose first events have arrived.
 pub(crate) struct OpenedStream {
     source: UpstreamStream,
     head: Reply,
@@ -75,13 +78,13 @@
     ended: bool,
 }
 
-/// What a source brought.
+/// What was read from an upstream.
 enum StreamRead {
     Events(Bytes),
     End,
 }
 
-/// Why a source brings nothing more.
+/// Why nothing more can be read from an upstream.
 enum StreamError {
     Broken(String),
     Silent,
@@ -104,7 +107,8 @@
 }
 
 impl UpstreamStream {
-    /// The next whole events after `last`, which is moved on.
+    /// Returns the next whole events after the event id `last`, and advances
+    /// `last`.
     async fn next(
         &mut self,
         job: &Job,
@@ -164,11 +168,11 @@
 }
 
 impl Job {
-    /// Returns when a stream from this upstream, which has been silent for
-    /// `limit` or longer, is to be asked for elsewhere.
+    /// Waits until a stream from this upstream has been silent for so long
+    /// (`limit` or more) that it is to be resumed elsewhere.
     ///
-    /// Whether that is possible is looked at again and again: an upstream may
-    /// be left only once a rest or a cut is over.
+    /// Whether it can be resumed is checked repeatedly: another upstream may
+    /// become available once its backoff or a network partition is over.
     async fn wait_for_stall(&self, member: &Member, limit: Duration) {
         let since = self.gateway.clock.now();
         loop {
@@ -186,7 +190,7 @@
         }
     }
 
-    /// Asks one upstream for a stream, up to its first events.
+    /// Requests a stream from one upstream and waits for its first events.
     pub(crate) async fn fetch_stream(
         &mut self,
         attempt: Attempt,
@@ -221,7 +225,8 @@
         self.open(attempt, exchange, trace).await
     }
 
-    /// The larger model to ask instead of the one that has answered.
+    /// Returns the larger model to ask instead of the one that has answered,
+    /// or why its answer is kept.
     fn escalation_model(
         &self,
         attempt: &Attempt,
@@ -235,12 +240,13 @@
             confidence,
             started_at: self.started_at,
             has_attempt: self.has_attempt_left(),
-            tokens: attempt.tokens,
+            tokens: attempt.prompt_tokens,
         };
         let times = &self.gateway.read_times;
         let escalation_model =
             larger_model(&doubt, times, attempt.prefill_before, now)?;
-        // An answer that is at hand is better than one that nobody gives.
+        // The answer at hand is better than none: it is given up only if an
+        // upstream can take the larger request.
         match self.has_upstream_for_retry(now) {
             true => Ok(escalation_model),
             false => Err(Kept::NoUpstream),
@@ -257,27 +263,27 @@
         let status = exchange.status;
         let headers = headers::response_headers(&exchange.headers);
         if status != 200 {
-            return Err(self.failed(attempt, exchange, headers).await);
+            return Err(self.read_failure(attempt, exchange, headers).await);
         }
         let mut last_event = self.request.last_event;
         let mut source =
             UpstreamStream { attempt, exchange, events: Splitter::default() };
         let limit = self.first_event_timeout();
-        let brought = source.next(self, &mut last_event, limit).await;
-        let (first, ended) = match brought {
+        let read = source.next(self, &mut last_event, limit).await;
+        let (first, ended) = match read {
             Ok(StreamRead::Events(first)) => (first, false),
             Ok(StreamRead::End) => (Bytes::new(), true),
-            Err(stop) => {
+            Err(error) => {
                 self.record_attempt(&source.attempt, Verdict::Lost, None);
                 return Err(AttemptError::Unknown(
-                    stop.label(),
-                    stop.reason(),
+                    error.label(),
+                    error.reason(),
                 ));
             }
         };
         let now = self.gateway.clock.now();
         let waited = now.saturating_duration_since(source.attempt.began_at);
-        source.attempt.reading = None;
+        source.attempt.prefill = None;
         self.learn_read_time(&source.attempt, waited);
         self.record_attempt(&source.attempt, Verdict::Good, Some(waited));
         trace.note_body_part();
@@ -289,8 +295,8 @@
         Ok(OpenedStream { source, head, first, last_event, ended })
     }
 
-    /// Reads the answer of an upstream that did not open a stream.
-    async fn failed(
+    /// Reads the response of an upstream that did not open a stream.
+    async fn read_failure(
         &mut self,
         attempt: Attempt,
         exchange: Exchange,
@@ -317,10 +323,10 @@
     }
 
     fn learn_read_time(&self, attempt: &Attempt, waited: Duration) {
-        let was_free = attempt.prefill_before < MAX_OTHER_PREFILL;
-        if let (true, Some(model)) = (was_free, &attempt.model) {
+        let was_idle = attempt.prefill_before < MAX_OTHER_PREFILL;
+        if let (true, Some(model)) = (was_idle, &attempt.model) {
             let times = &self.gateway.read_times;
-            times.learn(model, attempt.tokens, waited);
+            times.learn(model, attempt.prompt_tokens, waited);
         }
     }
 
@@ -335,7 +341,7 @@
 }
 
 impl OpenedStream {
-    /// The answer that goes on as its events come.
+    /// Returns the response whose body relays the events as they arrive.
     pub(crate) fn into_reply(self, job: Job, trace: Trace) -> Reply {
         let relay = EventRelay {
             job,
@@ -349,7 +355,7 @@
     }
 }
 
-/// A stream on its way to its caller.
+/// Relays a stream to its caller, across the upstreams that it comes from.
 pub(crate) struct EventRelay {
     job: Job,
     trace: Option<Trace>,
@@ -360,7 +366,7 @@
 }
 
 impl EventRelay {
-    /// The next events, or `None` after the last.
+    /// Returns the next events, or `None` after the last.
     pub(crate) async fn next(
         &mut self,
     ) -> Result<Option<Bytes>, StreamAborted> {
@@ -387,9 +393,9 @@
                     return Ok(Some(events));
                 }
                 Ok(StreamRead::End) => self.ended = true,
-                // Nobody else can be asked, and it may still go on.
-                Err(StreamError::Silent) if self.must_wait() => {}
-                Err(stop) => self.resume(stop).await?,
+                // No other upstream can continue; this one still may.
+                Err(StreamError::Silent) if self.must_keep_waiting() => {}
+                Err(error) => self.resume(error).await?,
             }
         }
     }
@@ -406,9 +412,9 @@
         }
     }
 
-    /// Whether a silent source is all there is, more may come from it, and
-    /// there is time left.
-    fn must_wait(&self) -> bool {
+    /// Whether to keep waiting for a silent upstream: there is time left, more
+    /// may come from it, and no other upstream can take over.
+    fn must_keep_waiting(&self) -> bool {
         let now = self.job.gateway.clock.now();
         let is_over =
             |source: &UpstreamStream| source.attempt.member.is_over();
@@ -417,18 +423,19 @@
             && !self.job.may_resume(now)
     }
 
-    /// Asks another upstream for the rest.
+    /// Resumes the stream at another upstream.
     async fn resume(
         &mut self,
-        stop: StreamError,
+        error: StreamError,
     ) -> Result<(), StreamAborted> {
         let Some(source) = self.source.take() else {
             return Err(StreamAborted);
         };
-        let mut reason = stop.reason();
+        let mut reason = error.reason();
         self.job.record_attempt(&source.attempt, Verdict::Lost, None);
-        self.note_end(stop.label(), &reason);
-        // The upstream that is given up must stop before another goes on.
+        self.end_attempt(error.label(), &reason);
+        // Dropping the connection stops the old upstream before another one
+        // continues.
         let model = source.attempt.model.clone();
         drop(source);
         loop {
@@ -436,15 +443,15 @@
             if !self.job.may_resume(now) {
                 return self.abort(reason);
             }
-            // Where nobody is left to ask, nothing is taken from the budget,
-            // which other requests need.
+            // The upstream is chosen before a retry is taken from the budget:
+            // without one, the budget is left to other requests.
             let mut attempt = match self.begin_attempt(now) {
                 Ok(attempt) => attempt,
-                Err(nobody) => return self.abort(nobody),
+                Err(reason) => return self.abort(reason),
             };
             attempt.model.clone_from(&model);
             if !self.job.gateway.try_retry(&self.job.service) {
-                self.note_end("not_sent", "the retry budget is spent");
+                self.end_attempt("not_sent", "the retry budget is spent");
                 return self.abort(reason);
             }
             match self.try_resume(attempt).await {
@@ -457,7 +464,7 @@
         }
     }
 
-    /// Chooses the upstream that is asked for the rest.
+    /// Begins an attempt at the upstream that is to continue the stream.
     fn begin_attempt(&mut self, now: BootInstant) -> Result<Attempt, String> {
         let Some(trace) = &mut self.trace else {
             return Err("ended".to_owned());
@@ -475,8 +482,8 @@
         let limit = self.job.head_timeout(&attempt);
         let last = self.last_event;
         let sent = self.job.send(&attempt, last, limit, trace).await;
-        let failed = |relay: &mut EventRelay, label, reason: String| {
-            relay.note_end(label, &reason);
+        let fail = |relay: &mut EventRelay, label, reason: String| {
+            relay.end_attempt(label, &reason);
             Err(reason)
         };
         match sent {
@@ -484,32 +491,32 @@
                 if exchange.status == 200 =>
             {
                 exchange.allow_end_at_close();
-                attempt.reading = None;
+                attempt.prefill = None;
                 let events = Splitter::default();
                 Ok(UpstreamStream { attempt, exchange, events })
             }
             Ok((exchange, _)) => {
                 self.job.record_attempt(&attempt, Verdict::Failed, None);
                 let reason = format!("status {}", exchange.status);
-                failed(self, "failed", reason)
+                fail(self, "failed", reason)
             }
             Err(AttemptError::NotRun(label, reason)) => {
-                failed(self, label, reason)
+                fail(self, label, reason)
             }
             Err(AttemptError::Unknown(label, reason)) => {
                 self.job.record_attempt(&attempt, Verdict::Lost, None);
-                failed(self, label, reason)
+                fail(self, label, reason)
             }
             Err(AttemptError::LowConfidence(_)) => {
-                failed(self, "poor", String::new())
+                fail(self, "poor", String::new())
             }
             Err(AttemptError::Failed(reply)) => {
-                failed(self, "failed", format!("status {}", reply.status))
+                fail(self, "failed", format!("status {}", reply.status))
             }
         }
     }
 
-    fn note_end(&mut self, label: &str, reason: &str) {
+    fn end_attempt(&mut self, label: &str, reason: &str) {
         if let Some(trace) = &mut self.trace {
             trace.note_digest(self.job.digest());
             trace.end_attempt(label, reason);
@@ -524,10 +531,11 @@
     }
 }
 
-/// The relay as a body of an HTTP answer.
+/// Turns the relay into the body of an HTTP response. `guard` counts the
+/// request as in flight until the body ends.
 pub(crate) fn into_body(
     relay: Box<EventRelay>,
-    guard: crate::gateway::InFlightGuard,
+    guard: crate::gateway::RequestGuard,
 ) -> impl futures_lite::Stream<
     Item = Result<hyper::body::Frame<Bytes>, StreamAborted>,
 > + Send {
@@ -541,8 +549,8 @@
             }
             Ok(None) => None,
             Err(broken) => {
-                // An error in the turn that brought the last events would
-                // have the HTTP library drop them unsent.
+                // If the error came in the same poll as the last events, the
+                // HTTP library would drop those events unsent.
                 futures_lite::future::yield_now().await;
                 Some((Err(broken), None))
             }
--- a/src/gateway/request_head.rs
+++ b/src/gateway/request_head.rs
@@ -1,4 +1,5 @@
-//! A caller's request, as every face of the router hands it to the core.
+//! The head of a caller's request and of the attempts that forward it,
+//! independent of the headers that carry them.
 
 use std::time::Duration;
 
@@ -9,70 +10,75 @@
 /// The head of a caller's request.
 #[derive(Clone, Debug)]
 pub struct RequestHead {
-    /// The id that the caller gave this try of its request.
+    /// The id that the caller gave to this attempt of its request.
     pub id: String,
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// The host that the caller names.
+    /// The value of the `Host` header.
     pub host: String,
-    /// The path with its query.
+    /// The path, with the query.
     pub path: String,
-    /// The key that says which organisation is asking.
+    /// The API key, which identifies the organisation of the caller.
     pub key: Option<String>,
-    /// How long the caller waits, counted from when it sent the request.
+    /// The time until the deadline of the caller, as of when it sent the
+    /// request; `None` if it states none.
     pub time_left: Option<Duration>,
-    /// The model that the caller wants, if the request is for a model.
+    /// The model that the caller asks for; `None` if the request is not for
+    /// a model.
     pub model: Option<RequestedModel>,
-    /// The tokens of the prompt, if the request is for a model.
+    /// The length of the prompt in tokens; `None` if it is not stated.
     pub prompt_tokens: Option<u64>,
-    /// The parts of the prompt in order; the last is the request's own.
+    /// The segments of the prompt in order; the last one belongs to this
+    /// request alone.
     pub prompt: Vec<PromptSegment>,
-    /// The last event that the caller has of a stream it takes up again.
+    /// The id of the last event that the caller has received of a stream that
+    /// it resumes.
     pub last_event: Option<u64>,
     /// The session that the request belongs to.
     pub session: Option<String>,
-    /// The headers that go on to an upstream unchanged.
+    /// The headers that are forwarded unchanged.
     pub headers: HeaderMap,
 }
 
 impl RequestHead {
-    /// The path without its query.
+    /// Returns the path without the query.
     pub fn path_only(&self) -> &str {
         self.path.split('?').next().unwrap_or("/")
     }
 }
 
-/// Which model a caller wants.
+/// The model that a caller asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestedModel {
-    /// The router chooses.
+    /// The router chooses the model.
     Any,
-    /// This one.
+    /// The model with this name.
     Named(String),
 }
 
-/// A part of a prompt; requests with the same first parts share them.
+/// A segment of a prompt. Requests whose first segments are equal share a
+/// prefix that an engine can cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptSegment {
-    /// What identifies its text.
+    /// Identifies the text of the segment.
     pub id: u64,
-    /// Its length in tokens.
+    /// The length in tokens.
     pub tokens: u64,
 }
 
-/// What the router states at the head of one attempt.
+/// What the router adds to the head of one attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptHead<'a> {
-    /// The time that is left for the answer.
+    /// The time left until the deadline.
     pub time_left: Duration,
-    /// The only upstream, in its present life, that may run the request.
+    /// The only upstream incarnation that may execute the request.
     pub upstream: &'a UpstreamId,
-    /// The organisation that is asking, unless the route needs none.
+    /// The organisation of the caller; `None` if the route needs no key.
     pub organisation: Option<&'a OrganisationId>,
-    /// The model chosen, where the caller left the choice.
+    /// The model chosen by the router; `None` if the caller named one.
     pub model: Option<&'a ModelId>,
-    /// The last event that the caller has already.
+    /// The id of the last event that the caller has; `None` for a new stream.
     pub resume_after: Option<u64>,
-    /// How urgent it is at the upstream, 0 (first) to 9.
+    /// The priority at the upstream, from 0 (most urgent) to 9.
     pub priority: Option<u8>,
 }
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -177,7 +177,7 @@
     }
 
     /// Notes what the upstream says of itself in its answer.
-    pub(crate) fn note_statement(&mut self, statement: &Statement) {
+    pub(crate) fn note_signals(&mut self, statement: &Statement) {
         if let Some(last) = self.attempts.last_mut() {
             last.says_leaving = statement.is_leaving;
             last.rest_wanted.clone_from(&statement.rest);
--- a/src/gateway/upstream_signals.rs
+++ b/src/gateway/upstream_signals.rs
@@ -20,7 +20,7 @@
 impl Gateway {
     /// Takes in what an upstream says of itself in its answer to what was
     /// sent at `sent_at`.
-    pub(crate) fn apply_statement(
+    pub(crate) fn apply_signals(
         &self,
         member: &Member,
         statement: &Statement,
--- a/src/gateway/upstream_signals/tests.rs
+++ b/src/gateway/upstream_signals/tests.rs
@@ -73,7 +73,7 @@
     let now = fleet.clock.now();
     let member = first.pool.member(&"i-1".parse().unwrap()).unwrap();
     let leaves = Statement { is_leaving: true, ..Statement::default() };
-    first.apply_statement(&member, &leaves, now);
+    first.apply_signals(&member, &leaves, now);
     fleet.schedule_early_heartbeat(0);
     let told_ms = fleet.elapsed_ms;
     run_until(&mut fleet, told_ms + HALL_MS);
@@ -98,7 +98,7 @@
     let first = fleet.vms[0].clone();
     let member = first.pool.member(&"i-1".parse().unwrap()).unwrap();
     let leaves = Statement { is_leaving: true, ..Statement::default() };
-    first.apply_statement(&member, &leaves, fleet.clock.now());
+    first.apply_signals(&member, &leaves, fleet.clock.now());
     let told =
         |fleet: &Fleet| first.pool.take_leaving(fleet.clock.now()).len();
     run_until(&mut fleet, 5_000);
@@ -134,9 +134,9 @@
         let named = says(RateLimit::At("1.4".parse().unwrap()));
         let unlimited = says(RateLimit::Unlimited);
         // What is said before and after is no news.
-        first.apply_statement(&member, &unlimited, fleet.clock.now());
+        first.apply_signals(&member, &unlimited, fleet.clock.now());
         for statement in [&named, &unlimited] {
-            first.apply_statement(&member, statement, fleet.clock.now());
+            first.apply_signals(&member, statement, fleet.clock.now());
             fleet.schedule_early_heartbeat(0);
             let told_ms = fleet.elapsed_ms;
             run_until(&mut fleet, told_ms + FLEET_MS);
