--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,11 +1,12 @@
-//! One entry VM before a platform: what its tasks and listeners share.
+//! The gateway: a VM that routes requests to the upstreams of the users'
+//! platform, and the state that its tasks and listeners share.
 //!
-//! * [`settings`]: its settings.
-//! * [`upstream_signals`]: hearing what upstreams say of themselves.
-//! * [`vm_registration`]: keeping the VMs recorded in the store.
-//! * [`server`]: its life, from start to planned stop.
-//! * [`store_watch`]: following the platform's store.
-//! * [`rollout_status`]: recording how far roll-outs are.
+//! * [`settings`]: the settings of the VM.
+//! * [`upstream_signals`]: applies what upstreams report about themselves.
+//! * [`vm_registration`]: keeps the VMs registered in the store.
+//! * [`server`]: runs the VM from its start to a planned stop.
+//! * [`store_watch`]: follows the changes of the platform's store.
+//! * [`rollout_status`]: records the status of roll-outs in the store.
 
 use std::{
     collections::HashMap,
@@ -62,44 +63,45 @@
 
 use settings::GatewaySettings;
 
-/// Longest time to open a connection to an upstream, which is at most a few
-/// milliseconds away; nothing was sent yet, so trying another costs nothing.
+/// Timeout for opening a connection to an upstream, which is at most a few
+/// milliseconds away. Nothing was sent yet, so it is safe to try another one.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Part of the time after which a key that was taken away must be refused,
-/// up to which knowledge is recent enough to accept keys by.
+/// Largest age of the proof of freshness at which keys are accepted, as a
+/// fraction of the time after which a revoked key must be refused.
 ///
-/// A proof counts from before the store was asked, and a request from when it
-/// arrives, which is after it was sent; so only clocks that run unlike need
-/// the rest. Each hundredth serves callers for 50 ms longer when a store with
-/// a bound of five seconds is away.
+/// The age counts from before the store was asked, and a request counts from
+/// its arrival, which is after it was sent, so the remainder only has to cover
+/// clock drift. While the store is unavailable, each hundredth serves callers
+/// for 50 ms longer if the limit is five seconds.
 const KEY_FRESHNESS_FRACTION: f64 = 0.93;
 
-/// Time that the store must have been well before a record that vanished
-/// means that its upstream leaves; a live one is back within two seconds.
+/// Time that the store must have been healthy before the removal of a record
+/// means that its upstream has left. A live upstream is back in the store
+/// within two seconds.
 const STORE_HEALTHY_TIME: Duration = Duration::from_millis(2500);
 
-/// Values that cannot be read which are logged of those that come at once.
+/// Largest number of unreadable values that are logged per batch.
 const MAX_UNREADABLE_LOGGED: usize = 20;
 
-/// Counts the requests that this VM is working on.
+/// The number of requests in flight at this VM.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct InFlightCount(Arc<AtomicUsize>);
 
 impl InFlightCount {
-    /// Counts one more while the guard lives.
+    /// Counts one more request until the guard is dropped.
     pub(crate) fn enter(&self) -> RequestGuard {
         self.0.fetch_add(1, Ordering::Relaxed);
         RequestGuard(self.0.clone())
     }
 
-    /// How many there are.
+    /// Returns the number of requests in flight.
     pub(crate) fn count(&self) -> usize {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// Counts a request while it lives.
+/// Counts one request as in flight until it is dropped.
 #[derive(Debug)]
 pub(crate) struct RequestGuard(Arc<AtomicUsize>);
 
@@ -109,7 +111,7 @@
     }
 }
 
-/// One entry VM before a platform.
+/// The state that the tasks and listeners of a gateway VM share.
 pub(crate) struct Gateway {
     pub(crate) settings: GatewaySettings,
     pub(crate) clock: SharedClock,
@@ -124,17 +126,17 @@
     pub(crate) peers: Peers,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) in_flight: InFlightCount,
-    /// Has the next beat sent early.
+    /// Wakes the heartbeat loop, so that the next heartbeat is sent early.
     pub(crate) early_heartbeat: Wake,
     pub(crate) incarnation: Incarnation,
-    retries: Mutex<HashMap<ServiceId, Arc<RetryWindow>>>,
+    retry_budgets: Mutex<HashMap<ServiceId, Arc<RetryWindow>>>,
     store_failed_at: Mutex<Option<BootInstant>>,
     is_stopping: AtomicBool,
     was_fresh: AtomicBool,
 }
 
 impl Gateway {
-    /// Puts a VM together; nothing runs yet.
+    /// Creates the state of a VM; starts no task.
     pub(crate) fn new(
         settings: GatewaySettings,
         clock: SharedClock,
@@ -164,7 +166,7 @@
             in_flight: InFlightCount::default(),
             early_heartbeat: Wake::default(),
             incarnation,
-            retries: Mutex::default(),
+            retry_budgets: Mutex::default(),
             store_failed_at: Mutex::new(None),
             is_stopping: AtomicBool::new(false),
             was_fresh: AtomicBool::new(false),
@@ -183,25 +185,25 @@
         self.is_stopping.store(true, Ordering::Relaxed);
     }
 
-    /// Whether it takes requests.
+    /// Whether this VM accepts requests.
     pub(crate) fn is_ready(&self) -> bool {
         !self.is_stopping()
             && !self.knowledge.is_empty()
             && self.may_accept_keys(self.clock.now())
     }
 
-    /// Whether keys are accepted by what is known.
+    /// Whether keys may be accepted by the configuration at hand.
     ///
-    /// Where the operators say that keys need not fail closed, the newest
-    /// configuration known holds for as long as no newer one is heard of: a
-    /// VM that lost the store serves on rather than refuses everybody. With
-    /// the store away for eight seconds, 145 requests were refused in five of
-    /// them without this, and none with it (one simulated day).
+    /// With `fail_closed` off, the newest configuration holds until a newer
+    /// one arrives: a VM that has lost the store goes on serving instead of
+    /// refusing every caller. With the store unavailable for eight seconds,
+    /// 145 requests were refused in five of them without this, and none with
+    /// it (one simulated day).
     pub(crate) fn may_accept_keys(&self, now: BootInstant) -> bool {
         !self.settings.fail_closed || self.is_fresh(now)
     }
 
-    /// What this VM does to know what has changed in the store.
+    /// Returns how this VM follows the changes of the store.
     pub(crate) fn watch_role(&self) -> WatchRole {
         if self.is_stopping() {
             return WatchRole::Watch;
@@ -215,7 +217,7 @@
         )
     }
 
-    /// Whether what is known is recent enough to accept keys by.
+    /// Whether the proof of freshness is recent enough to accept keys.
     pub(crate) fn is_fresh(&self, now: BootInstant) -> bool {
         let limit =
             self.settings.key_revocation_limit.mul_f64(KEY_FRESHNESS_FRACTION);
@@ -223,7 +225,8 @@
         age.is_some_and(|age| age <= limit)
     }
 
-    /// Logs when knowledge becomes too old, or recent enough again.
+    /// Logs when the proof of freshness becomes too old, or recent enough
+    /// again.
     pub(crate) fn note_freshness(&self) {
         let now = self.clock.now();
         let is_fresh = self.is_fresh(now);
@@ -242,41 +245,42 @@
         })));
     }
 
-    /// The retry budget of a service.
-    fn retries(&self, service: &ServiceId) -> Arc<RetryWindow> {
+    /// Returns the retry budget of a service.
+    fn retry_budget(&self, service: &ServiceId) -> Arc<RetryWindow> {
         let now = self.clock.now();
         let bound = self.settings.retry_bound;
-        let mut retries = self.retries.lock().expect("retries lock");
-        let window = retries
+        let mut budgets = self.retry_budgets.lock().expect("retries lock");
+        let budget = budgets
             .entry(service.clone())
             .or_insert_with(|| Arc::new(RetryWindow::new(bound, now)));
-        window.clone()
+        budget.clone()
     }
 
-    /// Counts a request for a service.
+    /// Counts a request for a service, of which the retry budget is a share.
     pub(crate) fn count_request(&self, service: &ServiceId) {
-        self.retries(service).count_request(self.clock.now());
+        self.retry_budget(service).count_request(self.clock.now());
     }
 
-    /// Whether a further attempt may be sent to a service.
+    /// Whether the retry budget of a service allows another attempt.
     pub(crate) fn can_retry(&self, service: &ServiceId) -> bool {
         let now = self.clock.now();
-        self.retries(service).has_one(self.peers.fleet_size(), now)
+        self.retry_budget(service).has_one(self.peers.fleet_size(), now)
     }
 
-    /// Takes a further attempt at a service, if one is left.
+    /// Takes an attempt from the retry budget of a service; returns whether
+    /// one was left.
     pub(crate) fn try_retry(&self, service: &ServiceId) -> bool {
         let now = self.clock.now();
-        self.retries(service).try_retry(self.peers.fleet_size(), now)
+        self.retry_budget(service).try_retry(self.peers.fleet_size(), now)
     }
 
-    /// Notes that the store does not answer as it should.
+    /// Records that a call to the store failed.
     pub(crate) fn note_store_failure(&self) {
         let now = self.clock.now();
         *self.store_failed_at.lock().expect("store lock") = Some(now);
     }
 
-    /// Whether the store has ever not answered as it should.
+    /// Whether a call to the store has failed since the start.
     pub(crate) fn has_store_failed(&self) -> bool {
         self.store_failed_at.lock().expect("store lock").is_some()
     }
@@ -288,7 +292,7 @@
         })
     }
 
-    /// Takes in what the store says.
+    /// Applies changes of the store.
     pub(crate) fn apply_news(&self, news: News) {
         self.note_unreadable(&news.unreadable);
         for fact in news.facts {
@@ -296,12 +300,11 @@
         }
     }
 
-    /// Counts values that cannot be read, and logs them, of many at once the
-    /// first few.
+    /// Counts values that cannot be read, and logs the first few of them.
     fn note_unreadable(&self, unreadable: &[Unreadable]) {
         let count = u64::try_from(unreadable.len()).unwrap_or(u64::MAX);
         self.metrics.entries_unreadable.inc_by(count);
-        let left_out = unreadable.len().saturating_sub(MAX_UNREADABLE_LOGGED);
+        let omitted = unreadable.len().saturating_sub(MAX_UNREADABLE_LOGGED);
         for (number, value) in
             unreadable.iter().take(MAX_UNREADABLE_LOGGED).enumerate()
         {
@@ -309,7 +312,7 @@
             Event::EntryUnreadable.record(fields(json!({
                 "key": value.key,
                 "reason": value.reason,
-                "left_out": if is_last { left_out } else { 0 },
+                "left_out": if is_last { omitted } else { 0 },
             })));
         }
     }
@@ -340,8 +343,8 @@
                     "begins": self.pool.set(entry.clone(), now),
                 })));
             }
-            // Whoever wrote it, it names nobody to send to. What was begun
-            // there goes on to its end.
+            // An entry that cannot be read gives no address to send to,
+            // whoever wrote it. Requests in flight run to their end.
             Fact::UpstreamUnreadable(id) => self.pool.remove(&id, true, now),
             Fact::UpstreamGone(id) => {
                 let is_sure = self.is_store_healthy(now);
@@ -384,9 +387,9 @@
                 })));
             }
             Fact::CrashingRequest(request, crashes) => {
-                let told: Vec<Sighting> =
+                let sightings: Vec<Sighting> =
                     Sighting::of_crashes(request, crashes).collect();
-                self.merge_sightings(&told, Source::Kept);
+                self.merge_sightings(&sightings, Source::Kept);
             }
             Fact::Peer(vm, record) => {
                 self.pool.add_vm(&vm, &record.data_hall);
@@ -399,17 +402,21 @@
         }
     }
 
-    /// Takes in what was seen elsewhere of requests and crashes.
-    pub(crate) fn merge_sightings(&self, told: &[Sighting], source: Source) {
+    /// Merges sightings of requests and crashes from elsewhere.
+    pub(crate) fn merge_sightings(
+        &self,
+        sightings: &[Sighting],
+        source: Source,
+    ) {
         let now = self.clock.now();
-        let changes = self.crashes.hear(told, source, now);
+        let changes = self.crashes.hear(sightings, source, now);
         self.note_crash_changes(&changes);
         if !changes.is_empty() {
             self.early_heartbeat.wake();
         }
     }
 
-    /// Logs which requests are held back from now on, or no longer.
+    /// Logs which requests are blocked from now on, and which no longer.
     pub(crate) fn note_crash_changes(&self, changes: &[HoldChange]) {
         for change in changes {
             match change {
@@ -430,9 +437,10 @@
         }
     }
 
-    /// Takes in how an attempt at an upstream ended.
+    /// Records the outcome of an attempt at an upstream for its health.
     pub(crate) fn record_outcome(&self, member: &Member, verdict: Verdict) {
-        // It failed because it ended; the one in its place has not.
+        // The failure belongs to an incarnation that has ended; the one that
+        // replaced it is not at fault.
         if member.is_over() && verdict != Verdict::Good {
             return;
         }
@@ -452,7 +460,8 @@
         event.record(fields(json!({ "upstream": member.entry.id })));
     }
 
-    /// This VM's requests at a service's upstreams of other versions.
+    /// Returns the number of this VM's requests in flight at the upstreams of
+    /// a service that run another version than `target`.
     pub(crate) fn in_flight_at_other_versions(
         &self,
         service: &ServiceId,
@@ -464,7 +473,8 @@
     }
 }
 
-/// The fields of a JSON object.
+/// Returns the fields of a JSON object; any other value becomes the field
+/// `value`.
 pub(crate) fn fields(object: Value) -> Map<String, Value> {
     match object {
         Value::Object(fields) => fields,
--- a/src/gateway/rollout_status.rs
+++ b/src/gateway/rollout_status.rs
@@ -1,9 +1,9 @@
-//! Recording in the store how far roll-outs are.
+//! Records the status of roll-outs in the store.
 //!
-//! Any VM can do it, and one of those that hear each other and the store
-//! does: the first in an order that all of them find. Two that each think
-//! they are it do no harm, since every record is written under a condition
-//! and a roll-out that has ended stays ended.
+//! One VM, the steward, does so: the first, in an order that all VMs compute
+//! alike, of those that reach each other and the store. Two VMs that both take
+//! themselves for the steward do no harm, since every write is conditional and
+//! a roll-out that has ended stays ended.
 
 use std::{sync::Arc, time::Duration};
 
@@ -26,16 +26,16 @@
     task,
 };
 
-/// Time between two looks at the roll-outs.
+/// Interval between two checks of the roll-outs.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Longest wait after a state could not be recorded.
+/// Longest wait after a status could not be recorded.
 const MAX_RETRY_WAIT: Duration = Duration::from_secs(1);
 
-/// Looks after the roll-outs for as long as it is polled.
+/// Checks the roll-outs and records their status for as long as it is polled.
 pub(crate) async fn run(gateway: Arc<Gateway>) {
     let mut backoff = Backoff::new(CHECK_INTERVAL, MAX_RETRY_WAIT);
-    let mut record_from = gateway.clock.now();
+    let mut retry_at = gateway.clock.now();
     loop {
         task::sleep(CHECK_INTERVAL).await;
         gateway.note_freshness();
@@ -56,12 +56,12 @@
                 "reason": reason,
             })));
         }
-        if now < record_from {
+        if now < retry_at {
             continue;
         }
         for due in due_records(&gateway, now) {
             if let Err(error) = record(&gateway, &due).await {
-                record_from = gateway.clock.now() + backoff.wait();
+                retry_at = gateway.clock.now() + backoff.wait();
                 Event::RolloutNotRecorded.record(fields(json!({
                     "service": due.service,
                     "progress": due.status.progress.to_string(),
@@ -74,37 +74,37 @@
     }
 }
 
-/// What this VM is to record in the store.
+/// Returns the status records that this VM has to write to the store.
 pub(crate) fn due_records(gateway: &Gateway, now: BootInstant) -> Vec<Due> {
     let own_proof = gateway.knowledge.proof_age(now);
     let is_steward = gateway.peers.is_steward(own_proof, now);
-    let old = |service: &_, target: &_| {
+    let in_flight_at_others = |service: &_, target: &_| {
         gateway.in_flight_at_other_versions(service, target)
     };
     let halls = gateway.peers.other_halls();
     let halls: Vec<ShortHash> =
         halls.iter().map(|hall| ShortHash::of(hall.as_str())).collect();
-    gateway.rollouts.due(is_steward, old, &halls, now)
+    gateway.rollouts.due(is_steward, in_flight_at_others, &halls, now)
 }
 
-/// Writes a state over the one that is_final there, unless that has ended the
-/// same roll-out; what is_final there afterwards is taken in.
+/// Writes a status to the store, unless the stored one is equal or says that
+/// the same roll-out has ended. Applies the status that is stored afterwards.
 async fn record(gateway: &Gateway, due: &Due) -> Result<(), StoreError> {
     let key = document::status_key(&due.service);
-    let held = gateway.store.read(&key).await?;
-    let expected = held.as_ref().map(|item| item.version);
-    let value = held.and_then(|item| item.value);
-    if let Some(held) = value.and_then(|v| document::decode_status(&v).ok())
-        && is_final(&held, &due.status)
+    let stored = gateway.store.read(&key).await?;
+    let expected = stored.as_ref().map(|item| item.version);
+    let value = stored.and_then(|item| item.value);
+    if let Some(stored) = value.and_then(|v| document::decode_status(&v).ok())
+        && must_keep(&stored, &due.status)
     {
-        gateway.rollouts.set_status(&due.service, &held);
+        gateway.rollouts.set_status(&due.service, &stored);
         return Ok(());
     }
     let value = document::encode_status(&due.service, &due.status);
-    let state = ConditionalWrite { key, value, expected };
+    let write = ConditionalWrite { key, value, expected };
     let store = &gateway.store;
     if let WriteOutcome::Committed(version) =
-        store.write_all(&[state], None).await?
+        store.write_all(&[write], None).await?
     {
         gateway.rollouts.set_status(&due.service, &due.status);
         Event::RolloutRecorded.record(fields(json!({
@@ -117,8 +117,8 @@
     Ok(())
 }
 
-/// Whether the state held is not to be replaced by `wanted`.
-fn is_final(held: &Status, wanted: &Status) -> bool {
-    held.target == wanted.target
-        && (held == wanted || held.progress != Progress::Running)
+/// Whether the stored status must not be replaced by `wanted`.
+fn must_keep(stored: &Status, wanted: &Status) -> bool {
+    stored.target == wanted.target
+        && (stored == wanted || stored.progress != Progress::Running)
 }
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -1,4 +1,4 @@
-//! The life of a VM before a platform: bound, running, stopped.
+//! Runs a gateway VM: binds its listeners, starts its tasks, and stops it.
 
 use std::{
     convert::Infallible,
@@ -33,21 +33,22 @@
     task::{self, Task},
 };
 
-/// Time after a planned stop begins for which connections stay open: the
-/// platform asks every second, and takes a VM out after two misses.
+/// Time for which connections are still accepted after a planned stop begins:
+/// the platform checks readiness every second and removes a VM after two
+/// failed checks.
 const DRAIN_NOTICE_TIME: Duration = Duration::from_millis(2300);
 
-/// Part of the grace of a planned stop that is kept for the end itself.
+/// Part of the grace period of a planned stop that is reserved for the exit.
 const FINAL_RESERVE: Duration = Duration::from_millis(700);
 
-/// Time between two looks at what is still in flight.
+/// Interval between two checks of the requests in flight.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs a VM until SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// When its addresses cannot be bound or signals not be caught.
+/// If an address cannot be bound or signals cannot be caught.
 pub(crate) async fn run(
     settings: GatewaySettings,
     path: PathBuf,
@@ -98,11 +99,11 @@
     })
 }
 
-/// Reads the settings file again and says what would change.
+/// Reads the settings file again and logs whether it differs.
 ///
-/// Addresses and names hold for the life of a process, and nothing else in
-/// the file changes while a fleet runs, so no setting is taken over: the line
-/// says which ones wait for the next start.
+/// No setting is applied: addresses and names hold for the life of the
+/// process, and nothing else in the file changes while a fleet runs. Changes
+/// take effect at the next start.
 fn reload(gateway: &Gateway, path: &Path) {
     let outcome = match GatewaySettings::from_file(path) {
         Ok(settings) if are_equal(&settings, &gateway.settings) => "unchanged",
@@ -116,7 +117,7 @@
     format!("{a:?}") == format!("{b:?}")
 }
 
-/// Ends what is in flight, then returns.
+/// Waits for the requests in flight, within the grace period of the stop.
 async fn stop(
     gateway: &Gateway,
     callers: Task<()>,
@@ -129,15 +130,16 @@
     let in_flight = gateway.in_flight.count();
     Event::Stopping.record(fields(json!({ "in_flight": in_flight })));
     task::sleep(DRAIN_NOTICE_TIME).await;
-    // Nothing is taken any more: a request that came now might not end
-    // before the process must. A caller that is refused the connection tries
+    // From now on, connections are refused: a new request might not end
+    // before the process has to. A caller whose connection is refused tries
     // another VM.
     callers.cancel().await;
     close.close();
     while gateway.in_flight.count() > 0 && gateway.clock.now() < ends_at {
         task::sleep(CHECK_INTERVAL).await;
     }
-    // The last answers are written when their requests have ended.
+    // Leaves time to write the last responses, which follow the end of their
+    // requests.
     task::sleep(CHECK_INTERVAL).await;
     let cut = gateway.in_flight.count();
     let event = match cut {
@@ -149,11 +151,11 @@
         "cut": cut,
         "took_ms": passed.as_millis() as u64,
     })));
-    // Time for the log's thread to write the line.
+    // Leaves time for the log thread to write the line.
     task::sleep(CHECK_INTERVAL).await;
 }
 
-/// Answers the platform's question and serves metrics.
+/// Serves the readiness check of the platform and the metrics.
 async fn serve_status(gateway: Arc<Gateway>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -173,7 +175,7 @@
     });
     let connection = http1::Builder::new()
         .serve_connection(FuturesIo::new(stream), service);
-    // A caller that breaks off asks again.
+    // A client whose connection breaks asks again.
     let _ = connection.await;
 }
 
--- a/src/gateway/store_watch.rs
+++ b/src/gateway/store_watch.rs
@@ -1,4 +1,10 @@
-//! Following the platform's store: one read of everything, then one watch.
+//! Follows the platform's store: reads all of it once, then watches it for
+//! changes.
+//!
+//! A watch is a long poll that returns the changes since a version of the
+//! store. Each answer also proves that the state of this VM was current when
+//! the store was asked; the age of this proof decides whether keys may be
+//! accepted.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,44 +23,45 @@
     task,
 };
 
-/// First wait after the store did not answer.
+/// First wait after a call to the store failed.
 const MIN_RETRY_WAIT: Duration = Duration::from_millis(100);
 
-/// Longest wait between two tries, so that a store that is back is found
-/// within a part of the time in which a configuration must be in force.
+/// Longest wait between two tries. A store that is back is found well within
+/// the time in which a new configuration must take effect.
 const MAX_RETRY_WAIT: Duration = Duration::from_millis(600);
 
-/// How many times as long a VM waits that is not one of the first of its data
-/// hall: they tell it when the store is back, and each call has its price.
-/// Worked out from these limits, 283 such VMs make 79 calls a second to a
-/// store that is silent with a factor of 4, and 39 with 10.
+/// Factor on that wait for a VM that is not among the first of its data hall:
+/// those tell the others when the store is back, and each call has its price.
+/// Computed from these limits, 283 such VMs make 79 calls a second to a store
+/// that does not respond with a factor of 4, and 39 with 10.
 const RETRY_FACTOR_STANDBY: f64 = 10.0;
 
-/// Pause between two watches. Records of upstreams often change together, and
-/// each call has its price; what changes meanwhile comes with the next watch.
+/// Pause between two watches. Records of upstreams often change together and
+/// each call has its price, so the changes during the pause are batched.
 const WATCH_PAUSE: Duration = Duration::from_millis(200);
 
-/// The same for a VM that watches in case the first of those that do is lost.
+/// The same pause for a VM that watches in case the first watcher is lost.
 /// While upstreams come and go, twelve watchers made 50 calls a second where
 /// six of them would do.
 const WATCH_PAUSE_STANDBY: Duration = Duration::from_millis(1000);
 
-/// Time between two looks at whether this VM has to watch.
+/// Interval between two checks of whether this VM has to watch.
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Age of the proof of the configuration from which a VM asks for a new one,
-/// as a part of the time in which a key that was taken away must be refused.
-/// The first VM to ask tells the others, so one does it for all.
+/// Age of the proof of freshness from which a VM renews it, as a fraction of
+/// the time after which a revoked key must be refused. The first VM to renew
+/// it tells the others, so one call serves all.
 const REVALIDATE_FRACTION: f64 = 0.2;
 
-/// The same for a VM that is not the first of its data hall: that one asks
-/// for all, and only when it does not are others to.
+/// The same fraction for a VM that is not the first of its data hall: the
+/// first one renews the proof for all, and the others only if it does not.
 const REVALIDATE_FRACTION_STANDBY: f64 = 0.46;
 
-/// Added to that, drawn anew each time, so that VMs rarely ask together.
+/// Largest random addition to either fraction, so that VMs rarely ask at the
+/// same time.
 const REVALIDATE_JITTER: f64 = 0.1;
 
-/// First and longest wait after the configuration could not be proven.
+/// First and longest wait after the proof could not be renewed.
 const MIN_REVALIDATE_WAIT: Duration = Duration::from_millis(300);
 const MAX_REVALIDATE_WAIT: Duration = Duration::from_millis(900);
 
@@ -67,6 +74,7 @@
     }
 }
 
+/// Reads and watches the store, and tracks whether it responds.
 struct StoreFollower {
     gateway: Arc<Gateway>,
     backoff: Backoff,
@@ -79,10 +87,10 @@
         StoreFollower { gateway, backoff, is_store_lost: false }
     }
 
-    /// Reads everything, as often as it takes.
+    /// Reads the whole store, and retries until that succeeds.
     ///
-    /// The first time, all but the configuration may be a little old: the
-    /// watch that follows brings what has changed since.
+    /// At the first read, everything but the configuration may be slightly
+    /// stale: the watch that follows brings what has changed since.
     async fn read_all(&mut self) {
         if self.gateway.knowledge.is_empty() && self.load_from_hall().await {
             return self.note_success();
@@ -99,14 +107,14 @@
         }
     }
 
-    /// Takes everything from a VM of the data hall that reads it for the
-    /// others; returns whether one told it.
+    /// Loads everything from a VM of the data hall that reads the store for
+    /// the others; returns whether that succeeded.
     async fn load_from_hall(&self) -> bool {
         let gateway = &self.gateway;
         let prefix = document::hall_prefix(&gateway.settings.data_hall);
         let recorded =
             gateway.store.read_all(&prefix, Consistency::Stale).await;
-        // A store that does not answer is met again when everything is read.
+        // If the store does not respond, the full read that follows retries.
         let Ok(recorded) = recorded else { return false };
         for item in recorded.items {
             gateway.apply_news(gateway.knowledge.take_item(item));
@@ -130,19 +138,19 @@
                 gateway.peers.note_looked(asked_at);
             }
             // Before the operators' first configuration there is nothing to
-            // prove, and all VMs of a new fleet are in that place.
+            // prove, and all VMs of a new fleet are in that state.
             Consistency::Stale if gateway.knowledge.is_empty() => {
                 gateway.peers.note_looked(asked_at);
             }
             Consistency::Stale => {
-                // If the history is gone, the watch finds so as well.
+                // If the history is lost, the watch finds that out as well.
                 revalidate(gateway).await?;
             }
         }
         Ok(())
     }
 
-    /// Takes in changes until the store no longer knows them all.
+    /// Applies changes until the store has lost the history of some of them.
     async fn watch(&mut self) {
         loop {
             let gateway = &self.gateway;
@@ -152,8 +160,8 @@
                 continue;
             }
             if role == WatchRole::Look || self.is_store_lost {
-                // A short call tells sooner than a watch that the store is
-                // back, and proves the configuration at once.
+                // A short call finds out sooner than a watch that the store
+                // is back, and renews the proof of freshness at once.
                 match revalidate(gateway).await {
                     Ok(Revalidated::Everything) => self.note_success(),
                     Ok(Revalidated::ConfigurationOnly) => {
@@ -170,8 +178,8 @@
             match gateway.store.watch(ALL_KEYS, since, wait).await {
                 Ok(WatchOutcome::Changes(changes)) => {
                     let digest = gateway.knowledge.digest();
-                    // What the first watcher has told all need not be told
-                    // again.
+                    // Changes that the first watcher has already sent to all
+                    // VMs are not sent again.
                     if gateway.knowledge.lacks_any(&changes) {
                         mesh::tell_news(gateway, digest, &changes);
                     }
@@ -207,7 +215,7 @@
     }
 }
 
-/// The pause before the next watch.
+/// Returns the pause before the next watch.
 fn watch_pause(gateway: &Gateway) -> Duration {
     match gateway.peers.is_first_watcher(gateway.clock.now()) {
         true => WATCH_PAUSE,
@@ -215,8 +223,9 @@
     }
 }
 
-/// Waits before this VM asks a store again that did not answer. It may become
-/// one of the first of its hall meanwhile, when others there are lost.
+/// Waits before the next call to a store that did not respond. The wait gets
+/// shorter if this VM becomes one of the first of its hall meanwhile, because
+/// others there are lost.
 async fn wait_to_retry(gateway: &Gateway, backoff: &mut Backoff) {
     let began_at = gateway.clock.now();
     let wait = backoff.wait();
@@ -234,9 +243,9 @@
     }
 }
 
-/// Proves the configuration current for as long as it is polled.
+/// Renews the proof of freshness for as long as it is polled.
 ///
-/// A watch proves it only when it ends; meanwhile one that is not waited for
+/// A watch renews it only when it ends; meanwhile a watch that returns at once
 /// does.
 pub(crate) async fn revalidate_loop(gateway: Arc<Gateway>) {
     let mut backoff = Backoff::new(MIN_REVALIDATE_WAIT, MAX_REVALIDATE_WAIT);
@@ -250,16 +259,16 @@
         let patience = gateway.settings.key_revocation_limit.mul_f64(part);
         let age = gateway.knowledge.proof_age(now);
         match age {
-            // The first proof comes with the first read of everything.
+            // The first read of the whole store brings the first proof.
             None => task::sleep(patience).await,
             Some(age) if age < patience => task::sleep(patience - age).await,
-            // The follower of the store asks already whether it is back.
+            // The store follower already checks whether the store is back.
             Some(_) if !gateway.peers.can_watch(now) => {
                 task::sleep(ROLE_CHECK_INTERVAL).await;
             }
             Some(_) if revalidate(&gateway).await.is_ok() => backoff.reset(),
             Some(_) => {
-                // The watch reports that the store is lost.
+                // The watch logs that the store is lost.
                 gateway.note_store_failure();
                 wait_to_retry(&gateway, &mut backoff).await;
             }
@@ -267,20 +276,20 @@
     }
 }
 
-/// What is known to be current.
+/// What a call has shown to be current.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Revalidated {
-    /// All that the store holds.
+    /// The whole state.
     Everything,
-    /// The configuration; what else has changed cannot be told any more.
+    /// The configuration alone: the store has lost the history of the rest.
     ConfigurationOnly,
 }
 
-/// Asks what has changed, so that all that is known is current.
+/// Applies all changes since the last ones, so that the state is current.
 ///
-/// The answer holds the changes alone: with a configuration of a thousand
-/// routes, reading it instead took a VM with an eighth of a core and 20 Mbit/s
-/// a quarter of a second at each proof, and as long again at its start.
+/// The answer holds only the changes. To read a configuration of a thousand
+/// routes instead took a VM with an eighth of a core and 20 Mbit/s a quarter
+/// of a second at each renewal, and as long again at its start.
 async fn revalidate(gateway: &Gateway) -> Result<Revalidated, StoreError> {
     let asked_at = gateway.clock.now();
     let since = gateway.knowledge.as_of();
@@ -298,8 +307,8 @@
     }
 }
 
-/// Takes in all changes since what is known, which is current as of when they
-/// were asked for.
+/// Applies all changes since the last ones; the state is then current as of
+/// `asked_at`.
 fn apply_changes(
     gateway: &Gateway,
     changes: StoreItems,
@@ -310,7 +319,7 @@
     gateway.knowledge.prove(asked_at);
 }
 
-/// Reads the configuration, which is then known to be current.
+/// Reads the configuration, which is then current.
 async fn revalidate_by_reading(gateway: &Gateway) -> Result<(), StoreError> {
     let asked_at = gateway.clock.now();
     match gateway.store.read(document::CONFIGURATION_KEY).await? {
--- a/src/gateway/vm_registration.rs
+++ b/src/gateway/vm_registration.rs
@@ -1,10 +1,10 @@
-//! Keeping the VMs recorded in the store, so that each finds the others.
+//! Keeps the VMs registered in the store, so that they find each other.
 //!
-//! A VM that starts knows the addresses of a few others, the seeds, and tells
-//! them that it is there. They record all of those that they hear, many in one
-//! transaction and under one lease: two calls for each of 295 VMs would be
-//! 590, and this way they are some twenty. A VM that nobody records does so
-//! itself.
+//! A VM that starts knows the addresses of a few others, the seeds, and sends
+//! them heartbeats. The seeds register the VMs that they receive heartbeats
+//! from, many in one transaction and under one lease: two calls for each of
+//! 295 VMs would be 590 calls, and batches take some twenty. A VM that no seed
+//! registers does so itself.
 
 use std::{sync::Arc, time::Duration};
 
@@ -23,40 +23,41 @@
     task,
 };
 
-/// Time between two looks at which VMs are not recorded.
+/// Interval between two checks for VMs that are not registered.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time after its start when a seed begins to record others: by then all that
-/// started with it have sent their first beat, half a second after theirs.
+/// Time after its start at which a VM begins to register VMs: by then, all VMs
+/// that started with it have sent their first heartbeat, which is due half a
+/// second after their start.
 const SEED_DELAY: Duration = Duration::from_millis(900);
 
-/// Time after which a seed also records the VMs that are another seed's to
-/// record, which may be gone.
+/// Time after which a seed also registers the VMs assigned to another seed,
+/// which may be down.
 const TAKEOVER_DELAY: Duration = Duration::from_secs(3);
 
-/// Time after which a VM records itself that nobody has recorded, longer than
-/// the seeds take; and what is added at random, so that VMs do not all write
-/// at once.
+/// Time after which a VM that is not registered registers itself, longer than
+/// the seeds need, and the largest random addition to it, so that VMs do not
+/// all write at once.
 const SELF_REGISTRATION_DELAY: Duration = Duration::from_secs(5);
 const SELF_REGISTRATION_JITTER: Duration = Duration::from_secs(2);
 
-/// Lifetime of the lease of records, the longest there is: it only keeps the
-/// list from growing, and liveness is told by beats.
+/// Lifetime of the lease of the records, the longest that the store grants: it
+/// only removes stale records, and heartbeats tell which VMs are alive.
 const LEASE_TTL: Duration = Duration::from_secs(600);
 
-/// Time between two renewals of that lease; one may fail.
+/// Interval between two renewals of that lease; one of them may fail.
 const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_secs(200);
 
-/// First and longest wait after the store could not be written.
+/// First and longest wait after a write to the store failed.
 const MIN_RETRY_WAIT: Duration = Duration::from_millis(100);
 const MAX_RETRY_WAIT: Duration = Duration::from_secs(5);
 
-/// Keeps VMs recorded for as long as it is polled.
+/// Keeps VMs registered for as long as it is polled.
 pub(crate) async fn run(gateway: Arc<Gateway>) {
     let mut registrar = Registrar::new(gateway);
     loop {
         task::sleep(CHECK_INTERVAL).await;
-        match registrar.keep().await {
+        match registrar.register_due().await {
             Ok(()) => registrar.backoff.reset(),
             Err(error) => {
                 Event::RecordNotKept.record(fields(json!({
@@ -68,12 +69,13 @@
     }
 }
 
+/// Writes the records of VMs and renews their lease.
 struct Registrar {
     gateway: Arc<Gateway>,
     backoff: Backoff,
     started_at: BootInstant,
-    /// When this VM records itself if nobody else does; counted from when it
-    /// was last recorded.
+    /// When this VM registers itself if no seed does; counted from when its
+    /// record was last seen in the store.
     self_due_at: BootInstant,
     lease: Option<RecordLease>,
 }
@@ -96,9 +98,9 @@
         }
     }
 
-    async fn keep(&mut self) -> Result<(), StoreError> {
+    async fn register_due(&mut self) -> Result<(), StoreError> {
         let now = self.gateway.clock.now();
-        self.renew(now).await?;
+        self.renew_lease(now).await?;
         let due = self.due(now);
         for records in due.chunks(MAX_WRITES) {
             self.write(records, now).await?;
@@ -106,21 +108,24 @@
         Ok(())
     }
 
-    async fn renew(&mut self, now: BootInstant) -> Result<(), StoreError> {
-        let Some(held) = self.lease else { return Ok(()) };
-        if now.saturating_duration_since(held.renewed_at)
+    async fn renew_lease(
+        &mut self,
+        now: BootInstant,
+    ) -> Result<(), StoreError> {
+        let Some(lease) = self.lease else { return Ok(()) };
+        if now.saturating_duration_since(lease.renewed_at)
             < LEASE_RENEWAL_INTERVAL
         {
             return Ok(());
         }
-        let is_held = self.gateway.store.renew_lease(held.id).await?;
-        // With the lease, the records are gone as well, and are due again.
-        let renewed = RecordLease { renewed_at: now, ..held };
+        let is_held = self.gateway.store.renew_lease(lease.id).await?;
+        // If the lease is gone, so are its records, which are due again.
+        let renewed = RecordLease { renewed_at: now, ..lease };
         self.lease = is_held.then_some(renewed);
         Ok(())
     }
 
-    /// The records that this VM has to write.
+    /// Returns the records that this VM has to write.
     fn due(&mut self, now: BootInstant) -> Vec<ConditionalWrite> {
         let gateway = &self.gateway;
         let peers = &gateway.peers;
@@ -140,7 +145,7 @@
         let unrecorded = peers.unrecorded(takes_over, now);
         let others = unrecorded
             .iter()
-            .map(|(vm, record)| new_value(gateway, vm, record));
+            .map(|(vm, record)| record_write(gateway, vm, record));
         records.extend(others);
         records
     }
@@ -152,7 +157,7 @@
     ) -> Result<(), StoreError> {
         let store = &self.gateway.store;
         let lease = match self.lease {
-            Some(held) => held.id,
+            Some(lease) => lease.id,
             None => {
                 let id = store.take_lease(LEASE_TTL).await?;
                 self.lease = Some(RecordLease { id, renewed_at: now });
@@ -164,14 +169,14 @@
                 self.gateway.peers.look();
                 Ok(())
             }
-            // What this VM knows of a record is behind the store.
+            // A record in the store is newer than the copy of this VM.
             WriteOutcome::Conflict => {
                 self.gateway.peers.look();
                 Err(StoreError::NotDone("a record has changed".to_owned()))
             }
             WriteOutcome::LeaseExpired => {
                 self.lease = None;
-                Err(StoreError::NotDone("the lease is over".to_owned()))
+                Err(StoreError::NotDone("the lease has expired".to_owned()))
             }
         }
     }
@@ -184,10 +189,10 @@
         data_hall: settings.data_hall.clone(),
         link_mbps: settings.link_rate,
     };
-    new_value(gateway, settings.vm.as_str(), &record)
+    record_write(gateway, settings.vm.as_str(), &record)
 }
 
-fn new_value(
+fn record_write(
     gateway: &Gateway,
     vm: &str,
     record: &PeerRecord,
