--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -1,7 +1,7 @@
-//! Settings of a VM before a platform, read from an INI file.
+//! The settings of a gateway VM, read from an INI file.
 //!
-//! The platform fills the file's template (`deploy/lupinseam.ini`) at each
-//! start and at each change.
+//! The platform renders the file from its template (`deploy/lupinseam.ini`)
+//! at each start and at each change.
 
 use std::{net::SocketAddr, path::Path, time::Duration};
 
@@ -22,23 +22,24 @@
     Key { section, name, default, meaning }
 }
 
-/// Every key that the settings file of such a VM may hold.
+/// Every key that the settings file of a gateway VM may hold.
 pub const KEYS: &[Key] = &[
     key("vm", "id", None, "Name of this VM; the same after a restart."),
-    key("vm", "data_hall", None, "Name of the data hall it stands in."),
+    key("vm", "data_hall", None, "Name of its data hall."),
     key(
         "vm",
         "link_mbps",
         Some("0"),
-        "Rate of its network link; in each data hall, the VMs with the \
-         fastest ones follow the platform's store for the others.",
+        "Rate of its network link in Mbit/s, 0 if unknown; in each data hall, \
+         the VMs with the fastest links follow the platform's store for the \
+         others.",
     ),
     key("listen", "callers", None, "IP and port for callers (HTTP)."),
     key(
         "listen",
         "readiness",
         None,
-        "IP and port at which the platform asks whether it is ready.",
+        "IP and port for the platform's readiness check (HTTP).",
     ),
     key(
         "listen",
@@ -52,7 +53,7 @@
         "cluster",
         "key",
         None,
-        "Secret of the fleet, 64 hexadecimal digits; authenticates frames \
+        "Secret of the fleet, 64 hexadecimal digits; authenticates the frames \
          between VMs.",
     ),
     key(
@@ -65,8 +66,8 @@
         "platform",
         "watch_ms",
         Some("3000"),
-        "Longest wait of one watch; a store that fell silent is noticed \
-         after it.",
+        "Timeout of one watch of the store; a store that has stopped \
+         responding is noticed after it.",
     ),
     key(
         "peers",
@@ -75,99 +76,100 @@
         "Addresses of other VMs, comma-separated; their port is replaced by \
          that of `listen.peers`.",
     ),
-    key("peers", "beat_ms", Some("500"), "Time between two beats."),
+    key("peers", "beat_ms", Some("500"), "Interval between two heartbeats."),
     key(
         "keys",
         "revoke_ms",
         None,
-        "Time after which a key that was taken away must be refused.",
+        "Time after which a revoked key must be refused.",
     ),
     key(
         "keys",
         "fail_closed",
         Some("true"),
-        "Whether a VM that cannot know any more which keys were taken away \
-         refuses all (`true`), or goes on by the newest configuration that \
-         it knows (`false`).",
+        "Whether a VM that cannot tell any more which keys were revoked \
+         refuses all (`true`), or goes on with the newest configuration \
+         that it has (`false`).",
     ),
     key(
         "retries",
         "share",
         None,
-        "Attempts beyond the first that all VMs may send a service, as a \
-         share of its requests.",
+        "Attempts beyond the first that all VMs together may send to a \
+         service, as a share of its requests.",
     ),
     key(
         "retries",
         "extra",
         None,
-        "Attempts that all VMs may send a service besides.",
+        "Attempts that all VMs together may send to a service in addition.",
     ),
-    key("retries", "window_s", None, "Time over which both are counted."),
+    key("retries", "window_s", None, "Window over which both are counted."),
     key(
         "warm_up",
         "overshoot",
         Some("1"),
-        "Requests that all VMs may send within a second to an upstream that \
-         is cold, as a factor on what the configuration says it bears.",
+        "Requests that all VMs together may send within a second to an \
+         upstream that is warming up, as a factor on the rate that the \
+         configuration allows.",
     ),
     key(
         "warm_up",
         "tolerance",
         Some("0"),
-        "Requests that all VMs may send it besides.",
+        "Requests that all VMs together may send to it in addition.",
     ),
     key(
         "rollouts",
         "session_s",
         Some("5"),
-        "Time after the end of a request in which the next one belongs to \
-         the same session, which keeps its version.",
+        "Time after the end of a request within which the next one belongs \
+         to the same session, which keeps its version.",
     ),
-    key("stop", "grace_s", None, "Longest planned stop."),
-    key("log", "level", Some("info"), "Least severe level written."),
+    key("stop", "grace_s", None, "Longest duration of a planned stop."),
+    key("log", "level", Some("info"), "Least severe level that is logged."),
 ];
 
-/// All settings of a VM before a platform.
+/// The settings of a gateway VM.
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
     /// The name of this VM.
     pub vm: VmId,
-    /// Its data hall.
+    /// The name of its data hall.
     pub data_hall: DataHallId,
-    /// The rate of its network link.
+    /// The rate of its network link; 0 if unknown.
     pub link_rate: Mbps,
-    /// Where callers connect.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Where the platform asks whether it is ready.
+    /// The address for the platform's readiness check.
     pub readiness: SocketAddr,
-    /// Where other VMs connect and send.
+    /// The address for other VMs, over TCP and UDP.
     pub peer_address: SocketAddr,
-    /// Where metrics are served.
+    /// The address at which metrics are served.
     pub metrics: SocketAddr,
-    /// The secret of the fleet.
+    /// The secret of the fleet, which authenticates frames between VMs.
     pub cluster_key: ClusterKey,
-    /// The platform's store.
+    /// The address of the platform's key-value store.
     pub store: SocketAddr,
-    /// Longest wait of one watch.
+    /// The timeout of one watch of the store.
     pub watch_timeout: Duration,
-    /// Other VMs to begin with.
+    /// The VMs to contact first, at the port of `peer_address`.
     pub seeds: Vec<SocketAddr>,
-    /// Time between two beats.
+    /// The interval between two heartbeats.
     pub heartbeat_interval: Duration,
-    /// Time after which a key that was taken away must be refused.
+    /// The time after which a revoked key must be refused.
     pub key_revocation_limit: Duration,
-    /// Whether every key is refused once it cannot be known any more which
-    /// ones were taken away.
+    /// Whether every key is refused once this VM cannot tell any more which
+    /// ones were revoked.
     pub fail_closed: bool,
-    /// How many attempts beyond the first are allowed.
+    /// The bound on attempts beyond the first, for all VMs together.
     pub retry_bound: RetryBound,
-    /// What upstreams that are cold may have beyond what they bear.
+    /// The requests that an upstream may get during warm-up beyond its rate.
     pub warm_up_slack: WarmUpSlack,
-    /// Time after the end of a request in which the next one belongs to the
-    /// same session.
+    /// The time after the end of a request within which the next one belongs
+    /// to the same session.
     pub session_timeout: Duration,
-    /// Longest planned stop.
+    /// The longest duration of a planned stop.
     pub stop_grace: Duration,
     /// The least severe level that is logged.
     pub log_level: log::LevelFilter,
@@ -178,7 +180,7 @@
     ///
     /// # Errors
     ///
-    /// Every fault of the file.
+    /// All faults found in the file.
     pub fn from_file(path: &Path) -> Result<GatewaySettings, Vec<Fault>> {
         GatewaySettings::from_ini(&read_file(path)?)
     }
@@ -187,15 +189,15 @@
     ///
     /// # Errors
     ///
-    /// Every fault of the text.
+    /// All faults found in the text.
     pub fn from_ini(text: &str) -> Result<GatewaySettings, Vec<Fault>> {
         read_ini(text, KEYS, read)
     }
 }
 
 fn read(r: &mut Reader<'_>) -> Option<GatewaySettings> {
-    // Each part is read before any is unwrapped, so that one fault does not
-    // hide the next.
+    // Every key is read before any is unwrapped, so that all faults are
+    // reported at once.
     let vm = r.value("vm", "id");
     let data_hall = r.value("vm", "data_hall");
     let link_rate = r.value("vm", "link_mbps");
@@ -257,10 +259,10 @@
 
 fn read_seeds(
     r: &mut Reader<'_>,
-    peers: Option<SocketAddr>,
+    peer_address: Option<SocketAddr>,
 ) -> Option<Vec<SocketAddr>> {
     let text = r.text("peers", "seeds")?;
-    let port = peers?.port();
+    let port = peer_address?.port();
     let mut seeds = Vec::new();
     for part in text.split(',').map(str::trim).filter(|p| !p.is_empty()) {
         match part.parse::<SocketAddr>() {
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -1,7 +1,7 @@
-//! The record of one request: what decided it, and how it ended.
+//! The trace of one request: what decided its route, its attempts and its end.
 //!
-//! A trace writes one line when its request ends, with every attempt. If it
-//! is dropped before, the caller has left, and the line says so.
+//! A trace writes one log line when its request ends. If it is dropped before,
+//! the caller has closed the connection, and the line says so.
 
 use std::{sync::Arc, time::Duration};
 
@@ -25,12 +25,12 @@
     unit::Percent,
 };
 
-/// One attempt at an upstream.
+/// The trace of one attempt at an upstream.
 #[derive(Debug)]
 struct AttemptTrace {
     upstream: String,
     software: String,
-    /// The version that was wanted during a roll-out, and why.
+    /// The version preferred during a roll-out, `old` or `new`, and why.
     version: Option<(&'static str, ChoiceReason)>,
     model: Option<ModelId>,
     requests_there: u32,
@@ -38,11 +38,11 @@
     began_ms: u64,
     ended_ms: Option<u64>,
     end: String,
-    /// Whether the upstream said that it is leaving.
+    /// Whether the upstream reported that it is leaving.
     says_leaving: bool,
-    /// The rest that the upstream asked for.
+    /// The `Retry-After` of the upstream.
     rest_wanted: Option<Rest>,
-    /// The rate limit that the upstream named.
+    /// The rate limit that the upstream reported.
     rate_limit: Option<RateLimit>,
     confidence: Option<u8>,
     kept: Option<Kept>,
@@ -51,17 +51,17 @@
 /// How a request ended.
 #[derive(Clone, Debug)]
 pub(crate) enum RequestEnd {
-    /// With an upstream's answer, of this status.
+    /// With the response of an upstream, of this status.
     Answered(u16),
-    /// With an answer of the router, of this status and code.
+    /// With a response of the router: status, error code and reason.
     Refused(u16, &'static str, String),
-    /// Its answer broke off.
+    /// Its response was aborted, for this reason.
     Aborted(String),
-    /// Its caller left.
+    /// Its caller closed the connection.
     CallerLeft,
 }
 
-/// The record of one request.
+/// Collects the trace of one request and logs it at its end.
 pub(crate) struct Trace {
     clock: SharedClock,
     metrics: Arc<Metrics>,
@@ -78,11 +78,11 @@
     last_part_ms: Option<u64>,
     longest_pause_ms: u64,
     attempts: Vec<AttemptTrace>,
-    is_ended: bool,
+    is_written: bool,
 }
 
 impl Trace {
-    /// Begins the record of the request with this id.
+    /// Begins the trace of the request with this id.
     pub(crate) fn new(
         id: &str,
         clock: SharedClock,
@@ -104,11 +104,12 @@
             last_part_ms: None,
             longest_pause_ms: 0,
             attempts: Vec::new(),
-            is_ended: false,
+            is_written: false,
         }
     }
 
-    /// Notes by which configuration it is judged.
+    /// Records the configuration in force and the age of its proof of
+    /// freshness.
     pub(crate) fn note_configuration(
         &mut self,
         table: TableVersion,
@@ -118,28 +119,28 @@
         self.proof_age = proof_age;
     }
 
-    /// Notes its route.
+    /// Records the route of the request.
     pub(crate) fn note_route(&mut self, route: Arc<Route>) {
         self.route = Some(route);
     }
 
-    /// Notes what its head says.
+    /// Records the prompt length and the session from the request head.
     pub(crate) fn note_request(&mut self, request: &RequestHead) {
         self.prompt_tokens = request.prompt_tokens;
         self.session.clone_from(&request.session);
     }
 
-    /// Notes what the request is known again by.
+    /// Records the digest that identifies the request when it is sent again.
     pub(crate) fn note_digest(&mut self, digest: RequestDigest) {
         self.digest = Some(digest);
     }
 
-    /// Notes who is asking.
+    /// Records the organisation of the caller.
     pub(crate) fn note_organisation(&mut self, organisation: OrganisationId) {
         self.organisation = Some(organisation);
     }
 
-    /// Notes that an attempt begins.
+    /// Records that an attempt begins.
     pub(crate) fn begin_attempt(
         &mut self,
         member: &Member,
@@ -153,7 +154,7 @@
             model,
             requests_there: member.requests(now),
             reading_there_ms: member.reading(now).as_millis() as u64,
-            began_ms: self.passed_ms(),
+            began_ms: self.elapsed_ms(),
             ended_ms: None,
             end: "running".to_owned(),
             says_leaving: false,
@@ -164,7 +165,7 @@
         });
     }
 
-    /// Notes which version the last attempt was to go to during a roll-out.
+    /// Records which version the last attempt preferred during a roll-out.
     pub(crate) fn note_version(&mut self, choice: &VersionChoice) {
         let wanted = match choice.rule {
             VersionRule::Any => return,
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Notes what the upstream says of itself in its answer.
+    /// Records what the upstream reported about itself in its response.
     pub(crate) fn note_signals(&mut self, statement: &Statement) {
         if let Some(last) = self.attempts.last_mut() {
             last.says_leaving = statement.is_leaving;
@@ -185,8 +186,8 @@
         }
     }
 
-    /// Notes what the model thinks of its answer, and why it is passed on if
-    /// it is.
+    /// Records the confidence of the model in its answer and, unless a larger
+    /// model is asked, why the answer is kept.
     pub(crate) fn note_confidence(
         &mut self,
         confidence: Percent,
@@ -198,12 +199,12 @@
         }
     }
 
-    /// Notes how the last attempt ended.
+    /// Records how the last attempt ended, and counts it by `label`.
     pub(crate) fn end_attempt(&mut self, label: &str, detail: &str) {
-        let passed_ms = self.passed_ms();
+        let elapsed_ms = self.elapsed_ms();
         self.metrics.attempts.with_label_values(&[label]).inc();
         if let Some(last) = self.attempts.last_mut() {
-            last.ended_ms = Some(passed_ms);
+            last.ended_ms = Some(elapsed_ms);
             last.end = match detail.is_empty() {
                 true => label.to_owned(),
                 false => format!("{label}: {detail}"),
@@ -211,30 +212,30 @@
         }
     }
 
-    /// Notes that a part of the answer goes out.
+    /// Records that a part of the response is sent to the caller.
     pub(crate) fn note_body_part(&mut self) {
-        let passed_ms = self.passed_ms();
-        self.first_part_ms.get_or_insert(passed_ms);
+        let elapsed_ms = self.elapsed_ms();
+        self.first_part_ms.get_or_insert(elapsed_ms);
         if let Some(last_part_ms) = self.last_part_ms {
-            let pause_ms = passed_ms - last_part_ms;
+            let pause_ms = elapsed_ms - last_part_ms;
             self.longest_pause_ms = self.longest_pause_ms.max(pause_ms);
         }
-        self.last_part_ms = Some(passed_ms);
+        self.last_part_ms = Some(elapsed_ms);
     }
 
-    /// Ends the record.
+    /// Ends the trace and logs it.
     pub(crate) fn end(mut self, end: RequestEnd) {
         self.write(end);
     }
 
-    fn passed_ms(&self) -> u64 {
+    fn elapsed_ms(&self) -> u64 {
         let now = self.clock.now();
         now.saturating_duration_since(self.started_at).as_millis() as u64
     }
 
     fn write(&mut self, end: RequestEnd) {
-        self.is_ended = true;
-        self.count(&end);
+        self.is_written = true;
+        self.update_metrics(&end);
         let mut fields = Map::new();
         fields.insert("id".into(), self.id.as_str().into());
         let mut put = |name: &str, value: Value| {
@@ -252,7 +253,7 @@
         put("session", json!(self.session));
         let digest = self.digest.map(|digest| digest.to_string());
         put("request_digest", json!(digest));
-        put("passed_ms", json!(self.passed_ms()));
+        put("passed_ms", json!(self.elapsed_ms()));
         put("first_part_ms", json!(self.first_part_ms));
         let pause_ms = Some(self.longest_pause_ms).filter(|ms| *ms > 0);
         put("longest_pause_ms", json!(pause_ms));
@@ -278,7 +279,7 @@
         event.record(fields);
     }
 
-    fn count(&self, end: &RequestEnd) {
+    fn update_metrics(&self, end: &RequestEnd) {
         let code = match end {
             RequestEnd::Answered(_) => "answered",
             RequestEnd::Refused(_, code, _) => code,
@@ -291,8 +292,8 @@
         let labels = &[organisation, class];
         let metrics = &self.metrics;
         metrics.requests.with_label_values(&[organisation, class, code]).inc();
-        let passed_s = self.passed_ms() as f64 / 1000.0;
-        metrics.latency_s.with_label_values(labels).observe(passed_s);
+        let elapsed_s = self.elapsed_ms() as f64 / 1000.0;
+        metrics.latency_s.with_label_values(labels).observe(elapsed_s);
         if let Some(first_part_ms) = self.first_part_ms {
             let first_part_s = first_part_ms as f64 / 1000.0;
             let metric = metrics.first_token_s.with_label_values(labels);
@@ -303,7 +304,7 @@
 
 impl Drop for Trace {
     fn drop(&mut self) {
-        if !self.is_ended {
+        if !self.is_written {
             self.write(RequestEnd::CallerLeft);
         }
     }
--- a/src/gateway/upstream_signals.rs
+++ b/src/gateway/upstream_signals.rs
@@ -1,7 +1,9 @@
-//! Hearing what upstreams say of themselves.
+//! Applies what upstreams report about themselves: that they are leaving, for
+//! how long to back off, their rate limit and their load.
 //!
-//! Every answer of an upstream comes through [`Gateway::hear`], whatever was
-//! asked and however the attempt goes on; what is kept of it stands in
+//! The signals of every response of an upstream go through
+//! [`Gateway::apply_signals`], whatever the attempt was and however it ends.
+//! The resulting state of an upstream is in
 //! [`own_word`](crate::placing::own_word).
 
 use serde_json::json;
@@ -18,8 +20,8 @@
 };
 
 impl Gateway {
-    /// Takes in what an upstream says of itself in its answer to what was
-    /// sent at `sent_at`.
+    /// Applies the signals in the response of an upstream to an attempt that
+    /// was sent at `sent_at`.
     pub(crate) fn apply_signals(
         &self,
         member: &Member,
@@ -29,20 +31,20 @@
         let now = self.clock.now();
         let news = self.pool.take_statement(member, statement, sent_at, now);
         for news in &news {
-            self.note_own_news(member, news);
+            self.log_change(member, news);
         }
     }
 
-    /// Takes in which upstreams have said to another VM that they are leaving.
+    /// Merges which upstreams are leaving, as reported by another VM.
     ///
-    /// A VM tells all of its data hall in a round of beats, and few of the
-    /// others, so whoever hears it tells it on.
+    /// In one round of heartbeats a VM reaches all VMs of its data hall but
+    /// only a few of the others, so every receiver passes the report on.
     pub(crate) fn merge_leaving_upstreams(
         &self,
         from: &str,
-        told: &[ShortHash],
+        reported: &[ShortHash],
     ) {
-        for member in self.pool.hear_leaving(told, self.clock.now()) {
+        for member in self.pool.hear_leaving(reported, self.clock.now()) {
             Event::UpstreamLeaving.record(fields(json!({
                 "upstream": member.entry.life().to_string(),
                 "by": "vm",
@@ -51,15 +53,16 @@
         }
     }
 
-    /// Takes in which rate limits another VM has told of.
+    /// Merges rate limits of upstreams, as reported by another VM. `is_near`
+    /// says that it is in the data hall of this VM.
     pub(crate) fn merge_rate_limits(
         &self,
         from: &str,
-        told: &[ToldLimit],
+        reported: &[ToldLimit],
         is_near: bool,
     ) {
         let now = self.clock.now();
-        for (member, news) in self.pool.hear_limits(told, is_near, now) {
+        for (member, news) in self.pool.hear_limits(reported, is_near, now) {
             let mut details = json!({
                 "upstream": member.entry.life().to_string(),
                 "by": "vm",
@@ -67,7 +70,7 @@
             });
             if let OwnNews::Limited(rate) = news {
                 details["per_s"] = rate.per_s().into();
-                // The own data hall is to hear it from this VM.
+                // This VM passes it on to its own data hall.
                 if !is_near {
                     self.early_heartbeat.wake();
                 }
@@ -76,7 +79,7 @@
         }
     }
 
-    fn note_own_news(&self, member: &Member, news: &OwnNews) {
+    fn log_change(&self, member: &Member, news: &OwnNews) {
         let life = member.entry.life().to_string();
         let said = &self.metrics.upstreams_said;
         said.with_label_values(&[news.label()]).inc();
