--- a/src/gateway/limit_replay.rs
+++ b/src/gateway/limit_replay.rs
@@ -1,8 +1,9 @@
-//! Upstreams that name a rate limit for twelve seconds, before fleets whose
-//! VMs tell each other what real ones do: one upstream, those of a data hall,
-//! and all of a service.
+//! Simulates fleets whose upstreams report a rate limit for twelve seconds:
+//! one upstream, those of a data hall, or all of a service. The VMs gossip as
+//! real ones do.
 //!
-//! Requests of 40 ms come at all VMs alike. Each answer says what the upstream takes at that moment.
+//! Requests of 40 ms arrive evenly at all VMs. Each response carries the rate
+//! limit of the upstream at that moment.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -24,40 +25,42 @@
     unit::RequestRate,
 };
 
+/// Time that a request takes.
 const WORK: Duration = Duration::from_millis(40);
 
-/// Requests that come for each upstream in a second.
-const PER_UPSTREAM_S: f64 = 15.0;
+/// Requests per second that arrive for each upstream.
+const RATE_PER_UPSTREAM: f64 = 15.0;
 
 /// When the limits begin and end.
 const LIMITED_FROM_MS: u64 = 2_000;
 const LIMITED_TO_MS: u64 = 14_000;
-const LENGTH_MS: u64 = 20_000;
+const DURATION_MS: u64 = 20_000;
 
-/// When VMs start again, and from when to when a data hall is cut off.
+/// When VMs restart, and during which time a data hall is partitioned.
 const RESTARTS_MS: [u64; 2] = [6_000, 9_000];
-const CUT_OFF_MS: std::ops::Range<u64> = 4_000..11_000;
+const PARTITION_MS: std::ops::Range<u64> = 4_000..11_000;
 
-/// Time after which all VMs are to keep to a limit, as operators state it.
-const CONTACT_MS: u64 = 3_000;
+/// Time after which all VMs have to respect a limit, as operators state it.
+const LIMIT_GRACE_MS: u64 = 3_000;
 
-/// Time after which a VM that was told counts.
-const TOLD_MS: u64 = 500;
+/// Time after which a VM that has received a limit has to respect it.
+const INFORMED_GRACE_MS: u64 = 500;
 
-/// The span over which operators count, and what they allow in it.
+/// The window over which operators count requests, and the factor and the
+/// tolerance that they allow in it.
 const WINDOW_MS: u64 = 4_000;
 const FACTOR: f64 = 1.5;
 const TOLERANCE: f64 = 5.0;
 
-/// The span in which an upstream's load is looked at, and the part of the
-/// usual that it has to have to be even again.
-const LOOK_MS: u64 = 250;
-const EVEN_LEAST: f64 = 0.6;
+/// The interval over which the load of an upstream is sampled, and the
+/// fraction of the usual load at which it counts as recovered.
+const SAMPLE_MS: u64 = 250;
+const MIN_RECOVERED_FRACTION: f64 = 0.6;
 
-/// Part of what a limit allows that is to be used.
-const USED_LEAST: f64 = 0.8;
+/// Fraction of a limit that has to be used.
+const MIN_USED_FRACTION: f64 = 0.8;
 
-/// Which upstreams name a limit.
+/// Which upstreams report a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Limited {
     One,
@@ -68,81 +71,82 @@
 #[derive(Clone, Copy, Debug)]
 struct Case {
     halls: usize,
-    vms_of_hall: usize,
+    vms_per_hall: usize,
     upstreams: usize,
     limited: Limited,
     per_s: f64,
-    trouble: Option<Trouble>,
+    disruption: Option<Disruption>,
 }
 
-/// What goes wrong while the limits hold.
+/// A disruption while the limits are in force.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Trouble {
-    /// A third of the VMs start again, and then another third.
+enum Disruption {
+    /// A third of the VMs restart, and later another third.
     Restarts,
-    /// No beat reaches or leaves a data hall.
-    HallCutOff,
+    /// No heartbeat reaches or leaves a data hall.
+    HallPartitioned,
 }
 
-/// What came of it.
+/// The results of a simulation.
 #[derive(Debug, Default)]
 #[expect(dead_code, reason = "printed for the design page")]
-struct Figures {
+struct Results {
     asked: usize,
     refused: usize,
-    /// The most in one window at one upstream, of VMs that it had told, and
-    /// of all.
-    most: usize,
-    most_of_all: usize,
-    /// Part of what the limits allow that was used.
+    /// The largest number of requests in one window at one upstream, from VMs
+    /// that had received the limit, and from all VMs.
+    max_informed: usize,
+    max_of_all: usize,
+    /// Fraction of the limits that was used.
     used: f64,
-    /// Until the upstreams have their load again.
-    even_after_ms: u64,
-    /// The most at one upstream in a look after the end, in requests that
-    /// usually come.
+    /// Time until the upstreams have their usual load again.
+    recovered_after_ms: u64,
+    /// The largest load of one upstream in a sample after the limits end, as a
+    /// multiple of the usual load.
     peak: f64,
 }
 
-/// A request that is worked on.
-struct Work {
+/// A request in progress.
+struct Running {
     ends_at: BootInstant,
     vm: usize,
     member: Arc<Member>,
     _in_flight: InFlight,
 }
 
-struct Replay {
+struct Simulation {
     case: Case,
     fleet: Fleet,
     rng: StdRng,
-    working: VecDeque<Work>,
-    /// When each VM was first told by each upstream.
-    told_at_ms: HashMap<(usize, usize), u64>,
-    /// What came at each upstream, when, and whether its VM had been told.
+    in_progress: VecDeque<Running>,
+    /// When each VM first received a limit from each upstream.
+    informed_at_ms: HashMap<(usize, usize), u64>,
+    /// The requests at each upstream: when each arrived, and whether its VM
+    /// had received the limit.
     arrivals: Vec<Vec<(u64, bool)>>,
     asked: usize,
     refused: usize,
 }
 
-impl Replay {
-    fn new(case: Case) -> Replay {
-        let replay = Replay {
-            fleet: Fleet::new(case.halls, case.vms_of_hall),
+impl Simulation {
+    fn new(case: Case) -> Simulation {
+        let simulation = Simulation {
+            fleet: Fleet::new(case.halls, case.vms_per_hall),
             rng: StdRng::seed_from_u64(7),
-            working: VecDeque::new(),
-            told_at_ms: HashMap::new(),
+            in_progress: VecDeque::new(),
+            informed_at_ms: HashMap::new(),
             arrivals: vec![Vec::new(); case.upstreams],
             asked: 0,
             refused: 0,
             case,
         };
-        for number in 0..replay.fleet.vms.len() {
-            replay.learn_from_store(number);
+        for number in 0..simulation.fleet.vms.len() {
+            simulation.learn_from_store(number);
         }
-        replay
+        simulation
     }
 
-    /// Has a VM know all records.
+    /// Gives a VM all records of the store.
     fn learn_from_store(&self, number: usize) {
         let (fleet, pool) = (&self.fleet, &self.fleet.vms[number].pool);
         for other in 0..fleet.vms.len() {
@@ -155,15 +159,15 @@
         }
     }
 
-    fn make_trouble(&mut self) {
+    fn apply_disruption(&mut self) {
         let passed_ms = self.fleet.elapsed_ms;
-        match self.case.trouble {
+        match self.case.disruption {
             None => {}
-            Some(Trouble::HallCutOff) => {
-                let is_cut = CUT_OFF_MS.contains(&passed_ms);
+            Some(Disruption::HallPartitioned) => {
+                let is_cut = PARTITION_MS.contains(&passed_ms);
                 self.fleet.partitioned_hall = is_cut.then_some(0);
             }
-            Some(Trouble::Restarts) => {
+            Some(Disruption::Restarts) => {
                 let at = RESTARTS_MS.iter().position(|at| *at == passed_ms);
                 let Some(third) = at else { return };
                 for number in (third..self.fleet.vms.len()).step_by(3) {
@@ -173,12 +177,12 @@
         }
     }
 
-    /// Starts a VM again, which counts as told by nobody.
+    /// Restarts a VM, which then counts as having received no limit.
     fn restart(&mut self, number: usize) {
         self.fleet.restart(number);
         self.learn_from_store(number);
-        self.told_at_ms.retain(|(vm, _), _| *vm != number);
-        self.working.retain(|work| work.vm != number);
+        self.informed_at_ms.retain(|(vm, _), _| *vm != number);
+        self.in_progress.retain(|work| work.vm != number);
     }
 
     fn is_limited(&self, upstream: usize) -> bool {
@@ -189,41 +193,42 @@
         }
     }
 
-    fn names_limit(&self, upstream: usize) -> bool {
-        let is_time =
+    fn reports_limit(&self, upstream: usize) -> bool {
+        let is_in_force =
             (LIMITED_FROM_MS..LIMITED_TO_MS).contains(&self.fleet.elapsed_ms);
-        is_time && self.is_limited(upstream)
+        is_in_force && self.is_limited(upstream)
     }
 
-    fn run(mut self) -> Figures {
+    fn run(mut self) -> Results {
         let mut due = 0.0;
-        while self.fleet.elapsed_ms < LENGTH_MS {
+        while self.fleet.elapsed_ms < DURATION_MS {
             self.fleet.step();
-            self.make_trouble();
+            self.apply_disruption();
             self.answer();
-            let rate = PER_UPSTREAM_S * self.case.upstreams as f64;
+            let rate = RATE_PER_UPSTREAM * self.case.upstreams as f64;
             due += rate * STEP_MS as f64 / 1000.0;
             while due >= 1.0 {
                 due -= 1.0;
                 self.request();
             }
         }
-        self.sum_up()
+        self.into_results()
     }
 
     fn answer(&mut self) {
         let now = self.fleet.clock.now();
-        while self.working.front().is_some_and(|work| work.ends_at <= now) {
-            let Some(work) = self.working.pop_front() else { break };
+        while self.in_progress.front().is_some_and(|work| work.ends_at <= now)
+        {
+            let Some(work) = self.in_progress.pop_front() else { break };
             let upstream = number(&work.member);
-            let limit = match self.names_limit(upstream) {
+            let limit = match self.reports_limit(upstream) {
                 true => RateLimit::At(rate(self.case.per_s)),
                 false => RateLimit::Unlimited,
             };
             if limit != RateLimit::Unlimited {
                 let passed_ms = self.fleet.elapsed_ms;
-                let told = self.told_at_ms.entry((work.vm, upstream));
-                told.or_insert(passed_ms);
+                let informed = self.informed_at_ms.entry((work.vm, upstream));
+                informed.or_insert(passed_ms);
             }
             let statement =
                 Statement { rate_limit: Some(limit), ..Statement::default() };
@@ -253,10 +258,11 @@
         };
         let upstream = number(&member);
         let passed_ms = self.fleet.elapsed_ms;
-        let told_ms = self.told_at_ms.get(&(at, upstream));
-        let was_told = told_ms.is_some_and(|told| passed_ms >= told + TOLD_MS);
-        self.arrivals[upstream].push((passed_ms, was_told));
-        self.working.push_back(Work {
+        let informed_ms = self.informed_at_ms.get(&(at, upstream));
+        let was_informed = informed_ms
+            .is_some_and(|informed| passed_ms >= informed + INFORMED_GRACE_MS);
+        self.arrivals[upstream].push((passed_ms, was_informed));
+        self.in_progress.push_back(Running {
             ends_at: now + WORK,
             vm: at,
             _in_flight: member.upstream.begin(),
@@ -264,15 +270,16 @@
         });
     }
 
-    fn sum_up(self) -> Figures {
+    fn into_results(self) -> Results {
         let limited: Vec<&Vec<(u64, bool)>> = (0..self.case.upstreams)
             .filter(|upstream| self.is_limited(*upstream))
             .map(|upstream| &self.arrivals[upstream])
             .collect();
-        let kept_from = LIMITED_FROM_MS + CONTACT_MS;
-        let most = limited.iter().map(|arrivals| {
-            let told = arrivals.iter().filter(|(_, was_told)| *was_told);
-            most_in_window(told)
+        let kept_from = LIMITED_FROM_MS + LIMIT_GRACE_MS;
+        let max_informed = limited.iter().map(|arrivals| {
+            let informed =
+                arrivals.iter().filter(|(_, was_informed)| *was_informed);
+            most_in_window(informed)
         });
         let all =
             limited.iter().map(|arrivals| most_in_window(arrivals.iter()));
@@ -281,29 +288,31 @@
             .filter(|(at, _)| (kept_from..LIMITED_TO_MS).contains(at))
             .count() as f64;
         let span_s = (LIMITED_TO_MS - kept_from) as f64 / 1000.0;
-        let allowed = self.case.per_s.min(PER_UPSTREAM_S) * span_s;
-        let usual = PER_UPSTREAM_S * LOOK_MS as f64 / 1000.0;
-        let looks = (LIMITED_TO_MS..LENGTH_MS).step_by(LOOK_MS as usize);
-        let came = |arrivals: &Vec<(u64, bool)>, from: u64| {
-            let within = from..from + LOOK_MS;
+        let allowed = self.case.per_s.min(RATE_PER_UPSTREAM) * span_s;
+        let usual = RATE_PER_UPSTREAM * SAMPLE_MS as f64 / 1000.0;
+        let samples = (LIMITED_TO_MS..DURATION_MS).step_by(SAMPLE_MS as usize);
+        let count = |arrivals: &Vec<(u64, bool)>, from: u64| {
+            let within = from..from + SAMPLE_MS;
             arrivals.iter().filter(|(at, _)| within.contains(at)).count()
         };
         let of_all = |from: u64| -> usize {
-            limited.iter().map(|arrivals| came(arrivals, from)).sum()
+            limited.iter().map(|arrivals| count(arrivals, from)).sum()
         };
-        let even = usual * limited.len() as f64 * EVEN_LEAST;
-        let even_at = looks.clone().find(|from| of_all(*from) as f64 >= even);
-        let peak = looks
-            .flat_map(|from| limited.iter().map(move |a| came(a, from)))
+        let recovered = usual * limited.len() as f64 * MIN_RECOVERED_FRACTION;
+        let recovered_at =
+            samples.clone().find(|from| of_all(*from) as f64 >= recovered);
+        let peak = samples
+            .flat_map(|from| limited.iter().map(move |a| count(a, from)))
             .max()
             .unwrap_or(0);
-        Figures {
+        Results {
             asked: self.asked,
             refused: self.refused,
-            most: most.max().unwrap_or(0),
-            most_of_all: all.max().unwrap_or(0),
+            max_informed: max_informed.max().unwrap_or(0),
+            max_of_all: all.max().unwrap_or(0),
             used: used / (allowed * limited.len() as f64),
-            even_after_ms: even_at.unwrap_or(LENGTH_MS) - LIMITED_TO_MS,
+            recovered_after_ms: recovered_at.unwrap_or(DURATION_MS)
+                - LIMITED_TO_MS,
             peak: peak as f64 / usual,
         }
     }
@@ -331,12 +340,13 @@
     }
 }
 
-/// The most in a window that ends once all VMs are to keep to the limit.
+/// Returns the largest number of arrivals in a window that ends while all VMs
+/// have to respect the limit.
 fn most_in_window<'a>(
     arrivals: impl Iterator<Item = &'a (u64, bool)>,
 ) -> usize {
     let arrivals: Vec<u64> = arrivals.map(|(at, _)| *at).collect();
-    let kept = LIMITED_FROM_MS + CONTACT_MS..LIMITED_TO_MS;
+    let kept = LIMITED_FROM_MS + LIMIT_GRACE_MS..LIMITED_TO_MS;
     let ends = arrivals.iter().filter(|at| kept.contains(at));
     let counts = ends.map(|end| {
         let within = end.saturating_sub(WINDOW_MS) + 1..=*end;
@@ -345,61 +355,63 @@
     counts.max().unwrap_or(0)
 }
 
-/// What is allowed and what came of it.
-fn play(case: Case) -> (f64, Figures) {
-    let figures = Replay::new(case).run();
-    println!("{case:?}: {figures:?}");
+/// Runs a case; returns the number of requests allowed per window and the
+/// results.
+fn simulate(case: Case) -> (f64, Results) {
+    let results = Simulation::new(case).run();
+    println!("{case:?}: {results:?}");
     let window_s = WINDOW_MS as f64 / 1000.0;
-    (case.per_s * window_s * FACTOR + TOLERANCE, figures)
+    (case.per_s * window_s * FACTOR + TOLERANCE, results)
 }
 
-fn is_kept(case: Case) {
-    let (allowed, figures) = play(case);
-    assert!(figures.most as f64 <= allowed, "{case:?}: {figures:?}");
-    // Where others have room, nobody needs what is left of a limit.
-    let is_enough = figures.refused == 0 || figures.used >= USED_LEAST;
-    assert!(is_enough, "{case:?}: {figures:?}");
+fn check_limits(case: Case) {
+    let (allowed, results) = simulate(case);
+    assert!(results.max_informed as f64 <= allowed, "{case:?}: {results:?}");
+    // If no request is refused, the limits need not be used up.
+    let is_enough = results.refused == 0 || results.used >= MIN_USED_FRACTION;
+    assert!(is_enough, "{case:?}: {results:?}");
 }
 
 const SMALL: Case = Case {
     halls: 4,
-    vms_of_hall: 2,
+    vms_per_hall: 2,
     upstreams: 12,
     limited: Limited::One,
     per_s: 1.1,
-    trouble: None,
+    disruption: None,
 };
 
-const MEDIUM: Case = Case { vms_of_hall: 21, upstreams: 40, ..SMALL };
+const MEDIUM: Case = Case { vms_per_hall: 21, upstreams: 40, ..SMALL };
 
-const LARGE: Case = Case { halls: 6, vms_of_hall: 50, upstreams: 60, ..SMALL };
+const LARGE: Case =
+    Case { halls: 6, vms_per_hall: 50, upstreams: 60, ..SMALL };
 
 #[test]
-fn eight_vms_keep_to_the_limits_of_upstreams() {
+fn eight_vms_respect_upstream_rate_limits() {
     for limited in [Limited::One, Limited::Hall, Limited::All] {
         for per_s in [1.1, 5.0, 40.0] {
-            is_kept(Case { limited, per_s, ..SMALL });
+            check_limits(Case { limited, per_s, ..SMALL });
         }
     }
 }
 
 #[test]
-fn eighty_four_vms_keep_to_the_limits_of_upstreams() {
-    is_kept(Case { limited: Limited::Hall, ..MEDIUM });
-    is_kept(Case { limited: Limited::All, per_s: 5.0, ..MEDIUM });
+fn eighty_four_vms_respect_upstream_rate_limits() {
+    check_limits(Case { limited: Limited::Hall, ..MEDIUM });
+    check_limits(Case { limited: Limited::All, per_s: 5.0, ..MEDIUM });
 }
 
 #[test]
-fn three_hundred_vms_keep_to_the_limits_of_upstreams() {
-    is_kept(Case { limited: Limited::All, ..LARGE });
+fn three_hundred_vms_respect_upstream_rate_limits() {
+    check_limits(Case { limited: Limited::All, ..LARGE });
 }
 
 #[test]
-fn limits_are_kept_while_vms_start_again_and_while_a_hall_is_cut_off() {
-    for trouble in [Trouble::Restarts, Trouble::HallCutOff] {
+fn rate_limits_hold_during_restarts_and_a_hall_partition() {
+    for disruption in [Disruption::Restarts, Disruption::HallPartitioned] {
         for fleet in [SMALL, MEDIUM] {
-            let trouble = Some(trouble);
-            is_kept(Case { limited: Limited::All, trouble, ..fleet });
+            let disruption = Some(disruption);
+            check_limits(Case { limited: Limited::All, disruption, ..fleet });
         }
     }
 }
@@ -410,7 +422,7 @@
     for fleet in [SMALL, MEDIUM, LARGE] {
         for limited in [Limited::One, Limited::Hall, Limited::All] {
             for per_s in [0.3, 1.1, 5.0, 40.0] {
-                is_kept(Case { limited, per_s, ..fleet });
+                check_limits(Case { limited, per_s, ..fleet });
             }
         }
     }
--- a/src/gateway/suspension_tests.rs
+++ b/src/gateway/suspension_tests.rs
@@ -1,10 +1,10 @@
-//! A VM that has just been woken decides as one whose timers have run.
+//! A VM that resumes from suspension decides like one whose timers have run.
 //!
-//! While a VM is suspended its timers stand still, and a request or a message
-//! of another VM may be handled before the first of them. So no decision may
-//! rest on a timer having cleared away what is too old: a request was held
-//! back for as long as the timer that forgets had not run, and one that ran
-//! whole counted as such.
+//! While a VM is suspended, its timers do not run, and after it resumes, a
+//! request or a message of another VM may be handled before the first timer.
+//! So no decision may rely on a timer having removed expired state: once, a
+//! request stayed blocked until the timer that expires blocks had run, and a
+//! completed run that had expired still counted.
 
 use std::time::Duration;
 
@@ -27,33 +27,34 @@
 
 const REQUEST: RequestDigest = RequestDigest(1);
 
-/// The VM whose timers run, the one whose do not, and one that beats to both.
-const WOKEN: usize = 0;
+/// The VM whose timers have not run, the one whose timers have, and a third
+/// one that sends heartbeats to both.
+const RESUMED: usize = 0;
 const AWAKE: usize = 1;
 const OTHER: usize = 2;
 
-/// What a VM takes in.
+/// An input of a VM.
 #[derive(Clone, Copy, Debug)]
-enum Act {
+enum Input {
     Prove,
     Retry,
-    End(u32),
-    RanWhole,
-    List,
-    Vanish,
-    Hear,
+    Crash(u32),
+    Complete,
+    AddEntry,
+    RemoveEntry,
+    Heartbeat,
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn input() -> impl Strategy<Value = Input> {
     prop_oneof![
-        Just(Act::Prove),
-        Just(Act::Retry),
-        (0..6_u32).prop_map(Act::End),
-        (0..6_u32).prop_map(Act::End),
-        Just(Act::RanWhole),
-        Just(Act::List),
-        Just(Act::Vanish),
-        Just(Act::Hear),
+        Just(Input::Prove),
+        Just(Input::Retry),
+        (0..6_u32).prop_map(Input::Crash),
+        (0..6_u32).prop_map(Input::Crash),
+        Just(Input::Complete),
+        Just(Input::AddEntry),
+        Just(Input::RemoveEntry),
+        Just(Input::Heartbeat),
     ]
 }
 
@@ -79,27 +80,27 @@
     }
 }
 
-fn take(fleet: &Fleet, vm: usize, act: Act) {
+fn apply(fleet: &Fleet, vm: usize, input: Input) {
     let gateway = &fleet.vms[vm];
     let now = fleet.clock.now();
-    match act {
-        Act::Prove => gateway.knowledge.prove(now),
-        Act::Retry => {
+    match input {
+        Input::Prove => gateway.knowledge.prove(now),
+        Input::Retry => {
             gateway.try_retry(&service());
         }
-        Act::End(number) => {
-            let life = ShortHash(number);
-            gateway.crashes.note_lost(REQUEST, life, now, now);
-            gateway.crashes.settle(life, Listening::No, now);
+        Input::Crash(number) => {
+            let incarnation = ShortHash(number);
+            gateway.crashes.note_lost(REQUEST, incarnation, now, now);
+            gateway.crashes.settle(incarnation, Listening::No, now);
         }
-        Act::RanWhole => {
+        Input::Complete => {
             gateway.crashes.note_ran_whole(REQUEST, now);
         }
-        Act::List => {
+        Input::AddEntry => {
             gateway.pool.set(entry(), now);
         }
-        Act::Vanish => gateway.pool.remove(&upstream(), false, now),
-        Act::Hear => {
+        Input::RemoveEntry => gateway.pool.remove(&upstream(), false, now),
+        Input::Heartbeat => {
             let mut round = Round::new(&fleet.vms[OTHER]);
             while let Some((address, beat)) = round.next_beat() {
                 if address == gateway.settings.peer_address {
@@ -110,7 +111,7 @@
     }
 }
 
-/// What the timers of a VM do.
+/// Does what the timers of a VM do.
 fn run_timers(gateway: &Gateway) {
     let now = gateway.clock.now();
     gateway.crashes.sweep(now);
@@ -119,7 +120,7 @@
     gateway.note_freshness();
 }
 
-/// What a VM decides at the present moment.
+/// Returns what a VM decides now.
 fn decisions(gateway: &Gateway) -> Vec<(&'static str, bool)> {
     let now = gateway.clock.now();
     let own_proof = gateway.knowledge.proof_age(now);
@@ -128,7 +129,7 @@
     vec![
         ("accepts keys", gateway.may_accept_keys(now)),
         ("is ready", gateway.is_ready()),
-        ("holds back", gateway.crashes.is_held(REQUEST, now)),
+        ("blocks the request", gateway.crashes.is_held(REQUEST, now)),
         ("may retry", gateway.can_retry(&service())),
         ("has an upstream", picked.is_ok()),
         ("is cold", picked.is_ok_and(|member| member.is_cold(now))),
@@ -137,14 +138,14 @@
     ]
 }
 
-fn site() -> Fleet {
+fn fleet() -> Fleet {
     let fleet = Fleet::new(1, 3);
     for vm in &fleet.vms {
         let limits = InputLimits::default();
         let version = TableVersion(1);
-        let none = (Vec::new(), Vec::new());
+        let empty = (Vec::new(), Vec::new());
         vm.knowledge
-            .install(RouteTable::new(version, none.0, none.1, None, limits));
+            .install(RouteTable::new(version, empty.0, empty.1, None, limits));
         vm.knowledge.prove(fleet.clock.now());
         vm.pool.set(entry(), fleet.clock.now());
     }
@@ -155,53 +156,56 @@
     #![proptest_config(ProptestConfig::with_cases(200))]
 
     #[test]
-    fn a_woken_vm_decides_as_one_whose_timers_have_run(
-        before in prop::collection::vec((1..700_u64, act()), 1..20),
+    fn a_resumed_vm_decides_like_one_whose_timers_have_run(
+        before in prop::collection::vec((1..700_u64, input()), 1..20),
         suspended_ms in prop_oneof![0..12_000_u64, 0..900_000_u64],
-        after in prop::collection::vec(act(), 0..3),
+        after in prop::collection::vec(input(), 0..3),
     ) {
-        let fleet = site();
-        for (gap_ms, act) in before {
+        let fleet = fleet();
+        for (gap_ms, input) in before {
             fleet.clock.advance(Duration::from_millis(gap_ms));
-            take(&fleet, WOKEN, act);
-            take(&fleet, AWAKE, act);
+            apply(&fleet, RESUMED, input);
+            apply(&fleet, AWAKE, input);
         }
         fleet.clock.advance(Duration::from_millis(suspended_ms));
         run_timers(&fleet.vms[AWAKE]);
-        let woken = decisions(&fleet.vms[WOKEN]);
-        // Stewards and watchers are found by name: one of the two is first.
-        let of_both = |name: &str| !matches!(
+        let resumed = decisions(&fleet.vms[RESUMED]);
+        // Stewards and watchers are chosen by the names of the VMs, so these
+        // two decisions differ between the VMs.
+        let common = |name: &str| !matches!(
             name, "is steward" | "follows the store"
         );
         let awake = decisions(&fleet.vms[AWAKE]);
-        for (own, other) in woken.iter().zip(&awake) {
-            prop_assert!(!of_both(own.0) || own == other, "{own:?} {other:?}");
+        for (own, other) in resumed.iter().zip(&awake) {
+            prop_assert!(!common(own.0) || own == other, "{own:?} {other:?}");
         }
-        // What comes first after waking is judged by the age of what is known.
-        for act in after {
-            take(&fleet, WOKEN, act);
-            take(&fleet, AWAKE, act);
+        // The first inputs after the resumption are judged by the age of the
+        // state.
+        for input in after {
+            apply(&fleet, RESUMED, input);
+            apply(&fleet, AWAKE, input);
         }
-        let woken = decisions(&fleet.vms[WOKEN]);
-        for (own, other) in woken.iter().zip(&decisions(&fleet.vms[AWAKE])) {
-            prop_assert!(!of_both(own.0) || own == other, "{own:?} {other:?}");
+        let resumed = decisions(&fleet.vms[RESUMED]);
+        for (own, other) in resumed.iter().zip(&decisions(&fleet.vms[AWAKE])) {
+            prop_assert!(!common(own.0) || own == other, "{own:?} {other:?}");
         }
     }
 
-    /// A VM that was suspended for longer than any of its proofs hold accepts
-    /// nothing and keeps no record before it has asked again.
+    /// A VM that was suspended for longer than its proof of freshness holds
+    /// accepts no keys and is not the steward before it has asked the store
+    /// again.
     #[test]
-    fn nothing_old_is_acted_on_in_the_first_moment(
+    fn no_stale_state_is_used_right_after_a_suspension(
         suspended_ms in 4_700..900_000_u64,
-        // What it is told afterwards is young.
-        act in act().prop_filter("is told", |act| {
-            !matches!(act, Act::Prove | Act::Hear)
+        // These two inputs bring fresh state.
+        input in input().prop_filter("brings fresh state", |input| {
+            !matches!(input, Input::Prove | Input::Heartbeat)
         }),
     ) {
-        let fleet = site();
+        let fleet = fleet();
         fleet.clock.advance(Duration::from_millis(suspended_ms));
-        take(&fleet, WOKEN, act);
-        let decided = decisions(&fleet.vms[WOKEN]);
+        apply(&fleet, RESUMED, input);
+        let decided = decisions(&fleet.vms[RESUMED]);
         for name in ["accepts keys", "is ready", "is steward"] {
             prop_assert!(decided.contains(&(name, false)), "{decided:?}");
         }
--- a/src/gateway/test_fleet.rs
+++ b/src/gateway/test_fleet.rs
@@ -1,6 +1,6 @@
-//! A fleet of VMs that tell each other what a real one's do, by a clock that
-//! the test moves: each one's beats go to all of its own data hall and to few
-//! of the others.
+//! A simulated fleet of gateway VMs with a clock that the test advances. The
+//! VMs exchange heartbeats as real ones do: with all VMs of their data hall
+//! and a few of the others.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -19,16 +19,16 @@
     unit::Mbps,
 };
 
-/// Time between two beats of a VM, as in its settings.
-const BEAT_MS: u64 = 500;
+/// Interval between two heartbeats of a VM; the default of its settings.
+const HEARTBEAT_MS: u64 = 500;
 
-/// Least time between two beats of a VM that has news.
-const BEAT_GAP_MS: u64 = 50;
+/// Minimum interval between two heartbeats of a VM that has changes to send.
+const MIN_HEARTBEAT_GAP_MS: u64 = 50;
 
-/// Time of one step.
+/// Duration of one step.
 pub(crate) const STEP_MS: u64 = 10;
 
-/// A clock that stands still until it is moved.
+/// A clock that stands still until it is advanced.
 pub(crate) struct TestClock(Mutex<BootInstant>);
 
 impl TestClock {
@@ -47,19 +47,19 @@
     }
 }
 
-/// The VMs of some data halls, as many in each.
+/// A fleet with the same number of VMs in each data hall.
 pub(crate) struct Fleet {
     pub(crate) clock: Arc<TestClock>,
     pub(crate) vms: Vec<Arc<Gateway>>,
     pub(crate) elapsed_ms: u64,
     by_address: HashMap<SocketAddr, usize>,
-    /// When each VM sent its last beats.
-    beat_at_ms: HashMap<usize, u64>,
-    /// VMs that are to send the next ones soon.
+    /// When each VM sent its last heartbeats.
+    last_heartbeat_ms: HashMap<usize, u64>,
+    /// The VMs that are to send their next heartbeats early.
     early: BTreeSet<usize>,
-    /// A data hall whose beats reach no other, and that hears none.
+    /// A data hall that exchanges no heartbeats with any other.
     pub(crate) partitioned_hall: Option<usize>,
-    vms_of_hall: usize,
+    vms_per_hall: usize,
 }
 
 fn address(vm: usize) -> SocketAddr {
@@ -67,27 +67,27 @@
 }
 
 impl Fleet {
-    /// A fleet whose VMs all know of each other.
-    pub(crate) fn new(halls: usize, vms_of_hall: usize) -> Fleet {
+    /// Creates a fleet whose VMs all know of each other.
+    pub(crate) fn new(halls: usize, vms_per_hall: usize) -> Fleet {
         let clock = Arc::new(TestClock(Mutex::new(BootInstant::now())));
         let mut fleet = Fleet {
             clock,
             vms: Vec::new(),
             elapsed_ms: 0,
             by_address: HashMap::new(),
-            beat_at_ms: HashMap::new(),
+            last_heartbeat_ms: HashMap::new(),
             early: BTreeSet::new(),
             partitioned_hall: None,
-            vms_of_hall,
+            vms_per_hall,
         };
-        let count = halls * vms_of_hall;
+        let count = halls * vms_per_hall;
         fleet.vms = (0..count).map(|vm| fleet.start(vm, count)).collect();
         let addresses = (0..count).map(|vm| (address(vm), vm));
         fleet.by_address = addresses.collect();
         fleet
     }
 
-    /// Starts a VM that knows of all of so many.
+    /// Starts a VM that knows of all others in a fleet of `count` VMs.
     fn start(&self, number: usize, count: usize) -> Arc<Gateway> {
         let settings = MINIMAL_SETTINGS
             .replace("id = vm-0", &format!("id = vm-{number}"))
@@ -106,49 +106,49 @@
         vm
     }
 
-    /// Ends a VM and starts it again, with nothing of what it knew but the
-    /// others.
+    /// Restarts a VM, which loses all its state but the list of the others.
     pub(crate) fn restart(&mut self, number: usize) {
         self.vms[number] = self.start(number, self.vms.len());
     }
 
-    /// Whether what one VM sends reaches another.
+    /// Whether messages of one VM reach another.
     fn reaches(&self, from: usize, to: usize) -> bool {
-        let halls = [from, to].map(|vm| vm / self.vms_of_hall);
+        let halls = [from, to].map(|vm| vm / self.vms_per_hall);
         let is_cut = |hall: &usize| Some(*hall) == self.partitioned_hall;
         halls[0] == halls[1] || !halls.iter().any(is_cut)
     }
 
-    /// The name of the data hall that a VM stands in.
+    /// Returns the name of the data hall of a VM.
     pub(crate) fn hall_name(&self, vm: usize) -> String {
-        format!("hall-{}", vm / self.vms_of_hall)
+        format!("hall-{}", vm / self.vms_per_hall)
     }
 
-    /// One step of time, with the beats that are due in it.
+    /// Advances the clock by one step and sends the heartbeats that are due.
     pub(crate) fn step(&mut self) {
         self.clock.advance(Duration::from_millis(STEP_MS));
         self.elapsed_ms += STEP_MS;
         for number in 0..self.vms.len() {
-            // Beats of a hall are spread over their period.
+            // Heartbeats of a hall are spread over their interval.
             let phase = number as u64 * 7 * STEP_MS;
-            let is_regular = (self.elapsed_ms + phase).is_multiple_of(BEAT_MS);
-            let last_ms = self.beat_at_ms.get(&number).copied().unwrap_or(0);
+            let is_regular =
+                (self.elapsed_ms + phase).is_multiple_of(HEARTBEAT_MS);
+            let last_ms =
+                self.last_heartbeat_ms.get(&number).copied().unwrap_or(0);
             let is_early = self.early.contains(&number)
-                && self.elapsed_ms - last_ms >= BEAT_GAP_MS;
+                && self.elapsed_ms - last_ms >= MIN_HEARTBEAT_GAP_MS;
             if is_regular || is_early {
-                self.beat(number);
+                self.send_heartbeats(number);
             }
         }
     }
 
-    /// Has a VM that has news send its next beats after the least gap between
-    /// two.
+    /// Makes a VM send its next heartbeats after the minimum interval.
     pub(crate) fn schedule_early_heartbeat(&mut self, number: usize) {
         self.early.insert(number);
     }
 
-    fn beat(&mut self, number: usize) {
-        self.beat_at_ms.insert(number, self.elapsed_ms);
+    fn send_heartbeats(&mut self, number: usize) {
+        self.last_heartbeat_ms.insert(number, self.elapsed_ms);
         self.early.remove(&number);
         let mut round = Round::new(&self.vms[number]);
         while let Some((address, beat)) = round.next_beat() {
--- a/src/gateway/tests.rs
+++ b/src/gateway/tests.rs
@@ -1,4 +1,5 @@
-//! How long keys are accepted by what is known.
+//! How long keys are accepted without a new proof of freshness, and how the
+//! link rate is read.
 
 use super::*;
 use crate::{
@@ -7,7 +8,7 @@
     unit::Mbps,
 };
 
-/// The least that the settings of a VM hold.
+/// A settings file with the required keys alone.
 pub(crate) const MINIMAL_SETTINGS: &str = "[vm]\nid = vm-0\ndata_hall = hall-a\n[listen]\n\
     callers = 127.0.0.1:1\nreadiness = 127.0.0.1:2\n\
     peers = 127.0.0.1:3\nmetrics = 127.0.0.1:4\n[cluster]\n\
@@ -21,16 +22,16 @@
     RouteTable::new(version, Vec::new(), Vec::new(), None, limits)
 }
 
-/// A store that falls silent: keys hold for nearly as long as the operators
-/// bear, and never for longer.
+/// If the store stops responding, keys are accepted for almost as long as the
+/// operators allow, and never for longer.
 #[test]
-fn keys_hold_until_shortly_before_the_bound() {
+fn keys_are_accepted_until_shortly_before_the_revocation_limit() {
     let settings =
         GatewaySettings::from_ini(MINIMAL_SETTINGS).expect("settings");
     let gateway = Gateway::new(settings, Arc::new(SystemClock));
     gateway.knowledge.install(table());
     let proven_at = gateway.clock.now();
-    assert!(!gateway.may_accept_keys(proven_at), "nothing is proven");
+    assert!(!gateway.may_accept_keys(proven_at), "accepted without a proof");
     gateway.knowledge.prove(proven_at);
     let after = |ms| proven_at + Duration::from_millis(ms);
     assert!(gateway.may_accept_keys(after(4_500)));
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn the_rate_of_the_link_is_read_and_may_be_unknown() {
+fn the_link_rate_is_read_and_defaults_to_unknown() {
     let link = |text: &str| {
         let settings = MINIMAL_SETTINGS.replace("data_hall", text);
         GatewaySettings::from_ini(&settings).map(|settings| settings.link_rate)
--- a/src/gateway/upstream_signals/tests.rs
+++ b/src/gateway/upstream_signals/tests.rs
@@ -1,6 +1,7 @@
-//! One VM hears from an upstream that it leaves, while the store is away; six
-//! data halls with forty VMs each, where a beat goes to one VM of another hall
-//! in each round.
+//! One VM learns from a response that an upstream is leaving or has a rate
+//! limit, and the others learn it by gossip, without the store. The large
+//! fleet has six data halls with forty VMs each, where a VM sends heartbeats
+//! to one VM of other halls in each round.
 
 use std::time::Duration;
 
@@ -14,14 +15,15 @@
 };
 
 const HALLS: usize = 6;
-const VMS_OF_HALL: usize = 40;
+const VMS_PER_HALL: usize = 40;
 
-/// Time in which all VMs of the hall are to know, and nearly all of the others.
-const HALL_MS: u64 = 1_000;
-const FLEET_MS: u64 = 4_000;
+/// Time within which all VMs of the hall, and nearly all of the others, have
+/// to know.
+const HALL_LIMIT_MS: u64 = 1_000;
+const FLEET_LIMIT_MS: u64 = 4_000;
 
-/// Part of the VMs of other halls that are to know by then.
-const OTHERS_LEAST: f64 = 0.95;
+/// Fraction of the VMs of other halls that have to know by then.
+const MIN_OTHERS_FRACTION: f64 = 0.95;
 
 fn entry(id: &str) -> UpstreamEntry {
     UpstreamEntry {
@@ -43,25 +45,25 @@
     }
 }
 
-/// How many of these VMs would send it a request.
+/// Returns how many of these VMs would send a request to the upstream.
 fn senders(fleet: &Fleet, vms: std::ops::Range<usize>) -> usize {
     let now = fleet.clock.now();
     let id = "i-1".parse().unwrap();
-    let takes = |vm: &usize| {
+    let accepts = |vm: &usize| {
         let member = fleet.vms[*vm].pool.member(&id);
         member.is_some_and(|member| member.takes_requests(now))
     };
-    vms.filter(takes).count()
+    vms.filter(accepts).count()
 }
 
 #[test]
-fn what_one_vm_hears_of_leaving_all_know_soon() {
-    let mut fleet = Fleet::new(HALLS, VMS_OF_HALL);
+fn a_leaving_upstream_becomes_known_to_all_vms() {
+    let mut fleet = Fleet::new(HALLS, VMS_PER_HALL);
     let last = fleet.vms.len() - 1;
     for (number, vm) in fleet.vms.iter().enumerate() {
         let now = fleet.clock.now();
         vm.pool.set(entry("i-2"), now);
-        // One VM has not heard of it yet.
+        // One VM does not have its entry yet.
         if number != last {
             vm.pool.set(entry("i-1"), now);
         }
@@ -75,22 +77,26 @@
     let leaves = Statement { is_leaving: true, ..Statement::default() };
     first.apply_signals(&member, &leaves, now);
     fleet.schedule_early_heartbeat(0);
-    let told_ms = fleet.elapsed_ms;
-    run_until(&mut fleet, told_ms + HALL_MS);
-    assert_eq!(senders(&fleet, 0..VMS_OF_HALL), 0, "its own hall");
-    run_until(&mut fleet, told_ms + FLEET_MS);
-    let others = all.len() - VMS_OF_HALL;
-    let left = senders(&fleet, VMS_OF_HALL..all.len());
-    let most = others as f64 * (1.0 - OTHERS_LEAST);
+    let reported_ms = fleet.elapsed_ms;
+    run_until(&mut fleet, reported_ms + HALL_LIMIT_MS);
+    assert_eq!(
+        senders(&fleet, 0..VMS_PER_HALL),
+        0,
+        "VMs of the same hall still send there"
+    );
+    run_until(&mut fleet, reported_ms + FLEET_LIMIT_MS);
+    let others = all.len() - VMS_PER_HALL;
+    let left = senders(&fleet, VMS_PER_HALL..all.len());
+    let most = others as f64 * (1.0 - MIN_OTHERS_FRACTION);
     assert!(left as f64 <= most, "{left} of {others} still send there");
-    // Those that hear of its record later know it by then.
+    // A VM that gets the entry late already knows that the upstream leaves.
     let late = &fleet.vms[last];
     late.pool.set(entry("i-1"), fleet.clock.now());
-    assert_eq!(senders(&fleet, last..all.len()), 0, "its record came late");
+    assert_eq!(senders(&fleet, last..all.len()), 0, "the entry came late");
 }
 
 #[test]
-fn it_is_told_for_a_while_and_not_for_ever() {
+fn a_leaving_upstream_is_announced_for_a_limited_time() {
     let mut fleet = Fleet::new(1, 2);
     for vm in &fleet.vms {
         vm.pool.set(entry("i-1"), fleet.clock.now());
@@ -99,15 +105,15 @@
     let member = first.pool.member(&"i-1".parse().unwrap()).unwrap();
     let leaves = Statement { is_leaving: true, ..Statement::default() };
     first.apply_signals(&member, &leaves, fleet.clock.now());
-    let told =
+    let announced =
         |fleet: &Fleet| first.pool.take_leaving(fleet.clock.now()).len();
     run_until(&mut fleet, 5_000);
-    assert_eq!(told(&fleet), 1, "a datagram may be lost");
+    assert_eq!(announced(&fleet), 1, "repeated, since a datagram may be lost");
     run_until(&mut fleet, 20_000);
-    assert_eq!(told(&fleet), 0);
+    assert_eq!(announced(&fleet), 0);
 }
 
-/// How many VMs know of a limit that holds.
+/// Returns how many VMs know of a rate limit in force.
 fn limited(fleet: &Fleet) -> usize {
     let now = fleet.clock.now();
     let id = "i-1".parse().unwrap();
@@ -118,9 +124,9 @@
 }
 
 #[test]
-fn what_one_vm_hears_of_a_limit_and_of_its_end_all_know_soon() {
-    for (halls, vms_of_hall) in [(4, 2), (HALLS, VMS_OF_HALL)] {
-        let mut fleet = Fleet::new(halls, vms_of_hall);
+fn a_rate_limit_and_its_end_become_known_to_all_vms() {
+    for (halls, vms_per_hall) in [(4, 2), (HALLS, VMS_PER_HALL)] {
+        let mut fleet = Fleet::new(halls, vms_per_hall);
         for vm in &fleet.vms {
             vm.pool.set(entry("i-1"), fleet.clock.now());
         }
@@ -133,22 +139,22 @@
         };
         let named = says(RateLimit::At("1.4".parse().unwrap()));
         let unlimited = says(RateLimit::Unlimited);
-        // What is said before and after is no news.
+        // Repeating that there is no limit changes nothing.
         first.apply_signals(&member, &unlimited, fleet.clock.now());
         for statement in [&named, &unlimited] {
             first.apply_signals(&member, statement, fleet.clock.now());
             fleet.schedule_early_heartbeat(0);
-            let told_ms = fleet.elapsed_ms;
-            run_until(&mut fleet, told_ms + FLEET_MS);
-            let know = limited(&fleet);
+            let reported_ms = fleet.elapsed_ms;
+            run_until(&mut fleet, reported_ms + FLEET_LIMIT_MS);
+            let informed = limited(&fleet);
             let all = fleet.vms.len();
             let expected = if statement == &named { all } else { 0 };
             assert!(
-                know.abs_diff(expected) as f64
-                    <= all as f64 * (1.0 - OTHERS_LEAST),
-                "{know} of {all} know of a limit"
+                informed.abs_diff(expected) as f64
+                    <= all as f64 * (1.0 - MIN_OTHERS_FRACTION),
+                "{informed} of {all} know of a limit"
             );
-            run_until(&mut fleet, told_ms + FLEET_MS * 2);
+            run_until(&mut fleet, reported_ms + FLEET_LIMIT_MS * 2);
             assert_eq!(limited(&fleet), expected);
         }
     }
