--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -292,7 +292,7 @@
         let picked = self.gateway.pool.pick(&self.service, &want, now);
         let member = picked.map_err(|no_member| match no_member {
             NoMember::Unknown => Error::new(ErrorKind::NoUpstream)
-                .context(format!("no upstream of {}", self.service)),
+                .context(format!("service {} has no upstream", self.service)),
             NoMember::Evacuated => Error::new(ErrorKind::NoUpstream).context(
                 format!("all upstreams of {} are evacuated", self.service),
             ),
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -108,7 +108,7 @@
     let outcome = match GatewaySettings::from_file(path) {
         Ok(settings) if are_equal(&settings, &gateway.settings) => "unchanged",
         Ok(_) => "changed; takes effect at the next start",
-        Err(_) => "faulty; the settings in force stay",
+        Err(_) => "invalid; the settings in force stay",
     };
     Event::Reloaded.record(fields(json!({ "outcome": outcome })));
 }
