--- a/src/chat_face/callers.rs
+++ b/src/api/caller_api.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     answer::{Answer, Header},
-    chat_face::{
+    api::{
         dispatch::{ServiceTarget, is_passed_on},
         request::{Arrived, CallHeaders, Request},
         template::VersionState,
@@ -44,18 +44,18 @@
 ];
 
 /// Handles the requests of callers.
-pub(crate) struct Callers {
+pub(crate) struct CallerApi {
     pub(crate) vm: Arc<Vm>,
 }
 
 #[async_trait]
-impl Handler for Callers {
+impl Handler for CallerApi {
     async fn run(&self, conn: Conn) -> Conn {
         let path = conn.path().to_owned();
         let method = conn.method();
         match (method, path.as_str()) {
             (Method::Get, "/healthz") => conn.ok("alive\n"),
-            (Method::Get, "/readyz") => ready(&self.vm, conn),
+            (Method::Get, "/readyz") => send_readiness(&self.vm, conn),
             (Method::Get, MODELS_PATH) => self.models(conn),
             (Method::Post, CHAT_PATH) => self.chat(conn).await,
             (_, path) if path.starts_with(SERVICES_PREFIX) => {
@@ -73,7 +73,7 @@
     }
 }
 
-impl Callers {
+impl CallerApi {
     async fn chat(&self, mut conn: Conn) -> Conn {
         let (gone, cancel) = bounded(1);
         let request = Request::arrive(&self.vm, cancel);
@@ -176,7 +176,7 @@
     }
 
     fn models(&self, conn: Conn) -> Conn {
-        let bearer = bearer(conn.request_headers());
+        let bearer = bearer_key(conn.request_headers());
         let configuration = self.vm.configuration.current();
         let template = bearer.and_then(|key| {
             configuration.template_by_key(&KeyHash::of(&key)).cloned()
@@ -279,7 +279,7 @@
 }
 
 /// Says whether the VM takes requests.
-pub(crate) fn ready(vm: &Vm, conn: Conn) -> Conn {
+pub(crate) fn send_readiness(vm: &Vm, conn: Conn) -> Conn {
     if vm.is_ready() {
         return conn.ok("ready\n");
     }
@@ -287,7 +287,7 @@
 }
 
 /// The bearer key of a request.
-pub(crate) fn bearer(headers: &Headers) -> Option<String> {
+pub(crate) fn bearer_key(headers: &Headers) -> Option<String> {
     let value = headers.get_str(KnownHeaderName::Authorization)?;
     let key = value.strip_prefix("Bearer ")?.trim();
     (!key.is_empty()).then(|| key.to_owned())
@@ -298,7 +298,7 @@
         headers.get_str(name).map(|value| value.trim().to_owned())
     };
     CallHeaders {
-        bearer: bearer(headers),
+        bearer: bearer_key(headers),
         idempotency_key: text("idempotency-key"),
         session: text("lupinseam-session"),
         task: text("lupinseam-task"),
--- a/src/chat_face/gossip.rs
+++ b/src/api/gossip.rs
@@ -15,15 +15,15 @@
 use smol::net::UdpSocket;
 
 use crate::{
-    chat_face::{
+    api::{
         view::{Peer, log_life_changes},
         vm::Vm,
     },
     clock::BootInstant,
     event::Event,
-    frame::{DATAGRAM_LIMIT_BYTES, FrameFault},
+    frame::{DATAGRAM_LIMIT_BYTES, FrameError},
     id::VmId,
-    message::{Beat, Datagram, Gossip, Notice, ShortHash},
+    message::{Datagram, Gossip, HeartbeatEntry, ShortHash, UpstreamNotice},
     placing::upstream::Upstream,
     task,
 };
@@ -84,11 +84,11 @@
     }
 
     /// Tells the hall what an upstream has said of itself.
-    pub(crate) async fn notify(vm: &Arc<Vm>, mut notice: Notice) {
+    pub(crate) async fn notify(vm: &Arc<Vm>, mut notice: UpstreamNotice) {
         for attempt in 0..2 {
             if attempt > 0 {
                 task::sleep(NOTICE_REPEAT).await;
-                notice = notice.after(NOTICE_REPEAT);
+                notice = notice.aged_by(NOTICE_REPEAT);
             }
             for peer in vm.view.live_hall_peers() {
                 let datagram = Datagram::Notice(notice);
@@ -109,7 +109,7 @@
     }
 
     /// Tells some VMs at once that this one is leaving, or has news.
-    pub(crate) async fn tell_hall(vm: &Arc<Vm>) {
+    pub(crate) async fn gossip_to_hall(vm: &Arc<Vm>) {
         let counter = vm.next_beat();
         for peer in vm.view.live_hall_peers() {
             let gossip = Datagram::Gossip(message(vm, counter));
@@ -131,7 +131,7 @@
         {
             let mut gossip = message(vm, counter);
             // Signs of life matter in their own hall only.
-            gossip.beats.clear();
+            gossip.heartbeats.clear();
             gossip.loads = vm.view.loads(LOADS, 0, vm.clock.now());
             let datagram = Datagram::Gossip(gossip);
             self.send(vm, peer.address, &datagram).await;
@@ -159,7 +159,7 @@
             return;
         }
         if let Some(peer) = vm.view.peer(&adder) {
-            let datagram = Datagram::Report { vm: me, tallies: due };
+            let datagram = Datagram::TallyReport { vm: me, tallies: due };
             self.send(vm, peer.address, &datagram).await;
         }
     }
@@ -180,7 +180,7 @@
         }
     }
 
-    fn drop_frame(&self, vm: &Vm, fault: FrameFault) {
+    fn drop_frame(&self, vm: &Vm, fault: FrameError) {
         let label = fault.as_str();
         vm.metrics.frames_dropped.with_label_values(&[label]).inc();
         let now = vm.clock.now();
@@ -197,16 +197,16 @@
     match datagram {
         Datagram::Gossip(gossip) => take_gossip(vm, &gossip, now).await,
         Datagram::Notice(notice) => take_notice(vm, notice, now),
-        Datagram::Report { vm: from, tallies } => {
+        Datagram::TallyReport { vm: from, tallies } => {
             let mut own = vm.tallies.lock().expect("tallies lock");
             own.report(ShortHash::of(from.as_str()), &tallies, now);
         }
     }
 }
 
-fn take_notice(vm: &Vm, notice: Notice, now: BootInstant) {
+fn take_notice(vm: &Vm, notice: UpstreamNotice, now: BootInstant) {
     match notice {
-        Notice::Leaving(short) => {
+        UpstreamNotice::Leaving(short) => {
             let found = vm.view.upstream_by_short(short);
             if let Some(upstream) = found
                 && upstream.mark_leaving()
@@ -214,16 +214,18 @@
                 log_leaving(&upstream, "told by another VM");
             }
         }
-        Notice::RateLimit(told) => {
+        UpstreamNotice::RateLimit(told) => {
             let age = Duration::from_millis(told.age_ms.into());
             let found = vm.view.upstream_by_short(told.upstream);
             let (Some(upstream), Some(at)) = (found, now.checked_sub(age))
             else {
                 return;
             };
-            let word = &upstream.own_word;
+            let word = &upstream.reported_state;
             let draw = rand::random();
-            if let Some(news) = word.note_limit(told.rate, at, draw, now) {
+            if let Some(news) =
+                word.update_rate_limit(told.rate, at, draw, now)
+            {
                 let id = &upstream.record.id;
                 let event = news.event();
                 event.log(format_args!("upstream {id}, told by another VM"));
@@ -234,7 +236,7 @@
 
 async fn take_gossip(vm: &Arc<Vm>, gossip: &Gossip, now: BootInstant) {
     if gossip.data_hall == *vm.view.data_hall() {
-        let changes = vm.view.observe_beats(&gossip.beats, now);
+        let changes = vm.view.observe_beats(&gossip.heartbeats, now);
         log_life_changes(&vm.view, &changes);
     }
     for upstream in vm.view.take_loads(&gossip.loads, now) {
@@ -262,8 +264,8 @@
 /// What this VM tells in one round.
 pub(crate) fn message(vm: &Vm, counter: u32) -> Gossip {
     let now = vm.clock.now();
-    let me = vm.life();
-    let own = Beat {
+    let me = vm.identity();
+    let own = HeartbeatEntry {
         vm: ShortHash::of(me.vm.as_str()),
         incarnation: me.incarnation,
         counter,
@@ -276,11 +278,11 @@
         vm: me.vm,
         data_hall: vm.view.data_hall().clone(),
         incarnation: me.incarnation,
-        peers: vm.peer_address,
+        peer_address: vm.peer_address,
         revision: vm.configuration.current().revision(),
         proof_age_ms: proof_age
             .map(|age| age.as_millis().min(u32::MAX.into()) as u32),
-        beats,
+        heartbeats: beats,
         loads: vm.view.loads(LOADS, LOADS_REMOTE, now),
         tallies: {
             let tallies = vm.tallies.lock().expect("tallies lock");
@@ -299,7 +301,7 @@
     while length(gossip) > DATAGRAM_LIMIT_BYTES {
         let longest = gossip.loads.len().max(gossip.tallies.len());
         if longest == 0 {
-            gossip.beats.remove(0);
+            gossip.heartbeats.remove(0);
         } else if gossip.loads.len() == longest {
             gossip.loads.pop();
         } else {
--- a/src/chat_face/operators.rs
+++ b/src/api/operators.rs
@@ -7,19 +7,19 @@
 use trillium::{Conn, Handler, KnownHeaderName, Method, async_trait};
 
 use crate::{
+    api::{
+        caller_api::{bearer_key, send_error, send_json, send_readiness},
+        decision::Decision,
+        rollout_guard,
+        template::{Template, VersionEntry, VersionState},
+        vm::{Vm, slot_state},
+    },
     chains::{
         bill::Bill,
         configuration::{Configuration, Edit, Expected, Versioned},
         configuration_sync,
         ledger::{self, BillQuery},
     },
-    chat_face::{
-        callers::{bearer, ready, send_error, send_json},
-        decision::Decision,
-        guard,
-        template::{Template, VersionEntry, VersionState},
-        vm::{Vm, slot_state},
-    },
     error::{Error, ErrorKind},
     id::{ModelId, OrganisationId, RequestId, Revision, VersionId},
     secret::KeyHash,
@@ -80,7 +80,7 @@
         let path = conn.path().to_owned();
         match path.as_str() {
             "/healthz" => return conn.ok("alive\n"),
-            "/readyz" => return ready(&self.vm, conn),
+            "/readyz" => return send_readiness(&self.vm, conn),
             "/metrics" => return self.metrics(conn),
             _ => {}
         }
@@ -147,7 +147,7 @@
         let Some(expected) = self.vm.settings.operators_key_hash else {
             return true;
         };
-        let key = bearer(conn.request_headers());
+        let key = bearer_key(conn.request_headers());
         key.is_some_and(|key| KeyHash::of(&key) == expected)
     }
 
@@ -325,14 +325,16 @@
     fn status(&self) -> Value {
         let vm = &self.vm;
         let now = vm.clock.now();
-        let life = vm.life();
+        let life = vm.identity();
         let configuration = vm.configuration.current();
-        let stopped =
-            guard::stopped_models(&configuration, &vm.guard.stopped());
+        let stopped = rollout_guard::stopped_versions(
+            &configuration,
+            &vm.guard.stopped(),
+        );
         let age = |age: Option<std::time::Duration>| {
             age.map(|age| age.as_millis() as u64)
         };
-        let listed = vm.view.listed_at();
+        let listed = vm.view.list_read_at();
         json!({
             "vm": life.vm,
             "incarnation": life.incarnation.to_string(),
@@ -344,7 +346,7 @@
             "list_age_ms":
                 age(listed.map(|at| now.saturating_duration_since(at))),
             "in_flight": vm.in_flight(),
-            "queued": vm.gate.waiting(),
+            "queued": vm.queue.waiting(),
             "bills_waiting": vm.ledger.waiting(),
             "steward_epoch": vm.steward.epoch(),
             "stopped_versions": stopped,
@@ -359,7 +361,7 @@
         view.peers()
             .iter()
             .map(|peer| {
-                let life = view.life(&peer.vm);
+                let life = view.liveness(&peer.vm);
                 json!({
                     "vm": peer.vm,
                     "data_hall": peer.data_hall,
@@ -387,7 +389,7 @@
                     "data_hall": upstream.record.data_hall,
                     "serves": upstream.record.serves,
                     "leaving": facts.leaving,
-                    "failing": facts.broken,
+                    "failing": facts.breaker_open,
                     "requests": facts.requests,
                     "slots": facts.slots,
                     "load_age_ms":
@@ -507,7 +509,7 @@
 }
 
 fn decision_text(decision: &Decision) -> String {
-    format!("{}\n", decision.in_words())
+    format!("{}\n", decision.to_text())
 }
 
 fn bill_text(bill: &Bill) -> String {
--- a/src/chat_face/queue.rs
+++ b/src/api/queue.rs
@@ -1,7 +1,7 @@
 //! Waiting for room at the model replicas: fair between organisations.
 //!
 //! [`FairQueue`] is the pure order: interactive work first, and within one
-//! priority weighted fair queueing by start tags. [`Gate`] lets waiting
+//! priority weighted fair queueing by start tags. [`DispatchQueue`] lets waiting
 //! requests through as room appears and refuses early, not run, those whose
 //! deadline cannot be met.
 
@@ -14,7 +14,7 @@
 use smol::channel::{Receiver, Sender, bounded};
 
 use crate::{
-    chat_face::{choose::Room, template::Priority},
+    api::{selection::ModelLoad, template::Priority},
     clock::{BootInstant, SharedClock},
     error::{Error, ErrorKind},
     id::{ModelId, OrganisationId},
@@ -147,7 +147,7 @@
 }
 
 /// Lets requests through as there is room.
-pub struct Gate {
+pub struct DispatchQueue {
     lanes: Mutex<Lanes>,
     clock: SharedClock,
     queue_limit: usize,
@@ -160,7 +160,7 @@
 /// While it is held, the request counts as taking room that the view does
 /// not show yet.
 pub struct Pass {
-    gate: Arc<Gate>,
+    gate: Arc<DispatchQueue>,
     model: ModelId,
 }
 
@@ -173,14 +173,14 @@
     }
 }
 
-impl Gate {
+impl DispatchQueue {
     /// Creates a gate with nothing waiting.
     pub fn new(
         clock: SharedClock,
         queue_limit: usize,
         batch_share: f64,
-    ) -> Arc<Gate> {
-        Arc::new(Gate {
+    ) -> Arc<DispatchQueue> {
+        Arc::new(DispatchQueue {
             lanes: Mutex::default(),
             clock,
             queue_limit,
@@ -196,9 +196,9 @@
     /// [`ErrorKind::Overloaded`], not run, when the queue is full or the
     /// deadline cannot be met, with the time after which to come back.
     pub async fn enter(
-        self: &Arc<Gate>,
+        self: &Arc<DispatchQueue>,
         entry: &Entry,
-        room: Room,
+        room: ModelLoad,
     ) -> Result<Pass, Error> {
         let receiver = match self.try_enter(entry, room)? {
             Entered::Now => return Ok(self.pass(&entry.model)),
@@ -220,7 +220,7 @@
     /// To be called when a request ends or the view changes.
     pub fn wake(
         &self,
-        room_of: impl Fn(&ModelId) -> Room,
+        room_of: impl Fn(&ModelId) -> ModelLoad,
         weight: impl Fn(&OrganisationId) -> u32,
     ) {
         let models: Vec<ModelId> = {
@@ -242,9 +242,9 @@
     }
 
     fn try_enter(
-        self: &Arc<Gate>,
+        self: &Arc<DispatchQueue>,
         entry: &Entry,
-        room: Room,
+        room: ModelLoad,
     ) -> Result<Entered, Error> {
         let mut lanes = self.lanes.lock().expect("gate lock");
         let ahead = lanes.ahead(&entry.model, entry.priority);
@@ -280,7 +280,7 @@
         &self,
         model: &ModelId,
         priority: Priority,
-        room: Room,
+        room: ModelLoad,
     ) -> bool {
         let passes = self.passes.lock().expect("gate lock");
         let passing = passes.get(model).copied().unwrap_or(0);
@@ -294,7 +294,7 @@
     fn wake_one(
         &self,
         model: &ModelId,
-        room: Room,
+        room: ModelLoad,
         weight: &impl Fn(&OrganisationId) -> u32,
     ) -> bool {
         let mut lanes = self.lanes.lock().expect("gate lock");
@@ -317,7 +317,7 @@
         false
     }
 
-    fn pass(self: &Arc<Gate>, model: &ModelId) -> Pass {
+    fn pass(self: &Arc<DispatchQueue>, model: &ModelId) -> Pass {
         self.count_pass(model);
         Pass { gate: self.clone(), model: model.clone() }
     }
@@ -373,7 +373,7 @@
 
 /// A place in the queue, left when it is dropped.
 struct Waiting {
-    gate: Arc<Gate>,
+    gate: Arc<DispatchQueue>,
     model: ModelId,
     priority: Priority,
     number: u64,
@@ -466,13 +466,13 @@
         }
     }
 
-    const EMPTY: Room = Room { requests: 0.0, slots: 10.0 };
-    const HALF: Room = Room { requests: 7.5, slots: 10.0 };
-    const FULL: Room = Room { requests: 11.0, slots: 10.0 };
+    const EMPTY: ModelLoad = ModelLoad { requests: 0.0, slots: 10.0 };
+    const HALF: ModelLoad = ModelLoad { requests: 7.5, slots: 10.0 };
+    const FULL: ModelLoad = ModelLoad { requests: 11.0, slots: 10.0 };
 
     #[test]
     fn batch_work_leaves_room_and_waits() {
-        let gate = Gate::new(Arc::new(SystemClock), 10, 0.7);
+        let gate = DispatchQueue::new(Arc::new(SystemClock), 10, 0.7);
         let minute = Duration::from_secs(60);
         smol::block_on(async {
             let now = entry(Priority::Interactive, minute);
@@ -493,7 +493,7 @@
 
     #[test]
     fn a_full_queue_and_a_passed_deadline_refuse_not_run() {
-        let gate = Gate::new(Arc::new(SystemClock), 1, 0.7);
+        let gate = DispatchQueue::new(Arc::new(SystemClock), 1, 0.7);
         smol::block_on(async {
             let short =
                 entry(Priority::Interactive, Duration::from_millis(20));
--- a/src/chat_face/request.rs
+++ b/src/api/request.rs
@@ -10,26 +10,26 @@
 
 use crate::{
     answer::{Answer, Header},
-    chains::{
-        bill::{Bill, BillPart, BillState},
-        claim::{ClaimOutcome, ClaimRequest},
-        claims::Claims,
-    },
-    chat_face::{
+    api::{
         chat::ChatRequest,
-        choose::{
-            self, Knowledge, NoPlan, Plan, RequestFacts, Room, any_usable,
-        },
         decision::{
             Asked, Attempt, AttemptEnd, Decision, SessionUse, Verdict,
         },
         estimate::version_hash,
-        limit::InUse,
+        organisation_limits::InUse,
         queue::{Entry, Pass},
+        selection::{
+            self, Knowledge, ModelLoad, NoPlan, Plan, RequestFacts, any_usable,
+        },
         session::Session,
         template::{Priority, ServiceRule, Template, VersionEntry},
         vm::{InFlightRequest, Vm},
     },
+    chains::{
+        bill::{Bill, BillPart, BillState},
+        claim::{ClaimOutcome, ClaimRequest},
+        claims::Claims,
+    },
     clock::BootInstant,
     error::{Error, ErrorKind, Run},
     id::OrganisationId,
@@ -63,7 +63,7 @@
 pub(crate) type Cancel = Receiver<()>;
 
 /// What all states of a request share.
-pub(crate) struct Core {
+pub(crate) struct RequestContext {
     pub(crate) vm: Arc<Vm>,
     pub(crate) decision: Decision,
     pub(crate) started: BootInstant,
@@ -111,7 +111,7 @@
 
 /// A request in one state of its life.
 pub(crate) struct Request<S> {
-    pub(crate) core: Core,
+    pub(crate) core: RequestContext,
     pub(crate) state: S,
 }
 
@@ -122,8 +122,8 @@
     /// Takes in a request.
     pub(crate) fn arrive(vm: &Arc<Vm>, cancel: Cancel) -> Request<Arrived> {
         let now = vm.clock.now();
-        let as_ms = |age: Option<Duration>| choose::age_ms(age);
-        let listed_at = vm.view.listed_at();
+        let as_ms = |age: Option<Duration>| selection::age_ms(age);
+        let list_read_at = vm.view.list_read_at();
         let decision = Decision {
             id: vm.next_request_id(),
             at_unix_ms: vm.clock.unix_ms(),
@@ -134,7 +134,7 @@
             revision: vm.configuration.current().revision(),
             configuration_age_ms: as_ms(vm.configuration.proof_age(now)),
             list_age_ms: as_ms(
-                listed_at.map(|at| now.saturating_duration_since(at)),
+                list_read_at.map(|at| now.saturating_duration_since(at)),
             ),
             candidates: Vec::new(),
             queued_ms: 0,
@@ -142,7 +142,7 @@
             verdict: Verdict::Running,
         };
         Request {
-            core: Core {
+            core: RequestContext {
                 vm: vm.clone(),
                 decision,
                 started: now,
@@ -196,7 +196,7 @@
     }
 }
 
-impl Core {
+impl RequestContext {
     fn authorize(
         &mut self,
         headers: &CallHeaders,
@@ -288,7 +288,7 @@
                 let now = self.vm.clock.unix_ms();
                 let organisation = &template.organisation;
                 let session =
-                    self.vm.sessions.read(token, organisation, now)?;
+                    self.vm.sessions.verify(token, organisation, now)?;
                 Ok(SessionUse::Bound {
                     model: session.model,
                     version: session.version,
@@ -534,7 +534,7 @@
             has_upstream: &has_upstream,
             now,
         };
-        let plan = choose::plan(&facts, &knowledge, rand::random())?;
+        let plan = selection::plan(&facts, &knowledge, rand::random())?;
         let repeatable = plan.steps.iter().all(|step| {
             let rule = template.model_rule(&step.entry.model);
             rule.is_some_and(|rule| rule.repeatable)
@@ -578,7 +578,7 @@
         let vm = core.vm.clone();
         let model = self.state.plan.steps[0].entry.model.clone();
         let now = vm.clock.now();
-        let room = Room::of(&vm.upstream_facts(&model, now));
+        let room = ModelLoad::of(&vm.upstream_facts(&model, now));
         let template = &self.state.admitted.template;
         let entry = Entry {
             model,
@@ -586,7 +586,7 @@
             priority: core.decision.priority,
             deadline: self.state.admitted.deadline,
         };
-        let pass = vm.gate.enter(&entry, room).await;
+        let pass = vm.queue.enter(&entry, room).await;
         let waited = vm.clock.now().saturating_duration_since(now);
         core.decision.queued_ms = waited.as_millis() as u64;
         pass
--- a/src/chat_face/guard.rs
+++ b/src/api/rollout_guard.rs
@@ -13,17 +13,17 @@
 };
 
 use crate::{
-    chains::{
-        configuration::{Configuration, Edit, Expected},
-        configuration_sync,
-        store::Backoff,
-    },
-    chat_face::{
+    api::{
         estimate::version_hash,
         tally::{Tallies, Tally, TallyKey, evidence},
         template::{VersionEntry, VersionState},
         vm::Vm,
     },
+    chains::{
+        configuration::{Configuration, Edit, Expected},
+        configuration_sync,
+        store::Backoff,
+    },
     error::ErrorKind,
     event::Event,
     id::{ModelId, Revision},
@@ -75,10 +75,10 @@
 impl Baseline {
     /// The baseline of the serving versions' evidence and a prior chance.
     pub fn new(serving: Tally, prior_quality: f64) -> Baseline {
-        let answers = f64::from(serving.0[evidence::ANSWERS]);
+        let answers = f64::from(serving.0[evidence::ATTEMPTS]);
         let errors = f64::from(serving.0[evidence::ERRORS]);
         let rated = f64::from(serving.0[evidence::RATED]);
-        let missed = rated - f64::from(serving.0[evidence::MET]);
+        let missed = rated - f64::from(serving.0[evidence::MET_TARGET]);
         let errors =
             (errors + ERROR_FLOOR * PRIOR_ANSWERS) / (answers + PRIOR_ANSWERS);
         let prior_misses = (1.0 - prior_quality) * PRIOR_ANSWERS;
@@ -92,10 +92,10 @@
 
 /// Judges the evidence of one version against a baseline.
 pub fn judge(tally: Tally, baseline: Baseline, odds: f64) -> Judgement {
-    let answers = f64::from(tally.0[evidence::ANSWERS]);
+    let answers = f64::from(tally.0[evidence::ATTEMPTS]);
     let errors = f64::from(tally.0[evidence::ERRORS]);
     let rated = f64::from(tally.0[evidence::RATED]);
-    let missed = rated - f64::from(tally.0[evidence::MET]);
+    let missed = rated - f64::from(tally.0[evidence::MET_TARGET]);
     let bound = odds.ln();
     if log_odds(answers, errors, baseline.errors, ERROR_MARGIN) > bound {
         return Judgement::Bad(format!(
@@ -221,12 +221,12 @@
 
 /// The versions that this VM has stopped on its own judgement.
 #[derive(Default)]
-pub struct Guard {
+pub struct RolloutGuard {
     stopped: Mutex<HashSet<ShortHash>>,
     rolling: Mutex<HashSet<ShortHash>>,
 }
 
-impl Guard {
+impl RolloutGuard {
     /// The versions stopped here.
     pub fn stopped(&self) -> HashSet<ShortHash> {
         self.stopped.lock().expect("guard lock").clone()
@@ -238,7 +238,7 @@
     }
 
     /// Forgets stops that the configuration has taken over.
-    pub(crate) fn forget_settled(&self, configuration: &Configuration) {
+    pub(crate) fn clear_withdrawn(&self, configuration: &Configuration) {
         let withdrawn: HashSet<ShortHash> = configuration
             .all_versions()
             .filter(|part| part.value.state == VersionState::Withdrawn)
@@ -335,7 +335,7 @@
 }
 
 /// The model of a version, for reports.
-pub(crate) fn stopped_models(
+pub(crate) fn stopped_versions(
     configuration: &Configuration,
     stopped: &HashSet<ShortHash>,
 ) -> Vec<(ModelId, String)> {
@@ -358,7 +358,7 @@
 
     fn tally(answers: f32, errors: f32) -> Tally {
         let mut tally = Tally::default();
-        tally.0[evidence::ANSWERS] = answers;
+        tally.0[evidence::ATTEMPTS] = answers;
         tally.0[evidence::ERRORS] = errors;
         tally
     }
--- a/src/chat_face/server.rs
+++ b/src/api/server.rs
@@ -12,20 +12,21 @@
 use trillium_server_common::ServerHandle;
 
 use crate::{
-    chains::{configuration_sync, ledger::Ledger},
-    chat_face::{
-        callers::Callers,
+    api::{
+        caller_api::CallerApi,
         gossip::{Gossiper, log_leaving},
-        guard, load,
+        load,
         operators::Operators,
         platform_list::ListReader,
+        rollout_guard,
         steward::Steward,
         vm::{Parts, Vm},
     },
+    chains::{configuration_sync, ledger::Ledger},
     clock::{SharedClock, SystemClock},
     error::{Error, ErrorKind},
     event::Event,
-    message::Notice,
+    message::UpstreamNotice,
     peer,
     settings::Settings,
     task::{self, Task, within},
@@ -147,7 +148,7 @@
             bound.addresses.peers
         ));
         let limit = vm.settings.requests.body_limit_bytes + 1;
-        let callers = Callers { vm: vm.clone() };
+        let callers = CallerApi { vm: vm.clone() };
         let callers = serve_http(bound.callers, callers, limit)?;
         let operators = Operators { vm: vm.clone() };
         let operators = serve_http(bound.operators, operators, limit)?;
@@ -186,7 +187,7 @@
         let grace = vm.settings.stop_grace;
         vm.begin_stop();
         Event::Stopping.log(format_args!("{} in flight", vm.in_flight()));
-        Gossiper::tell_hall(&vm).await;
+        Gossiper::gossip_to_hall(&vm).await;
         task::sleep(NOTICE_TIME.min(grace)).await;
         callers.stopper().stop();
         let drain = grace.mul_f64(DRAIN_SHARE);
@@ -215,7 +216,7 @@
         while vm.in_flight() > 0 {
             task::sleep(LOOK).await;
         }
-        while vm.unsettled.count() > 0 {
+        while vm.pending_outcomes.count() > 0 {
             task::sleep(LOOK).await;
         }
     };
@@ -241,7 +242,7 @@
         task::spawn(configuration_sync::follow_loop(vm.clone())),
         task::spawn(configuration_sync::fetch_loop(vm.clone())),
         task::spawn(configuration_sync::staleness_loop(vm.clone())),
-        task::spawn(guard::watch_loop(vm.clone())),
+        task::spawn(rollout_guard::watch_loop(vm.clone())),
         task::spawn(Ledger::send_loop(vm.clone())),
         task::spawn(Ledger::commit_loop(vm.clone())),
         task::spawn(Steward::run_loop(vm.clone())),
@@ -267,8 +268,11 @@
             Ok(Some(list)) => {
                 for upstream in vm.view.take_list(&list, now) {
                     log_leaving(&upstream, "by the platform's list");
-                    Gossiper::notify(&vm, Notice::Leaving(upstream.short))
-                        .await;
+                    Gossiper::notify(
+                        &vm,
+                        UpstreamNotice::Leaving(upstream.short_hash),
+                    )
+                    .await;
                 }
             }
             Ok(None) => vm.view.list_unchanged(now),
--- a/src/chat_face/statement.rs
+++ b/src/api/statement.rs
@@ -3,13 +3,15 @@
 use hyper::HeaderMap;
 
 use crate::{
-    chat_face::{
-        dispatch::{Chosen, STATUS_NOT_LOADED, STATUS_UNAVAILABLE},
+    api::{
+        dispatch::{STATUS_NOT_LOADED, STATUS_UNAVAILABLE, SelectedUpstream},
         gossip::{Gossiper, log_leaving},
-        request::Core,
+        request::RequestContext,
+    },
+    message::{RateLimitReport, ShortHash, UpstreamNotice},
+    placing::signals::{
+        RateLimit, ReportedChange, RetryAfter, UpstreamSignals,
     },
-    message::{Notice, ShortHash, ToldLimit},
-    placing::statement::{OwnNews, RateLimit, Rest, Statement},
     task,
     unit::RequestRate,
 };
@@ -21,27 +23,29 @@
 /// second from all VMs together, a decimal number.
 const RATE_LIMIT: &str = "lupinseam-rate-limit";
 
-impl Core {
+impl RequestContext {
     /// Takes in what an upstream says of itself in an answer.
-    pub(super) fn hear(
+    pub(super) fn apply_upstream_statement(
         &self,
-        chosen: &Chosen,
+        chosen: &SelectedUpstream,
         status: u16,
         headers: &HeaderMap,
     ) {
         let upstream = &chosen.upstream;
         let statement = read_statement(status, headers);
         let (draw, now) = (rand::random(), self.vm.clock.now());
-        let word = &upstream.own_word;
-        for news in word.take(&statement, draw, chosen.chosen_at, now) {
+        let word = &upstream.reported_state;
+        for news in word.apply(&statement, draw, chosen.chosen_at, now) {
             match &news {
-                OwnNews::Leaving => log_leaving(upstream, "by its own answer"),
+                ReportedChange::Leaving => {
+                    log_leaving(upstream, "by its own answer")
+                }
                 other => {
                     let id = &upstream.record.id;
                     other.event().log(format_args!("upstream {id}"));
                 }
             }
-            let Some(notice) = notice_of(&news, upstream.short) else {
+            let Some(notice) = notice_of(&news, upstream.short_hash) else {
                 continue;
             };
             let vm = self.vm.clone();
@@ -52,25 +56,32 @@
 }
 
 /// Reads what an upstream says of itself in the head of an answer.
-fn read_statement(status: u16, headers: &HeaderMap) -> Statement {
+fn read_statement(status: u16, headers: &HeaderMap) -> UpstreamSignals {
     let ran = ![STATUS_UNAVAILABLE, STATUS_NOT_LOADED].contains(&status);
-    Statement {
+    UpstreamSignals {
         is_leaving: headers.get(LEAVING).is_some_and(|v| v == "1"),
-        rest: Rest::read(status, headers),
+        retry_after: RetryAfter::read(status, headers),
         rate_limit: RateLimit::read(headers.get_all(RATE_LIMIT), ran),
         load: None,
     }
 }
 
 /// What the other VMs of the data hall are to know at once.
-fn notice_of(news: &OwnNews, upstream: ShortHash) -> Option<Notice> {
+fn notice_of(
+    news: &ReportedChange,
+    upstream: ShortHash,
+) -> Option<UpstreamNotice> {
     let limit = |rate: Option<RequestRate>| {
-        Notice::RateLimit(ToldLimit { upstream, rate, age_ms: 0 })
+        UpstreamNotice::RateLimit(RateLimitReport {
+            upstream,
+            rate,
+            age_ms: 0,
+        })
     };
     match news {
-        OwnNews::Leaving => Some(Notice::Leaving(upstream)),
-        OwnNews::Limited(rate) => Some(limit(Some(*rate))),
-        OwnNews::Unlimited => Some(limit(None)),
+        ReportedChange::Leaving => Some(UpstreamNotice::Leaving(upstream)),
+        ReportedChange::RateLimited(rate) => Some(limit(Some(*rate))),
+        ReportedChange::RateLimitLifted => Some(limit(None)),
         _ => None,
     }
 }
--- a/src/chat_face/steward.rs
+++ b/src/api/steward.rs
@@ -14,11 +14,11 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
+    api::{estimate::version_hash, template::VersionState, vm::Vm},
     chains::{
         claim::VmLife,
         lease::{Epoch, Lease, LeaseChange},
     },
-    chat_face::{estimate::version_hash, template::VersionState, vm::Vm},
     clock::BootInstant,
     event::Event,
     http_client::{Call, SendError},
@@ -142,7 +142,7 @@
             return;
         };
         let Some(epoch) = self.epoch() else { return };
-        let order = Order { epoch, steward: vm.life(), action, version };
+        let order = Order { epoch, steward: vm.identity(), action, version };
         let sent = self.send(vm, &upstream, &order).await;
         let detail = format!(
             "{:?} {} at {}, epoch {}",
--- a/src/chat_face/tally.rs
+++ b/src/api/tally.rs
@@ -71,13 +71,13 @@
 /// The fields of an evidence tally.
 pub mod evidence {
     /// Answers and failures.
-    pub const ANSWERS: usize = 0;
+    pub const ATTEMPTS: usize = 0;
     /// Failures among them.
     pub const ERRORS: usize = 1;
     /// Answers that were rated.
     pub const RATED: usize = 2;
     /// Rated answers that met the quality target.
-    pub const MET: usize = 3;
+    pub const MET_TARGET: usize = 3;
     /// Sum of the time to the first token, in seconds.
     pub const FIRST_TOKEN_S: usize = 4;
 }
--- a/src/chat_face/view.rs
+++ b/src/api/view.rs
@@ -14,17 +14,17 @@
 use rand::seq::IndexedRandom;
 
 use crate::{
-    chat_face::{
-        membership::{Life, LifeChange, Membership},
+    api::{
+        membership::{LifeChange, Liveness, Membership},
         platform_list::{ListedRole, ListedState, ListedVm},
     },
     clock::BootInstant,
     event::Event,
     id::{DataHallId, Incarnation, ModelId, ServiceId, UpstreamId, VmId},
-    message::{Beat, LoadEntry, ShortHash},
+    message::{HeartbeatEntry, LoadEntry, ShortHash},
     placing::{
         owners::Roster,
-        upstream::{Serves, Upstream, UpstreamFacts},
+        upstream::{Serves, Upstream, UpstreamSnapshot},
     },
     rendezvous,
     settings::PeerSettings,
@@ -75,7 +75,7 @@
                     .or_default()
                     .push(upstream.clone()),
             }
-            upstreams.by_short.insert(upstream.short, upstream.clone());
+            upstreams.by_short.insert(upstream.short_hash, upstream.clone());
             upstreams.by_id.insert(record.id.clone(), upstream);
         }
         upstreams
@@ -91,7 +91,7 @@
     /// The entry VMs that may own a rate limit, this one included.
     roster: RwLock<Roster>,
     members: Mutex<Membership>,
-    listed_at: Mutex<Option<BootInstant>>,
+    list_read_at: Mutex<Option<BootInstant>>,
 }
 
 impl View {
@@ -113,7 +113,7 @@
             peers: RwLock::default(),
             roster: RwLock::default(),
             members: Mutex::new(members),
-            listed_at: Mutex::new(None),
+            list_read_at: Mutex::new(None),
         }
     }
 
@@ -136,7 +136,7 @@
         now: BootInstant,
     ) -> Vec<Arc<Upstream>> {
         let known = self.upstreams();
-        let first = self.listed_at().is_none();
+        let first = self.list_read_at().is_none();
         let mut newly_leaving = Vec::new();
         let mut all = Vec::new();
         for listed in list {
@@ -162,7 +162,7 @@
         *self.peers.write().expect("view lock") =
             Arc::new(self.listed_peers(list));
         *self.roster.write().expect("view lock") = listed_roster(list);
-        *self.listed_at.lock().expect("view lock") = Some(now);
+        *self.list_read_at.lock().expect("view lock") = Some(now);
         newly_leaving
     }
 
@@ -171,23 +171,28 @@
         &self,
         upstream: &Upstream,
         now: BootInstant,
-    ) -> UpstreamFacts {
-        let facts = upstream.facts(&self.data_hall, now);
+    ) -> UpstreamSnapshot {
+        let facts = upstream.snapshot(&self.data_hall, now);
         let (vm, hall) = (self.vm.as_str(), &upstream.record.data_hall);
-        let word = &upstream.own_word;
-        let limit =
-            word.limit_wait(&self.roster, vm, upstream.short, hall, now);
-        UpstreamFacts { backoff: facts.backoff.max(limit), ..facts }
+        let word = &upstream.reported_state;
+        let limit = word.rate_limit_wait(
+            &self.roster,
+            vm,
+            upstream.short_hash,
+            hall,
+            now,
+        );
+        UpstreamSnapshot { backoff: facts.backoff.max(limit), ..facts }
     }
 
     /// Notes that the list was read and had not changed.
     pub fn list_unchanged(&self, now: BootInstant) {
-        *self.listed_at.lock().expect("view lock") = Some(now);
+        *self.list_read_at.lock().expect("view lock") = Some(now);
     }
 
     /// When the list was last read.
-    pub fn listed_at(&self) -> Option<BootInstant> {
-        *self.listed_at.lock().expect("view lock")
+    pub fn list_read_at(&self) -> Option<BootInstant> {
+        *self.list_read_at.lock().expect("view lock")
     }
 
     /// The replicas of a model.
@@ -286,7 +291,7 @@
     /// Takes in signs of life.
     pub fn observe_beats(
         &self,
-        beats: &[Beat],
+        beats: &[HeartbeatEntry],
         now: BootInstant,
     ) -> Vec<LifeChange> {
         let mut members = self.members.lock().expect("members lock");
@@ -299,19 +304,19 @@
     }
 
     /// The latest signs of life.
-    pub fn beats(&self, limit: usize) -> Vec<Beat> {
+    pub fn beats(&self, limit: usize) -> Vec<HeartbeatEntry> {
         self.members.lock().expect("members lock").beats(limit)
     }
 
     /// The life that is believed of a VM of this hall.
-    pub fn life(&self, vm: &VmId) -> Option<(Incarnation, Life)> {
+    pub fn liveness(&self, vm: &VmId) -> Option<(Incarnation, Liveness)> {
         let members = self.members.lock().expect("members lock");
         let member = members.get(ShortHash::of(vm.as_str()))?;
         Some((member.incarnation, member.life))
     }
 
     /// The number of other VMs of this hall, by belief.
-    pub fn count(&self, life: Life) -> usize {
+    pub fn count(&self, life: Liveness) -> usize {
         self.members.lock().expect("members lock").count(life)
     }
 
@@ -413,7 +418,7 @@
     }
     let small = |value: u32| value.min(u16::MAX.into()) as u16;
     Some(LoadEntry {
-        upstream: upstream.short,
+        upstream: upstream.short_hash,
         age_ms: age.as_millis() as u16,
         running: small(load.running),
         waiting: small(load.waiting),
@@ -432,10 +437,10 @@
             .find(|peer| ShortHash::of(peer.vm.as_str()) == change.vm)
             .map_or("(not listed)", |peer| peer.vm.as_str());
         let event = match change.life {
-            Life::Alive => Event::PeerAlive,
-            Life::Suspected => Event::PeerSuspected,
-            Life::Dead => Event::PeerDead,
-            Life::Leaving => Event::PeerLeaving,
+            Liveness::Alive => Event::PeerAlive,
+            Liveness::Suspected => Event::PeerSuspected,
+            Liveness::Dead => Event::PeerDead,
+            Liveness::Leaving => Event::PeerLeaving,
         };
         event.log(format_args!(
             "vm {name}, incarnation {}",
--- a/src/chat_face/vm.rs
+++ b/src/api/vm.rs
@@ -13,6 +13,19 @@
 use smol::channel::{Receiver, Sender};
 
 use crate::{
+    api::{
+        decision::{Decision, DecisionLog},
+        gossip::Gossiper,
+        membership::Liveness,
+        organisation_limits::OrganisationLimits,
+        queue::DispatchQueue,
+        rollout_guard::RolloutGuard,
+        selection::ModelLoad,
+        session::SessionKeys,
+        steward::Steward,
+        tally::Tallies,
+        view::View,
+    },
     chains::{
         bill::Bill,
         claim::VmLife,
@@ -23,19 +36,6 @@
         slot::HoldRequest,
         store::{HttpStore, SharedStore, StoreCounts},
     },
-    chat_face::{
-        choose::Room,
-        decision::{Decision, DecisionLog},
-        gossip::Gossiper,
-        guard::Guard,
-        limit::Limits,
-        membership::Life,
-        queue::Gate,
-        session::SessionKeys,
-        steward::Steward,
-        tally::Tallies,
-        view::View,
-    },
     clock::{BootInstant, SharedClock},
     event::Event,
     frame::FrameCodec,
@@ -44,7 +44,7 @@
     message::{PeerReply, PeerRequest, ShortHash},
     metrics::Metrics,
     peer::{PeerClient, PeerError, PeerService},
-    placing::upstream::UpstreamFacts,
+    placing::upstream::UpstreamSnapshot,
     retry::RetryBudget,
     settings::Settings,
 };
@@ -73,27 +73,27 @@
     pub(crate) clock: SharedClock,
     pub(crate) configuration: ConfigurationCell,
     pub(crate) recent_changes: Mutex<VecDeque<Change>>,
-    pub(crate) newer_at: (Sender<VmId>, Receiver<VmId>),
+    pub(crate) configuration_sources: (Sender<VmId>, Receiver<VmId>),
     pub(crate) view: View,
     pub(crate) tallies: Mutex<Tallies>,
-    pub(crate) limits: Limits,
-    pub(crate) gate: Arc<Gate>,
-    pub(crate) retry: RetryBudget,
-    pub(crate) guard: Guard,
+    pub(crate) limits: OrganisationLimits,
+    pub(crate) queue: Arc<DispatchQueue>,
+    pub(crate) retry_budget: RetryBudget,
+    pub(crate) guard: RolloutGuard,
     pub(crate) decisions: DecisionLog,
     pub(crate) sessions: SessionKeys,
     pub(crate) http: HttpClient,
     pub(crate) store: SharedStore,
     pub(crate) store_counts: Arc<StoreCounts>,
     pub(crate) codec: FrameCodec,
-    pub(crate) peers: PeerClient,
+    pub(crate) peer_client: PeerClient,
     pub(crate) peer_address: SocketAddr,
     pub(crate) gossiper: Gossiper,
     pub(crate) claims: Claims,
     pub(crate) ledger: Ledger,
     pub(crate) steward: Steward,
     pub(crate) metrics: Arc<Metrics>,
-    pub(crate) unsettled: UnderWay,
+    pub(crate) pending_outcomes: UnderWay,
     in_flight: UnderWay,
     incarnation: Incarnation,
     next_sequence: AtomicU64,
@@ -132,27 +132,27 @@
         Arc::new(Vm {
             configuration: ConfigurationCell::new(),
             recent_changes: Mutex::default(),
-            newer_at: smol::channel::bounded(1),
+            configuration_sources: smol::channel::bounded(1),
             view: View::new(
                 settings.vm.clone(),
                 hall.clone(),
                 &settings.peers,
             ),
             tallies: Mutex::new(Tallies::new(ShortHash::of(hall.as_str()))),
-            limits: Limits::new(now),
-            gate: Gate::new(
+            limits: OrganisationLimits::new(now),
+            queue: DispatchQueue::new(
                 clock.clone(),
                 requests.queue_limit,
                 requests.batch_share,
             ),
-            retry: RetryBudget::new(requests.retry_share),
-            guard: Guard::default(),
+            retry_budget: RetryBudget::new(requests.retry_share),
+            guard: RolloutGuard::default(),
             decisions: DecisionLog::new(settings.decisions_kept),
             sessions: SessionKeys::new(&settings.cluster_key),
             http: HttpClient::new(requests.connect_timeout, clock.clone()),
             store_counts: store.counts(),
             store: Arc::new(store),
-            peers: PeerClient::new(codec.clone(), metrics.clone()),
+            peer_client: PeerClient::new(codec.clone(), metrics.clone()),
             codec,
             peer_address,
             gossiper,
@@ -160,7 +160,7 @@
             ledger: Ledger::new(),
             steward: Steward::new(life, hall.as_str(), &settings.steward),
             metrics,
-            unsettled: UnderWay::default(),
+            pending_outcomes: UnderWay::default(),
             in_flight: UnderWay::default(),
             incarnation,
             next_sequence: AtomicU64::new(1),
@@ -173,7 +173,7 @@
     }
 
     /// This life of this VM.
-    pub(crate) fn life(&self) -> VmLife {
+    pub(crate) fn identity(&self) -> VmLife {
         VmLife { vm: self.settings.vm.clone(), incarnation: self.incarnation }
     }
 
@@ -181,7 +181,7 @@
     /// knows upstreams and the VMs that hold its bills with it.
     pub(crate) fn is_ready(&self) -> bool {
         self.has_started.load(Ordering::Relaxed)
-            && self.view.listed_at().is_some()
+            && self.view.list_read_at().is_some()
             && !self.is_stopping()
     }
 
@@ -191,7 +191,7 @@
     }
 
     /// Notes that it has a configuration to work by.
-    pub(crate) fn note_ready(&self) {
+    pub(crate) fn mark_ready(&self) {
         if !self.has_started.swap(true, Ordering::Relaxed) {
             let revision = self.configuration.current().revision();
             Event::Ready.log(format_args!("revision {revision}"));
@@ -237,7 +237,7 @@
     /// Has the changes beyond this revision fetched from a VM.
     pub(crate) fn wake_configuration(&self, from: VmId) {
         // One fetch at a time is enough; gossip will tell again.
-        let _ = self.newer_at.0.try_send(from);
+        let _ = self.configuration_sources.0.try_send(from);
     }
 
     /// Keeps changes to hand on to other VMs.
@@ -263,7 +263,7 @@
         &self,
         model: &ModelId,
         now: BootInstant,
-    ) -> Vec<UpstreamFacts> {
+    ) -> Vec<UpstreamSnapshot> {
         let upstreams = self.view.model_upstreams(model);
         upstreams.iter().map(|one| self.view.facts(one, now)).collect()
     }
@@ -277,12 +277,12 @@
             template.map_or(1, |part| part.value.weight)
         };
         let room =
-            |model: &ModelId| Room::of(&self.upstream_facts(model, now));
-        self.gate.wake(room, weight);
+            |model: &ModelId| ModelLoad::of(&self.upstream_facts(model, now));
+        self.queue.wake(room, weight);
     }
 
     /// Asks another VM, by name.
-    pub(crate) async fn ask_peer(
+    pub(crate) async fn call_peer(
         &self,
         vm: &VmId,
         request: PeerRequest,
@@ -291,7 +291,7 @@
         let Some(peer) = self.view.peer(vm) else {
             return Err(PeerError::NotSent(format!("{vm} is not listed")));
         };
-        self.peers.call(peer.address, request, limit).await
+        self.peer_client.call(peer.address, request, limit).await
     }
 
     /// Finds a decision, here or at the VM that made it.
@@ -307,7 +307,7 @@
             return None;
         }
         let request = PeerRequest::Decision(id.clone());
-        match self.ask_peer(&id.vm, request, ASK_LIMIT).await {
+        match self.call_peer(&id.vm, request, ASK_LIMIT).await {
             Ok(PeerReply::Decision(found)) => found.map(|found| *found),
             _ => None,
         }
@@ -332,11 +332,11 @@
         metrics.configuration_revision.set(revision.0 as i64);
         let proof = self.configuration.proof_age(now);
         metrics.configuration_age_ms.set(as_ms(proof));
-        let listed = self.view.listed_at();
+        let listed = self.view.list_read_at();
         let listed = listed.map(|at| now.saturating_duration_since(at));
         metrics.list_age_ms.set(as_ms(listed));
         metrics.in_flight.set(self.in_flight() as i64);
-        metrics.queued.set(self.gate.waiting() as i64);
+        metrics.queued.set(self.queue.waiting() as i64);
         metrics.bills_waiting.set(self.ledger.waiting() as i64);
         let stopped = self.guard.stopped().len();
         metrics.versions_stopped.set(stopped as i64);
@@ -345,7 +345,12 @@
     }
 
     fn update_peer_gauges(&self) {
-        let lives = [Life::Alive, Life::Suspected, Life::Dead, Life::Leaving];
+        let lives = [
+            Liveness::Alive,
+            Liveness::Suspected,
+            Liveness::Dead,
+            Liveness::Leaving,
+        ];
         for life in lives {
             let count = self.view.count(life) as i64;
             let labels = &[life.as_str()];
@@ -417,8 +422,8 @@
                 PeerReply::Decision(self.decisions.get(&id).map(Box::new))
             }
             PeerRequest::Knowledge
-            | PeerRequest::Look { .. }
-            | PeerRequest::News { .. } => {
+            | PeerRequest::PullKnowledge { .. }
+            | PeerRequest::KnowledgeDelta { .. } => {
                 refused("this VM follows no platform's store")
             }
         }
@@ -435,7 +440,7 @@
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
         self.0.in_flight.end();
-        if self.0.gate.waiting() > 0 {
+        if self.0.queue.waiting() > 0 {
             self.0.wake_queue();
         }
     }
--- a/src/chains/ledger.rs
+++ b/src/chains/ledger.rs
@@ -17,12 +17,12 @@
 use smol::channel::{Receiver, Sender, bounded};
 
 use crate::{
+    api::{membership::Liveness, unresponsive::UnresponsiveVms, vm::Vm},
     chains::{
         bill::{Bill, BillState, merge_all},
         chain::{self, Appended, Batch, WriteId},
         store::{StoreError, list_all},
     },
-    chat_face::{membership::Life, silent::Silent, vm::Vm},
     clock::BootInstant,
     error::{Error, ErrorKind},
     event::Event,
@@ -113,7 +113,7 @@
 /// The bills at this VM.
 pub(crate) struct Ledger {
     books: Mutex<Books>,
-    silent: Silent,
+    unresponsive: UnresponsiveVms,
     /// Whether no second VM could be reached when one was last asked.
     is_alone: AtomicBool,
     news: Sender<()>,
@@ -142,7 +142,7 @@
         let books = Mutex::default();
         Ledger {
             books,
-            silent: Silent::default(),
+            unresponsive: UnresponsiveVms::default(),
             is_alone: AtomicBool::new(false),
             news,
             has_news,
@@ -271,7 +271,7 @@
         let mut asked = Vec::new();
         for holder in holders(vm).into_iter().take(HOLDERS_ASKED) {
             let message = PeerRequest::Bills(due.clone());
-            let reply = vm.ask_peer(&holder, message, HOLD_LIMIT).await;
+            let reply = vm.call_peer(&holder, message, HOLD_LIMIT).await;
             let why = match reply {
                 Ok(PeerReply::BillsHeld { committed }) => {
                     vm.ledger.note_alone(None);
@@ -281,7 +281,7 @@
                 Ok(_) => "another reply".to_owned(),
                 Err(error) => error.to_string(),
             };
-            vm.ledger.silent.note(&holder, vm.clock.now());
+            vm.ledger.unresponsive.mark(&holder, vm.clock.now());
             asked.push(format!("{holder}: {why}"));
         }
         vm.ledger.note_alone(Some(&asked));
@@ -491,7 +491,7 @@
     let unheard: Vec<&str> = peers
         .iter()
         .filter(|peer| peer.data_hall == *hall && !peer.leaving)
-        .filter(|peer| vm.view.life(&peer.vm).is_none())
+        .filter(|peer| vm.view.liveness(&peer.vm).is_none())
         .map(|peer| peer.vm.as_str())
         .collect();
     // VMs spread over the writers, each staying with its own.
@@ -504,16 +504,17 @@
     holders.extend(spread(rest));
     holders.extend(spread(&unheard));
     holders.extend(spread(&away));
-    vm.ledger.silent.put_last(&mut holders, vm.clock.now());
+    vm.ledger.unresponsive.deprioritize(&mut holders, vm.clock.now());
     holders
 }
 
 /// Whether the life of the VM that admitted a request is over.
 fn is_dead(vm: &Vm, request: &RequestId) -> bool {
-    match vm.view.life(&request.vm) {
+    match vm.view.liveness(&request.vm) {
         Some((incarnation, life)) => {
             incarnation > request.incarnation
-                || (incarnation == request.incarnation && life == Life::Dead)
+                || (incarnation == request.incarnation
+                    && life == Liveness::Dead)
         }
         // Long forgotten, or of another hall, which holds its own bills.
         None => true,
@@ -522,7 +523,7 @@
 
 fn own_prefix(vm: &Vm, hour: u64) -> String {
     let hall = vm.view.data_hall();
-    let life = vm.life();
+    let life = vm.identity();
     let writer = format!("{}-{}", life.vm, life.incarnation);
     format!("{}/{hall}/{writer}", hour_prefix(hour))
 }
--- a/src/crashes/end_check.rs
+++ b/src/crashes/crash_check.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     clock::BootInstant,
-    crashes::{digest::RequestDigest, record::NextStep},
+    crashes::{digest::RequestDigest, tracker::NextStep},
     event::Event,
     gateway::{Gateway, fields},
     http_client::Listening,
@@ -24,21 +24,21 @@
 
 /// Takes in that an attempt was lost at an upstream where it began at
 /// `began_at`.
-pub(crate) fn note_lost(
+pub(crate) fn record_lost_attempt(
     gateway: &Arc<Gateway>,
     member: &Arc<Member>,
     request: RequestDigest,
     began_at: BootInstant,
 ) {
     let now = gateway.clock.now();
-    let life = member.upstream.short;
+    let life = member.upstream.short_hash;
     let has_crashed = member.has_crashed();
     if !has_crashed && !member.takes_requests(now) {
         // It was leaving: its end was planned.
         return;
     }
     let (next, changes) =
-        gateway.crashes.note_lost(request, life, began_at, now);
+        gateway.crashes.record_lost_attempt(request, life, began_at, now);
     gateway.note_crash_changes(&changes);
     match next {
         NextStep::Nothing => gateway.early_heartbeat.wake(),
@@ -66,8 +66,8 @@
         return;
     }
     let now = gateway.clock.now();
-    let life = member.upstream.short;
-    let changes = gateway.crashes.settle(life, listening, now);
+    let life = member.upstream.short_hash;
+    let changes = gateway.crashes.record_probe(life, listening, now);
     gateway.note_crash_changes(&changes);
 }
 
@@ -79,8 +79,8 @@
     })));
     gateway.metrics.upstreams_ended.inc();
     let now = gateway.clock.now();
-    let life = member.upstream.short;
-    let changes = gateway.crashes.settle(life, Listening::No, now);
+    let life = member.upstream.short_hash;
+    let changes = gateway.crashes.record_probe(life, Listening::No, now);
     gateway.note_crash_changes(&changes);
     gateway.early_heartbeat.wake();
 }
--- a/src/crashes/keeping.rs
+++ b/src/crashes/persistence.rs
@@ -11,7 +11,7 @@
 use crate::{
     chains::store::{Backoff, StoreError},
     clock::BootInstant,
-    crashes::record::REMEMBERED,
+    crashes::tracker::REMEMBERED,
     event::Event,
     gateway::{Gateway, fields},
     platform::{
@@ -33,7 +33,7 @@
     loop {
         task::sleep(LOOK_PERIOD).await;
         let now = gateway.clock.now();
-        let changes = gateway.crashes.sweep(now);
+        let changes = gateway.crashes.expire(now);
         gateway.note_crash_changes(&changes);
         let due = due(&gateway, now);
         if due.is_empty() {
@@ -58,14 +58,14 @@
 
 /// What this VM is to write: nothing, unless it is the steward.
 fn due(gateway: &Gateway, now: BootInstant) -> Vec<ConditionalWrite> {
-    if !gateway.crashes.holds_any() {
+    if !gateway.crashes.has_quarantined() {
         return Vec::new();
     }
     let own_proof = gateway.knowledge.proof_age(now);
     if !gateway.peers.is_steward(own_proof, now) {
         return Vec::new();
     }
-    let held = gateway.crashes.held().into_iter();
+    let held = gateway.crashes.quarantined().into_iter();
     let missing = held.filter_map(|(request, crashes)| {
         let key = document::crashing_request_key(request);
         if gateway.knowledge.version_of(&key).is_some() {
--- a/src/crashes/replay.rs
+++ b/src/crashes/replay.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     clock::Clock,
-    crashes::{digest::RequestDigest, record::NextStep},
+    crashes::{digest::RequestDigest, tracker::NextStep},
     gateway::test_fleet::Fleet,
     http_client::Listening,
     message::ShortHash,
@@ -228,7 +228,7 @@
         let is_culprit = self.is_culprit(request);
         let now_ms = self.fleet.elapsed_ms;
         let now = self.fleet.clock.now();
-        let is_held = self.fleet.vms[vm].crashes.is_held(request, now);
+        let is_held = self.fleet.vms[vm].crashes.is_quarantined(request, now);
         if is_held && left > 0 {
             self.note_refused(request);
             return;
@@ -291,7 +291,7 @@
             let now = self.fleet.clock.now();
             for run in over {
                 let crashes = &self.fleet.vms[run.vm].crashes;
-                crashes.note_ran_whole(run.request, now);
+                crashes.record_completed(run.request, now);
             }
         }
     }
@@ -309,9 +309,9 @@
             let crashes = &self.fleet.vms[run.vm].crashes;
             let began_at = now - Duration::from_millis(now_ms - run.began_ms);
             let (next, _) =
-                crashes.note_lost(run.request, life, began_at, now);
+                crashes.record_lost_attempt(run.request, life, began_at, now);
             if next == NextStep::Check {
-                crashes.settle(life, Listening::No, now);
+                crashes.record_probe(life, Listening::No, now);
             }
             self.fleet.schedule_early_heartbeat(run.vm);
         }
--- a/src/facts/peers/tests.rs
+++ b/src/facts/peers/tests.rs
@@ -6,7 +6,7 @@
 use crate::{
     clock::SystemClock,
     gateway::{Gateway, tests::MINIMAL_SETTINGS},
-    message::Work,
+    message::InFlightWork,
 };
 
 fn gateway() -> Arc<Gateway> {
@@ -15,34 +15,34 @@
     Gateway::new(settings, Arc::new(SystemClock))
 }
 
-fn beat(vm: usize, hall: &str, incarnation: u64, number: u32) -> VmBeat {
-    VmBeat {
+fn beat(vm: usize, hall: &str, incarnation: u64, number: u32) -> Heartbeat {
+    Heartbeat {
         vm: format!("vm-{vm}"),
         data_hall: hall.parse().unwrap(),
         link_mbps: Mbps(20),
-        peers: format!("127.0.0.1:{}", 1000 + vm).parse().unwrap(),
+        peer_address: format!("127.0.0.1:{}", 1000 + vm).parse().unwrap(),
         incarnation: Incarnation(incarnation),
         number,
         echo: None,
         leaving: false,
         as_of: 0,
         digest: 0,
-        table: 0,
+        configuration_version: 0,
         proof_age_ms: None,
         can_watch: true,
-        work: Vec::<(crate::message::ShortHash, Work)>::new(),
-        stated: Vec::new(),
+        in_flight: Vec::<(crate::message::ShortHash, InFlightWork)>::new(),
+        load_reports: Vec::new(),
         failures: Vec::new(),
         leaving_upstreams: Vec::new(),
         rate_limits: Vec::new(),
         evidence: Vec::new(),
-        sightings: Vec::new(),
+        observations: Vec::new(),
         hall_evidence: Vec::new(),
     }
 }
 
 /// Lets a VM hear a beat.
-fn hear(gateway: &Gateway, beat: &VmBeat) {
+fn hear(gateway: &Gateway, beat: &Heartbeat) {
     let now = gateway.clock.now();
     gateway.peers.hear(beat, &gateway.knowledge, now);
 }
@@ -103,7 +103,8 @@
     let first = before.iter().find(|vm| *vm != peers.vm()).unwrap();
     let number = first.strip_prefix("vm-").unwrap().parse().unwrap();
     let hall = hall(first).to_string();
-    let turned_away = VmBeat { can_watch: false, ..beat(number, &hall, 1, 2) };
+    let turned_away =
+        Heartbeat { can_watch: false, ..beat(number, &hall, 1, 2) };
     hear(&gateway, &turned_away);
     let after = peers.find_watchers(gateway.clock.now());
     assert_eq!(after.len(), WATCHERS);
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     clock::BootInstant,
-    crashes::{digest::RequestDigest, end_check},
+    crashes::{crash_check, digest::RequestDigest},
     error::{Error, ErrorKind},
     facts::route::{Organisation, Repeat, Route},
     gateway::{
@@ -30,10 +30,10 @@
     message::ShortHash,
     placing::{
         admission,
-        health::Verdict,
-        member::{Member, Reading},
-        pool::{NoMember, SharedPrompt, Want},
-        upstream::InFlight,
+        health::AttemptOutcome,
+        member::{Member, PrefillGuard},
+        pool::{PickCriteria, PickError, PrefixAffinity},
+        upstream::InFlightGuard,
     },
     platform::headers::{self, ResponseHead},
     rollouts::choice::VersionChoice,
@@ -150,8 +150,8 @@
     /// Expected prefill time of the prompt.
     pub(crate) expected_prefill: Duration,
     /// Counts the prefill at the upstream until the first event arrives.
-    pub(crate) prefill: Option<Reading>,
-    _in_flight: InFlight,
+    pub(crate) prefill: Option<PrefillGuard>,
+    _in_flight: InFlightGuard,
     _session: Option<SessionGuard>,
 }
 
@@ -184,11 +184,11 @@
 
 impl AttemptError {
     /// Returns the verdict on the upstream; `None` if it is not at fault.
-    pub(crate) fn verdict(&self) -> Option<Verdict> {
+    pub(crate) fn verdict(&self) -> Option<AttemptOutcome> {
         match self {
             AttemptError::NotRun(..) | AttemptError::LowConfidence(_) => None,
-            AttemptError::Unknown(..) => Some(Verdict::Lost),
-            AttemptError::Failed(_) => Some(Verdict::Failed),
+            AttemptError::Unknown(..) => Some(AttemptOutcome::Lost),
+            AttemptError::Failed(_) => Some(AttemptOutcome::Failed),
         }
     }
 }
@@ -252,7 +252,7 @@
     fn version_choice(&self, now: BootInstant) -> VersionChoice {
         let session = self.request.session.as_deref();
         let id = &self.request.id;
-        self.gateway.rollouts.rule(&self.service, session, id, now)
+        self.gateway.rollouts.choose_version(&self.service, session, id, now)
     }
 
     /// Builds the criteria for choosing an upstream that is not in `tried`.
@@ -260,14 +260,17 @@
         &self,
         version: &'a VersionChoice,
         tried: &'a [ShortHash],
-    ) -> Want<'a> {
+    ) -> PickCriteria<'a> {
         let service_time = self.gateway.service_times.of(&self.service);
-        Want {
+        PickCriteria {
             rule: version.rule.clone(),
-            prompt: self.shared_prompt(),
+            affinity: self.shared_prompt(),
             withdrawn: &version.withdrawn,
             tried,
-            most_fill: admission::fill_limit(self.route.aim, service_time),
+            max_utilization: admission::utilization_limit(
+                self.route.aim,
+                service_time,
+            ),
         }
     }
 
@@ -291,18 +294,18 @@
         let want = self.want(&version, &self.tried);
         let picked = self.gateway.pool.pick(&self.service, &want, now);
         let member = picked.map_err(|no_member| match no_member {
-            NoMember::Unknown => Error::new(ErrorKind::NoUpstream)
+            PickError::NoCandidate => Error::new(ErrorKind::NoUpstream)
                 .context(format!("service {} has no upstream", self.service)),
-            NoMember::Evacuated => Error::new(ErrorKind::NoUpstream).context(
+            PickError::Evacuated => Error::new(ErrorKind::NoUpstream).context(
                 format!("all upstreams of {} are evacuated", self.service),
             ),
-            NoMember::BackingOff(left) => self.all_backing_off(left),
-            NoMember::Cold => Error::new(ErrorKind::Overloaded)
+            PickError::BackingOff(left) => self.all_backing_off(left),
+            PickError::Cold => Error::new(ErrorKind::Overloaded)
                 .context(format!("all upstreams of {} are cold", self.service))
                 .with_retry_after(RETRY_AFTER_COLD),
-            NoMember::Full => Error::new(ErrorKind::Overloaded)
+            PickError::Full => Error::new(ErrorKind::Overloaded)
                 .context(format!("all upstreams of {} are full", self.service))
-                .with_retry_after(admission::return_after(
+                .with_retry_after(admission::retry_after(
                     self.gateway.service_times.of(&self.service),
                     rand::random(),
                 )),
@@ -310,18 +313,18 @@
         let model = self.model.clone();
         trace.begin_attempt(&member, model.clone(), now);
         trace.note_version(&version);
-        self.tried.push(member.upstream.short);
+        self.tried.push(member.upstream.short_hash);
         let session = self.begin_session(&member.entry.software, now);
         let prompt_tokens = self.request.prompt_tokens.unwrap_or(0);
-        let prefill_before = member.reading(now);
-        let max_prefill_before = member.reading_most(now);
-        let load_before = member.fill(now);
+        let prefill_before = member.prefill_backlog(now);
+        let max_prefill_before = member.max_prefill_backlog(now);
+        let load_before = member.utilization(now);
         let times = &self.gateway.read_times;
         let expected_prefill = times.expected(model.as_ref(), prompt_tokens);
-        let prefill =
-            (prompt_tokens > 0).then(|| member.read(expected_prefill));
+        let prefill = (prompt_tokens > 0)
+            .then(|| member.begin_prefill(expected_prefill));
         if prefill.is_some() {
-            self.gateway.pool.note_reading(expected_prefill);
+            self.gateway.pool.record_expected_prefill(expected_prefill);
         }
         if prefill.is_some() && expected_prefill >= ANNOUNCED_PREFILL_TIME {
             self.gateway.early_heartbeat.wake();
@@ -349,7 +352,7 @@
                 "all upstreams of {} have asked for fewer requests",
                 self.service
             ))
-            .with_retry_after(admission::return_after_backoff(
+            .with_retry_after(admission::retry_after_backoff(
                 left,
                 rand::random(),
             ))
@@ -360,11 +363,11 @@
     /// and every retry would crash another one.
     fn check_not_held(&self) -> Result<(), Error> {
         let crashes = &self.gateway.crashes;
-        if !crashes.holds_any() {
+        if !crashes.has_quarantined() {
             return Ok(());
         }
         let digest = self.digest();
-        if !crashes.is_held(digest, self.gateway.clock.now()) {
+        if !crashes.is_quarantined(digest, self.gateway.clock.now()) {
             return Ok(());
         }
         Err(Error::new(ErrorKind::CrashesUpstreams).context(format!(
@@ -376,7 +379,7 @@
     pub(crate) fn note_completed(&self) {
         let now = self.gateway.clock.now();
         let crashes = &self.gateway.crashes;
-        let changes = crashes.note_ran_whole(self.digest(), now);
+        let changes = crashes.record_completed(self.digest(), now);
         self.gateway.note_crash_changes(&changes);
     }
 
@@ -396,17 +399,17 @@
     /// Returns the prefix of the prompt that later requests share, with the
     /// queueing time that reusing its cache is worth: all segments but the
     /// last, which is the request's own.
-    fn shared_prompt(&self) -> Option<SharedPrompt> {
+    fn shared_prompt(&self) -> Option<PrefixAffinity> {
         let parts = &self.request.prompt;
         let (_, shared) = parts.split_last()?;
-        let subject = shared.last()?.id;
+        let prefix_hash = shared.last()?.id;
         let tokens = shared.iter().map(|part| part.tokens).sum();
         let times = &self.gateway.read_times;
         let saved = times.expected(self.model.as_ref(), tokens);
         let count = u32::try_from(tokens).unwrap_or(u32::MAX);
         let most = self.route.aim.mul_f64(CACHED_PROMPT_WAIT_FRACTION);
         let spared = CACHED_TOKEN_WAIT.saturating_mul(count).min(most);
-        Some(SharedPrompt { subject, worth_waiting: saved + spared })
+        Some(PrefixAffinity { prefix_hash, cache_miss_cost: saved + spared })
     }
 
     fn priority(&self) -> u8 {
@@ -472,7 +475,8 @@
             Ok(exchange) => exchange,
             Err(Some(SendError::NotSent(reason))) => {
                 let member = &attempt.member;
-                self.gateway.record_outcome(member, Verdict::Unreachable);
+                self.gateway
+                    .record_outcome(member, AttemptOutcome::Unreachable);
                 return Err(AttemptError::NotRun("unreachable", reason));
             }
             Err(Some(error)) => {
@@ -495,7 +499,7 @@
             &self.request.id,
         );
         let now = self.gateway.clock.now();
-        attempt.member.note_heard(now);
+        attempt.member.record_activity(now);
         if let Some(statement) = &head.statement {
             trace.note_signals(statement);
             let gateway = &self.gateway;
@@ -538,7 +542,7 @@
         loop {
             let now = gateway.clock.now();
             let waited = now.saturating_duration_since(since);
-            if waited >= limit || member.is_over() {
+            if waited >= limit || member.is_superseded() {
                 return;
             }
             let is_dead = max_silence.is_some_and(|max_silence| {
@@ -558,7 +562,8 @@
         trace: &mut Trace,
     ) -> Result<Reply, AttemptError> {
         let service_time = self.gateway.service_times.of(&self.service);
-        let queue_wait = admission::wait_at(attempt.load_before, service_time);
+        let queue_wait =
+            admission::queue_wait(attempt.load_before, service_time);
         let patience = self.route.aim.mul_f64(RETRY_AIM_FRACTION) + queue_wait;
         let limit = self.attempt_timeout(attempt, patience);
         let (mut exchange, _) = self.send(attempt, None, limit, trace).await?;
@@ -589,7 +594,7 @@
         }
         trace.note_body_part();
         trace.end_attempt("answered", "");
-        self.record_attempt(attempt, Verdict::Good, Some(waited));
+        self.record_attempt(attempt, AttemptOutcome::Success, Some(waited));
         self.learn_service_time(attempt);
         Ok(reply)
     }
@@ -600,7 +605,7 @@
         if attempt.load_before < 1.0 {
             let now = self.gateway.clock.now();
             let took = now.saturating_duration_since(attempt.began_at);
-            self.gateway.service_times.learn(&self.service, took);
+            self.gateway.service_times.record(&self.service, took);
         }
     }
 
@@ -642,7 +647,7 @@
     /// still bring the rest.
     fn has_other_upstream(&self) -> bool {
         let now = self.gateway.clock.now();
-        self.gateway.pool.has_other(&self.service, &self.tried, now)
+        self.gateway.pool.has_untried(&self.service, &self.tried, now)
     }
 
     /// Whether a broken stream may be resumed at another upstream.
@@ -666,27 +671,28 @@
     pub(crate) fn record_attempt(
         &self,
         attempt: &Attempt,
-        verdict: Verdict,
+        verdict: AttemptOutcome,
         first_part: Option<Duration>,
     ) {
         let gateway = &self.gateway;
         let now = gateway.clock.now();
-        if verdict == Verdict::Lost {
-            end_check::note_lost(
+        if verdict == AttemptOutcome::Lost {
+            crash_check::record_lost_attempt(
                 gateway,
                 &attempt.member,
                 self.digest(),
                 attempt.began_at,
             );
         }
-        let says_nothing_of_version = verdict == Verdict::Failed
-            && gateway.pool.is_alone_suspect(&attempt.member, now);
+        let says_nothing_of_version = verdict == AttemptOutcome::Failed
+            && gateway.pool.is_isolated_failure(&attempt.member, now);
         gateway.record_outcome(&attempt.member, verdict);
-        let ended = attempt.member.is_over() && verdict != Verdict::Good;
+        let ended = attempt.member.is_superseded()
+            && verdict != AttemptOutcome::Success;
         if says_nothing_of_version || ended {
             return;
         }
-        gateway.rollouts.record(
+        gateway.rollouts.record_answer(
             &self.service,
             &attempt.member.entry.software,
             &self.route.name,
@@ -785,7 +791,8 @@
     max_silence: Duration,
     now: BootInstant,
 ) -> Duration {
-    let prefill = member.reading_most(now).mul_f64(PREFILL_PATIENCE_FACTOR);
+    let prefill =
+        member.max_prefill_backlog(now).mul_f64(PREFILL_PATIENCE_FACTOR);
     max_silence + prefill.min(MAX_PREFILL_PATIENCE)
 }
 
--- a/src/gateway/limit_replay.rs
+++ b/src/gateway/limit_replay.rs
@@ -18,9 +18,9 @@
     gateway::test_fleet::{Fleet, STEP_MS},
     placing::{
         member::{Member, UpstreamEntry, UpstreamState},
-        pool::Want,
-        statement::{RateLimit, Statement},
-        upstream::InFlight,
+        pool::PickCriteria,
+        signals::{RateLimit, UpstreamSignals},
+        upstream::InFlightGuard,
     },
     unit::RequestRate,
 };
@@ -111,7 +111,7 @@
     ends_at: BootInstant,
     vm: usize,
     member: Arc<Member>,
-    _in_flight: InFlight,
+    _in_flight: InFlightGuard,
 }
 
 struct Simulation {
@@ -230,10 +230,12 @@
                 let informed = self.informed_at_ms.entry((work.vm, upstream));
                 informed.or_insert(passed_ms);
             }
-            let statement =
-                Statement { rate_limit: Some(limit), ..Statement::default() };
+            let statement = UpstreamSignals {
+                rate_limit: Some(limit),
+                ..UpstreamSignals::default()
+            };
             let vm = self.fleet.vms[work.vm].clone();
-            let news = vm.pool.take_statement(
+            let news = vm.pool.apply_signals(
                 &work.member,
                 &statement,
                 now.checked_sub(WORK).unwrap(),
@@ -251,7 +253,7 @@
         let vm = self.fleet.vms[at].clone();
         let service = "writers".parse().unwrap();
         let now = self.fleet.clock.now();
-        let picked = vm.pool.pick(&service, &Want::default(), now);
+        let picked = vm.pool.pick(&service, &PickCriteria::default(), now);
         let Ok(member) = picked else {
             self.refused += 1;
             return;
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -22,9 +22,9 @@
 use crate::{
     clock::{BootInstant, SharedClock},
     crashes::{
-        record::{CrashRecord, HoldChange},
-        sighting::Sighting,
-        tellings::Source,
+        broadcast_queue::Source,
+        observation::RequestObservation,
+        tracker::{CrashTracker, QuarantineChange},
     },
     event::Event,
     facts::{
@@ -36,8 +36,8 @@
     metrics::Metrics,
     placing::{
         admission::ServiceTimes,
-        cascade::ReadTimes,
-        health::{HealthChange, Verdict},
+        cascade::PrefillTimes,
+        health::{AttemptOutcome, HealthChange},
         member::{Member, UpstreamState},
         pool::Pool,
         retry_window::RetryWindow,
@@ -120,8 +120,8 @@
     pub(crate) knowledge: Knowledge,
     pub(crate) pool: Pool,
     pub(crate) rollouts: Rollouts,
-    pub(crate) crashes: CrashRecord,
-    pub(crate) read_times: ReadTimes,
+    pub(crate) crashes: CrashTracker,
+    pub(crate) read_times: PrefillTimes,
     pub(crate) service_times: ServiceTimes,
     pub(crate) peers: Peers,
     pub(crate) metrics: Arc<Metrics>,
@@ -153,8 +153,8 @@
                 settings.warm_up_slack,
             ),
             rollouts: Rollouts::new(settings.session_timeout),
-            crashes: CrashRecord::default(),
-            read_times: ReadTimes::default(),
+            crashes: CrashTracker::default(),
+            read_times: PrefillTimes::default(),
             service_times: ServiceTimes::default(),
             peers: Peers::new(
                 &settings,
@@ -264,7 +264,7 @@
     /// Whether the retry budget of a service allows another attempt.
     pub(crate) fn can_retry(&self, service: &ServiceId) -> bool {
         let now = self.clock.now();
-        self.retry_budget(service).has_one(self.peers.fleet_size(), now)
+        self.retry_budget(service).allows_retry(self.peers.fleet_size(), now)
     }
 
     /// Takes an attempt from the retry budget of a service; returns whether
@@ -357,7 +357,7 @@
             Fact::RolloutOrdered(service, order) => {
                 let target = order.target.clone();
                 let allowed_ms = order.time_allowed.as_millis() as u64;
-                if self.rollouts.order(service.clone(), order, now) {
+                if self.rollouts.apply_order(service.clone(), order, now) {
                     Event::RolloutOrdered.record(fields(json!({
                         "service": service,
                         "target": target,
@@ -377,7 +377,7 @@
                         .record(fields(json!({ "data_hall": hall })));
                 }
             }
-            Fact::RolloutOver(service) => self.rollouts.forget(&service),
+            Fact::RolloutOver(service) => self.rollouts.remove(&service),
             Fact::RolloutStatus(service, status) => {
                 self.rollouts.set_status(&service, &status);
                 Event::RolloutRecorded.record(fields(json!({
@@ -387,9 +387,9 @@
                 })));
             }
             Fact::CrashingRequest(request, crashes) => {
-                let sightings: Vec<Sighting> =
-                    Sighting::of_crashes(request, crashes).collect();
-                self.merge_sightings(&sightings, Source::Kept);
+                let sightings: Vec<RequestObservation> =
+                    RequestObservation::of_crashes(request, crashes).collect();
+                self.merge_sightings(&sightings, Source::Snapshot);
             }
             Fact::Peer(vm, record) => {
                 self.pool.add_vm(&vm, &record.data_hall);
@@ -405,11 +405,11 @@
     /// Merges sightings of requests and crashes from elsewhere.
     pub(crate) fn merge_sightings(
         &self,
-        sightings: &[Sighting],
+        sightings: &[RequestObservation],
         source: Source,
     ) {
         let now = self.clock.now();
-        let changes = self.crashes.hear(sightings, source, now);
+        let changes = self.crashes.merge_observations(sightings, source, now);
         self.note_crash_changes(&changes);
         if !changes.is_empty() {
             self.early_heartbeat.wake();
@@ -417,17 +417,17 @@
     }
 
     /// Logs which requests are blocked from now on, and which no longer.
-    pub(crate) fn note_crash_changes(&self, changes: &[HoldChange]) {
+    pub(crate) fn note_crash_changes(&self, changes: &[QuarantineChange]) {
         for change in changes {
             match change {
-                HoldChange::Held { request, ends } => {
+                QuarantineChange::Added { request, ends } => {
                     self.metrics.requests_held.inc();
                     Event::RequestHeld.record(fields(json!({
                         "request": request.to_string(),
                         "upstreams_ended": ends,
                     })));
                 }
-                HoldChange::Released(request) => {
+                QuarantineChange::Released(request) => {
                     self.metrics.requests_held.dec();
                     Event::RequestReleased.record(fields(
                         json!({ "request": request.to_string() }),
@@ -438,24 +438,28 @@
     }
 
     /// Records the outcome of an attempt at an upstream for its health.
-    pub(crate) fn record_outcome(&self, member: &Member, verdict: Verdict) {
+    pub(crate) fn record_outcome(
+        &self,
+        member: &Member,
+        verdict: AttemptOutcome,
+    ) {
         // The failure belongs to an incarnation that has ended; the one that
         // replaced it is not at fault.
-        if member.is_over() && verdict != Verdict::Good {
+        if member.is_superseded() && verdict != AttemptOutcome::Success {
             return;
         }
         let now = self.clock.now();
-        if verdict == Verdict::Unreachable {
-            member.note_unreachable(now);
+        if verdict == AttemptOutcome::Unreachable {
+            member.record_connect_failure(now);
         }
-        if self.pool.note_verdict(member, verdict, now) {
+        if self.pool.record_outcome(member, verdict, now) {
             self.early_heartbeat.wake();
         }
         let change = member.health.record(verdict, now);
         let event = match change {
             None => return,
-            Some(HealthChange::Unfit) => Event::UpstreamUnfit,
-            Some(HealthChange::Fit) => Event::UpstreamFit,
+            Some(HealthChange::Unhealthy) => Event::UpstreamUnfit,
+            Some(HealthChange::Healthy) => Event::UpstreamFit,
         };
         event.record(fields(json!({ "upstream": member.entry.id })));
     }
--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -24,8 +24,8 @@
     http_client::Exchange,
     id::ModelId,
     placing::{
-        cascade::{Doubt, Kept, larger_model},
-        health::Verdict,
+        cascade::{EscalationInput, NoEscalation, escalation_target},
+        health::AttemptOutcome,
         member::Member,
     },
     platform::headers::{self, ResponseHead},
@@ -132,7 +132,7 @@
             match read.or(silent).await? {
                 Some(chunk) => {
                     self.events.push(&chunk);
-                    member.note_heard(job.gateway.clock.now());
+                    member.record_activity(job.gateway.clock.now());
                 }
                 None if self.events.is_empty() => return Ok(StreamRead::End),
                 None => {
@@ -183,7 +183,7 @@
                 self.wait_for_silence(member, since, Some(limit), most).await;
                 return;
             }
-            if left.is_zero() || member.is_over() {
+            if left.is_zero() || member.is_superseded() {
                 return;
             }
             task::sleep(left.min(SILENCE_CHECK_INTERVAL)).await;
@@ -232,9 +232,9 @@
         attempt: &Attempt,
         model: &ModelId,
         confidence: Percent,
-    ) -> Result<ModelId, Kept> {
+    ) -> Result<ModelId, NoEscalation> {
         let now = self.gateway.clock.now();
-        let doubt = Doubt {
+        let doubt = EscalationInput {
             route: &self.route,
             model,
             confidence,
@@ -244,12 +244,12 @@
         };
         let times = &self.gateway.read_times;
         let escalation_model =
-            larger_model(&doubt, times, attempt.prefill_before, now)?;
+            escalation_target(&doubt, times, attempt.prefill_before, now)?;
         // The answer at hand is better than none: it is given up only if an
         // upstream can take the larger request.
         match self.has_upstream_for_retry(now) {
             true => Ok(escalation_model),
-            false => Err(Kept::NoUpstream),
+            false => Err(NoEscalation::NoUpstream),
         }
     }
 
@@ -274,7 +274,11 @@
             Ok(StreamRead::Events(first)) => (first, false),
             Ok(StreamRead::End) => (Bytes::new(), true),
             Err(error) => {
-                self.record_attempt(&source.attempt, Verdict::Lost, None);
+                self.record_attempt(
+                    &source.attempt,
+                    AttemptOutcome::Lost,
+                    None,
+                );
                 return Err(AttemptError::Unknown(
                     error.label(),
                     error.reason(),
@@ -285,7 +289,11 @@
         let waited = now.saturating_duration_since(source.attempt.began_at);
         source.attempt.prefill = None;
         self.learn_read_time(&source.attempt, waited);
-        self.record_attempt(&source.attempt, Verdict::Good, Some(waited));
+        self.record_attempt(
+            &source.attempt,
+            AttemptOutcome::Success,
+            Some(waited),
+        );
         trace.note_body_part();
         let head = Reply {
             status: hyper::StatusCode::OK,
@@ -307,14 +315,14 @@
         let left = self.time_left(self.gateway.clock.now());
         let read = exchange.read_whole(LIMIT_BYTES);
         let Some(Ok(answer)) = task::within(left, read).await else {
-            self.record_attempt(&attempt, Verdict::Lost, None);
+            self.record_attempt(&attempt, AttemptOutcome::Lost, None);
             return AttemptError::Unknown(
                 "broken",
                 format!("status {status}"),
             );
         };
         if status >= 500 {
-            self.record_attempt(&attempt, Verdict::Failed, None);
+            self.record_attempt(&attempt, AttemptOutcome::Failed, None);
         }
         let status = hyper::StatusCode::from_u16(status)
             .unwrap_or(hyper::StatusCode::BAD_GATEWAY);
@@ -326,7 +334,7 @@
         let was_idle = attempt.prefill_before < MAX_OTHER_PREFILL;
         if let (true, Some(model)) = (was_idle, &attempt.model) {
             let times = &self.gateway.read_times;
-            times.learn(model, attempt.prompt_tokens, waited);
+            times.record(model, attempt.prompt_tokens, waited);
         }
     }
 
@@ -416,10 +424,10 @@
     /// may come from it, and no other upstream can take over.
     fn must_keep_waiting(&self) -> bool {
         let now = self.job.gateway.clock.now();
-        let is_over =
-            |source: &UpstreamStream| source.attempt.member.is_over();
+        let is_superseded =
+            |source: &UpstreamStream| source.attempt.member.is_superseded();
         now < self.job.deadline
-            && !self.source.as_ref().is_none_or(is_over)
+            && !self.source.as_ref().is_none_or(is_superseded)
             && !self.job.may_resume(now)
     }
 
@@ -432,7 +440,7 @@
             return Err(StreamAborted);
         };
         let mut reason = error.reason();
-        self.job.record_attempt(&source.attempt, Verdict::Lost, None);
+        self.job.record_attempt(&source.attempt, AttemptOutcome::Lost, None);
         self.end_attempt(error.label(), &reason);
         // Dropping the connection stops the old upstream before another one
         // continues.
@@ -496,7 +504,11 @@
                 Ok(UpstreamStream { attempt, exchange, events })
             }
             Ok((exchange, _)) => {
-                self.job.record_attempt(&attempt, Verdict::Failed, None);
+                self.job.record_attempt(
+                    &attempt,
+                    AttemptOutcome::Failed,
+                    None,
+                );
                 let reason = format!("status {}", exchange.status);
                 fail(self, "failed", reason)
             }
@@ -504,7 +516,7 @@
                 fail(self, label, reason)
             }
             Err(AttemptError::Unknown(label, reason)) => {
-                self.job.record_attempt(&attempt, Verdict::Lost, None);
+                self.job.record_attempt(&attempt, AttemptOutcome::Lost, None);
                 fail(self, label, reason)
             }
             Err(AttemptError::LowConfidence(_)) => {
--- a/src/gateway/rollout_status.rs
+++ b/src/gateway/rollout_status.rs
@@ -20,8 +20,8 @@
         store::{ConditionalWrite, WriteOutcome},
     },
     rollouts::{
-        registry::Due,
-        rollout::{Progress, Status},
+        registry::PendingStatus,
+        rollout::{RolloutProgress, RolloutStatus},
     },
     task,
 };
@@ -50,7 +50,7 @@
             continue;
         }
         let now = gateway.clock.now();
-        for (service, reason) in gateway.rollouts.judge(now) {
+        for (service, reason) in gateway.rollouts.evaluate(now) {
             Event::RolloutStopped.record(fields(json!({
                 "service": service,
                 "reason": reason,
@@ -75,7 +75,10 @@
 }
 
 /// Returns the status records that this VM has to write to the store.
-pub(crate) fn due_records(gateway: &Gateway, now: BootInstant) -> Vec<Due> {
+pub(crate) fn due_records(
+    gateway: &Gateway,
+    now: BootInstant,
+) -> Vec<PendingStatus> {
     let own_proof = gateway.knowledge.proof_age(now);
     let is_steward = gateway.peers.is_steward(own_proof, now);
     let in_flight_at_others = |service: &_, target: &_| {
@@ -84,12 +87,20 @@
     let halls = gateway.peers.other_halls();
     let halls: Vec<ShortHash> =
         halls.iter().map(|hall| ShortHash::of(hall.as_str())).collect();
-    gateway.rollouts.due(is_steward, in_flight_at_others, &halls, now)
+    gateway.rollouts.pending_statuses(
+        is_steward,
+        in_flight_at_others,
+        &halls,
+        now,
+    )
 }
 
 /// Writes a status to the store, unless the stored one is equal or says that
 /// the same roll-out has ended. Applies the status that is stored afterwards.
-async fn record(gateway: &Gateway, due: &Due) -> Result<(), StoreError> {
+async fn record(
+    gateway: &Gateway,
+    due: &PendingStatus,
+) -> Result<(), StoreError> {
     let key = document::status_key(&due.service);
     let stored = gateway.store.read(&key).await?;
     let expected = stored.as_ref().map(|item| item.version);
@@ -118,7 +129,7 @@
 }
 
 /// Whether the stored status must not be replaced by `wanted`.
-fn must_keep(stored: &Status, wanted: &Status) -> bool {
+fn must_keep(stored: &RolloutStatus, wanted: &RolloutStatus) -> bool {
     stored.target == wanted.target
-        && (stored == wanted || stored.progress != Progress::Running)
+        && (stored == wanted || stored.progress != RolloutProgress::Running)
 }
--- a/src/gateway/suspension_tests.rs
+++ b/src/gateway/suspension_tests.rs
@@ -22,7 +22,7 @@
     http_client::Listening,
     id::UpstreamId,
     message::ShortHash,
-    placing::{member::UpstreamEntry, pool::Want},
+    placing::{member::UpstreamEntry, pool::PickCriteria},
 };
 
 const REQUEST: RequestDigest = RequestDigest(1);
@@ -90,11 +90,16 @@
         }
         Input::Crash(number) => {
             let incarnation = ShortHash(number);
-            gateway.crashes.note_lost(REQUEST, incarnation, now, now);
-            gateway.crashes.settle(incarnation, Listening::No, now);
+            gateway.crashes.record_lost_attempt(
+                REQUEST,
+                incarnation,
+                now,
+                now,
+            );
+            gateway.crashes.record_probe(incarnation, Listening::No, now);
         }
         Input::Complete => {
-            gateway.crashes.note_ran_whole(REQUEST, now);
+            gateway.crashes.record_completed(REQUEST, now);
         }
         Input::AddEntry => {
             gateway.pool.set(entry(), now);
@@ -114,7 +119,7 @@
 /// Does what the timers of a VM do.
 fn run_timers(gateway: &Gateway) {
     let now = gateway.clock.now();
-    gateway.crashes.sweep(now);
+    gateway.crashes.expire(now);
     gateway.pool.sweep(now);
     gateway.peers.sweep(now);
     gateway.note_freshness();
@@ -124,12 +129,12 @@
 fn decisions(gateway: &Gateway) -> Vec<(&'static str, bool)> {
     let now = gateway.clock.now();
     let own_proof = gateway.knowledge.proof_age(now);
-    let want = Want::default();
+    let want = PickCriteria::default();
     let picked = gateway.pool.pick(&service(), &want, now);
     vec![
         ("accepts keys", gateway.may_accept_keys(now)),
         ("is ready", gateway.is_ready()),
-        ("blocks the request", gateway.crashes.is_held(REQUEST, now)),
+        ("blocks the request", gateway.crashes.is_quarantined(REQUEST, now)),
         ("may retry", gateway.can_retry(&service())),
         ("has an upstream", picked.is_ok()),
         ("is cold", picked.is_ok_and(|member| member.is_cold(now))),
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -16,10 +16,10 @@
     id::{ModelId, OrganisationId},
     metrics::{Metrics, OTHER},
     placing::{
-        cascade::Kept,
+        cascade::NoEscalation,
         member::Member,
         pool::VersionRule,
-        statement::{RateLimit, Rest, Statement},
+        signals::{RateLimit, RetryAfter, UpstreamSignals},
     },
     rollouts::choice::{ChoiceReason, VersionChoice},
     unit::Percent,
@@ -41,11 +41,11 @@
     /// Whether the upstream reported that it is leaving.
     says_leaving: bool,
     /// The `Retry-After` of the upstream.
-    rest_wanted: Option<Rest>,
+    rest_wanted: Option<RetryAfter>,
     /// The rate limit that the upstream reported.
     rate_limit: Option<RateLimit>,
     confidence: Option<u8>,
-    kept: Option<Kept>,
+    kept: Option<NoEscalation>,
 }
 
 /// How a request ended.
@@ -153,7 +153,7 @@
             version: None,
             model,
             requests_there: member.requests(now),
-            reading_there_ms: member.reading(now).as_millis() as u64,
+            reading_there_ms: member.prefill_backlog(now).as_millis() as u64,
             began_ms: self.elapsed_ms(),
             ended_ms: None,
             end: "running".to_owned(),
@@ -178,10 +178,10 @@
     }
 
     /// Records what the upstream reported about itself in its response.
-    pub(crate) fn note_signals(&mut self, statement: &Statement) {
+    pub(crate) fn note_signals(&mut self, statement: &UpstreamSignals) {
         if let Some(last) = self.attempts.last_mut() {
             last.says_leaving = statement.is_leaving;
-            last.rest_wanted.clone_from(&statement.rest);
+            last.rest_wanted.clone_from(&statement.retry_after);
             last.rate_limit.clone_from(&statement.rate_limit);
         }
     }
@@ -191,7 +191,7 @@
     pub(crate) fn note_confidence(
         &mut self,
         confidence: Percent,
-        kept: Option<Kept>,
+        kept: Option<NoEscalation>,
     ) {
         if let Some(last) = self.attempts.last_mut() {
             last.confidence = Some(confidence.value());
@@ -338,8 +338,10 @@
         }
         let rest = match &self.rest_wanted {
             None => None,
-            Some(Rest::For(time)) => Some(json!(time.as_millis() as u64)),
-            Some(Rest::Unreadable(text)) => Some(json!(text)),
+            Some(RetryAfter::For(time)) => {
+                Some(json!(time.as_millis() as u64))
+            }
+            Some(RetryAfter::Unreadable(text)) => Some(json!(text)),
         };
         if let Some(rest) = rest {
             fields.insert("rest_wanted_ms".into(), rest);
--- a/src/gateway/upstream_signals.rs
+++ b/src/gateway/upstream_signals.rs
@@ -4,7 +4,7 @@
 //! The signals of every response of an upstream go through
 //! [`Gateway::apply_signals`], whatever the attempt was and however it ends.
 //! The resulting state of an upstream is in
-//! [`own_word`](crate::placing::own_word).
+//! [`reported_state`](crate::placing::reported_state).
 
 use serde_json::json;
 
@@ -12,10 +12,10 @@
     clock::BootInstant,
     event::Event,
     gateway::{Gateway, fields},
-    message::{ShortHash, ToldLimit},
+    message::{RateLimitReport, ShortHash},
     placing::{
         member::Member,
-        statement::{OwnNews, Statement},
+        signals::{ReportedChange, UpstreamSignals},
     },
 };
 
@@ -25,11 +25,11 @@
     pub(crate) fn apply_signals(
         &self,
         member: &Member,
-        statement: &Statement,
+        statement: &UpstreamSignals,
         sent_at: BootInstant,
     ) {
         let now = self.clock.now();
-        let news = self.pool.take_statement(member, statement, sent_at, now);
+        let news = self.pool.apply_signals(member, statement, sent_at, now);
         for news in &news {
             self.log_change(member, news);
         }
@@ -44,7 +44,8 @@
         from: &str,
         reported: &[ShortHash],
     ) {
-        for member in self.pool.hear_leaving(reported, self.clock.now()) {
+        for member in self.pool.apply_peer_leaving(reported, self.clock.now())
+        {
             Event::UpstreamLeaving.record(fields(json!({
                 "upstream": member.entry.life().to_string(),
                 "by": "vm",
@@ -58,17 +59,19 @@
     pub(crate) fn merge_rate_limits(
         &self,
         from: &str,
-        reported: &[ToldLimit],
+        reported: &[RateLimitReport],
         is_near: bool,
     ) {
         let now = self.clock.now();
-        for (member, news) in self.pool.hear_limits(reported, is_near, now) {
+        for (member, news) in
+            self.pool.apply_peer_rate_limits(reported, is_near, now)
+        {
             let mut details = json!({
                 "upstream": member.entry.life().to_string(),
                 "by": "vm",
                 "told_by": from,
             });
-            if let OwnNews::Limited(rate) = news {
+            if let ReportedChange::RateLimited(rate) = news {
                 details["per_s"] = rate.per_s().into();
                 // This VM passes it on to its own data hall.
                 if !is_near {
@@ -79,29 +82,30 @@
         }
     }
 
-    fn log_change(&self, member: &Member, news: &OwnNews) {
+    fn log_change(&self, member: &Member, news: &ReportedChange) {
         let life = member.entry.life().to_string();
         let said = &self.metrics.upstreams_said;
         said.with_label_values(&[news.label()]).inc();
         let mut details = json!({ "upstream": life });
         match news {
-            OwnNews::Leaving => {
+            ReportedChange::Leaving => {
                 self.early_heartbeat.wake();
                 details["by"] = "answer".into();
             }
-            OwnNews::Resting(time) => {
+            ReportedChange::BackoffStarted(time) => {
                 details["rest_ms"] = (time.as_millis() as u64).into();
             }
-            OwnNews::Limited(rate) => {
+            ReportedChange::RateLimited(rate) => {
                 self.early_heartbeat.wake();
                 details["by"] = "answer".into();
                 details["per_s"] = rate.per_s().into();
             }
-            OwnNews::Unreadable(text) | OwnNews::LimitUnreadable(text) => {
+            ReportedChange::RetryAfterUnreadable(text)
+            | ReportedChange::RateLimitUnreadable(text) => {
                 details["text"] = json!(text);
             }
-            OwnNews::Unlimited => details["by"] = "answer".into(),
-            OwnNews::Rested => {}
+            ReportedChange::RateLimitLifted => details["by"] = "answer".into(),
+            ReportedChange::BackoffEnded => {}
         }
         news.event().record(fields(details));
     }
--- a/src/gateway/upstream_signals/tests.rs
+++ b/src/gateway/upstream_signals/tests.rs
@@ -10,7 +10,7 @@
     gateway::test_fleet::Fleet,
     placing::{
         member::{UpstreamEntry, UpstreamState},
-        statement::{RateLimit, Statement},
+        signals::{RateLimit, UpstreamSignals},
     },
 };
 
@@ -74,7 +74,8 @@
     let first = &fleet.vms[0];
     let now = fleet.clock.now();
     let member = first.pool.member(&"i-1".parse().unwrap()).unwrap();
-    let leaves = Statement { is_leaving: true, ..Statement::default() };
+    let leaves =
+        UpstreamSignals { is_leaving: true, ..UpstreamSignals::default() };
     first.apply_signals(&member, &leaves, now);
     fleet.schedule_early_heartbeat(0);
     let reported_ms = fleet.elapsed_ms;
@@ -103,7 +104,8 @@
     }
     let first = fleet.vms[0].clone();
     let member = first.pool.member(&"i-1".parse().unwrap()).unwrap();
-    let leaves = Statement { is_leaving: true, ..Statement::default() };
+    let leaves =
+        UpstreamSignals { is_leaving: true, ..UpstreamSignals::default() };
     first.apply_signals(&member, &leaves, fleet.clock.now());
     let announced =
         |fleet: &Fleet| first.pool.take_leaving(fleet.clock.now()).len();
@@ -118,8 +120,9 @@
     let now = fleet.clock.now();
     let id = "i-1".parse().unwrap();
     let members = fleet.vms.iter().filter_map(|vm| vm.pool.member(&id));
-    let limits =
-        members.filter_map(|member| member.upstream.own_word.limit_per_s(now));
+    let limits = members.filter_map(|member| {
+        member.upstream.reported_state.rate_limit_per_s(now)
+    });
     limits.count()
 }
 
@@ -133,9 +136,9 @@
         run_until(&mut fleet, 2_000);
         let first = fleet.vms[0].clone();
         let member = first.pool.member(&"i-1".parse().unwrap()).unwrap();
-        let says = |limit| Statement {
+        let says = |limit| UpstreamSignals {
             rate_limit: Some(limit),
-            ..Statement::default()
+            ..UpstreamSignals::default()
         };
         let named = says(RateLimit::At("1.4".parse().unwrap()));
         let unlimited = says(RateLimit::Unlimited);
--- a/src/placing/cascade.rs
+++ b/src/placing/cascade.rs
@@ -44,7 +44,7 @@
 
 /// What is known of the models' speeds, learned from answers.
 #[derive(Debug, Default)]
-pub(crate) struct ReadTimes(Mutex<HashMap<ModelId, Read>>);
+pub(crate) struct PrefillTimes(Mutex<HashMap<ModelId, Read>>);
 
 /// What was read, and how long it took. Sums rather than a mean of ratios, so
 /// that a short prompt that had to wait says little.
@@ -54,7 +54,7 @@
     tokens: f64,
 }
 
-impl ReadTimes {
+impl PrefillTimes {
     /// The time that a model takes to read so many tokens.
     pub(crate) fn expected(
         &self,
@@ -70,7 +70,7 @@
 
     /// Takes in how long a model took until the first event, when nothing
     /// else was being read before it.
-    pub(crate) fn learn(
+    pub(crate) fn record(
         &self,
         model: &ModelId,
         tokens: u64,
@@ -93,7 +93,7 @@
 }
 
 /// What decides whether a larger model is asked.
-pub(crate) struct Doubt<'a> {
+pub(crate) struct EscalationInput<'a> {
     /// The route.
     pub(crate) route: &'a Route,
     /// The model that has answered.
@@ -110,7 +110,7 @@
 
 /// Why an answer is passed on rather than a larger model asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Kept {
+pub(crate) enum NoEscalation {
     /// No larger model is left.
     Largest,
     /// The model is sure enough.
@@ -123,15 +123,15 @@
     NoUpstream,
 }
 
-impl Kept {
+impl NoEscalation {
     /// The word in the log.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
-            Kept::Largest => "largest",
-            Kept::Sure => "sure",
-            Kept::NoTime => "no_time",
-            Kept::NoAttempt => "no_attempt",
-            Kept::NoUpstream => "no_upstream",
+            NoEscalation::Largest => "largest",
+            NoEscalation::Sure => "sure",
+            NoEscalation::NoTime => "no_time",
+            NoEscalation::NoAttempt => "no_attempt",
+            NoEscalation::NoUpstream => "no_upstream",
         }
     }
 }
@@ -141,23 +141,23 @@
 /// # Errors
 ///
 /// Why the answer at hand is passed on.
-pub(crate) fn larger_model(
-    doubt: &Doubt<'_>,
-    times: &ReadTimes,
+pub(crate) fn escalation_target(
+    doubt: &EscalationInput<'_>,
+    times: &PrefillTimes,
     waiting: Duration,
     now: BootInstant,
-) -> Result<ModelId, Kept> {
-    let largest = doubt.route.sizes.last().ok_or(Kept::Largest)?;
+) -> Result<ModelId, NoEscalation> {
+    let largest = doubt.route.sizes.last().ok_or(NoEscalation::Largest)?;
     if doubt.model == largest {
-        return Err(Kept::Largest);
+        return Err(NoEscalation::Largest);
     }
     let confidence = f64::from(doubt.confidence.value());
     let enough = f64::from(ENOUGH_CONFIDENCE);
     if confidence >= enough {
-        return Err(Kept::Sure);
+        return Err(NoEscalation::Sure);
     }
     if !doubt.has_attempt {
-        return Err(Kept::NoAttempt);
+        return Err(NoEscalation::NoAttempt);
     }
     let passed = now.saturating_duration_since(doubt.started_at);
     let reading = times.expected(Some(largest), doubt.tokens);
@@ -165,7 +165,7 @@
     let used = expected.as_secs_f64() / doubt.route.aim.as_secs_f64();
     let ease = ((1.0 - used) / (1.0 - EASY_PART)).clamp(0.0, 1.0);
     if confidence >= enough * ease {
-        return Err(Kept::NoTime);
+        return Err(NoEscalation::NoTime);
     }
     Ok(largest.clone())
 }
--- a/src/placing/health/tests.rs
+++ b/src/placing/health/tests.rs
@@ -4,20 +4,23 @@
 fn one_failure_says_nothing_and_three_in_a_row_do() {
     let now = BootInstant::now();
     let health = Health::new(now);
-    assert_eq!(health.record(Verdict::Failed, now), None);
-    assert_eq!(health.record(Verdict::Failed, now), None);
-    assert!(health.is_sound(now));
-    assert_eq!(health.record(Verdict::Failed, now), Some(HealthChange::Unfit));
-    assert!(!health.is_sound(now));
-    assert!(health.is_sound(now + PAUSE));
+    assert_eq!(health.record(AttemptOutcome::Failed, now), None);
+    assert_eq!(health.record(AttemptOutcome::Failed, now), None);
+    assert!(health.is_healthy(now));
+    assert_eq!(
+        health.record(AttemptOutcome::Failed, now),
+        Some(HealthChange::Unhealthy)
+    );
+    assert!(!health.is_healthy(now));
+    assert!(health.is_healthy(now + PAUSE));
 }
 
 #[test]
 fn a_connection_that_cannot_be_opened_says_enough() {
     let now = BootInstant::now();
     let health = Health::new(now);
-    let change = health.record(Verdict::Unreachable, now);
-    assert_eq!(change, Some(HealthChange::Unfit));
+    let change = health.record(AttemptOutcome::Unreachable, now);
+    assert_eq!(change, Some(HealthChange::Unhealthy));
 }
 
 #[test]
@@ -25,36 +28,39 @@
     let now = BootInstant::now();
     let health = Health::new(now);
     let changes = (0..20).filter_map(|number| {
-        let verdict =
-            if number % 5 < 2 { Verdict::Failed } else { Verdict::Good };
+        let verdict = if number % 5 < 2 {
+            AttemptOutcome::Failed
+        } else {
+            AttemptOutcome::Success
+        };
         health.record(verdict, now)
     });
-    assert!(changes.collect::<Vec<_>>().contains(&HealthChange::Unfit));
+    assert!(changes.collect::<Vec<_>>().contains(&HealthChange::Unhealthy));
 }
 
 #[test]
 fn an_answer_after_the_pause_brings_it_back() {
     let now = BootInstant::now();
     let health = Health::new(now);
-    health.record(Verdict::Unreachable, now);
+    health.record(AttemptOutcome::Unreachable, now);
     // An answer from before the pause's end is old news.
-    assert_eq!(health.record(Verdict::Good, now), None);
-    assert!(!health.is_sound(now));
+    assert_eq!(health.record(AttemptOutcome::Success, now), None);
+    assert!(!health.is_healthy(now));
     let later = now + PAUSE;
-    let change = health.record(Verdict::Good, later);
-    assert_eq!(change, Some(HealthChange::Fit));
-    assert!(health.is_sound(later));
+    let change = health.record(AttemptOutcome::Success, later);
+    assert_eq!(change, Some(HealthChange::Healthy));
+    assert!(health.is_healthy(later));
 }
 
 #[test]
 fn failing_again_after_the_pause_doubles_it() {
     let now = BootInstant::now();
     let health = Health::new(now);
-    health.record(Verdict::Unreachable, now);
+    health.record(AttemptOutcome::Unreachable, now);
     let later = now + PAUSE;
-    health.record(Verdict::Unreachable, later);
-    assert!(!health.is_sound(later + PAUSE));
-    assert!(health.is_sound(later + PAUSE * 2));
+    health.record(AttemptOutcome::Unreachable, later);
+    assert!(!health.is_healthy(later + PAUSE));
+    assert!(health.is_healthy(later + PAUSE * 2));
 }
 
 #[test]
@@ -63,31 +69,32 @@
     let health = Health::new(now);
     assert_eq!(health.failure_chance(now), 0.0);
     for _ in 0..3 {
-        assert_eq!(health.hear(Verdict::Lost, now), None);
+        assert_eq!(health.hear(AttemptOutcome::Lost, now), None);
     }
-    let change = health.hear(Verdict::Lost, now);
-    assert_eq!(change, Some(HealthChange::Unfit));
-    assert!(!health.is_sound(now));
+    let change = health.hear(AttemptOutcome::Lost, now);
+    assert_eq!(change, Some(HealthChange::Unhealthy));
+    assert!(!health.is_healthy(now));
     let later = now + HALF_LIFE * 10;
-    assert!(health.is_sound(later));
+    assert!(health.is_healthy(later));
     assert!(health.failure_chance(later) < 0.01);
     // Answers that others tell of keep it fit.
     let answering = Health::new(now);
     for _ in 0..12 {
-        answering.hear(Verdict::Good, now);
+        answering.hear(AttemptOutcome::Success, now);
     }
-    let changes = (0..5).filter_map(|_| answering.hear(Verdict::Lost, now));
+    let changes =
+        (0..5).filter_map(|_| answering.hear(AttemptOutcome::Lost, now));
     assert_eq!(changes.count(), 0);
-    assert!(answering.is_sound(now));
+    assert!(answering.is_healthy(now));
 }
 
 #[test]
 fn two_that_cannot_connect_tell_enough() {
     let now = BootInstant::now();
     let health = Health::new(now);
-    assert_eq!(health.hear(Verdict::Unreachable, now), None);
-    let change = health.hear(Verdict::Unreachable, now);
-    assert_eq!(change, Some(HealthChange::Unfit));
+    assert_eq!(health.hear(AttemptOutcome::Unreachable, now), None);
+    let change = health.hear(AttemptOutcome::Unreachable, now);
+    assert_eq!(change, Some(HealthChange::Unhealthy));
 }
 
 /// Twenty upstreams of a new version, one of them faulty: by its failures
@@ -104,11 +111,11 @@
             let at = if number < 6 { 0 } else { number % 20 };
             let health = &upstreams[at];
             if !is_bad(at) {
-                health.record(Verdict::Good, now);
+                health.record(AttemptOutcome::Success, now);
                 continue;
             }
             counted += u32::from(!health.is_suspect(now));
-            health.record(Verdict::Failed, now);
+            health.record(AttemptOutcome::Failed, now);
         }
         counted
     };
--- a/src/placing/pool/statement_tests.rs
+++ b/src/placing/pool/signals_tests.rs
@@ -6,22 +6,24 @@
 };
 use crate::{
     id::StartMs,
-    placing::statement::{OwnNews, RateLimit, Rest, Statement},
+    placing::signals::{
+        RateLimit, ReportedChange, RetryAfter, UpstreamSignals,
+    },
 };
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn leaves() -> Statement {
-    Statement { is_leaving: true, ..Statement::default() }
+fn leaves() -> UpstreamSignals {
+    UpstreamSignals { is_leaving: true, ..UpstreamSignals::default() }
 }
 
-fn says(pool: &Pool, id: &str, statement: Statement, now: BootInstant) {
+fn says(pool: &Pool, id: &str, statement: UpstreamSignals, now: BootInstant) {
     let member = pool.member(&id.parse().unwrap()).unwrap();
-    pool.take_statement(&member, &statement, now, now);
+    pool.apply_signals(&member, &statement, now, now);
 }
 
 fn open(pool: &Pool, now: BootInstant) -> Vec<String> {
-    picks(pool, &Want::default(), now)
+    picks(pool, &PickCriteria::default(), now)
 }
 
 #[test]
@@ -29,14 +31,14 @@
     let now = BootInstant::now();
     let pool = pool(&[entry("i-1", "a", "v1"), entry("i-2", "a", "v1")], now);
     let member = pool.member(&"i-1".parse().unwrap()).unwrap();
-    let news = pool.take_statement(&member, &leaves(), now, now);
-    assert_eq!(news, [OwnNews::Leaving]);
-    let news = pool.take_statement(&member, &leaves(), now, now);
+    let news = pool.apply_signals(&member, &leaves(), now, now);
+    assert_eq!(news, [ReportedChange::Leaving]);
+    let news = pool.apply_signals(&member, &leaves(), now, now);
     assert_eq!(news, [], "it says so in each answer");
     assert_eq!(open(&pool, now), ["i-2"]);
     let service = "writers".parse().unwrap();
     let tried = [ShortHash::of("i-2")];
-    assert!(!pool.has_other(&service, &tried, now));
+    assert!(!pool.has_untried(&service, &tried, now));
 }
 
 /// Its record says `ready` until the store has taken its leave.
@@ -75,7 +77,10 @@
     says(&pool, "i-1", leaves(), now);
     assert!(pool.set(life(2), now));
     assert_eq!(open(&pool, now), ["i-1"]);
-    assert!(first.is_over() && !first.has_crashed(), "its end was planned");
+    assert!(
+        first.is_superseded() && !first.has_crashed(),
+        "its end was planned"
+    );
 }
 
 /// A record that was once `leaving` and is `ready` again is a return.
@@ -91,11 +96,18 @@
     assert_eq!(open(&pool, now), ["i-1"]);
 }
 
-fn rests(time: Duration) -> Statement {
-    Statement { rest: Some(Rest::For(time)), ..Statement::default() }
+fn rests(time: Duration) -> UpstreamSignals {
+    UpstreamSignals {
+        retry_after: Some(RetryAfter::For(time)),
+        ..UpstreamSignals::default()
+    }
 }
 
-fn refused(pool: &Pool, want: &Want<'_>, now: BootInstant) -> NoMember {
+fn refused(
+    pool: &Pool,
+    want: &PickCriteria<'_>,
+    now: BootInstant,
+) -> PickError {
     pool.pick(&"writers".parse().unwrap(), want, now).unwrap_err()
 }
 
@@ -116,10 +128,10 @@
     let pool = pool(&[entry("i-1", "a", "v1"), entry("i-2", "a", "v1")], now);
     let service = "writers".parse().unwrap();
     let tried = [ShortHash::of("i-2")];
-    assert!(pool.has_other(&service, &tried, now));
+    assert!(pool.has_untried(&service, &tried, now));
     says(&pool, "i-1", rests(SECOND), now);
-    assert!(!pool.has_other(&service, &tried, now));
-    assert!(pool.has_other(&service, &tried, now + SECOND * 2));
+    assert!(!pool.has_untried(&service, &tried, now));
+    assert!(pool.has_untried(&service, &tried, now + SECOND * 2));
 }
 
 #[test]
@@ -130,7 +142,8 @@
     says(&pool, "i-1", rests(SECOND * 8), now);
     assert_eq!(pool.service_backoff(&service, now), None, "one is awake");
     says(&pool, "i-2", rests(SECOND * 2), now);
-    let NoMember::BackingOff(left) = refused(&pool, &Want::default(), now)
+    let PickError::BackingOff(left) =
+        refused(&pool, &PickCriteria::default(), now)
     else {
         panic!("the reason is their rest");
     };
@@ -140,8 +153,8 @@
     says(&pool, "i-2", leaves(), now);
     assert!(pool.service_backoff(&service, now) >= Some(SECOND * 8));
     let tried = [ShortHash::of("i-1")];
-    let want = Want { tried: &tried, ..Want::default() };
-    assert_eq!(refused(&pool, &want, now), NoMember::Unknown);
+    let want = PickCriteria { tried: &tried, ..PickCriteria::default() };
+    assert_eq!(refused(&pool, &want, now), PickError::NoCandidate);
 }
 
 #[test]
@@ -163,11 +176,12 @@
     let now = BootInstant::now();
     let pool = pool(&[entry("i-1", "a", "v1"), entry("i-2", "a", "v1")], now);
     let member = pool.member(&"i-1".parse().unwrap()).unwrap();
-    let rest = Some(Rest::Unreadable("soon".into()));
-    let unreadable = Statement { rest, ..Statement::default() };
-    let news = pool.take_statement(&member, &unreadable, now, now);
-    assert_eq!(news, [OwnNews::Unreadable("soon".into())]);
-    assert_eq!(pool.take_statement(&member, &unreadable, now, now), []);
+    let rest = Some(RetryAfter::Unreadable("soon".into()));
+    let unreadable =
+        UpstreamSignals { retry_after: rest, ..UpstreamSignals::default() };
+    let news = pool.apply_signals(&member, &unreadable, now, now);
+    assert_eq!(news, [ReportedChange::RetryAfterUnreadable("soon".into())]);
+    assert_eq!(pool.apply_signals(&member, &unreadable, now, now), []);
     assert_eq!(open(&pool, now), ["i-1", "i-2"]);
     says(&pool, "i-1", rests(Duration::MAX), now);
     assert_eq!(open(&pool, now), ["i-2"]);
@@ -179,9 +193,9 @@
 #[test]
 fn a_version_to_avoid_does_not_get_what_the_others_back_off_from() {
     let now = BootInstant::now();
-    let limited = Statement {
+    let limited = UpstreamSignals {
         rate_limit: Some(RateLimit::At("1".parse().unwrap())),
-        ..Statement::default()
+        ..UpstreamSignals::default()
     };
     for statement in [rests(SECOND * 3), limited] {
         let entries = [entry("i-1", "a", "v1"), entry("i-2", "a", "v2")];
@@ -192,13 +206,13 @@
         };
         says(&pool, "i-1", statement, now);
         for rule in rules("v2") {
-            let want = Want { rule, ..Want::default() };
+            let want = PickCriteria { rule, ..PickCriteria::default() };
             let no_member = refused(&pool, &want, now);
-            assert!(matches!(no_member, NoMember::BackingOff(_)));
+            assert!(matches!(no_member, PickError::BackingOff(_)));
         }
         // One that is only preferred is not worth a refusal.
         let rule = VersionRule::Prefer("v1".parse().unwrap());
-        let want = Want { rule, ..Want::default() };
+        let want = PickCriteria { rule, ..PickCriteria::default() };
         assert_eq!(picks(&pool, &want, now), ["i-2"]);
     }
 }
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -9,33 +9,36 @@
 use crate::{
     clock::BootInstant,
     id::UpstreamId,
-    message::{ShortHash, StatedLoad, ToldFailure, ToldLimit, Work},
+    message::{
+        InFlightWork, RateLimitReport, ShortHash, UpstreamFailureReport,
+        UpstreamLoadReport,
+    },
     placing::{
-        health::Verdict,
+        health::AttemptOutcome,
         member::{LoadReport, Member},
-        statement::{OwnNews, RateLimit, Statement},
+        signals::{RateLimit, ReportedChange, UpstreamSignals},
     },
 };
 
 impl Pool {
     /// Takes in what an upstream says of itself in its answer to what was
     /// sent at `sent_at`; returns what is news.
-    pub fn take_statement(
+    pub fn apply_signals(
         &self,
         member: &Member,
-        statement: &Statement,
+        statement: &UpstreamSignals,
         sent_at: BootInstant,
         now: BootInstant,
-    ) -> Vec<OwnNews> {
-        let life = member.upstream.short;
+    ) -> Vec<ReportedChange> {
+        let life = member.upstream.short_hash;
         let was_leaving = member.upstream.is_leaving();
-        let word = &member.upstream.own_word;
-        let mut news = word.take(statement, rand::random(), sent_at, now);
-        if news.contains(&OwnNews::Leaving) {
+        let word = &member.upstream.reported_state;
+        let mut news = word.apply(statement, rand::random(), sent_at, now);
+        if news.contains(&ReportedChange::Leaving) {
             self.tell_leaving(life, now);
         }
         // Its record or another VM may have said so before.
-        news.retain(|one| *one != OwnNews::Leaving || !was_leaving);
+        news.retain(|one| *one != ReportedChange::Leaving || !was_leaving);
         self.tell_limit(life, statement, &news, now);
         if let Some(load) = statement.load {
             self.note_load(member, load, now);
@@ -48,12 +51,12 @@
     fn tell_limit(
         &self,
         life: ShortHash,
-        statement: &Statement,
-        news: &[OwnNews],
+        statement: &UpstreamSignals,
+        news: &[ReportedChange],
         now: BootInstant,
     ) {
         let rate = statement.rate_limit.as_ref().and_then(RateLimit::rate);
-        if rate.is_some() || news.contains(&OwnNews::Unlimited) {
+        if rate.is_some() || news.contains(&ReportedChange::RateLimitLifted) {
             let mut seen = self.seen.lock().expect("seen lock");
             seen.note_limit(life, rate, now, true, now);
         }
@@ -61,22 +64,25 @@
 
     /// The rate limits that the other VMs are to hear of: those of the own
     /// data hall, or of the others.
-    pub(crate) fn take_limits(
+    pub(crate) fn take_rate_limits(
         &self,
         for_own_hall: bool,
         now: BootInstant,
-    ) -> Vec<ToldLimit> {
-        self.seen.lock().expect("seen lock").take_limits(for_own_hall, now)
+    ) -> Vec<RateLimitReport> {
+        self.seen
+            .lock()
+            .expect("seen lock")
+            .take_rate_limits(for_own_hall, now)
     }
 
     /// Takes in which rate limits another VM has told of, and tells them on;
     /// returns what is news.
-    pub(crate) fn hear_limits(
+    pub(crate) fn apply_peer_rate_limits(
         &self,
-        told: &[ToldLimit],
+        told: &[RateLimitReport],
         is_near: bool,
         now: BootInstant,
-    ) -> Vec<(Arc<Member>, OwnNews)> {
+    ) -> Vec<(Arc<Member>, ReportedChange)> {
         let members = self.read();
         let mut news = Vec::new();
         for one in told {
@@ -85,12 +91,13 @@
             let Some(member) = members.by_short.get(&one.upstream) else {
                 let mut unlisted = self.unlisted.lock().expect("words lock");
                 unlisted.note(one.upstream, now, |word| {
-                    word.note_limit(one.rate, at, rand::random(), now);
+                    word.update_rate_limit(one.rate, at, rand::random(), now);
                 });
                 continue;
             };
-            let word = &member.upstream.own_word;
-            let change = word.note_limit(one.rate, at, rand::random(), now);
+            let word = &member.upstream.reported_state;
+            let change =
+                word.update_rate_limit(one.rate, at, rand::random(), now);
             // A VM of the own hall has told all of it.
             let for_own_hall = change.is_some() && !is_near;
             let mut seen = self.seen.lock().expect("seen lock");
@@ -111,7 +118,7 @@
 
     /// Takes in which lives have said to another VM that they are leaving, and
     /// tells them on; returns those of which that is news.
-    pub fn hear_leaving(
+    pub fn apply_peer_leaving(
         &self,
         told: &[ShortHash],
         now: BootInstant,
@@ -127,7 +134,7 @@
                 continue;
             };
             let was_leaving = member.upstream.is_leaving();
-            if member.upstream.own_word.note_leaving() {
+            if member.upstream.reported_state.note_leaving() {
                 self.tell_leaving(*life, now);
             }
             if !was_leaving {
@@ -145,18 +152,22 @@
         now: BootInstant,
     ) {
         if member.note_stated(load, self.mean_reading(), now) {
-            let short = member.upstream.short;
+            let short = member.upstream.short_hash;
             self.seen.lock().expect("seen lock").note_load(short, load, now);
         }
     }
 
     /// Takes what upstreams have stated to this VM since it was last taken.
-    pub fn take_stated(&self, now: BootInstant) -> Vec<StatedLoad> {
-        self.seen.lock().expect("seen lock").take_stated(now)
+    pub fn take_loads(&self, now: BootInstant) -> Vec<UpstreamLoadReport> {
+        self.seen.lock().expect("seen lock").take_loads(now)
     }
 
     /// Takes in what upstreams have stated to another VM.
-    pub fn hear_stated(&self, stated: &[StatedLoad], now: BootInstant) {
+    pub fn apply_peer_loads(
+        &self,
+        stated: &[UpstreamLoadReport],
+        now: BootInstant,
+    ) {
         let each = self.mean_reading();
         let members = self.read();
         for told in stated {
@@ -168,7 +179,7 @@
                     waiting: told.waiting.into(),
                 };
                 if member.note_stated(load, each, at) {
-                    member.health.hear(Verdict::Good, now);
+                    member.health.hear(AttemptOutcome::Success, now);
                 }
             }
         }
@@ -176,26 +187,32 @@
 
     /// Takes in how an attempt ended, for the other VMs of the data hall;
     /// returns whether they should hear of it at once.
-    pub fn note_verdict(
+    pub fn record_outcome(
         &self,
         member: &Member,
-        verdict: Verdict,
+        verdict: AttemptOutcome,
         now: BootInstant,
     ) -> bool {
-        let short = member.upstream.short;
-        self.seen.lock().expect("seen lock").note_verdict(short, verdict, now)
+        let short = member.upstream.short_hash;
+        self.seen
+            .lock()
+            .expect("seen lock")
+            .record_outcome(short, verdict, now)
     }
 
     /// Takes the failures that the others are to hear of.
-    pub fn take_failures(&self, now: BootInstant) -> Vec<ToldFailure> {
+    pub fn take_failures(
+        &self,
+        now: BootInstant,
+    ) -> Vec<UpstreamFailureReport> {
         self.seen.lock().expect("seen lock").take_failures(now)
     }
 
     /// Takes in the failures that another VM of the data hall has seen;
     /// returns the upstreams that are unfit by now.
-    pub fn hear_failures(
+    pub fn apply_peer_failures(
         &self,
-        told: &[ToldFailure],
+        told: &[UpstreamFailureReport],
         now: BootInstant,
     ) -> Vec<UpstreamId> {
         let members = self.read();
@@ -212,17 +229,17 @@
     }
 
     /// What this VM has at each upstream that has any of it.
-    pub fn own_work(&self) -> Vec<(ShortHash, Work)> {
+    pub fn local_work(&self) -> Vec<(ShortHash, InFlightWork)> {
         let members = self.read();
         let bounded = |n: u32| u16::try_from(n).unwrap_or(u16::MAX);
         let work = members.by_id.values().filter_map(|member| {
             let reading_ms = member.reading_ms.load(Ordering::Relaxed);
-            let work = Work {
+            let work = InFlightWork {
                 requests: bounded(member.upstream.in_flight()),
-                reading_ms: bounded(reading_ms),
+                prefill_ms: bounded(reading_ms),
             };
-            let has_any = work != Work::default();
-            has_any.then_some((member.upstream.short, work))
+            let has_any = work != InFlightWork::default();
+            has_any.then_some((member.upstream.short_hash, work))
         });
         work.collect()
     }
@@ -231,12 +248,12 @@
     pub fn set_peer_work(
         &self,
         vm: &str,
-        work: &[(ShortHash, Work)],
+        work: &[(ShortHash, InFlightWork)],
         now: BootInstant,
     ) {
         let members = self.read();
         let mut told = self.told.lock().expect("told lock");
-        let set = |upstream: &ShortHash, there: Work| {
+        let set = |upstream: &ShortHash, there: InFlightWork| {
             if let Some(member) = members.by_short.get(upstream) {
                 member.set_peer_work(vm, there, now);
             }
@@ -248,7 +265,7 @@
             work.iter().map(|(upstream, _)| *upstream).collect();
         let before = told.at.get(vm).map_or(&[][..], Vec::as_slice);
         for upstream in before.iter().filter(|u| !upstreams.contains(u)) {
-            set(upstream, Work::default());
+            set(upstream, InFlightWork::default());
         }
         told.at.insert(vm.to_owned(), upstreams.into_iter().collect());
         if told.is_due(now) {
--- a/src/placing/own_word.rs
+++ b/src/placing/reported_state.rs
@@ -21,7 +21,7 @@
     placing::{
         owners::Roster,
         rate_limit::{self, LimitChange, LimitState},
-        statement::{OwnNews, RateLimit, Rest, Statement},
+        signals::{RateLimit, ReportedChange, RetryAfter, UpstreamSignals},
     },
     unit::RequestRate,
 };
@@ -48,7 +48,7 @@
 
 /// What an upstream has said of itself.
 #[derive(Debug, Default)]
-pub struct OwnWord {
+pub struct ReportedState {
     is_leaving: AtomicBool,
     /// Whether there is a rest, so that a choice among hundreds of upstreams
     /// takes the lock of few.
@@ -77,7 +77,7 @@
     }
 }
 
-impl OwnWord {
+impl ReportedState {
     /// Takes in that it is leaving; returns whether that is news.
     pub fn note_leaving(&self) -> bool {
         !self.is_leaving.swap(true, Ordering::Relaxed)
@@ -93,16 +93,17 @@
     ///
     /// `draw`, from 0 to 1, spreads what the VMs that were told in one moment
     /// do next.
-    pub fn take(
+    pub fn apply(
         &self,
-        statement: &Statement,
+        statement: &UpstreamSignals,
         draw: f64,
         sent_at: BootInstant,
         now: BootInstant,
-    ) -> Vec<OwnNews> {
+    ) -> Vec<ReportedChange> {
         let is_news = statement.is_leaving && self.note_leaving();
-        let leaving = is_news.then_some(OwnNews::Leaving);
-        let rest = self.take_rest(statement.rest.as_ref(), draw, sent_at, now);
+        let leaving = is_news.then_some(ReportedChange::Leaving);
+        let rest =
+            self.take_rest(statement.retry_after.as_ref(), draw, sent_at, now);
         let limit = statement.rate_limit.as_ref();
         let limit = limit.and_then(|limit| self.take_limit(limit, draw, now));
         [leaving, rest, limit].into_iter().flatten().collect()
@@ -113,39 +114,42 @@
         limit: &RateLimit,
         draw: f64,
         now: BootInstant,
-    ) -> Option<OwnNews> {
+    ) -> Option<ReportedChange> {
         match limit {
-            RateLimit::Unlimited => self.note_limit(None, now, draw, now),
+            RateLimit::Unlimited => {
+                self.update_rate_limit(None, now, draw, now)
+            }
             RateLimit::At(rate) => {
-                self.note_limit(Some(*rate), now, draw, now)
+                self.update_rate_limit(Some(*rate), now, draw, now)
             }
             RateLimit::Unreadable(text) => {
                 let was = &self.was_limit_unreadable;
                 let is_news = !was.swap(true, Ordering::Relaxed);
-                is_news.then(|| OwnNews::LimitUnreadable(text.clone()))
+                is_news
+                    .then(|| ReportedChange::RateLimitUnreadable(text.clone()))
             }
         }
     }
 
     /// Takes in the rate limit that it named at a time, or that it named none;
     /// returns what is news.
-    pub(crate) fn note_limit(
+    pub(crate) fn update_rate_limit(
         &self,
         rate: Option<RequestRate>,
         stated_at: BootInstant,
         draw: f64,
         now: BootInstant,
-    ) -> Option<OwnNews> {
+    ) -> Option<ReportedChange> {
         let change = self.limit.take(rate, stated_at, draw, now)?;
         Some(match change {
-            LimitChange::Begun(rate) => OwnNews::Limited(rate),
-            LimitChange::Ended => OwnNews::Unlimited,
+            LimitChange::Begun(rate) => ReportedChange::RateLimited(rate),
+            LimitChange::Ended => ReportedChange::RateLimitLifted,
         })
     }
 
     /// How long `vm` is to send no request to it, the upstream of this hash
     /// and data hall, because of its rate limit; zero if it may send one.
-    pub(crate) fn limit_wait(
+    pub(crate) fn rate_limit_wait(
         &self,
         roster: &RwLock<Roster>,
         vm: &str,
@@ -162,7 +166,7 @@
 
     /// The rate that it takes from all VMs together, in requests a second, if
     /// it has a limit.
-    pub fn limit_per_s(&self, now: BootInstant) -> Option<f64> {
+    pub fn rate_limit_per_s(&self, now: BootInstant) -> Option<f64> {
         self.limit.per_s(now)
     }
 
@@ -170,19 +174,21 @@
     /// `sent_at`, or that it asks for none; returns what is news.
     pub(super) fn take_rest(
         &self,
-        rest: Option<&Rest>,
+        rest: Option<&RetryAfter>,
         draw: f64,
         sent_at: BootInstant,
         now: BootInstant,
-    ) -> Option<OwnNews> {
+    ) -> Option<ReportedChange> {
         match rest {
-            Some(Rest::For(time)) => self
+            Some(RetryAfter::For(time)) => self
                 .note_rest(*time, draw, now)
-                .then(|| OwnNews::Resting(self.rest_left(now))),
-            Some(Rest::Unreadable(text)) => self
+                .then(|| ReportedChange::BackoffStarted(self.rest_left(now))),
+            Some(RetryAfter::Unreadable(text)) => self
                 .note_unreadable()
-                .then(|| OwnNews::Unreadable(text.clone())),
-            None => self.note_taken(sent_at).then_some(OwnNews::Rested),
+                .then(|| ReportedChange::RetryAfterUnreadable(text.clone())),
+            None => self
+                .note_taken(sent_at)
+                .then_some(ReportedChange::BackoffEnded),
         }
     }
 
@@ -224,8 +230,8 @@
     /// Notes that a request goes there: after a rest the first one finds out
     /// whether it takes any, since what was held back would otherwise come all
     /// at once.
-    pub fn note_sent(&self, now: BootInstant) {
-        self.limit.note_sent(now);
+    pub fn record_sent(&self, now: BootInstant) {
+        self.limit.record_sent(now);
         if !self.has_rest.load(Ordering::Relaxed) {
             return;
         }
@@ -253,7 +259,7 @@
     pub fn holds(&self, now: BootInstant) -> bool {
         self.is_leaving()
             || !self.rest_left(now).is_zero()
-            || self.limit_per_s(now).is_some()
+            || self.rate_limit_per_s(now).is_some()
     }
 }
 
@@ -264,7 +270,7 @@
 
 #[derive(Debug)]
 struct Unlisted {
-    word: Arc<OwnWord>,
+    word: Arc<ReportedState>,
     since: BootInstant,
 }
 
@@ -273,7 +279,7 @@
     pub(super) fn keep(
         &mut self,
         life: ShortHash,
-        word: Arc<OwnWord>,
+        word: Arc<ReportedState>,
         now: BootInstant,
     ) {
         self.0.retain(|_, kept| {
@@ -285,7 +291,7 @@
     }
 
     /// Takes the word of a life that is listed, again or at last.
-    pub(super) fn take(&mut self, life: ShortHash) -> Arc<OwnWord> {
+    pub(super) fn take(&mut self, life: ShortHash) -> Arc<ReportedState> {
         self.0.remove(&life).map(|kept| kept.word).unwrap_or_default()
     }
 
@@ -294,7 +300,7 @@
         &mut self,
         life: ShortHash,
         now: BootInstant,
-        note: impl FnOnce(&OwnWord),
+        note: impl FnOnce(&ReportedState),
     ) {
         let word = self.take(life);
         note(&word);
--- a/src/placing/statement.rs
+++ b/src/placing/signals.rs
@@ -18,11 +18,11 @@
 
 /// All that one answer says of the upstream that gave it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Statement {
+pub struct UpstreamSignals {
     /// Whether it is leaving.
     pub is_leaving: bool,
     /// The rest that it asks this VM for, if any.
-    pub rest: Option<Rest>,
+    pub retry_after: Option<RetryAfter>,
     /// What it says of the requests of all VMs together; `None` where it
     /// leaves that open.
     pub rate_limit: Option<RateLimit>,
@@ -33,37 +33,40 @@
 /// For how long an upstream wants no further request of the VM that it has
 /// turned away.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Rest {
+pub enum RetryAfter {
     /// For this time.
     For(Duration),
     /// It says something that is no time.
     Unreadable(String),
 }
 
-impl Rest {
+impl RetryAfter {
     /// Reads it from an answer's head: of several times, the longest.
-    pub fn read(status: u16, headers: &HeaderMap) -> Option<Rest> {
+    pub fn read(status: u16, headers: &HeaderMap) -> Option<RetryAfter> {
         if !TURNED_AWAY.contains(&status) {
             return None;
         }
         let rests = headers.get_all(RETRY_AFTER).iter().map(|value| {
             let text = String::from_utf8_lossy(value.as_bytes());
-            Rest::parse(&text)
+            RetryAfter::parse(&text)
         });
-        rests.max_by_key(Rest::time)
+        rests.max_by_key(RetryAfter::time)
     }
 
-    fn parse(text: &str) -> Rest {
+    fn parse(text: &str) -> RetryAfter {
         let seconds = text.trim().parse().ok();
         let time = seconds.and_then(|s| Duration::try_from_secs_f64(s).ok());
-        time.map_or_else(|| Rest::Unreadable(shortened(text)), Rest::For)
+        time.map_or_else(
+            || RetryAfter::Unreadable(shortened(text)),
+            RetryAfter::For,
+        )
     }
 
     /// How long it is, as far as that can be read.
     pub fn time(&self) -> Option<Duration> {
         match self {
-            Rest::For(time) => Some(*time),
-            Rest::Unreadable(_) => None,
+            RetryAfter::For(time) => Some(*time),
+            RetryAfter::Unreadable(_) => None,
         }
     }
 }
@@ -120,47 +123,47 @@
 
 /// What an answer tells of its upstream that was not known.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OwnNews {
+pub enum ReportedChange {
     /// It is leaving.
     Leaving,
     /// It is at rest, for this time.
-    Resting(Duration),
+    BackoffStarted(Duration),
     /// Its rest is over, and it has taken a request.
-    Rested,
+    BackoffEnded,
     /// It asks for rest by a text that is no time.
-    Unreadable(String),
+    RetryAfterUnreadable(String),
     /// It takes requests at this rate from all VMs together.
-    Limited(RequestRate),
+    RateLimited(RequestRate),
     /// It has no rate limit any more.
-    Unlimited,
+    RateLimitLifted,
     /// It names a rate limit by a text that is no rate.
-    LimitUnreadable(String),
+    RateLimitUnreadable(String),
 }
 
-impl OwnNews {
+impl ReportedChange {
     /// The event that is logged.
     pub(crate) fn event(&self) -> Event {
         match self {
-            OwnNews::Leaving => Event::UpstreamLeaving,
-            OwnNews::Resting(_) => Event::UpstreamRests,
-            OwnNews::Rested => Event::UpstreamRested,
-            OwnNews::Unreadable(_) => Event::RestUnreadable,
-            OwnNews::Limited(_) => Event::UpstreamLimited,
-            OwnNews::Unlimited => Event::UpstreamUnlimited,
-            OwnNews::LimitUnreadable(_) => Event::LimitUnreadable,
+            ReportedChange::Leaving => Event::UpstreamLeaving,
+            ReportedChange::BackoffStarted(_) => Event::UpstreamRests,
+            ReportedChange::BackoffEnded => Event::UpstreamRested,
+            ReportedChange::RetryAfterUnreadable(_) => Event::RestUnreadable,
+            ReportedChange::RateLimited(_) => Event::UpstreamLimited,
+            ReportedChange::RateLimitLifted => Event::UpstreamUnlimited,
+            ReportedChange::RateLimitUnreadable(_) => Event::LimitUnreadable,
         }
     }
 
     /// Its name in metrics.
     pub fn label(&self) -> &'static str {
         match self {
-            OwnNews::Leaving => "leaving",
-            OwnNews::Resting(_) => "resting",
-            OwnNews::Rested => "rested",
-            OwnNews::Unreadable(_) => "unreadable",
-            OwnNews::Limited(_) => "limited",
-            OwnNews::Unlimited => "unlimited",
-            OwnNews::LimitUnreadable(_) => "limit_unreadable",
+            ReportedChange::Leaving => "leaving",
+            ReportedChange::BackoffStarted(_) => "resting",
+            ReportedChange::BackoffEnded => "rested",
+            ReportedChange::RetryAfterUnreadable(_) => "unreadable",
+            ReportedChange::RateLimited(_) => "limited",
+            ReportedChange::RateLimitLifted => "unlimited",
+            ReportedChange::RateLimitUnreadable(_) => "limit_unreadable",
         }
     }
 }
--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -19,14 +19,16 @@
     clock::BootInstant,
     id::{ServiceId, VersionId},
     message::ShortHash,
-    placing::{health::Verdict, pool::VersionRule},
+    placing::{health::AttemptOutcome, pool::VersionRule},
     rendezvous,
     rollouts::{
         choice::ChoiceReason,
         comparison::{Answers, is_worse},
         evidence::{Evidence, HallEvidence, ToldSession},
+        peer_evidence::{
+            ByRoute, Delivery, PeerEvidence, listed, told_session,
+        },
         sessions::Sessions,
-        told::{ByRoute, Told, Way, listed, told_session},
     },
 };
 
@@ -91,7 +93,7 @@
 
 /// An operator's order to roll a version out.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Order {
+pub struct RolloutOrder {
     /// The version.
     pub target: VersionId,
     /// The time within which it is to be done.
@@ -100,7 +102,7 @@
 
 /// How far a roll-out is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Progress {
+pub enum RolloutProgress {
     /// Under way.
     Running,
     /// The new version has everything.
@@ -109,35 +111,35 @@
     Reverted,
 }
 
-impl fmt::Display for Progress {
+impl fmt::Display for RolloutProgress {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Progress::Running => "running",
-            Progress::Completed => "completed",
-            Progress::Reverted => "reverted",
+            RolloutProgress::Running => "running",
+            RolloutProgress::Completed => "completed",
+            RolloutProgress::Reverted => "reverted",
         })
     }
 }
 
 /// The state of a roll-out as it stands in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Status {
+pub struct RolloutStatus {
     /// The version.
     pub target: VersionId,
     /// How far it is.
-    pub progress: Progress,
+    pub progress: RolloutProgress,
 }
 
 /// One roll-out as this VM sees it.
 #[derive(Debug)]
 pub(super) struct Rollout {
-    pub(super) order: Order,
+    pub(super) order: RolloutOrder,
     session_lifetime: Duration,
     /// When this VM learned of the order.
     learned_at: BootInstant,
     /// When it was given, as far as any VM knows.
     started_at: BootInstant,
-    pub(super) progress: Option<Progress>,
+    pub(super) progress: Option<RolloutProgress>,
     stopped_at: Option<BootInstant>,
     /// How long it had been running when the trial ended. All VMs go by the
     /// first that ended it, so that a session that moved with one of them
@@ -145,7 +147,7 @@
     trial_ended: Option<Duration>,
     own: ByRoute,
     first_part_s: HashMap<ShortHash, f64>,
-    pub(super) told: Told,
+    pub(super) told: PeerEvidence,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -156,7 +158,7 @@
 
 impl Rollout {
     pub(super) fn new(
-        order: Order,
+        order: RolloutOrder,
         session_lifetime: Duration,
         now: BootInstant,
     ) -> Rollout {
@@ -170,7 +172,7 @@
             trial_ended: None,
             own: HashMap::new(),
             first_part_s: HashMap::new(),
-            told: Told::default(),
+            told: PeerEvidence::default(),
         }
     }
 
@@ -178,14 +180,14 @@
     /// is the only one left, whatever this VM has seen of it.
     pub(super) fn is_taken_back(&self) -> bool {
         match self.progress {
-            Some(Progress::Reverted) => true,
-            Some(Progress::Completed) => false,
-            Some(Progress::Running) | None => self.stopped_at.is_some(),
+            Some(RolloutProgress::Reverted) => true,
+            Some(RolloutProgress::Completed) => false,
+            Some(RolloutProgress::Running) | None => self.stopped_at.is_some(),
         }
     }
 
     pub(super) fn is_running(&self) -> bool {
-        matches!(self.progress, None | Some(Progress::Running))
+        matches!(self.progress, None | Some(RolloutProgress::Running))
     }
 
     /// Part of the allowed time that has passed.
@@ -239,7 +241,7 @@
         pooled
     }
 
-    pub(super) fn rule(
+    pub(super) fn choose_version(
         &mut self,
         session: Option<&str>,
         own: Option<(&VersionId, Duration)>,
@@ -248,11 +250,11 @@
     ) -> (VersionRule, ChoiceReason) {
         let target = self.order.target.clone();
         if self.stopped_at.is_some()
-            || self.progress == Some(Progress::Reverted)
+            || self.progress == Some(RolloutProgress::Reverted)
         {
             return (VersionRule::Never(target), ChoiceReason::Stopped);
         }
-        if self.progress == Some(Progress::Completed) {
+        if self.progress == Some(RolloutProgress::Completed) {
             return (VersionRule::Prefer(target), ChoiceReason::Completed);
         }
         let subject = ShortHash::of(session.unwrap_or(request_id));
@@ -324,21 +326,21 @@
         }
     }
 
-    pub(super) fn record(
+    pub(super) fn record_answer(
         &mut self,
         software: &VersionId,
         route: &str,
-        verdict: Verdict,
+        verdict: AttemptOutcome,
         first_part: Option<Duration>,
     ) {
         let side = self.side(software);
         let route = ShortHash::of(route);
-        let mut is_bad = verdict == Verdict::Failed;
+        let mut is_bad = verdict == AttemptOutcome::Failed;
         if let Some(first_part) = first_part {
             is_bad |= self.is_slow(route, side, first_part.as_secs_f64());
         }
         let answers = &mut self.own.entry(route).or_default()[side as usize];
-        if verdict == Verdict::Lost {
+        if verdict == AttemptOutcome::Lost {
             answers.lost += 1;
             return;
         }
@@ -413,19 +415,24 @@
         }
     }
 
-    pub(super) fn hear(&mut self, vm: &str, told: Evidence, now: BootInstant) {
+    pub(super) fn merge_evidence(
+        &mut self,
+        vm: &str,
+        told: Evidence,
+        now: BootInstant,
+    ) {
         self.follow(&told, now);
-        self.told.hear_vm(vm, told, now);
+        self.told.merge_vm(vm, told, now);
     }
 
-    pub(super) fn hear_hall(
+    pub(super) fn merge_hall_evidence(
         &mut self,
         told: &HallEvidence,
-        way: Way,
+        way: Delivery,
         now: BootInstant,
     ) {
         self.follow(&told.evidence, now);
-        self.told.hear_hall(told, way, now);
+        self.told.merge_hall(told, way, now);
     }
 
     /// Takes in how far another VM has come.
@@ -446,7 +453,7 @@
     }
 
     /// Stops the version if its answers are worse than the old one's.
-    pub(super) fn judge(&mut self, now: BootInstant) -> Option<String> {
+    pub(super) fn evaluate(&mut self, now: BootInstant) -> Option<String> {
         if self.stopped_at.is_some() || !self.is_running() {
             return None;
         }
@@ -461,26 +468,28 @@
         ))
     }
 
-    pub(super) fn due(
+    pub(super) fn pending_statuses(
         &self,
         is_steward: bool,
         old_in_flight: u32,
         other_halls: &[ShortHash],
         now: BootInstant,
-    ) -> Option<Progress> {
+    ) -> Option<RolloutProgress> {
         if !self.is_running() {
             return None;
         }
         if let Some(stopped_at) = self.stopped_at {
             let passed = now.saturating_duration_since(stopped_at);
             let is_due = is_steward || passed >= RECORD_ANYWAY;
-            return is_due.then_some(Progress::Reverted);
+            return is_due.then_some(RolloutProgress::Reverted);
         }
         match self.progress {
-            Some(Progress::Completed | Progress::Reverted) => return None,
+            Some(RolloutProgress::Completed | RolloutProgress::Reverted) => {
+                return None;
+            }
             _ if !is_steward => return None,
-            None => return Some(Progress::Running),
-            Some(Progress::Running) => {}
+            None => return Some(RolloutProgress::Running),
+            Some(RolloutProgress::Running) => {}
         }
         let passed = self.passed(now);
         let left = old_in_flight + self.told.near_in_flight(now);
@@ -491,7 +500,8 @@
         });
         let is_done =
             is_moved && left == 0 && self.told.are_idle(other_halls, now);
-        (is_done || passed > COMPLETE_ANYWAY).then_some(Progress::Completed)
+        (is_done || passed > COMPLETE_ANYWAY)
+            .then_some(RolloutProgress::Completed)
     }
 }
 
--- a/src/rollouts/rollout/tests.rs
+++ b/src/rollouts/rollout/tests.rs
@@ -19,9 +19,12 @@
 
 fn running(now: BootInstant) -> Rollouts {
     let rollouts = Rollouts::new(SESSION_TIME);
-    let order = Order { target: version("v2"), time_allowed: ALLOWED };
-    assert!(rollouts.order(service(), order, now));
-    let status = Status { target: version("v2"), progress: Progress::Running };
+    let order = RolloutOrder { target: version("v2"), time_allowed: ALLOWED };
+    assert!(rollouts.apply_order(service(), order, now));
+    let status = RolloutStatus {
+        target: version("v2"),
+        progress: RolloutProgress::Running,
+    };
     rollouts.set_status(&service(), &status);
     rollouts
 }
@@ -30,7 +33,8 @@
 fn share(rollouts: &Rollouts, now: BootInstant) -> f64 {
     let new = (0..10_000).filter(|number| {
         let session = format!("session-{number}");
-        let choice = rollouts.rule(&service(), Some(&session), "r", now);
+        let choice =
+            rollouts.choose_version(&service(), Some(&session), "r", now);
         choice.rule == VersionRule::Prefer(version("v2"))
     });
     new.count() as f64 / 10_000.0
@@ -44,10 +48,10 @@
     let on_trial = share(&rollouts, now + ALLOWED / 4);
     assert!((0.06..0.1).contains(&on_trial), "{on_trial}");
     answer(&rollouts, TRIAL_ANSWERS);
-    rollouts.judge(now + ALLOWED / 4);
+    rollouts.evaluate(now + ALLOWED / 4);
     let still = share(&rollouts, now + ALLOWED / 2);
     assert!((0.06..0.1).contains(&still), "{still}");
-    rollouts.judge(now + ALLOWED.mul_f64(TRIAL_END));
+    rollouts.evaluate(now + ALLOWED.mul_f64(TRIAL_END));
     let part = share(&rollouts, now + ALLOWED.mul_f64(TRIAL_END + 0.01));
     assert!((0.3..0.5).contains(&part), "{part}");
     assert_eq!(share(&rollouts, now + ALLOWED.mul_f64(0.7)), 1.0);
@@ -57,8 +61,8 @@
 fn answer(rollouts: &Rollouts, count: u32) {
     let new = version("v2");
     for _ in 0..count {
-        let verdict = Verdict::Good;
-        rollouts.record(&service(), &new, "write", verdict, None);
+        let verdict = AttemptOutcome::Success;
+        rollouts.record_answer(&service(), &new, "write", verdict, None);
     }
 }
 
@@ -70,26 +74,27 @@
     let rollouts = running(now);
     let at = |part: f64| now + ALLOWED.mul_f64(part);
     answer(&rollouts, TRIAL_ANSWERS - 1);
-    rollouts.judge(at(0.7));
+    rollouts.evaluate(at(0.7));
     let on_trial = share(&rollouts, at(0.7));
     assert!((0.06..0.1).contains(&on_trial), "{on_trial}");
     answer(&rollouts, 1);
-    rollouts.judge(at(0.71));
+    rollouts.evaluate(at(0.71));
     let moved = at(0.711 + PART_TIME);
     assert_eq!(share(&rollouts, moved), 1.0);
     // A VM that has seen less goes by what the first one found.
     let other = running(now);
-    other.hear("vm-2", &rollouts.evidence(|_, _| 0, moved), moved);
+    other.merge_evidence("vm-2", &rollouts.evidence(|_, _| 0, moved), moved);
     assert_eq!(share(&other, moved), 1.0);
 
     let unasked = running(now);
-    unasked.judge(at(TRIAL_END_LATEST - 0.01));
+    unasked.evaluate(at(TRIAL_END_LATEST - 0.01));
     let on_trial = share(&unasked, at(TRIAL_END_LATEST - 0.01));
     assert!((0.06..0.1).contains(&on_trial), "{on_trial}");
-    unasked.judge(at(TRIAL_END_LATEST));
+    unasked.evaluate(at(TRIAL_END_LATEST));
     assert_eq!(share(&unasked, at(TRIAL_END_LATEST + 0.001 + PART_TIME)), 1.0);
-    let due = unasked.due(true, |_, _| 0, &[], at(COMPLETE_ANYWAY));
-    assert_eq!(due[0].status.progress, Progress::Completed);
+    let due =
+        unasked.pending_statuses(true, |_, _| 0, &[], at(COMPLETE_ANYWAY));
+    assert_eq!(due[0].status.progress, RolloutProgress::Completed);
 }
 
 #[test]
@@ -103,7 +108,9 @@
         rollouts.begin_session(&service(), &session, &old, at);
         rollouts.end_session(&service(), &session, at);
         let later = at + Duration::from_secs(4);
-        let rule = rollouts.rule(&service(), Some(&session), "r", later).rule;
+        let rule = rollouts
+            .choose_version(&service(), Some(&session), "r", later)
+            .rule;
         assert_eq!(rule, VersionRule::Avoid(version("v2")));
     }
 }
@@ -120,15 +127,15 @@
         there.begin_session(&service(), name, &old, now);
         there.end_session(&service(), name, now);
     }
-    let order = Order { target: version("v2"), time_allowed: ALLOWED };
+    let order = RolloutOrder { target: version("v2"), time_allowed: ALLOWED };
     for rollouts in [&here, &there] {
-        rollouts.order(service(), order.clone(), now);
+        rollouts.apply_order(service(), order.clone(), now);
     }
     let told = there.evidence(|_, _| 0, now);
-    here.hear("vm-2", &told, now);
+    here.merge_evidence("vm-2", &told, now);
     let at = now + Duration::from_secs(3);
     for name in &names {
-        let rule = here.rule(&service(), Some(name), "r", at).rule;
+        let rule = here.choose_version(&service(), Some(name), "r", at).rule;
         assert_eq!(rule, VersionRule::Avoid(version("v2")), "{name}");
     }
 }
@@ -141,24 +148,36 @@
     for rollouts in [&here, &there] {
         for _ in 0..40 {
             let old = version("v1");
-            rollouts.record(&service(), &old, "a", Verdict::Good, None);
+            rollouts.record_answer(
+                &service(),
+                &old,
+                "a",
+                AttemptOutcome::Success,
+                None,
+            );
         }
         for _ in 0..2 {
             let new = version("v2");
-            rollouts.record(&service(), &new, "a", Verdict::Failed, None);
+            rollouts.record_answer(
+                &service(),
+                &new,
+                "a",
+                AttemptOutcome::Failed,
+                None,
+            );
         }
     }
-    assert_eq!(here.judge(now), []);
-    here.hear("vm-2", &there.evidence(|_, _| 0, now), now);
-    assert_eq!(here.judge(now).len(), 1);
+    assert_eq!(here.evaluate(now), []);
+    here.merge_evidence("vm-2", &there.evidence(|_, _| 0, now), now);
+    assert_eq!(here.evaluate(now).len(), 1);
     let at = now + ALLOWED / 4;
-    let rule = here.rule(&service(), None, "r", at).rule;
+    let rule = here.choose_version(&service(), None, "r", at).rule;
     assert_eq!(rule, VersionRule::Never(version("v2")));
-    let due = here.due(true, |_, _| 0, &[], now);
-    assert_eq!(due[0].status.progress, Progress::Reverted);
+    let due = here.pending_statuses(true, |_, _| 0, &[], now);
+    assert_eq!(due[0].status.progress, RolloutProgress::Reverted);
     // The other VM stops as soon as it hears of it.
-    there.hear("vm-1", &here.evidence(|_, _| 0, now), now);
-    let rule = there.rule(&service(), None, "r", at).rule;
+    there.merge_evidence("vm-1", &here.evidence(|_, _| 0, now), now);
+    let rule = there.choose_version(&service(), None, "r", at).rule;
     assert_eq!(rule, VersionRule::Never(version("v2")));
 }
 
@@ -169,19 +188,19 @@
     let record = |software: &str, verdict, count| {
         for _ in 0..count {
             let software = version(software);
-            rollouts.record(&service(), &software, "a", verdict, None);
+            rollouts.record_answer(&service(), &software, "a", verdict, None);
         }
     };
     // A quarter of all machines is lost, and of the new version's three two.
-    record("v1", Verdict::Good, 100);
-    record("v1", Verdict::Lost, 30);
-    record("v2", Verdict::Good, 2);
-    record("v2", Verdict::Lost, 8);
-    assert_eq!(rollouts.judge(now), []);
+    record("v1", AttemptOutcome::Success, 100);
+    record("v1", AttemptOutcome::Lost, 30);
+    record("v2", AttemptOutcome::Success, 2);
+    record("v2", AttemptOutcome::Lost, 8);
+    assert_eq!(rollouts.evaluate(now), []);
     // Only the new version goes on losing answers.
-    record("v1", Verdict::Good, 300);
-    record("v2", Verdict::Lost, 30);
-    assert_eq!(rollouts.judge(now).len(), 1);
+    record("v1", AttemptOutcome::Success, 300);
+    record("v2", AttemptOutcome::Lost, 30);
+    assert_eq!(rollouts.evaluate(now).len(), 1);
 }
 
 #[test]
@@ -190,13 +209,22 @@
     let rollouts = running(now);
     for _ in 0..BAD_ANSWERS {
         let new = version("v2");
-        rollouts.record(&service(), &new, "a", Verdict::Failed, None);
+        rollouts.record_answer(
+            &service(),
+            &new,
+            "a",
+            AttemptOutcome::Failed,
+            None,
+        );
     }
-    assert_eq!(rollouts.judge(now).len(), 1);
-    assert_eq!(rollouts.due(false, |_, _| 0, &[], now), []);
-    assert_eq!(rollouts.due(true, |_, _| 0, &[], now).len(), 1);
+    assert_eq!(rollouts.evaluate(now).len(), 1);
+    assert_eq!(rollouts.pending_statuses(false, |_, _| 0, &[], now), []);
+    assert_eq!(rollouts.pending_statuses(true, |_, _| 0, &[], now).len(), 1);
     let later = now + RECORD_ANYWAY;
-    assert_eq!(rollouts.due(false, |_, _| 0, &[], later).len(), 1);
+    assert_eq!(
+        rollouts.pending_statuses(false, |_, _| 0, &[], later).len(),
+        1
+    );
 }
 
 #[test]
@@ -206,14 +234,14 @@
     for name in ["v1", "v2"] {
         for number in 0..100 {
             let verdict = match number % 5 {
-                0 => Verdict::Failed,
-                _ => Verdict::Good,
+                0 => AttemptOutcome::Failed,
+                _ => AttemptOutcome::Success,
             };
             let version = version(name);
-            rollouts.record(&service(), &version, "a", verdict, None);
+            rollouts.record_answer(&service(), &version, "a", verdict, None);
         }
     }
-    assert_eq!(rollouts.judge(now), []);
+    assert_eq!(rollouts.evaluate(now), []);
 }
 
 #[test]
@@ -223,11 +251,11 @@
     let record = |name: &str, route: &str, ms: u64| {
         let first_part = Some(Duration::from_millis(ms));
         let version = version(name);
-        rollouts.record(
+        rollouts.record_answer(
             &service(),
             &version,
             route,
-            Verdict::Good,
+            AttemptOutcome::Success,
             first_part,
         );
     };
@@ -239,7 +267,7 @@
     for _ in 0..6 {
         record("v2", "b", 400);
     }
-    assert_eq!(rollouts.judge(now).len(), 1);
+    assert_eq!(rollouts.evaluate(now).len(), 1);
 }
 
 /// Prompts differ in length, so a part of any version's answers takes far
@@ -257,8 +285,8 @@
     let record = |name: &str, number: u64| {
         let ms = if number.is_multiple_of(5) { 5000 } else { 50 };
         let first_part = Some(Duration::from_millis(ms));
-        let (version, good) = (version(name), Verdict::Good);
-        rollouts.record(&service(), &version, "a", good, first_part);
+        let (version, good) = (version(name), AttemptOutcome::Success);
+        rollouts.record_answer(&service(), &version, "a", good, first_part);
     };
     for number in 0..317 {
         record("v1", number);
@@ -266,7 +294,7 @@
     for number in 0..19 {
         record("v2", number);
     }
-    assert_eq!(rollouts.judge(now), []);
+    assert_eq!(rollouts.evaluate(now), []);
 }
 
 #[test]
@@ -274,15 +302,15 @@
     let now = BootInstant::now();
     let rollouts = running(now);
     answer(&rollouts, TRIAL_ANSWERS);
-    rollouts.judge(now + ALLOWED.mul_f64(TRIAL_END));
+    rollouts.evaluate(now + ALLOWED.mul_f64(TRIAL_END));
     let at = now + ALLOWED.mul_f64(0.7);
-    assert_eq!(rollouts.due(true, |_, _| 1, &[], at), []);
-    assert_eq!(rollouts.due(false, |_, _| 0, &[], at), []);
-    let due = rollouts.due(true, |_, _| 0, &[], at);
-    assert_eq!(due[0].status.progress, Progress::Completed);
+    assert_eq!(rollouts.pending_statuses(true, |_, _| 1, &[], at), []);
+    assert_eq!(rollouts.pending_statuses(false, |_, _| 0, &[], at), []);
+    let due = rollouts.pending_statuses(true, |_, _| 0, &[], at);
+    assert_eq!(due[0].status.progress, RolloutProgress::Completed);
     let late = now + ALLOWED.mul_f64(0.95);
-    let due = rollouts.due(true, |_, _| 1, &[], late);
-    assert_eq!(due[0].status.progress, Progress::Completed);
+    let due = rollouts.pending_statuses(true, |_, _| 1, &[], late);
+    assert_eq!(due[0].status.progress, RolloutProgress::Completed);
 }
 
 #[test]
@@ -290,11 +318,11 @@
     let now = BootInstant::now();
     let old = running(now);
     answer(&old, TRIAL_ANSWERS);
-    old.judge(now + ALLOWED.mul_f64(TRIAL_END));
+    old.evaluate(now + ALLOWED.mul_f64(TRIAL_END));
     let at = now + ALLOWED.mul_f64(0.7);
     let restarted = running(at);
     assert!(share(&restarted, at) < 0.2);
-    restarted.hear("vm-2", &old.evidence(|_, _| 0, at), at);
+    restarted.merge_evidence("vm-2", &old.evidence(|_, _| 0, at), at);
     assert_eq!(share(&restarted, at), 1.0);
 }
 
@@ -306,7 +334,7 @@
     let other = running(now);
     let at = now + ALLOWED / 4;
     let late = running(at);
-    late.hear("vm-2", &other.evidence(|_, _| 0, at), at);
+    late.merge_evidence("vm-2", &other.evidence(|_, _| 0, at), at);
     assert_eq!(share(&late, at), 0.0);
     assert!(share(&late, at + LISTEN_TIME) > 0.06);
 }
@@ -315,13 +343,15 @@
 fn a_roll_out_that_has_ended_stays_ended() {
     let now = BootInstant::now();
     let rollouts = running(now);
-    let reverted =
-        Status { target: version("v2"), progress: Progress::Reverted };
+    let reverted = RolloutStatus {
+        target: version("v2"),
+        progress: RolloutProgress::Reverted,
+    };
     rollouts.set_status(&service(), &reverted);
     assert!(!rollouts.any_running());
-    assert_eq!(rollouts.due(true, |_, _| 0, &[], now), []);
-    let order = Order { target: version("v2"), time_allowed: ALLOWED };
-    assert!(!rollouts.order(service(), order, now), "the same order");
-    let order = Order { target: version("v3"), time_allowed: ALLOWED };
-    assert!(rollouts.order(service(), order, now), "another order");
+    assert_eq!(rollouts.pending_statuses(true, |_, _| 0, &[], now), []);
+    let order = RolloutOrder { target: version("v2"), time_allowed: ALLOWED };
+    assert!(!rollouts.apply_order(service(), order, now), "the same order");
+    let order = RolloutOrder { target: version("v3"), time_allowed: ALLOWED };
+    assert!(rollouts.apply_order(service(), order, now), "another order");
 }
