--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -70,7 +70,7 @@
 /// Minimum wait for the response head of a stream.
 const MIN_HEAD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Expected prefill time from which the other VMs are told about it at once:
+/// Expected prefill time from which it is announced to the other VMs at once:
 /// until the next heartbeat they would send their prompts to the same
 /// upstream. On a calm simulated day with six VMs, 4 of 1,253 attempts at
 /// engines were given up as silent with this announcement, and 60 of 1,298
@@ -144,7 +144,7 @@
     /// Upper estimate of that prefill time.
     pub(crate) max_prefill_before: Duration,
     /// Requests per slot at the upstream when it began.
-    pub(crate) load_before: f64,
+    pub(crate) utilization_before: f64,
     /// Tokens of the prompt; 0 if unknown.
     pub(crate) prompt_tokens: u64,
     /// Expected prefill time of the prompt.
@@ -183,8 +183,9 @@
 }
 
 impl AttemptError {
-    /// Returns the verdict on the upstream; `None` if it is not at fault.
-    pub(crate) fn verdict(&self) -> Option<AttemptOutcome> {
+    /// Returns the outcome to record for the upstream; `None` if it is not at
+    /// fault.
+    pub(crate) fn outcome(&self) -> Option<AttemptOutcome> {
         match self {
             AttemptError::NotRun(..) | AttemptError::LowConfidence(_) => None,
             AttemptError::Unknown(..) => Some(AttemptOutcome::Lost),
@@ -200,11 +201,11 @@
         loop {
             let now = self.gateway.clock.now();
             if self.time_left(now) < MIN_TIME_LEFT {
-                return self.refuse(trace, ErrorKind::DeadlineExceeded, "");
+                return self.reject(trace, ErrorKind::DeadlineExceeded, "");
             }
             let attempt = match self.begin_attempt(&mut trace, now) {
                 Ok(attempt) => attempt,
-                Err(error) => return self.refuse_with(trace, error),
+                Err(error) => return self.reject_with(trace, error),
             };
             let error = match self.route.is_stream {
                 true => match self.fetch_stream(attempt, &mut trace).await {
@@ -217,8 +218,8 @@
                         return reply;
                     }
                     Err(error) => {
-                        if let Some(verdict) = error.verdict() {
-                            self.record_attempt(&attempt, verdict, None);
+                        if let Some(outcome) = error.outcome() {
+                            self.record_attempt(&attempt, outcome, None);
                         }
                         error
                     }
@@ -264,7 +265,7 @@
         let service_time = self.gateway.service_times.of(&self.service);
         PickCriteria {
             rule: version.rule.clone(),
-            affinity: self.shared_prompt(),
+            affinity: self.prefix_affinity(),
             withdrawn: &version.withdrawn,
             tried,
             max_utilization: admission::utilization_limit(
@@ -289,7 +290,7 @@
         trace: &mut Trace,
         now: BootInstant,
     ) -> Result<Attempt, Error> {
-        self.check_not_held()?;
+        self.check_not_quarantined()?;
         let version = self.version_choice(now);
         let want = self.want(&version, &self.tried);
         let picked = self.gateway.pool.pick(&self.service, &want, now);
@@ -318,8 +319,8 @@
         let prompt_tokens = self.request.prompt_tokens.unwrap_or(0);
         let prefill_before = member.prefill_backlog(now);
         let max_prefill_before = member.max_prefill_backlog(now);
-        let load_before = member.utilization(now);
-        let times = &self.gateway.read_times;
+        let utilization_before = member.utilization(now);
+        let times = &self.gateway.prefill_times;
         let expected_prefill = times.expected(model.as_ref(), prompt_tokens);
         let prefill = (prompt_tokens > 0)
             .then(|| member.begin_prefill(expected_prefill));
@@ -337,7 +338,7 @@
             began_at: now,
             prefill_before,
             max_prefill_before,
-            load_before,
+            utilization_before,
             prompt_tokens,
             expected_prefill,
             prefill,
@@ -358,10 +359,10 @@
             ))
     }
 
-    /// Refuses a request that is known to crash upstreams: an upstream that
+    /// Rejects a request that is known to crash upstreams: an upstream that
     /// crashes takes all its requests along, and without this check every VM
     /// and every retry would crash another one.
-    fn check_not_held(&self) -> Result<(), Error> {
+    fn check_not_quarantined(&self) -> Result<(), Error> {
         let crashes = &self.gateway.crashes;
         if !crashes.has_quarantined() {
             return Ok(());
@@ -399,12 +400,12 @@
     /// Returns the prefix of the prompt that later requests share, with the
     /// queueing time that reusing its cache is worth: all segments but the
     /// last, which is the request's own.
-    fn shared_prompt(&self) -> Option<PrefixAffinity> {
+    fn prefix_affinity(&self) -> Option<PrefixAffinity> {
         let parts = &self.request.prompt;
         let (_, shared) = parts.split_last()?;
         let prefix_hash = shared.last()?.id;
         let tokens = shared.iter().map(|part| part.tokens).sum();
-        let times = &self.gateway.read_times;
+        let times = &self.gateway.prefill_times;
         let saved = times.expected(self.model.as_ref(), tokens);
         let count = u32::try_from(tokens).unwrap_or(u32::MAX);
         let most = self.route.aim.mul_f64(CACHED_PROMPT_WAIT_FRACTION);
@@ -500,14 +501,10 @@
         );
         let now = self.gateway.clock.now();
         attempt.member.record_activity(now);
-        if let Some(statement) = &head.statement {
-            trace.note_signals(statement);
+        if let Some(signals) = &head.signals {
+            trace.note_signals(signals);
             let gateway = &self.gateway;
-            gateway.apply_signals(
-                &attempt.member,
-                statement,
-                attempt.began_at,
-            );
+            gateway.apply_signals(&attempt.member, signals, attempt.began_at);
         }
         if !head.matches_request && !head.not_executed {
             self.may_have_run = true;
@@ -563,7 +560,7 @@
     ) -> Result<Reply, AttemptError> {
         let service_time = self.gateway.service_times.of(&self.service);
         let queue_wait =
-            admission::queue_wait(attempt.load_before, service_time);
+            admission::queue_wait(attempt.utilization_before, service_time);
         let patience = self.route.aim.mul_f64(RETRY_AIM_FRACTION) + queue_wait;
         let limit = self.attempt_timeout(attempt, patience);
         let (mut exchange, _) = self.send(attempt, None, limit, trace).await?;
@@ -602,7 +599,7 @@
     /// Learns the service time from an attempt that has just succeeded,
     /// unless it had to queue for a slot.
     pub(crate) fn learn_service_time(&self, attempt: &Attempt) {
-        if attempt.load_before < 1.0 {
+        if attempt.utilization_before < 1.0 {
             let now = self.gateway.clock.now();
             let took = now.saturating_duration_since(attempt.began_at);
             self.gateway.service_times.record(&self.service, took);
@@ -665,18 +662,18 @@
     }
 
     /// Records the outcome of an attempt for the health of its upstream, for
-    /// roll-outs and for the detection of crashes.
+    /// rollouts and for the detection of crashes.
     ///
     /// `first_part` is the time until the first part of a good response.
     pub(crate) fn record_attempt(
         &self,
         attempt: &Attempt,
-        verdict: AttemptOutcome,
+        outcome: AttemptOutcome,
         first_part: Option<Duration>,
     ) {
         let gateway = &self.gateway;
         let now = gateway.clock.now();
-        if verdict == AttemptOutcome::Lost {
+        if outcome == AttemptOutcome::Lost {
             crash_check::record_lost_attempt(
                 gateway,
                 &attempt.member,
@@ -684,19 +681,19 @@
                 attempt.began_at,
             );
         }
-        let says_nothing_of_version = verdict == AttemptOutcome::Failed
+        let is_isolated = outcome == AttemptOutcome::Failed
             && gateway.pool.is_isolated_failure(&attempt.member, now);
-        gateway.record_outcome(&attempt.member, verdict);
+        gateway.record_outcome(&attempt.member, outcome);
         let ended = attempt.member.is_superseded()
-            && verdict != AttemptOutcome::Success;
-        if says_nothing_of_version || ended {
+            && outcome != AttemptOutcome::Success;
+        if is_isolated || ended {
             return;
         }
         gateway.rollouts.record_answer(
             &self.service,
             &attempt.member.entry.software,
             &self.route.name,
-            verdict,
+            outcome,
             first_part,
         );
     }
@@ -754,25 +751,25 @@
                 match self.gateway.pool.service_backoff(&self.service, now) {
                     Some(left) => {
                         let error = self.all_backing_off(left).context(reason);
-                        self.refuse_with(trace, error)
+                        self.reject_with(trace, error)
                     }
-                    None => self.refuse(trace, ErrorKind::Overloaded, &reason),
+                    None => self.reject(trace, ErrorKind::Overloaded, &reason),
                 }
             }
             FinalFailure::Unknown(reason) => {
-                self.refuse(trace, ErrorKind::UpstreamFailed, &reason)
+                self.reject(trace, ErrorKind::UpstreamFailed, &reason)
             }
         }
     }
 
-    fn refuse(self, trace: Trace, kind: ErrorKind, reason: &str) -> Reply {
+    fn reject(self, trace: Trace, kind: ErrorKind, reason: &str) -> Reply {
         let error = Error::new(kind).context(reason.to_owned());
-        self.refuse_with(trace, error)
+        self.reject_with(trace, error)
     }
 
-    /// Refuses the request. An error that tells the caller that the request
+    /// Rejects the request. An error that tells the caller that the request
     /// did not run is replaced if an upstream may have executed it.
-    fn refuse_with(self, trace: Trace, error: Error) -> Reply {
+    fn reject_with(self, trace: Trace, error: Error) -> Reply {
         let claims_not_run =
             error.kind().answer().run == crate::error::Run::NotRun;
         let error = match claims_not_run && self.may_have_run {
@@ -780,7 +777,7 @@
                 .context(error.to_string()),
             false => error,
         };
-        refuse(&self.request.id, trace, &error)
+        reject(&self.request.id, trace, &error)
     }
 }
 
@@ -809,9 +806,9 @@
 }
 
 /// Ends the trace of a request and returns the error response to it.
-pub(crate) fn refuse(id: &str, trace: Trace, error: &Error) -> Reply {
+pub(crate) fn reject(id: &str, trace: Trace, error: &Error) -> Reply {
     let answer = error.kind().answer();
-    trace.end(RequestEnd::Refused(
+    trace.end(RequestEnd::Rejected(
         answer.status,
         answer.code,
         error.to_string(),
--- a/src/gateway/ingress.rs
+++ b/src/gateway/ingress.rs
@@ -32,7 +32,7 @@
     facts::route::{Organisation, RouteTable},
     gateway::{
         Gateway,
-        forward::{Job, Reply, ReplyBody, refuse},
+        forward::{Job, Reply, ReplyBody, reject},
         relay_events::{self, StreamAborted},
         request_head::{RequestHead, RequestedModel},
         trace::Trace,
@@ -66,7 +66,7 @@
 
 /// Longest time after its start for which a VM that is not ready lets callers
 /// wait while the store has not failed. If hundreds of VMs start at once, they
-/// need 0.4 to 0.7 s to load their state. A caller that is refused meanwhile
+/// need 0.4 to 0.7 s to load their state. A caller that is rejected meanwhile
 /// finds the next VM in the same state, and after a second it gives up.
 const MAX_STARTUP_WAIT: Duration = Duration::from_millis(800);
 
@@ -167,20 +167,20 @@
     let _in_flight = gateway.in_flight.enter();
     let (reply, must_close) = match read_request(&gateway, request).await {
         Ok((job, trace)) => (job.run(trace).await, false),
-        Err(refusal) => *refusal,
+        Err(rejection) => *rejection,
     };
     let must_close_after = is_chunked || must_close || gateway.is_stopping();
     into_response(&gateway, reply, must_close_after)
 }
 
 /// An error response, and whether the connection is closed after it.
-type Refusal = Box<(Reply, bool)>;
+type Rejection = Box<(Reply, bool)>;
 
-/// Reads a request and admits it, or returns the response that refuses it.
+/// Reads a request and admits it, or returns the response that rejects it.
 async fn read_request(
     gateway: &Arc<Gateway>,
     request: Request<Incoming>,
-) -> Result<(Job, Trace), Refusal> {
+) -> Result<(Job, Trace), Rejection> {
     let started_at = gateway.clock.now();
     let (head, body) = request.into_parts();
     let trace = |id: &str| {
@@ -190,7 +190,7 @@
     let request = match headers::read_request(&head) {
         Ok(request) => request,
         Err(error) => {
-            let reply = refuse("", trace(""), &error);
+            let reply = reject("", trace(""), &error);
             return Err(Box::new((reply, true)));
         }
     };
@@ -200,7 +200,7 @@
         Ok(admitted) => admitted,
         Err(error) => {
             let has_body = !body.is_end_stream();
-            let reply = refuse(&request.id, trace, &error);
+            let reply = reject(&request.id, trace, &error);
             return Err(Box::new((reply, has_body)));
         }
     };
@@ -208,7 +208,7 @@
     let body = match read_body(body, limit).await {
         Ok(body) => body,
         Err(error) => {
-            let reply = refuse(&request.id, trace, &error);
+            let reply = reject(&request.id, trace, &error);
             return Err(Box::new((reply, true)));
         }
     };
--- a/src/gateway/limit_replay.rs
+++ b/src/gateway/limit_replay.rs
@@ -230,14 +230,14 @@
                 let informed = self.informed_at_ms.entry((work.vm, upstream));
                 informed.or_insert(passed_ms);
             }
-            let statement = UpstreamSignals {
+            let signals = UpstreamSignals {
                 rate_limit: Some(limit),
                 ..UpstreamSignals::default()
             };
             let vm = self.fleet.vms[work.vm].clone();
             let news = vm.pool.apply_signals(
                 &work.member,
-                &statement,
+                &signals,
                 now.checked_sub(WORK).unwrap(),
                 now,
             );
@@ -277,7 +277,7 @@
             .filter(|upstream| self.is_limited(*upstream))
             .map(|upstream| &self.arrivals[upstream])
             .collect();
-        let kept_from = LIMITED_FROM_MS + LIMIT_GRACE_MS;
+        let enforced_from = LIMITED_FROM_MS + LIMIT_GRACE_MS;
         let max_informed = limited.iter().map(|arrivals| {
             let informed =
                 arrivals.iter().filter(|(_, was_informed)| *was_informed);
@@ -287,9 +287,9 @@
             limited.iter().map(|arrivals| most_in_window(arrivals.iter()));
         let used = limited.iter().flat_map(|arrivals| arrivals.iter());
         let used = used
-            .filter(|(at, _)| (kept_from..LIMITED_TO_MS).contains(at))
+            .filter(|(at, _)| (enforced_from..LIMITED_TO_MS).contains(at))
             .count() as f64;
-        let span_s = (LIMITED_TO_MS - kept_from) as f64 / 1000.0;
+        let span_s = (LIMITED_TO_MS - enforced_from) as f64 / 1000.0;
         let allowed = self.case.per_s.min(RATE_PER_UPSTREAM) * span_s;
         let usual = RATE_PER_UPSTREAM * SAMPLE_MS as f64 / 1000.0;
         let samples = (LIMITED_TO_MS..DURATION_MS).step_by(SAMPLE_MS as usize);
@@ -348,8 +348,8 @@
     arrivals: impl Iterator<Item = &'a (u64, bool)>,
 ) -> usize {
     let arrivals: Vec<u64> = arrivals.map(|(at, _)| *at).collect();
-    let kept = LIMITED_FROM_MS + LIMIT_GRACE_MS..LIMITED_TO_MS;
-    let ends = arrivals.iter().filter(|at| kept.contains(at));
+    let enforced = LIMITED_FROM_MS + LIMIT_GRACE_MS..LIMITED_TO_MS;
+    let ends = arrivals.iter().filter(|at| enforced.contains(at));
     let counts = ends.map(|end| {
         let within = end.saturating_sub(WINDOW_MS) + 1..=*end;
         arrivals.iter().filter(|at| within.contains(at)).count()
@@ -369,7 +369,7 @@
 fn check_limits(case: Case) {
     let (allowed, results) = simulate(case);
     assert!(results.max_informed as f64 <= allowed, "{case:?}: {results:?}");
-    // If no request is refused, the limits need not be used up.
+    // If no request is rejected, the limits need not be used up.
     let is_enough = results.refused == 0 || results.used >= MIN_USED_FRACTION;
     assert!(is_enough, "{case:?}: {results:?}");
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -4,9 +4,9 @@
 //! * [`settings`]: the settings of the VM.
 //! * [`upstream_signals`]: applies what upstreams report about themselves.
 //! * [`vm_registration`]: keeps the VMs registered in the store.
-//! * [`server`]: runs the VM from its start to a planned stop.
+//! * [`server`]: runs the VM from its start to a graceful shutdown.
 //! * [`store_watch`]: follows the changes of the platform's store.
-//! * [`rollout_status`]: records the status of roll-outs in the store.
+//! * [`rollout_status`]: records the status of rollouts in the store.
 
 use std::{
     collections::HashMap,
@@ -68,7 +68,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Largest age of the proof of freshness at which keys are accepted, as a
-/// fraction of the time after which a revoked key must be refused.
+/// fraction of the time after which a revoked key must be rejected.
 ///
 /// The age counts from before the store was asked, and a request counts from
 /// its arrival, which is after it was sent, so the remainder only has to cover
@@ -121,7 +121,7 @@
     pub(crate) pool: Pool,
     pub(crate) rollouts: Rollouts,
     pub(crate) crashes: CrashTracker,
-    pub(crate) read_times: PrefillTimes,
+    pub(crate) prefill_times: PrefillTimes,
     pub(crate) service_times: ServiceTimes,
     pub(crate) peers: Peers,
     pub(crate) metrics: Arc<Metrics>,
@@ -154,7 +154,7 @@
             ),
             rollouts: Rollouts::new(settings.session_timeout),
             crashes: CrashTracker::default(),
-            read_times: PrefillTimes::default(),
+            prefill_times: PrefillTimes::default(),
             service_times: ServiceTimes::default(),
             peers: Peers::new(
                 &settings,
@@ -175,12 +175,12 @@
         })
     }
 
-    /// Whether a planned stop is under way.
+    /// Whether a graceful shutdown is under way.
     pub(crate) fn is_stopping(&self) -> bool {
         self.is_stopping.load(Ordering::Relaxed)
     }
 
-    /// Begins a planned stop.
+    /// Begins a graceful shutdown.
     pub(crate) fn begin_stop(&self) {
         self.is_stopping.store(true, Ordering::Relaxed);
     }
@@ -196,8 +196,8 @@
     ///
     /// With `fail_closed` off, the newest configuration holds until a newer
     /// one arrives: a VM that has lost the store goes on serving instead of
-    /// refusing every caller. With the store unavailable for eight seconds,
-    /// 145 requests were refused in five of them without this, and none with
+    /// rejecting every caller. With the store unavailable for eight seconds,
+    /// 145 requests were rejected in five of them without this, and none with
     /// it (one simulated day).
     pub(crate) fn may_accept_keys(&self, now: BootInstant) -> bool {
         !self.settings.fail_closed || self.is_fresh(now)
@@ -387,9 +387,9 @@
                 })));
             }
             Fact::CrashingRequest(request, crashes) => {
-                let sightings: Vec<RequestObservation> =
+                let observations: Vec<RequestObservation> =
                     RequestObservation::of_crashes(request, crashes).collect();
-                self.merge_sightings(&sightings, Source::Snapshot);
+                self.merge_sightings(&observations, Source::Snapshot);
             }
             Fact::Peer(vm, record) => {
                 self.pool.add_vm(&vm, &record.data_hall);
@@ -402,21 +402,22 @@
         }
     }
 
-    /// Merges sightings of requests and crashes from elsewhere.
+    /// Merges observations of requests and crashes from elsewhere.
     pub(crate) fn merge_sightings(
         &self,
-        sightings: &[RequestObservation],
+        observations: &[RequestObservation],
         source: Source,
     ) {
         let now = self.clock.now();
-        let changes = self.crashes.merge_observations(sightings, source, now);
+        let changes =
+            self.crashes.merge_observations(observations, source, now);
         self.note_crash_changes(&changes);
         if !changes.is_empty() {
             self.early_heartbeat.wake();
         }
     }
 
-    /// Logs which requests are blocked from now on, and which no longer.
+    /// Logs which requests are quarantined from now on, and which no longer.
     pub(crate) fn note_crash_changes(&self, changes: &[QuarantineChange]) {
         for change in changes {
             match change {
@@ -441,21 +442,21 @@
     pub(crate) fn record_outcome(
         &self,
         member: &Member,
-        verdict: AttemptOutcome,
+        outcome: AttemptOutcome,
     ) {
         // The failure belongs to an incarnation that has ended; the one that
         // replaced it is not at fault.
-        if member.is_superseded() && verdict != AttemptOutcome::Success {
+        if member.is_superseded() && outcome != AttemptOutcome::Success {
             return;
         }
         let now = self.clock.now();
-        if verdict == AttemptOutcome::Unreachable {
+        if outcome == AttemptOutcome::Unreachable {
             member.record_connect_failure(now);
         }
-        if self.pool.record_outcome(member, verdict, now) {
+        if self.pool.record_outcome(member, outcome, now) {
             self.early_heartbeat.wake();
         }
-        let change = member.health.record(verdict, now);
+        let change = member.health.record(outcome, now);
         let event = match change {
             None => return,
             Some(HealthChange::Unhealthy) => Event::UpstreamUnfit,
--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -201,8 +201,8 @@
         let (exchange, head) = match sent {
             Ok(sent) => sent,
             Err(error) => {
-                if let Some(verdict) = error.verdict() {
-                    self.record_attempt(&attempt, verdict, None);
+                if let Some(outcome) = error.outcome() {
+                    self.record_attempt(&attempt, outcome, None);
                 }
                 return Err(error);
             }
@@ -242,7 +242,7 @@
             has_attempt: self.has_attempt_left(),
             tokens: attempt.prompt_tokens,
         };
-        let times = &self.gateway.read_times;
+        let times = &self.gateway.prefill_times;
         let escalation_model =
             escalation_target(&doubt, times, attempt.prefill_before, now)?;
         // The answer at hand is better than none: it is given up only if an
@@ -333,7 +333,7 @@
     fn learn_read_time(&self, attempt: &Attempt, waited: Duration) {
         let was_idle = attempt.prefill_before < MAX_OTHER_PREFILL;
         if let (true, Some(model)) = (was_idle, &attempt.model) {
-            let times = &self.gateway.read_times;
+            let times = &self.gateway.prefill_times;
             times.record(model, attempt.prompt_tokens, waited);
         }
     }
--- a/src/gateway/rollout_status.rs
+++ b/src/gateway/rollout_status.rs
@@ -1,9 +1,9 @@
-//! Records the status of roll-outs in the store.
+//! Records the status of rollouts in the store.
 //!
 //! One VM, the steward, does so: the first, in an order that all VMs compute
 //! alike, of those that reach each other and the store. Two VMs that both take
 //! themselves for the steward do no harm, since every write is conditional and
-//! a roll-out that has ended stays ended.
+//! a rollout that has ended stays ended.
 
 use std::{sync::Arc, time::Duration};
 
@@ -26,13 +26,13 @@
     task,
 };
 
-/// Interval between two checks of the roll-outs.
+/// Interval between two checks of the rollouts.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Longest wait after a status could not be recorded.
 const MAX_RETRY_WAIT: Duration = Duration::from_secs(1);
 
-/// Checks the roll-outs and records their status for as long as it is polled.
+/// Checks the rollouts and records their status for as long as it is polled.
 pub(crate) async fn run(gateway: Arc<Gateway>) {
     let mut backoff = Backoff::new(CHECK_INTERVAL, MAX_RETRY_WAIT);
     let mut retry_at = gateway.clock.now();
@@ -96,7 +96,7 @@
 }
 
 /// Writes a status to the store, unless the stored one is equal or says that
-/// the same roll-out has ended. Applies the status that is stored afterwards.
+/// the same rollout has ended. Applies the status that is stored afterwards.
 async fn record(
     gateway: &Gateway,
     due: &PendingStatus,
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -33,12 +33,13 @@
     task::{self, Task},
 };
 
-/// Time for which connections are still accepted after a planned stop begins:
-/// the platform checks readiness every second and removes a VM after two
-/// failed checks.
+/// Time for which connections are still accepted after a graceful shutdown
+/// begins: the platform checks readiness every second and removes a VM after
+/// two failed checks.
 const DRAIN_NOTICE_TIME: Duration = Duration::from_millis(2300);
 
-/// Part of the grace period of a planned stop that is reserved for the exit.
+/// Part of the grace period of a graceful shutdown that is reserved for the
+/// exit.
 const FINAL_RESERVE: Duration = Duration::from_millis(700);
 
 /// Interval between two checks of the requests in flight.
@@ -117,7 +118,7 @@
     format!("{a:?}") == format!("{b:?}")
 }
 
-/// Waits for the requests in flight, within the grace period of the stop.
+/// Waits for the requests in flight, within the grace period.
 async fn stop(
     gateway: &Gateway,
     callers: Task<()>,
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -81,14 +81,14 @@
         "keys",
         "revoke_ms",
         None,
-        "Time after which a revoked key must be refused.",
+        "Time after which a revoked key must be rejected.",
     ),
     key(
         "keys",
         "fail_closed",
         Some("true"),
         "Whether a VM that cannot tell any more which keys were revoked \
-         refuses all (`true`), or goes on with the newest configuration \
+         rejects all (`true`), or goes on with the newest configuration \
          that it has (`false`).",
     ),
     key(
@@ -157,9 +157,9 @@
     pub seeds: Vec<SocketAddr>,
     /// The interval between two heartbeats.
     pub heartbeat_interval: Duration,
-    /// The time after which a revoked key must be refused.
+    /// The time after which a revoked key must be rejected.
     pub key_revocation_limit: Duration,
-    /// Whether every key is refused once this VM cannot tell any more which
+    /// Whether every key is rejected once this VM cannot tell any more which
     /// ones were revoked.
     pub fail_closed: bool,
     /// The bound on attempts beyond the first, for all VMs together.
@@ -169,7 +169,7 @@
     /// The time after the end of a request within which the next one belongs
     /// to the same session.
     pub session_timeout: Duration,
-    /// The longest duration of a planned stop.
+    /// The longest duration of a graceful shutdown.
     pub stop_grace: Duration,
     /// The least severe level that is logged.
     pub log_level: log::LevelFilter,
--- a/src/gateway/store_watch.rs
+++ b/src/gateway/store_watch.rs
@@ -49,7 +49,7 @@
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Age of the proof of freshness from which a VM renews it, as a fraction of
-/// the time after which a revoked key must be refused. The first VM to renew
+/// the time after which a revoked key must be rejected. The first VM to renew
 /// it tells the others, so one call serves all.
 const REVALIDATE_FRACTION: f64 = 0.2;
 
--- a/src/gateway/suspension_tests.rs
+++ b/src/gateway/suspension_tests.rs
@@ -107,9 +107,9 @@
         Input::RemoveEntry => gateway.pool.remove(&upstream(), false, now),
         Input::Heartbeat => {
             let mut round = Round::new(&fleet.vms[OTHER]);
-            while let Some((address, beat)) = round.next_beat() {
+            while let Some((address, heartbeat)) = round.next_beat() {
                 if address == gateway.settings.peer_address {
-                    mesh::hear(gateway, beat);
+                    mesh::hear(gateway, heartbeat);
                 }
             }
         }
--- a/src/gateway/test_fleet.rs
+++ b/src/gateway/test_fleet.rs
@@ -151,10 +151,10 @@
         self.last_heartbeat_ms.insert(number, self.elapsed_ms);
         self.early.remove(&number);
         let mut round = Round::new(&self.vms[number]);
-        while let Some((address, beat)) = round.next_beat() {
+        while let Some((address, heartbeat)) = round.next_beat() {
             let receiver = self.by_address[&address];
             if self.reaches(number, receiver) {
-                mesh::hear(&self.vms[receiver], beat);
+                mesh::hear(&self.vms[receiver], heartbeat);
             }
         }
     }
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -30,7 +30,7 @@
 struct AttemptTrace {
     upstream: String,
     software: String,
-    /// The version preferred during a roll-out, `old` or `new`, and why.
+    /// The version preferred during a rollout, `old` or `new`, and why.
     version: Option<(&'static str, ChoiceReason)>,
     model: Option<ModelId>,
     requests_there: u32,
@@ -39,13 +39,13 @@
     ended_ms: Option<u64>,
     end: String,
     /// Whether the upstream reported that it is leaving.
-    says_leaving: bool,
+    is_leaving: bool,
     /// The `Retry-After` of the upstream.
-    rest_wanted: Option<RetryAfter>,
+    retry_after: Option<RetryAfter>,
     /// The rate limit that the upstream reported.
     rate_limit: Option<RateLimit>,
     confidence: Option<u8>,
-    kept: Option<NoEscalation>,
+    no_escalation: Option<NoEscalation>,
 }
 
 /// How a request ended.
@@ -54,7 +54,7 @@
     /// With the response of an upstream, of this status.
     Answered(u16),
     /// With a response of the router: status, error code and reason.
-    Refused(u16, &'static str, String),
+    Rejected(u16, &'static str, String),
     /// Its response was aborted, for this reason.
     Aborted(String),
     /// Its caller closed the connection.
@@ -157,15 +157,15 @@
             began_ms: self.elapsed_ms(),
             ended_ms: None,
             end: "running".to_owned(),
-            says_leaving: false,
-            rest_wanted: None,
+            is_leaving: false,
+            retry_after: None,
             rate_limit: None,
             confidence: None,
-            kept: None,
+            no_escalation: None,
         });
     }
 
-    /// Records which version the last attempt preferred during a roll-out.
+    /// Records which version the last attempt preferred during a rollout.
     pub(crate) fn note_version(&mut self, choice: &VersionChoice) {
         let wanted = match choice.rule {
             VersionRule::Any => return,
@@ -178,11 +178,11 @@
     }
 
     /// Records what the upstream reported about itself in its response.
-    pub(crate) fn note_signals(&mut self, statement: &UpstreamSignals) {
+    pub(crate) fn note_signals(&mut self, signals: &UpstreamSignals) {
         if let Some(last) = self.attempts.last_mut() {
-            last.says_leaving = statement.is_leaving;
-            last.rest_wanted.clone_from(&statement.retry_after);
-            last.rate_limit.clone_from(&statement.rate_limit);
+            last.is_leaving = signals.is_leaving;
+            last.retry_after.clone_from(&signals.retry_after);
+            last.rate_limit.clone_from(&signals.rate_limit);
         }
     }
 
@@ -191,11 +191,11 @@
     pub(crate) fn note_confidence(
         &mut self,
         confidence: Percent,
-        kept: Option<NoEscalation>,
+        no_escalation: Option<NoEscalation>,
     ) {
         if let Some(last) = self.attempts.last_mut() {
             last.confidence = Some(confidence.value());
-            last.kept = kept;
+            last.no_escalation = no_escalation;
         }
     }
 
@@ -261,7 +261,7 @@
         put("attempts", attempts.collect());
         match &end {
             RequestEnd::Answered(status) => put("status", json!(status)),
-            RequestEnd::Refused(status, code, reason) => {
+            RequestEnd::Rejected(status, code, reason) => {
                 put("status", json!(status));
                 put("code", json!(code));
                 put("reason", json!(reason));
@@ -282,7 +282,7 @@
     fn update_metrics(&self, end: &RequestEnd) {
         let code = match end {
             RequestEnd::Answered(_) => "answered",
-            RequestEnd::Refused(_, code, _) => code,
+            RequestEnd::Rejected(_, code, _) => code,
             RequestEnd::Aborted(_) => "broken_off",
             RequestEnd::CallerLeft => "caller_left",
         };
@@ -333,18 +333,18 @@
         if let Some(ended_ms) = self.ended_ms {
             fields.insert("ended_ms".into(), ended_ms.into());
         }
-        if self.says_leaving {
+        if self.is_leaving {
             fields.insert("says_leaving".into(), true.into());
         }
-        let rest = match &self.rest_wanted {
+        let retry_after = match &self.retry_after {
             None => None,
             Some(RetryAfter::For(time)) => {
                 Some(json!(time.as_millis() as u64))
             }
             Some(RetryAfter::Unreadable(text)) => Some(json!(text)),
         };
-        if let Some(rest) = rest {
-            fields.insert("rest_wanted_ms".into(), rest);
+        if let Some(retry_after) = retry_after {
+            fields.insert("rest_wanted_ms".into(), retry_after);
         }
         match &self.rate_limit {
             None | Some(RateLimit::Unlimited) => {}
@@ -359,8 +359,8 @@
         if let Some(confidence) = self.confidence {
             fields.insert("confidence".into(), confidence.into());
         }
-        if let Some(kept) = self.kept {
-            fields.insert("kept".into(), kept.as_str().into());
+        if let Some(no_escalation) = self.no_escalation {
+            fields.insert("kept".into(), no_escalation.as_str().into());
         }
         fields.insert("end".into(), self.end.as_str().into());
         Value::Object(fields)
--- a/src/gateway/upstream_signals.rs
+++ b/src/gateway/upstream_signals.rs
@@ -25,13 +25,13 @@
     pub(crate) fn apply_signals(
         &self,
         member: &Member,
-        statement: &UpstreamSignals,
+        signals: &UpstreamSignals,
         sent_at: BootInstant,
     ) {
         let now = self.clock.now();
-        let news = self.pool.apply_signals(member, statement, sent_at, now);
-        for news in &news {
-            self.log_change(member, news);
+        let changes = self.pool.apply_signals(member, signals, sent_at, now);
+        for change in &changes {
+            self.log_change(member, change);
         }
     }
 
@@ -63,7 +63,7 @@
         is_near: bool,
     ) {
         let now = self.clock.now();
-        for (member, news) in
+        for (member, change) in
             self.pool.apply_peer_rate_limits(reported, is_near, now)
         {
             let mut details = json!({
@@ -71,23 +71,23 @@
                 "by": "vm",
                 "told_by": from,
             });
-            if let ReportedChange::RateLimited(rate) = news {
+            if let ReportedChange::RateLimited(rate) = change {
                 details["per_s"] = rate.per_s().into();
                 // This VM passes it on to its own data hall.
                 if !is_near {
                     self.early_heartbeat.wake();
                 }
             }
-            news.event().record(fields(details));
+            change.event().record(fields(details));
         }
     }
 
-    fn log_change(&self, member: &Member, news: &ReportedChange) {
-        let life = member.entry.life().to_string();
+    fn log_change(&self, member: &Member, change: &ReportedChange) {
+        let incarnation = member.entry.life().to_string();
         let said = &self.metrics.upstreams_said;
-        said.with_label_values(&[news.label()]).inc();
-        let mut details = json!({ "upstream": life });
-        match news {
+        said.with_label_values(&[change.label()]).inc();
+        let mut details = json!({ "upstream": incarnation });
+        match change {
             ReportedChange::Leaving => {
                 self.early_heartbeat.wake();
                 details["by"] = "answer".into();
@@ -107,7 +107,7 @@
             ReportedChange::RateLimitLifted => details["by"] = "answer".into(),
             ReportedChange::BackoffEnded => {}
         }
-        news.event().record(fields(details));
+        change.event().record(fields(details));
     }
 }
 
--- a/src/gateway/upstream_signals/tests.rs
+++ b/src/gateway/upstream_signals/tests.rs
@@ -144,14 +144,14 @@
         let unlimited = says(RateLimit::Unlimited);
         // Repeating that there is no limit changes nothing.
         first.apply_signals(&member, &unlimited, fleet.clock.now());
-        for statement in [&named, &unlimited] {
-            first.apply_signals(&member, statement, fleet.clock.now());
+        for signals in [&named, &unlimited] {
+            first.apply_signals(&member, signals, fleet.clock.now());
             fleet.schedule_early_heartbeat(0);
             let reported_ms = fleet.elapsed_ms;
             run_until(&mut fleet, reported_ms + FLEET_LIMIT_MS);
             let informed = limited(&fleet);
             let all = fleet.vms.len();
-            let expected = if statement == &named { all } else { 0 };
+            let expected = if signals == &named { all } else { 0 };
             assert!(
                 informed.abs_diff(expected) as f64
                     <= all as f64 * (1.0 - MIN_OTHERS_FRACTION),
