--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -241,7 +241,7 @@
     }
     hear_evidence(gateway, beat, is_near);
     let source = if is_near { Source::OwnHall } else { Source::OtherHall };
-    gateway.merge_sightings(&beat.observations, source);
+    gateway.merge_observations(&beat.observations, source);
     if !knows_more {
         return;
     }
@@ -375,7 +375,7 @@
     else {
         return false;
     };
-    gateway.merge_sightings(&observations, Source::Snapshot);
+    gateway.merge_observations(&observations, Source::Snapshot);
     if StoreVersion(as_of) <= gateway.knowledge.as_of() {
         return true;
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -389,7 +389,7 @@
             Fact::CrashingRequest(request, crashes) => {
                 let observations: Vec<RequestObservation> =
                     RequestObservation::of_crashes(request, crashes).collect();
-                self.merge_sightings(&observations, Source::Snapshot);
+                self.merge_observations(&observations, Source::Snapshot);
             }
             Fact::Peer(vm, record) => {
                 self.pool.add_vm(&vm, &record.data_hall);
@@ -403,7 +403,7 @@
     }
 
     /// Merges observations of requests and crashes from elsewhere.
-    pub(crate) fn merge_sightings(
+    pub(crate) fn merge_observations(
         &self,
         observations: &[RequestObservation],
         source: Source,
