--- a/src/crashes/crash_check.rs
+++ b/src/crashes/crash_check.rs
@@ -39,7 +39,7 @@
     }
     let (next, changes) =
         gateway.crashes.record_lost_attempt(request, life, began_at, now);
-    gateway.note_crash_changes(&changes);
+    gateway.log_quarantine_changes(&changes);
     match next {
         NextStep::Nothing => gateway.early_heartbeat.wake(),
         NextStep::Check if has_crashed => settle(gateway, member, request),
@@ -68,7 +68,7 @@
     let now = gateway.clock.now();
     let life = member.upstream.short_hash;
     let changes = gateway.crashes.record_probe(life, listening, now);
-    gateway.note_crash_changes(&changes);
+    gateway.log_quarantine_changes(&changes);
 }
 
 /// Takes in that an upstream has ended.
@@ -81,6 +81,6 @@
     let now = gateway.clock.now();
     let life = member.upstream.short_hash;
     let changes = gateway.crashes.record_probe(life, Listening::No, now);
-    gateway.note_crash_changes(&changes);
+    gateway.log_quarantine_changes(&changes);
     gateway.early_heartbeat.wake();
 }
--- a/src/crashes/persistence.rs
+++ b/src/crashes/persistence.rs
@@ -34,7 +34,7 @@
         task::sleep(LOOK_PERIOD).await;
         let now = gateway.clock.now();
         let changes = gateway.crashes.expire(now);
-        gateway.note_crash_changes(&changes);
+        gateway.log_quarantine_changes(&changes);
         let due = due(&gateway, now);
         if due.is_empty() {
             continue;
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -381,7 +381,7 @@
         let now = self.gateway.clock.now();
         let crashes = &self.gateway.crashes;
         let changes = crashes.record_completed(self.digest(), now);
-        self.gateway.note_crash_changes(&changes);
+        self.gateway.log_quarantine_changes(&changes);
     }
 
     /// Records which version an attempt of the session goes to; `None` if the
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -411,14 +411,14 @@
         let now = self.clock.now();
         let changes =
             self.crashes.merge_observations(observations, source, now);
-        self.note_crash_changes(&changes);
+        self.log_quarantine_changes(&changes);
         if !changes.is_empty() {
             self.early_heartbeat.wake();
         }
     }
 
     /// Logs which requests are quarantined from now on, and which no longer.
-    pub(crate) fn note_crash_changes(&self, changes: &[QuarantineChange]) {
+    pub(crate) fn log_quarantine_changes(&self, changes: &[QuarantineChange]) {
         for change in changes {
             match change {
                 QuarantineChange::Added { request, ends } => {
