--- a/src/gateway/ingress.rs
+++ b/src/gateway/ingress.rs
@@ -284,14 +284,14 @@
     table: &RouteTable,
     request: &RequestHead,
 ) -> Result<Organisation, Error> {
-    let refused = |reason: &str| {
+    let unauthorized = |reason: &str| {
         Error::new(ErrorKind::Unauthorized).context(reason.to_owned())
     };
     let Some(key) = &request.key else {
-        return Err(refused("the request has no key"));
+        return Err(unauthorized("the request has no key"));
     };
     let organisation = table.organisation(key);
-    organisation.cloned().ok_or_else(|| refused("the key is unknown"))
+    organisation.cloned().ok_or_else(|| unauthorized("the key is unknown"))
 }
 
 async fn read_body(
