--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -1,9 +1,9 @@
-//! Carrying out a request: attempts at upstreams until one answers.
+//! Forwards a request: makes attempts at upstreams until one answers.
 //!
-//! A request that may not be repeated is sent a second time only when the
-//! first upstream stated that it did not run, or nothing of it can have
-//! arrived. Everything else goes by the route's attempts, the time left and
-//! the retry budget.
+//! A request that may not be repeated is sent again only if the first upstream
+//! stated that it did not execute it, or if no byte of it can have arrived
+//! there. Other retries are limited by the attempts of the route, the time
+//! left and the retry budget.
 
 use std::{
     sync::{Arc, OnceLock},
@@ -21,9 +21,9 @@
     facts::route::{Organisation, Repeat, Route},
     gateway::{
         Gateway,
-        inbound::{AttemptHead, Inbound},
         relay_events::EventRelay,
-        trace::{End, Trace},
+        request_head::{AttemptHead, RequestHead},
+        trace::{RequestEnd, Trace},
     },
     http_client::{Call, Exchange, Reuse, SendError},
     id::{ModelId, ServiceId, VersionId},
@@ -35,127 +35,134 @@
         pool::{PickCriteria, PickError, PrefixAffinity},
         upstream::InFlightGuard,
     },
-    platform::headers::{self, AnswerHead},
+    platform::headers::{self, ResponseHead},
     rollouts::choice::VersionChoice,
     task,
 };
 
-/// Time left below which no further attempt is made: it could not answer.
-const LEAST_LEFT: Duration = Duration::from_millis(5);
+/// Minimum time left for another attempt; with less, no answer can arrive
+/// before the deadline.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
 
-/// Largest answer that is held whole.
-const ANSWER_LIMIT_BYTES: u64 = 16 << 20;
+/// Largest response that is buffered whole.
+const MAX_RESPONSE_BYTES: u64 = 16 << 20;
 
-/// Part of its aim after which a short repeatable request is tried elsewhere.
-const RETRY_AFTER_AIM: f64 = 0.6;
+/// Fraction of the latency target after which a short repeatable request is
+/// retried at another upstream.
+const RETRY_AIM_FRACTION: f64 = 0.6;
 
-/// Wait that is taken, beside the time to read it, for each token of a prompt
-/// that need not be read again: reading it holds up what runs beside it and
-/// takes memory from other prompts. Measured in `docs/ROUNDS.md`.
-const KEPT_TOKEN_WAIT: Duration = Duration::from_micros(300);
+/// Extra queueing time that is accepted per prompt token that an upstream has
+/// cached, on top of the prefill time that the cache saves: a second prefill
+/// delays the requests that run beside it and evicts other prompts from the
+/// KV cache. `docs/ROUNDS.md` has the figures.
+const CACHED_TOKEN_WAIT: Duration = Duration::from_micros(300);
 
-/// Part of the aim that this wait may take at most.
-const KEPT_PROMPT_WAIT_PART: f64 = 0.25;
+/// Largest fraction of the latency target that this extra wait may take.
+const CACHED_PROMPT_WAIT_FRACTION: f64 = 0.25;
 
-/// Time for which an upstream may give no sign of life while it has work.
-const SILENCE_LIMIT: Duration = Duration::from_millis(900);
+/// Time for which an upstream that has work may stay silent before it is
+/// taken for dead.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Upstreams that a request may fail to reach beyond its attempts.
-const UNREACHED: usize = 4;
+/// Upstreams that a request may fail to reach in addition to its attempts.
+const MAX_CONNECT_FAILURES: usize = 4;
 
-/// Time for which the head of a stream is waited for whatever is expected.
-const HEAD_LEAST: Duration = Duration::from_millis(500);
+/// Minimum wait for the response head of a stream.
+const MIN_HEAD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Expected time to read a prompt from which the other VMs are told at once
-/// that it is being read: they would send theirs to the same upstream until
-/// the next beat says so. On a calm simulated day with six VMs, 4 of 1,253
-/// attempts at engines were given up as silent with it, and 60 of 1,298
-/// without.
-const TOLD_READING: Duration = Duration::from_millis(80);
+/// Expected prefill time from which it is announced to the other VMs at once:
+/// until the next heartbeat they would send their prompts to the same
+/// upstream. On a calm simulated day with six VMs, 4 of 1,253 attempts at
+/// engines were given up as silent with this announcement, and 60 of 1,298
+/// without it.
+const ANNOUNCED_PREFILL_TIME: Duration = Duration::from_millis(80);
 
-/// How many times the expected time the head of a stream may take.
-const HEAD_FACTOR: f64 = 2.5;
+/// Factor on the expected prefill time in the wait for the head of a stream.
+const HEAD_TIMEOUT_FACTOR: f64 = 2.5;
 
-/// Part of the time expected for the prompts it reads that is added to that.
-const READING_PART: f64 = 1.5;
+/// Factor on the prefill time under way at an upstream that is added to its
+/// silence timeout.
+const PREFILL_PATIENCE_FACTOR: f64 = 1.5;
 
-/// The most that is added; an upstream that died seems to read for ever.
-const READING_PATIENCE_MOST: Duration = Duration::from_millis(2500);
+/// Largest time that is added to the silence timeout: a prefill at an upstream
+/// that died never ends.
+const MAX_PREFILL_PATIENCE: Duration = Duration::from_millis(2500);
 
-/// Time between two looks at a silent upstream.
-pub(crate) const WATCH_PERIOD: Duration = Duration::from_millis(150);
+/// Interval between two checks of a silent upstream.
+pub(crate) const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Wait that a caller is told when every upstream is cold and has what it
-/// bears.
+/// `Retry-After` sent when every upstream is warming up and has as many
+/// requests as it can take.
 const RETRY_AFTER_COLD: Duration = Duration::from_millis(400);
 
-/// A request on its way.
+/// A request that is being forwarded.
 pub(crate) struct Job {
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) route: Arc<Route>,
     pub(crate) service: ServiceId,
     pub(crate) organisation: Option<Organisation>,
-    pub(crate) inbound: Inbound,
+    pub(crate) request: RequestHead,
     pub(crate) body: Bytes,
-    /// When the caller, or the operator's limit, gives up.
+    /// When the time of the caller or the limit of the route ends, whichever
+    /// is first.
     pub(crate) deadline: BootInstant,
     pub(crate) started_at: BootInstant,
-    /// The model to ask, where the caller leaves the choice.
+    /// The model to ask, if the caller leaves the choice to the router.
     pub(crate) model: Option<ModelId>,
-    /// Lives of upstreams that were asked.
+    /// The upstream incarnations that were chosen for an attempt.
     pub(crate) tried: Vec<ShortHash>,
-    /// Upstreams that the request was sent to, of those.
+    /// The number of attempts that may have reached their upstream.
     pub(crate) sent: u32,
-    /// Whether it may have run anywhere.
+    /// Whether any upstream may have executed the request.
     pub(crate) may_have_run: bool,
-    /// What it is known again by, once that was asked.
+    /// Identifies the request when it is sent again; computed on first use.
     pub(crate) digest: OnceLock<RequestDigest>,
 }
 
-/// An answer to a caller.
+/// A response to a caller.
 pub(crate) struct Reply {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: ReplyBody,
 }
 
-/// The body of an answer.
+/// The body of a response.
 pub(crate) enum ReplyBody {
-    /// All of it.
+    /// The whole body.
     Whole(Bytes),
-    /// Events as they come.
+    /// Server-sent events, relayed as they arrive.
     Events(Box<EventRelay>),
 }
 
-/// An upstream that an attempt goes to, counted as busy with it.
+/// An attempt at one upstream, counted as in flight there while it lives.
 pub(crate) struct Attempt {
     pub(crate) member: Arc<Member>,
     pub(crate) model: Option<ModelId>,
     pub(crate) began_at: BootInstant,
-    /// What was being read there before.
-    pub(crate) read_before: Duration,
-    /// The most that may have been read there before.
-    pub(crate) read_most: Duration,
-    /// Requests for each slot there before.
-    pub(crate) fill_before: f64,
-    /// Tokens of the prompt.
-    pub(crate) tokens: u64,
-    /// The time expected until they are read.
-    pub(crate) expected: Duration,
-    /// Held until the first event is here.
-    pub(crate) reading: Option<PrefillGuard>,
+    /// Prefill time that was under way at the upstream when it began.
+    pub(crate) prefill_before: Duration,
+    /// Upper estimate of that prefill time.
+    pub(crate) max_prefill_before: Duration,
+    /// Requests per slot at the upstream when it began.
+    pub(crate) utilization_before: f64,
+    /// Tokens of the prompt; 0 if unknown.
+    pub(crate) prompt_tokens: u64,
+    /// Expected prefill time of the prompt.
+    pub(crate) expected_prefill: Duration,
+    /// Counts the prefill at the upstream until the first event arrives.
+    pub(crate) prefill: Option<PrefillGuard>,
     _in_flight: InFlightGuard,
-    _session: Option<SessionUse>,
+    _session: Option<SessionGuard>,
 }
 
-/// An attempt of a session, which counts as under way while it lives.
-struct SessionUse {
+/// Marks a session as in use until its attempt ends.
+struct SessionGuard {
     gateway: Arc<Gateway>,
     service: ServiceId,
     session: String,
 }
 
-impl Drop for SessionUse {
+impl Drop for SessionGuard {
     fn drop(&mut self) {
         let now = self.gateway.clock.now();
         let rollouts = &self.gateway.rollouts;
@@ -163,161 +170,164 @@
     }
 }
 
-/// Why an attempt brought no answer that ends the request.
-pub(crate) enum Fault {
-    /// It did not run there.
+/// Why an attempt brought no response to pass on.
+pub(crate) enum AttemptError {
+    /// The upstream did not execute the request: label and reason.
     NotRun(&'static str, String),
-    /// It may have run there.
+    /// The upstream may have executed the request: label and reason.
     Unknown(&'static str, String),
-    /// It ran and failed; this is the upstream's own answer.
+    /// The upstream executed the request and failed; holds its response.
     Failed(Box<Reply>),
-    /// A larger model is to be asked.
-    Poor(ModelId),
+    /// The model was not confident enough; holds the larger model to ask.
+    LowConfidence(ModelId),
 }
 
-impl Fault {
-    /// What it says of the upstream, if that is to blame.
-    pub(crate) fn verdict(&self) -> Option<AttemptOutcome> {
+impl AttemptError {
+    /// Returns the outcome to record for the upstream; `None` if it is not at
+    /// fault.
+    pub(crate) fn outcome(&self) -> Option<AttemptOutcome> {
         match self {
-            Fault::NotRun(..) | Fault::Poor(_) => None,
-            Fault::Unknown(..) => Some(AttemptOutcome::Lost),
-            Fault::Failed(_) => Some(AttemptOutcome::Failed),
+            AttemptError::NotRun(..) | AttemptError::LowConfidence(_) => None,
+            AttemptError::Unknown(..) => Some(AttemptOutcome::Lost),
+            AttemptError::Failed(_) => Some(AttemptOutcome::Failed),
         }
     }
 }
 
 impl Job {
-    /// Carries the request out.
+    /// Forwards the request and returns the response for its caller.
     pub(crate) async fn run(mut self, mut trace: Trace) -> Reply {
         self.gateway.count_request(&self.service);
         loop {
             let now = self.gateway.clock.now();
-            if self.left(now) < LEAST_LEFT {
-                return self.refuse(trace, ErrorKind::DeadlineExceeded, "");
+            if self.time_left(now) < MIN_TIME_LEFT {
+                return self.reject(trace, ErrorKind::DeadlineExceeded, "");
             }
-            let attempt = match self.begin(&mut trace, now) {
+            let attempt = match self.begin_attempt(&mut trace, now) {
                 Ok(attempt) => attempt,
-                Err(error) => return self.refuse_with(trace, error),
+                Err(error) => return self.reject_with(trace, error),
             };
-            let fault = match self.route.is_stream {
-                true => match self.ask_stream(attempt, &mut trace).await {
+            let error = match self.route.is_stream {
+                true => match self.fetch_stream(attempt, &mut trace).await {
                     Ok(opened) => return opened.into_reply(self, trace),
-                    Err(fault) => fault,
+                    Err(error) => error,
                 },
-                false => match self.ask_whole(&attempt, &mut trace).await {
+                false => match self.fetch_whole(&attempt, &mut trace).await {
                     Ok(reply) => {
-                        trace.end(End::Answered(reply.status.as_u16()));
+                        trace.end(RequestEnd::Answered(reply.status.as_u16()));
                         return reply;
                     }
-                    Err(fault) => {
-                        if let Some(verdict) = fault.verdict() {
-                            self.judge(&attempt, verdict, None);
+                    Err(error) => {
+                        if let Some(outcome) = error.outcome() {
+                            self.record_attempt(&attempt, outcome, None);
                         }
-                        fault
+                        error
                     }
                 },
             };
-            if let Err(reply) = self.go_on(fault, &mut trace) {
-                return self.end_with(reply, trace);
+            if let Err(reply) = self.prepare_retry(error, &mut trace) {
+                return self.fail(reply, trace);
             }
         }
     }
 
-    /// What the request is known again by.
+    /// Returns the digest that identifies the request when it is sent again.
     pub(crate) fn digest(&self) -> RequestDigest {
         *self.digest.get_or_init(|| {
-            let inbound = &self.inbound;
+            let request = &self.request;
             let organisation = self.organisation.as_ref();
             RequestDigest::of(
-                inbound.method.as_str(),
-                &inbound.path,
+                request.method.as_str(),
+                &request.path,
                 organisation.map(|o| &o.id),
                 &self.body,
             )
         })
     }
 
-    /// The time left at `now`.
-    pub(crate) fn left(&self, now: BootInstant) -> Duration {
+    /// Returns the time left until the deadline.
+    pub(crate) fn time_left(&self, now: BootInstant) -> Duration {
         self.deadline.saturating_duration_since(now)
     }
 
     fn version_choice(&self, now: BootInstant) -> VersionChoice {
-        let session = self.inbound.session.as_deref();
-        let id = &self.inbound.id;
+        let session = self.request.session.as_deref();
+        let id = &self.request.id;
         self.gateway.rollouts.choose_version(&self.service, session, id, now)
     }
 
-    /// What the request asks of the choice among those not `tried`.
+    /// Builds the criteria for choosing an upstream that is not in `tried`.
     fn want<'a>(
         &self,
         version: &'a VersionChoice,
         tried: &'a [ShortHash],
     ) -> PickCriteria<'a> {
-        let takes = self.gateway.service_times.of(&self.service);
+        let service_time = self.gateway.service_times.of(&self.service);
         PickCriteria {
             rule: version.rule.clone(),
-            affinity: self.shared_prompt(),
+            affinity: self.prefix_affinity(),
             withdrawn: &version.withdrawn,
             tried,
             max_utilization: admission::utilization_limit(
                 self.route.aim,
-                takes,
+                service_time,
             ),
         }
     }
 
-    /// Whether there is an upstream for another attempt, be it the one that
-    /// was asked last.
-    pub(crate) fn can_ask_again(&self, now: BootInstant) -> bool {
+    /// Whether an upstream is available for another attempt; the one that was
+    /// asked last counts as well.
+    pub(crate) fn has_upstream_for_retry(&self, now: BootInstant) -> bool {
         let tried = self.tried.split_last().map_or(&[][..], |(_, rest)| rest);
         let version = self.version_choice(now);
         let want = self.want(&version, tried);
         self.gateway.pool.can_pick(&self.service, &want, now)
     }
 
-    /// Chooses an upstream and counts it as busy.
-    pub(crate) fn begin(
+    /// Chooses an upstream and begins an attempt at it.
+    pub(crate) fn begin_attempt(
         &mut self,
         trace: &mut Trace,
         now: BootInstant,
     ) -> Result<Attempt, Error> {
-        self.check_not_held()?;
+        self.check_not_quarantined()?;
         let version = self.version_choice(now);
         let want = self.want(&version, &self.tried);
         let picked = self.gateway.pool.pick(&self.service, &want, now);
         let member = picked.map_err(|no_member| match no_member {
             PickError::NoCandidate => Error::new(ErrorKind::NoUpstream)
-                .context(format!("no upstream of {}", self.service)),
-            PickError::Evacuated => Error::new(ErrorKind::NoUpstream)
-                .context(format!("all of {} is evacuated", self.service)),
+                .context(format!("service {} has no upstream", self.service)),
+            PickError::Evacuated => Error::new(ErrorKind::NoUpstream).context(
+                format!("all upstreams of {} are evacuated", self.service),
+            ),
             PickError::BackingOff(left) => self.all_backing_off(left),
             PickError::Cold => Error::new(ErrorKind::Overloaded)
-                .context(format!("all of {} is cold", self.service))
+                .context(format!("all upstreams of {} are cold", self.service))
                 .with_retry_after(RETRY_AFTER_COLD),
             PickError::Full => Error::new(ErrorKind::Overloaded)
-                .context(format!("{} is full", self.service))
+                .context(format!("all upstreams of {} are full", self.service))
                 .with_retry_after(admission::retry_after(
                     self.gateway.service_times.of(&self.service),
                     rand::random(),
                 )),
         })?;
         let model = self.model.clone();
-        trace.begin(&member, model.clone(), now);
+        trace.begin_attempt(&member, model.clone(), now);
         trace.note_version(&version);
         self.tried.push(member.upstream.short_hash);
-        let session = self.use_session(&member.entry.software, now);
-        let tokens = self.inbound.prompt_tokens.unwrap_or(0);
-        let read_before = member.prefill_backlog(now);
-        let read_most = member.max_prefill_backlog(now);
-        let fill_before = member.utilization(now);
-        let times = &self.gateway.read_times;
-        let expected = times.expected(model.as_ref(), tokens);
-        let reading = (tokens > 0).then(|| member.begin_prefill(expected));
-        if reading.is_some() {
-            self.gateway.pool.record_expected_prefill(expected);
+        let session = self.begin_session(&member.entry.software, now);
+        let prompt_tokens = self.request.prompt_tokens.unwrap_or(0);
+        let prefill_before = member.prefill_backlog(now);
+        let max_prefill_before = member.max_prefill_backlog(now);
+        let utilization_before = member.utilization(now);
+        let times = &self.gateway.prefill_times;
+        let expected_prefill = times.expected(model.as_ref(), prompt_tokens);
+        let prefill = (prompt_tokens > 0)
+            .then(|| member.begin_prefill(expected_prefill));
+        if prefill.is_some() {
+            self.gateway.pool.record_expected_prefill(expected_prefill);
         }
-        if reading.is_some() && expected >= TOLD_READING {
+        if prefill.is_some() && expected_prefill >= ANNOUNCED_PREFILL_TIME {
             self.gateway.early_heartbeat.wake();
         }
         Ok(Attempt {
@@ -326,21 +336,21 @@
             member,
             model,
             began_at: now,
-            read_before,
-            read_most,
-            fill_before,
-            tokens,
-            expected,
-            reading,
+            prefill_before,
+            max_prefill_before,
+            utilization_before,
+            prompt_tokens,
+            expected_prefill,
+            prefill,
         })
     }
 
-    /// The refusal while all upstreams have asked for fewer requests and none
-    /// may get one, for this time yet.
+    /// Returns the error for a service whose upstreams all back off for at
+    /// least `left`.
     fn all_backing_off(&self, left: Duration) -> Error {
         Error::new(ErrorKind::Overloaded)
             .context(format!(
-                "all of {} have asked for fewer requests",
+                "all upstreams of {} have asked for fewer requests",
                 self.service
             ))
             .with_retry_after(admission::retry_after_backoff(
@@ -349,9 +359,10 @@
             ))
     }
 
-    /// Whoever runs this request ends, and all that runs there with it; each
-    /// VM and each new try would begin at zero without this.
-    fn check_not_held(&self) -> Result<(), Error> {
+    /// Rejects a request that is known to crash upstreams: an upstream that
+    /// crashes takes all its requests along, and without this check every VM
+    /// and every retry would crash another one.
+    fn check_not_quarantined(&self) -> Result<(), Error> {
         let crashes = &self.gateway.crashes;
         if !crashes.has_quarantined() {
             return Ok(());
@@ -360,51 +371,55 @@
         if !crashes.is_quarantined(digest, self.gateway.clock.now()) {
             return Ok(());
         }
-        Err(Error::new(ErrorKind::CrashesUpstreams)
-            .context(format!("upstreams have ended under request {digest}")))
+        Err(Error::new(ErrorKind::CrashesUpstreams).context(format!(
+            "upstreams crashed while they ran request {digest}"
+        )))
     }
 
-    /// Notes that an upstream ran the request to its end.
-    pub(crate) fn note_ran_whole(&self) {
+    /// Records that an upstream ran the request to its end without a crash.
+    pub(crate) fn note_completed(&self) {
         let now = self.gateway.clock.now();
         let crashes = &self.gateway.crashes;
         let changes = crashes.record_completed(self.digest(), now);
-        self.gateway.note_crash_changes(&changes);
+        self.gateway.log_quarantine_changes(&changes);
     }
 
-    /// Notes that an attempt of the request's session goes to a version.
-    fn use_session(
+    /// Records which version an attempt of the session goes to; `None` if the
+    /// request belongs to no session.
+    fn begin_session(
         &self,
         software: &VersionId,
         now: BootInstant,
-    ) -> Option<SessionUse> {
-        let session = self.inbound.session.clone()?;
+    ) -> Option<SessionGuard> {
+        let session = self.request.session.clone()?;
         let (gateway, service) = (self.gateway.clone(), self.service.clone());
         gateway.rollouts.begin_session(&service, &session, software, now);
-        Some(SessionUse { gateway, service, session })
+        Some(SessionGuard { gateway, service, session })
     }
 
-    /// The part of the prompt that is shared with most later requests.
-    fn shared_prompt(&self) -> Option<PrefixAffinity> {
-        let parts = &self.inbound.prompt;
+    /// Returns the prefix of the prompt that later requests share, with the
+    /// queueing time that reusing its cache is worth: all segments but the
+    /// last, which is the request's own.
+    fn prefix_affinity(&self) -> Option<PrefixAffinity> {
+        let parts = &self.request.prompt;
         let (_, shared) = parts.split_last()?;
         let prefix_hash = shared.last()?.id;
         let tokens = shared.iter().map(|part| part.tokens).sum();
-        let times = &self.gateway.read_times;
+        let times = &self.gateway.prefill_times;
         let saved = times.expected(self.model.as_ref(), tokens);
         let count = u32::try_from(tokens).unwrap_or(u32::MAX);
-        let most = self.route.aim.mul_f64(KEPT_PROMPT_WAIT_PART);
-        let spared = KEPT_TOKEN_WAIT.saturating_mul(count).min(most);
+        let most = self.route.aim.mul_f64(CACHED_PROMPT_WAIT_FRACTION);
+        let spared = CACHED_TOKEN_WAIT.saturating_mul(count).min(most);
         Some(PrefixAffinity { prefix_hash, cache_miss_cost: saved + spared })
     }
 
-    fn urgency(&self) -> u8 {
+    fn priority(&self) -> u8 {
         let organisation = self.organisation.as_ref();
         let own = organisation.and_then(|o| o.priority);
         own.unwrap_or(self.route.priority).min(9)
     }
 
-    /// The call that an attempt makes.
+    /// Builds the HTTP request of an attempt.
     pub(crate) fn call(
         &self,
         attempt: &Attempt,
@@ -412,48 +427,48 @@
     ) -> Call {
         let organisation = self.organisation.as_ref();
         let head = AttemptHead {
-            time_left: self.left(self.gateway.clock.now()),
+            time_left: self.time_left(self.gateway.clock.now()),
             upstream: &attempt.member.entry.id,
             organisation: organisation.map(|o| &o.id),
             model: attempt.model.as_ref(),
             resume_after,
-            urgency: self.route.is_stream.then(|| self.urgency()),
+            priority: self.route.is_stream.then(|| self.priority()),
         };
         let mut call = Call::new(
             attempt.member.entry.address,
-            self.inbound.method.clone(),
-            self.inbound.path.clone(),
+            self.request.method.clone(),
+            self.request.path.clone(),
         );
-        call.headers = headers::write_attempt(&self.inbound, &head);
+        call.headers = headers::write_attempt(&self.request, &head);
         call.body = self.body.clone();
         call
     }
 
-    /// Sends an attempt and waits for the head of its answer.
+    /// Sends an attempt and waits at most `limit` for its response head.
     pub(crate) async fn send(
         &mut self,
         attempt: &Attempt,
         resume_after: Option<u64>,
         limit: Duration,
         trace: &mut Trace,
-    ) -> Result<(Exchange, AnswerHead), Fault> {
+    ) -> Result<(Exchange, ResponseHead), AttemptError> {
         let reuse = match self.route.repeat {
             Repeat::Any => Reuse::Pooled,
-            // On a connection of its own, a failure to connect is known to
-            // come before the first byte.
+            // On a new connection, a failure to connect is known to precede
+            // the first byte of the request.
             Repeat::Never => Reuse::Fresh,
         };
         let call = self.call(attempt, resume_after);
         let http = self.gateway.http.clone();
-        let can_try_again = self.can_try_again();
+        let can_replace_attempt = self.can_replace_attempt();
         let answered = async {
             let sent = http.send(call, reuse).await;
             sent.map_err(Some)
         };
         let silent = async {
             let (member, since) = (&attempt.member, attempt.began_at);
-            let least = can_try_again.then_some(SILENCE_LIMIT);
-            self.watch_silence(member, since, least, limit).await;
+            let max_silence = can_replace_attempt.then_some(SILENCE_TIMEOUT);
+            self.wait_for_silence(member, since, max_silence, limit).await;
             Err(None)
         };
         let sent = answered.or(silent).await;
@@ -462,36 +477,42 @@
             Err(Some(SendError::NotSent(reason))) => {
                 let member = &attempt.member;
                 self.gateway
-                    .judge_upstream(member, AttemptOutcome::Unreachable);
-                return Err(Fault::NotRun("unreachable", reason));
+                    .record_outcome(member, AttemptOutcome::Unreachable);
+                return Err(AttemptError::NotRun("unreachable", reason));
             }
             Err(Some(error)) => {
                 self.note_sent();
-                return Err(Fault::Unknown("broken", error.to_string()));
+                return Err(AttemptError::Unknown(
+                    "broken",
+                    error.to_string(),
+                ));
             }
             Err(None) => {
                 self.note_sent();
-                return Err(Fault::Unknown("silent", String::new()));
+                return Err(AttemptError::Unknown("silent", String::new()));
             }
         };
         self.sent += 1;
         let status = exchange.status;
-        let head =
-            headers::read_answer(status, &exchange.headers, &self.inbound.id);
+        let head = headers::read_response(
+            status,
+            &exchange.headers,
+            &self.request.id,
+        );
         let now = self.gateway.clock.now();
         attempt.member.record_activity(now);
-        if let Some(statement) = &head.statement {
-            trace.note_statement(statement);
+        if let Some(signals) = &head.signals {
+            trace.note_signals(signals);
             let gateway = &self.gateway;
-            gateway.hear(&attempt.member, statement, attempt.began_at);
+            gateway.apply_signals(&attempt.member, signals, attempt.began_at);
         }
-        if !head.is_ours && !head.not_run {
+        if !head.matches_request && !head.not_executed {
             self.may_have_run = true;
-            let reason = "the answer belongs to another request".to_owned();
-            return Err(Fault::Unknown("foreign", reason));
+            let reason = "response belongs to another request".to_owned();
+            return Err(AttemptError::Unknown("foreign", reason));
         }
-        if head.not_run {
-            return Err(Fault::NotRun("declined", status.to_string()));
+        if head.not_executed {
+            return Err(AttemptError::NotRun("declined", status.to_string()));
         }
         self.may_have_run = true;
         Ok((exchange, head))
@@ -502,139 +523,157 @@
         self.may_have_run = true;
     }
 
-    /// Returns when `most` has passed since `since`, or when the upstream has
-    /// given no sign of life for `least`, or for longer while it reads long
-    /// prompts. Without `least` its silence is no reason to return.
-    pub(crate) async fn watch_silence(
+    /// Waits until `limit` has passed since `since`, until the upstream has
+    /// been replaced by a later incarnation, or until it has been silent for
+    /// `max_silence`. While the upstream is busy with long prefills, the
+    /// allowed silence is longer. Without `max_silence`, silence does not end
+    /// the wait.
+    pub(crate) async fn wait_for_silence(
         &self,
         member: &Member,
         since: BootInstant,
-        least: Option<Duration>,
-        most: Duration,
+        max_silence: Option<Duration>,
+        limit: Duration,
     ) {
         let gateway = &self.gateway;
         loop {
             let now = gateway.clock.now();
             let waited = now.saturating_duration_since(since);
-            if waited >= most || member.is_superseded() {
+            if waited >= limit || member.is_superseded() {
                 return;
             }
-            let is_dead = least.is_some_and(|least| {
-                let patience = patience(member, least, now);
+            let is_dead = max_silence.is_some_and(|max_silence| {
+                let patience = patience(member, max_silence, now);
                 gateway.pool.seems_dead(member, waited, patience, now)
             });
             if is_dead {
                 return;
             }
-            task::sleep((most - waited).min(WATCH_PERIOD)).await;
+            task::sleep((limit - waited).min(SILENCE_CHECK_INTERVAL)).await;
         }
     }
 
-    async fn ask_whole(
+    async fn fetch_whole(
         &mut self,
         attempt: &Attempt,
         trace: &mut Trace,
-    ) -> Result<Reply, Fault> {
-        let takes = self.gateway.service_times.of(&self.service);
-        let line = admission::queue_wait(attempt.fill_before, takes);
-        let patience = self.route.aim.mul_f64(RETRY_AFTER_AIM) + line;
-        let limit = self.limit(attempt, patience);
+    ) -> Result<Reply, AttemptError> {
+        let service_time = self.gateway.service_times.of(&self.service);
+        let queue_wait =
+            admission::queue_wait(attempt.utilization_before, service_time);
+        let patience = self.route.aim.mul_f64(RETRY_AIM_FRACTION) + queue_wait;
+        let limit = self.attempt_timeout(attempt, patience);
         let (mut exchange, _) = self.send(attempt, None, limit, trace).await?;
         exchange.allow_end_at_close();
-        let headers = headers::answer_headers(&exchange.headers);
+        let headers = headers::response_headers(&exchange.headers);
         let now = self.gateway.clock.now();
         let waited = now.saturating_duration_since(attempt.began_at);
-        let body_limit = self.left(now);
-        let read = exchange.read_whole(ANSWER_LIMIT_BYTES);
+        let body_limit = self.time_left(now);
+        let read = exchange.read_whole(MAX_RESPONSE_BYTES);
         let answer = match task::within(body_limit, read).await {
             Some(Ok(answer)) => answer,
             Some(Err(error)) => {
-                return Err(Fault::Unknown("broken", error.to_string()));
+                return Err(AttemptError::Unknown(
+                    "broken",
+                    error.to_string(),
+                ));
+            }
+            None => {
+                return Err(AttemptError::Unknown("silent", String::new()));
             }
-            None => return Err(Fault::Unknown("silent", String::new())),
         };
-        self.note_ran_whole();
+        self.note_completed();
         let status = status_of(answer.status)?;
         let body = ReplyBody::Whole(answer.body);
         let reply = Reply { status, headers, body };
         if status.is_server_error() {
-            return Err(Fault::Failed(Box::new(reply)));
+            return Err(AttemptError::Failed(Box::new(reply)));
         }
-        trace.part();
+        trace.note_body_part();
         trace.end_attempt("answered", "");
-        self.judge(attempt, AttemptOutcome::Success, Some(waited));
+        self.record_attempt(attempt, AttemptOutcome::Success, Some(waited));
         self.learn_service_time(attempt);
         Ok(reply)
     }
 
-    /// Takes in what an attempt took that has just ended well, unless it had
-    /// to wait for a slot.
+    /// Learns the service time from an attempt that has just succeeded,
+    /// unless it had to queue for a slot.
     pub(crate) fn learn_service_time(&self, attempt: &Attempt) {
-        if attempt.fill_before < 1.0 {
+        if attempt.utilization_before < 1.0 {
             let now = self.gateway.clock.now();
             let took = now.saturating_duration_since(attempt.began_at);
             self.gateway.service_times.record(&self.service, took);
         }
     }
 
-    /// How long the head of a stream is waited for before another upstream
-    /// is asked, since an answer can get lost although its upstream is well;
-    /// where none can be asked, to the end.
-    pub(crate) fn head_limit(&self, attempt: &Attempt) -> Duration {
-        let busy = attempt.read_most + attempt.expected;
-        self.limit(attempt, HEAD_LEAST + busy.mul_f64(HEAD_FACTOR))
+    /// Returns how long to wait for the response head of a stream before
+    /// another upstream is asked, since a response can get lost although the
+    /// upstream is healthy. If no other can be asked, it is all the time left.
+    pub(crate) fn head_timeout(&self, attempt: &Attempt) -> Duration {
+        let busy = attempt.max_prefill_before + attempt.expected_prefill;
+        self.attempt_timeout(
+            attempt,
+            MIN_HEAD_TIMEOUT + busy.mul_f64(HEAD_TIMEOUT_FACTOR),
+        )
     }
 
-    /// How long an attempt's answer is waited for: with patience where another
-    /// could be made, else to the end.
-    fn limit(&self, attempt: &Attempt, patience: Duration) -> Duration {
-        let left = self.left(attempt.began_at);
-        match self.can_try_again() {
+    /// Returns how long to wait for the response of an attempt: `patience` if
+    /// another attempt could replace it, else all the time left.
+    fn attempt_timeout(
+        &self,
+        attempt: &Attempt,
+        patience: Duration,
+    ) -> Duration {
+        let left = self.time_left(attempt.began_at);
+        match self.can_replace_attempt() {
             true => patience.min(left),
             false => left,
         }
     }
 
-    /// Whether another attempt could be made if the one under way failed.
-    pub(crate) fn can_try_again(&self) -> bool {
+    /// Whether another attempt could be made if the current one failed.
+    pub(crate) fn can_replace_attempt(&self) -> bool {
         self.route.repeat == Repeat::Any
             && self.sent + 1 < self.route.attempts
-            && self.gateway.has_retry(&self.service)
+            && self.gateway.can_retry(&self.service)
             && self.has_other_upstream()
     }
 
-    /// Whether an upstream is left that was not asked and may be: without one,
-    /// a silent attempt or stream that is given up ends as a failure, where
-    /// waiting may still bring the rest.
+    /// Whether an available upstream is left that was not tried. Without one,
+    /// giving up a silent attempt or stream makes it fail, whereas waiting may
+    /// still bring the rest.
     fn has_other_upstream(&self) -> bool {
         let now = self.gateway.clock.now();
         self.gateway.pool.has_untried(&self.service, &self.tried, now)
     }
 
-    /// Whether the rest of a stream that broke off may be asked for.
+    /// Whether a broken stream may be resumed at another upstream.
     pub(crate) fn may_resume(&self, now: BootInstant) -> bool {
         self.route.repeat == Repeat::Any
             && now < self.deadline
-            && self.has_attempt()
+            && self.has_attempt_left()
             && self.has_other_upstream()
     }
 
-    /// Whether the route's attempts and the retry budget leave one more.
-    pub(crate) fn has_attempt(&self) -> bool {
+    /// Whether the attempts of the route and the retry budget leave one more.
+    pub(crate) fn has_attempt_left(&self) -> bool {
         self.sent < self.route.attempts
-            && self.gateway.has_retry(&self.service)
+            && self.gateway.can_retry(&self.service)
     }
 
-    /// Records how the attempt's upstream did.
-    pub(crate) fn judge(
+    /// Records the outcome of an attempt for the health of its upstream, for
+    /// rollouts and for the detection of crashes.
+    ///
+    /// `first_part` is the time until the first part of a good response.
+    pub(crate) fn record_attempt(
         &self,
         attempt: &Attempt,
-        verdict: AttemptOutcome,
+        outcome: AttemptOutcome,
         first_part: Option<Duration>,
     ) {
         let gateway = &self.gateway;
         let now = gateway.clock.now();
-        if verdict == AttemptOutcome::Lost {
+        if outcome == AttemptOutcome::Lost {
             crash_check::record_lost_attempt(
                 gateway,
                 &attempt.member,
@@ -642,124 +681,139 @@
                 attempt.began_at,
             );
         }
-        let says_nothing_of_version = verdict == AttemptOutcome::Failed
+        let is_isolated = outcome == AttemptOutcome::Failed
             && gateway.pool.is_isolated_failure(&attempt.member, now);
-        gateway.judge_upstream(&attempt.member, verdict);
+        gateway.record_outcome(&attempt.member, outcome);
         let ended = attempt.member.is_superseded()
-            && verdict != AttemptOutcome::Success;
-        if says_nothing_of_version || ended {
+            && outcome != AttemptOutcome::Success;
+        if is_isolated || ended {
             return;
         }
         gateway.rollouts.record_answer(
             &self.service,
             &attempt.member.entry.software,
             &self.route.name,
-            verdict,
+            outcome,
             first_part,
         );
     }
 
-    /// Decides whether another attempt is made after a fault; if not,
-    /// returns what the caller gets.
-    fn go_on(
+    /// Decides whether another attempt is made after an error; if not,
+    /// returns why the request fails.
+    fn prepare_retry(
         &mut self,
-        fault: Fault,
+        error: AttemptError,
         trace: &mut Trace,
-    ) -> Result<(), Outcome> {
-        let (is_repeatable, outcome) = match fault {
-            Fault::NotRun(label, reason) => {
+    ) -> Result<(), FinalFailure> {
+        let (is_repeatable, outcome) = match error {
+            AttemptError::NotRun(label, reason) => {
                 trace.end_attempt(label, &reason);
-                (true, Outcome::NotRun(reason))
+                (true, FinalFailure::NotRun(reason))
             }
-            Fault::Unknown(label, reason) => {
+            AttemptError::Unknown(label, reason) => {
                 trace.note_digest(self.digest());
                 trace.end_attempt(label, &reason);
-                (self.route.repeat == Repeat::Any, Outcome::Unknown(reason))
+                (
+                    self.route.repeat == Repeat::Any,
+                    FinalFailure::Unknown(reason),
+                )
             }
-            Fault::Poor(model) => {
+            AttemptError::LowConfidence(model) => {
                 trace.end_attempt("poor", "");
                 self.model = Some(model);
                 self.tried.pop();
                 return Ok(());
             }
-            Fault::Failed(reply) => {
+            AttemptError::Failed(reply) => {
                 let status = reply.status.as_u16();
                 trace.end_attempt("failed", &status.to_string());
-                (self.route.repeat == Repeat::Any, Outcome::Failed(reply))
+                (self.route.repeat == Repeat::Any, FinalFailure::Failed(reply))
             }
         };
-        // What reached no upstream is no load on them, and costs no retry.
+        // Until something reached an upstream, nothing is taken from the
+        // retry budget: it bounds the load on upstreams.
         let may_go_on = is_repeatable
             && self.sent < self.route.attempts
-            && self.tried.len() < self.route.attempts as usize + UNREACHED
+            && self.tried.len()
+                < self.route.attempts as usize + MAX_CONNECT_FAILURES
             && (self.sent == 0 || self.gateway.try_retry(&self.service));
         if may_go_on { Ok(()) } else { Err(outcome) }
     }
 
-    fn end_with(self, outcome: Outcome, trace: Trace) -> Reply {
+    fn fail(self, outcome: FinalFailure, trace: Trace) -> Reply {
         match outcome {
-            Outcome::Failed(reply) => {
-                trace.end(End::Answered(reply.status.as_u16()));
+            FinalFailure::Failed(reply) => {
+                trace.end(RequestEnd::Answered(reply.status.as_u16()));
                 *reply
             }
-            Outcome::NotRun(reason) => {
+            FinalFailure::NotRun(reason) => {
                 let now = self.gateway.clock.now();
                 match self.gateway.pool.service_backoff(&self.service, now) {
                     Some(left) => {
                         let error = self.all_backing_off(left).context(reason);
-                        self.refuse_with(trace, error)
+                        self.reject_with(trace, error)
                     }
-                    None => self.refuse(trace, ErrorKind::Overloaded, &reason),
+                    None => self.reject(trace, ErrorKind::Overloaded, &reason),
                 }
             }
-            Outcome::Unknown(reason) => {
-                self.refuse(trace, ErrorKind::UpstreamFailed, &reason)
+            FinalFailure::Unknown(reason) => {
+                self.reject(trace, ErrorKind::UpstreamFailed, &reason)
             }
         }
     }
 
-    fn refuse(self, trace: Trace, kind: ErrorKind, reason: &str) -> Reply {
+    fn reject(self, trace: Trace, kind: ErrorKind, reason: &str) -> Reply {
         let error = Error::new(kind).context(reason.to_owned());
-        self.refuse_with(trace, error)
+        self.reject_with(trace, error)
     }
 
-    /// The router's own answer; one that promises that the request did not
-    /// run is given only when that is so.
-    fn refuse_with(self, trace: Trace, error: Error) -> Reply {
-        let promises = error.kind().answer().run == crate::error::Run::NotRun;
-        let error = match promises && self.may_have_run {
+    /// Rejects the request. An error that tells the caller that the request
+    /// did not run is replaced if an upstream may have executed it.
+    fn reject_with(self, trace: Trace, error: Error) -> Reply {
+        let claims_not_run =
+            error.kind().answer().run == crate::error::Run::NotRun;
+        let error = match claims_not_run && self.may_have_run {
             true => Error::new(ErrorKind::UpstreamFailed)
                 .context(error.to_string()),
             false => error,
         };
-        refuse(&self.inbound.id, trace, &error)
+        reject(&self.request.id, trace, &error)
     }
 }
 
-/// How long an upstream may give no sign of life: longer while it reads long
-/// prompts, since nothing else comes meanwhile.
-fn patience(member: &Member, least: Duration, now: BootInstant) -> Duration {
-    let reading = member.max_prefill_backlog(now).mul_f64(READING_PART);
-    least + reading.min(READING_PATIENCE_MOST)
+/// Returns how long an upstream may stay silent: longer while it is busy with
+/// long prefills, since it sends nothing else meanwhile.
+fn patience(
+    member: &Member,
+    max_silence: Duration,
+    now: BootInstant,
+) -> Duration {
+    let prefill =
+        member.max_prefill_backlog(now).mul_f64(PREFILL_PATIENCE_FACTOR);
+    max_silence + prefill.min(MAX_PREFILL_PATIENCE)
 }
 
-/// How a request ends when no attempt brought an answer.
-enum Outcome {
+/// How a request fails when no further attempt is made.
+enum FinalFailure {
     NotRun(String),
     Unknown(String),
     Failed(Box<Reply>),
 }
 
-fn status_of(status: u16) -> Result<StatusCode, Fault> {
+fn status_of(status: u16) -> Result<StatusCode, AttemptError> {
     StatusCode::from_u16(status)
-        .map_err(|error| Fault::Unknown("broken", error.to_string()))
+        .map_err(|error| AttemptError::Unknown("broken", error.to_string()))
 }
 
-/// The router's own answer to a request.
-pub(crate) fn refuse(id: &str, trace: Trace, error: &Error) -> Reply {
+/// Ends the trace of a request and returns the error response to it.
+pub(crate) fn reject(id: &str, trace: Trace, error: &Error) -> Reply {
     let answer = error.kind().answer();
-    trace.end(End::Refused(answer.status, answer.code, error.to_string()));
-    let mut headers = headers::own_answer_headers(id);
+    trace.end(RequestEnd::Rejected(
+        answer.status,
+        answer.code,
+        error.to_string(),
+    ));
+    let mut headers = headers::local_response_headers(id);
     if let Some(wait) = error.retry_after() {
         let wait_s = format!("{:.3}", wait.as_secs_f64());
         if let Ok(value) = wait_s.parse() {
--- a/src/gateway/ingress.rs
+++ b/src/gateway/ingress.rs
@@ -1,8 +1,9 @@
-//! Callers of a VM before a platform: HTTP/1.1 in, a typed request out.
+//! The HTTP/1.1 listener for callers: reads and admits requests.
 //!
-//! `trillium`, which the other listeners use, cannot cut an answer so that it
-//! is visibly broken, nor bound heads and rests by settings that change, so
-//! this listener is built on `hyper`.
+//! `trillium`, which the other listeners use, cannot abort a response so that
+//! the caller sees that it is incomplete, nor limit request heads and idle
+//! time by settings that change at run time, so this listener is built on
+//! `hyper`.
 
 use std::{
     convert::Infallible,
@@ -31,9 +32,9 @@
     facts::route::{Organisation, RouteTable},
     gateway::{
         Gateway,
-        forward::{Job, Reply, ReplyBody, refuse},
-        inbound::{Inbound, ModelWish},
-        relay_events::{self, BrokenOff},
+        forward::{Job, Reply, ReplyBody, reject},
+        relay_events::{self, StreamAborted},
+        request_head::{RequestHead, RequestedModel},
         trace::Trace,
     },
     placing::cascade::first_model,
@@ -41,103 +42,105 @@
     task,
 };
 
-/// Added to the longest rest of a connection before it is closed, so that the
-/// caller's own bound, which is shorter, comes first.
-const REST_GRACE: Duration = Duration::from_millis(500);
+/// Added to the idle timeout before a connection is closed, so that a caller
+/// with the same timeout closes it first.
+const IDLE_GRACE: Duration = Duration::from_millis(500);
 
-/// The least read buffer that the HTTP library takes, in bytes.
-const BUFFER_LEAST_BYTES: usize = 8 << 10;
+/// Smallest read buffer that the HTTP library accepts.
+const MIN_BUFFER_BYTES: usize = 8 << 10;
 
-/// Longest time for a body to arrive once its head is here.
-const BODY_TIME: Duration = Duration::from_secs(10);
+/// Timeout for a request body, from the end of the request head.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time that a caller waits who does not say how long.
-const USUAL_TIME: Duration = Duration::from_secs(30);
+/// Timeout of a request whose caller states none.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Wait that a caller is told while this VM cannot tell what is allowed; by
-/// then the balancer sends it to another VM.
+/// `Retry-After` sent while this VM has no up-to-date configuration; by then
+/// the load balancer sends the caller to another VM.
 const RETRY_AFTER_STALE: Duration = Duration::from_millis(500);
 
 /// Time after its start for which a VM that is not ready lets callers wait
-/// although the store has failed it: that may be over at the next try, and
-/// a short request still has most of its time.
-const FIRST_KNOWLEDGE_LEAST: Duration = Duration::from_millis(300);
+/// even if the store has failed: the next attempt to read it may succeed, and
+/// a short request still has most of its time left.
+const MIN_STARTUP_WAIT: Duration = Duration::from_millis(300);
 
 /// Longest time after its start for which a VM that is not ready lets callers
-/// wait while the store has not failed it. Where hundreds of VMs start at
-/// once, everything that they have to know takes 0.4 to 0.7 s to come; a
-/// caller that is refused meanwhile finds the next VM no further, and after a
-/// second it gives up by itself.
-const FIRST_KNOWLEDGE_MOST: Duration = Duration::from_millis(800);
+/// wait while the store has not failed. If hundreds of VMs start at once, they
+/// need 0.4 to 0.7 s to load their state. A caller that is rejected meanwhile
+/// finds the next VM in the same state, and after a second it gives up.
+const MAX_STARTUP_WAIT: Duration = Duration::from_millis(800);
 
-/// Time between two looks at whether a VM that starts is ready.
-const FIRST_KNOWLEDGE_LOOK: Duration = Duration::from_millis(5);
+/// Interval between two checks whether a VM that starts is ready.
+const STARTUP_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-type AnswerBody = UnsyncBoxBody<Bytes, BrokenOff>;
+type AnswerBody = UnsyncBoxBody<Bytes, StreamAborted>;
 
-/// Accepts callers until told to stop.
+/// Accepts connections of callers for as long as it is polled.
 ///
-/// Connections are closed after their answer once `closing` is closed.
+/// Once `closing` is closed, each connection is closed after the response
+/// under way.
 pub(crate) async fn serve(
     gateway: Arc<Gateway>,
     listener: TcpListener,
     closing: Receiver<()>,
 ) {
-    wait_for_knowledge(&gateway).await;
+    wait_until_ready(&gateway).await;
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let gateway = gateway.clone();
                 let closing = closing.clone();
-                task::spawn(converse(gateway, stream, closing)).detach();
+                task::spawn(serve_connection(gateway, stream, closing))
+                    .detach();
             }
-            // Out of file descriptors, say; others must be closed first.
+            // For example out of file descriptors: wait until some are closed.
             Err(_) => task::sleep(Duration::from_millis(20)).await,
         }
     }
 }
 
-/// Lets the first callers wait a moment for what a VM that starts learns.
-async fn wait_for_knowledge(gateway: &Gateway) {
+/// Delays the first connections until the VM is ready, within the limits
+/// above.
+async fn wait_until_ready(gateway: &Gateway) {
     let began_at = gateway.clock.now();
     while !gateway.is_ready() {
         let waited = gateway.clock.now().saturating_duration_since(began_at);
         let limit = match gateway.has_store_failed() {
-            true => FIRST_KNOWLEDGE_LEAST,
-            false => FIRST_KNOWLEDGE_MOST,
+            true => MIN_STARTUP_WAIT,
+            false => MAX_STARTUP_WAIT,
         };
         if waited >= limit {
-            // From now on each request is told whether it can be served.
+            // From now on, each request is answered by the current state.
             return;
         }
-        task::sleep(FIRST_KNOWLEDGE_LOOK).await;
+        task::sleep(STARTUP_CHECK_INTERVAL).await;
     }
 }
 
-/// Serves one connection to its end.
-async fn converse(
+/// Serves one connection until it is closed.
+async fn serve_connection(
     gateway: Arc<Gateway>,
     stream: TcpStream,
     closing: Receiver<()>,
 ) {
-    // Without it, small events wait for each other; it cannot fail on an
-    // open connection.
+    // Nagle's algorithm would delay small events. This cannot fail on an open
+    // connection.
     let _ = stream.set_nodelay(true);
     let limits = gateway.knowledge.table().unwrap_or_default().limits();
     let service = service_fn(|request| {
         let gateway = gateway.clone();
-        async move { Ok::<_, Infallible>(answer(gateway, request).await) }
+        async move { Ok::<_, Infallible>(handle(gateway, request).await) }
     });
     let connection = http1::Builder::new()
         .timer(SmolTimer::new())
-        .header_read_timeout(limits.idle_time + REST_GRACE)
-        .max_buf_size(limits.head_bytes.max(BUFFER_LEAST_BYTES))
+        .header_read_timeout(limits.idle_time + IDLE_GRACE)
+        .max_buf_size(limits.head_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(FuturesIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let ended = future::or(
         async {
-            // What a caller does wrong is answered by the library, and one
-            // that is gone needs no answer.
+            // The library answers malformed requests itself, and a caller
+            // that has closed the connection needs no response.
             let _ = connection.as_mut().await;
             true
         },
@@ -153,50 +156,51 @@
     }
 }
 
-async fn answer(
+async fn handle(
     gateway: Arc<Gateway>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
-    // By the standard, a connection is not used again after a request that
-    // states both a length and chunks; the library hides whether one did.
+    // By RFC 9112, a connection must be closed after a request with both
+    // `Content-Length` and `Transfer-Encoding`. The library hides the former,
+    // so every connection is closed after a chunked request.
     let is_chunked = request.headers().contains_key(TRANSFER_ENCODING);
     let _in_flight = gateway.in_flight.enter();
-    let (reply, must_close) = match read(&gateway, request).await {
+    let (reply, must_close) = match read_request(&gateway, request).await {
         Ok((job, trace)) => (job.run(trace).await, false),
-        Err(refusal) => *refusal,
+        Err(rejection) => *rejection,
     };
-    let closes = is_chunked || must_close || gateway.is_stopping();
-    write(&gateway, reply, closes)
+    let must_close_after = is_chunked || must_close || gateway.is_stopping();
+    into_response(&gateway, reply, must_close_after)
 }
 
-/// A refusal, and whether the connection is closed after it.
-type Refusal = Box<(Reply, bool)>;
+/// An error response, and whether the connection is closed after it.
+type Rejection = Box<(Reply, bool)>;
 
-/// Reads a request and admits it.
-async fn read(
+/// Reads a request and admits it, or returns the response that rejects it.
+async fn read_request(
     gateway: &Arc<Gateway>,
     request: Request<Incoming>,
-) -> Result<(Job, Trace), Refusal> {
+) -> Result<(Job, Trace), Rejection> {
     let started_at = gateway.clock.now();
     let (head, body) = request.into_parts();
     let trace = |id: &str| {
         let clock = gateway.clock.clone();
         Trace::new(id, clock, gateway.metrics.clone())
     };
-    let inbound = match headers::read_request(&head) {
-        Ok(inbound) => inbound,
+    let request = match headers::read_request(&head) {
+        Ok(request) => request,
         Err(error) => {
-            let reply = refuse("", trace(""), &error);
+            let reply = reject("", trace(""), &error);
             return Err(Box::new((reply, true)));
         }
     };
-    let mut trace = trace(&inbound.id);
-    trace.of(&inbound);
-    let admitted = match admit(gateway, &inbound, &mut trace) {
+    let mut trace = trace(&request.id);
+    trace.note_request(&request);
+    let admitted = match admit(gateway, &request, &mut trace) {
         Ok(admitted) => admitted,
         Err(error) => {
             let has_body = !body.is_end_stream();
-            let reply = refuse(&inbound.id, trace, &error);
+            let reply = reject(&request.id, trace, &error);
             return Err(Box::new((reply, has_body)));
         }
     };
@@ -204,14 +208,15 @@
     let body = match read_body(body, limit).await {
         Ok(body) => body,
         Err(error) => {
-            let reply = refuse(&inbound.id, trace, &error);
+            let reply = reject(&request.id, trace, &error);
             return Err(Box::new((reply, true)));
         }
     };
     let route = admitted.route;
-    let time = inbound.time_left.unwrap_or(USUAL_TIME).min(route.time_limit);
-    let model = match inbound.model {
-        Some(ModelWish::Any) => first_model(&route),
+    let time =
+        request.time_left.unwrap_or(DEFAULT_TIMEOUT).min(route.time_limit);
+    let model = match request.model {
+        Some(RequestedModel::Any) => first_model(&route),
         _ => None,
     };
     let job = Job {
@@ -219,7 +224,7 @@
         service: route.target(rand::random()).clone(),
         route,
         organisation: admitted.organisation,
-        inbound,
+        request,
         body,
         deadline: started_at + time,
         started_at,
@@ -232,16 +237,17 @@
     Ok((job, trace))
 }
 
+/// What admission has found out about a request.
 struct Admitted {
     table: Arc<RouteTable>,
     route: Arc<crate::facts::route::Route>,
     organisation: Option<Organisation>,
 }
 
-/// Decides whether a request may run at all.
+/// Decides by configuration, route and key whether a request may run.
 fn admit(
     gateway: &Gateway,
-    inbound: &Inbound,
+    request: &RequestHead,
     trace: &mut Trace,
 ) -> Result<Admitted, Error> {
     let now = gateway.clock.now();
@@ -251,41 +257,41 @@
             .with_retry_after(RETRY_AFTER_STALE)
     };
     let Some(table) = gateway.knowledge.table() else {
-        return Err(stale("no configuration is known yet"));
+        return Err(stale("no configuration has been read yet"));
     };
     let age = gateway.knowledge.proof_age(now);
-    trace.judged_by(table.version(), age);
+    trace.note_configuration(table.version(), age);
     if !gateway.may_accept_keys(now) {
-        return Err(stale("the configuration known may be out of date"));
+        return Err(stale("the configuration may be out of date"));
     }
-    let route = table.route(&inbound.host, inbound.path_only());
+    let route = table.route(&request.host, request.path_only());
     let Some(route) = route.cloned() else {
         return Err(Error::new(ErrorKind::NotFound)
             .context("no route has this host and path"));
     };
-    trace.on_route(route.clone());
+    trace.note_route(route.clone());
     let organisation = match table.has_keys() && !route.is_public {
         false => None,
-        true => Some(read_key(&table, inbound)?),
+        true => Some(check_key(&table, request)?),
     };
     if let Some(organisation) = &organisation {
-        trace.asked_by(organisation.id.clone());
+        trace.note_organisation(organisation.id.clone());
     }
     Ok(Admitted { table, route, organisation })
 }
 
-fn read_key(
+fn check_key(
     table: &RouteTable,
-    inbound: &Inbound,
+    request: &RequestHead,
 ) -> Result<Organisation, Error> {
-    let refused = |reason: &str| {
+    let unauthorized = |reason: &str| {
         Error::new(ErrorKind::Unauthorized).context(reason.to_owned())
     };
-    let Some(key) = &inbound.key else {
-        return Err(refused("the request has no key"));
+    let Some(key) = &request.key else {
+        return Err(unauthorized("the request has no key"));
     };
     let organisation = table.organisation(key);
-    organisation.cloned().ok_or_else(|| refused("nobody holds this key"))
+    organisation.cloned().ok_or_else(|| unauthorized("the key is unknown"))
 }
 
 async fn read_body(
@@ -300,14 +306,15 @@
     if stated > limit_bytes as u64 {
         return Err(too_large());
     }
-    let broken = |reason: String| {
+    let incomplete = |reason: String| {
         Error::new(ErrorKind::InvalidInput)
-            .context(format!("the body is not whole: {reason}"))
+            .context(format!("the body is incomplete: {reason}"))
     };
     let work = async {
         let mut whole = BytesMut::with_capacity(stated as usize);
         while let Some(frame) = body.frame().await {
-            let frame = frame.map_err(|error| broken(error.to_string()))?;
+            let frame =
+                frame.map_err(|error| incomplete(error.to_string()))?;
             let Ok(data) = frame.into_data() else { continue };
             if whole.len() + data.len() > limit_bytes {
                 return Err(too_large());
@@ -316,29 +323,29 @@
         }
         Ok(whole.freeze())
     };
-    let read = task::within(BODY_TIME, work).await;
-    read.unwrap_or_else(|| Err(broken("it took too long".to_owned())))
+    let read = task::within(BODY_TIMEOUT, work).await;
+    read.unwrap_or_else(|| Err(incomplete("timed out".to_owned())))
 }
 
-fn write(
+fn into_response(
     gateway: &Arc<Gateway>,
     reply: Reply,
-    closes: bool,
+    must_close_after: bool,
 ) -> Response<AnswerBody> {
     let body = match reply.body {
         ReplyBody::Whole(bytes) => Full::new(bytes)
             .map_err(|never: Infallible| match never {})
             .boxed_unsync(),
         ReplyBody::Events(relay) => {
-            let held = gateway.in_flight.enter();
-            let events = relay_events::into_body(relay, held);
+            let guard = gateway.in_flight.enter();
+            let events = relay_events::into_body(relay, guard);
             BodyExt::boxed_unsync(StreamBody::new(events))
         }
     };
     let mut response = Response::new(body);
     *response.status_mut() = reply.status;
     *response.headers_mut() = reply.headers;
-    if closes {
+    if must_close_after {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
--- /dev/null
+++ b/src/gateway/store_watch.rs
@@ -0,0 +1,334 @@
+//! Follows the platform's store: reads all of it once, then watches it for
+//! changes.
+//!
+//! A watch is a long poll that returns the changes since a version of the
+//! store. Each answer also proves that the state of this VM was current when
+//! the store was asked; the age of this proof decides whether keys may be
+//! accepted.
+
+use std::{sync::Arc, time::Duration};
+
+use serde_json::json;
+
+use crate::{
+    chains::store::{Backoff, StoreError},
+    clock::BootInstant,
+    event::Event,
+    facts::{mesh, peers::WatchRole},
+    gateway::{Gateway, fields},
+    platform::{
+        document::{self, ALL_KEYS},
+        store::{Consistency, StoreItems, WatchOutcome},
+    },
+    task,
+};
+
+/// First wait after a call to the store failed.
+const MIN_RETRY_WAIT: Duration = Duration::from_millis(100);
+
+/// Longest wait between two tries. A store that is back is found well within
+/// the time in which a new configuration must take effect.
+const MAX_RETRY_WAIT: Duration = Duration::from_millis(600);
+
+/// Factor on that wait for a VM that is not among the first of its data hall:
+/// those tell the others when the store is back, and each call has its price.
+/// Computed from these limits, 283 such VMs make 79 calls a second to a store
+/// that does not respond with a factor of 4, and 39 with 10.
+const RETRY_FACTOR_STANDBY: f64 = 10.0;
+
+/// Pause between two watches. Records of upstreams often change together and
+/// each call has its price, so the changes during the pause are batched.
+const WATCH_PAUSE: Duration = Duration::from_millis(200);
+
+/// The same pause for a VM that watches in case the first watcher is lost.
+/// While upstreams come and go, twelve watchers made 50 calls a second where
+/// six of them would do.
+const WATCH_PAUSE_STANDBY: Duration = Duration::from_millis(1000);
+
+/// Interval between two checks of whether this VM has to watch.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Age of the proof of freshness from which a VM renews it, as a fraction of
+/// the time after which a revoked key must be rejected. The first VM to renew
+/// it tells the others, so one call serves all.
+const REVALIDATE_FRACTION: f64 = 0.2;
+
+/// The same fraction for a VM that is not the first of its data hall: the
+/// first one renews the proof for all, and the others only if it does not.
+const REVALIDATE_FRACTION_STANDBY: f64 = 0.46;
+
+/// Largest random addition to either fraction, so that VMs rarely ask at the
+/// same time.
+const REVALIDATE_JITTER: f64 = 0.1;
+
+/// First and longest wait after the proof could not be renewed.
+const MIN_REVALIDATE_WAIT: Duration = Duration::from_millis(300);
+const MAX_REVALIDATE_WAIT: Duration = Duration::from_millis(900);
+
+/// Follows the store for as long as it is polled.
+pub(crate) async fn run(gateway: Arc<Gateway>) {
+    let mut follower = StoreFollower::new(gateway);
+    loop {
+        follower.read_all().await;
+        follower.watch().await;
+    }
+}
+
+/// Reads and watches the store, and tracks whether it responds.
+struct StoreFollower {
+    gateway: Arc<Gateway>,
+    backoff: Backoff,
+    is_store_lost: bool,
+}
+
+impl StoreFollower {
+    fn new(gateway: Arc<Gateway>) -> StoreFollower {
+        let backoff = Backoff::new(MIN_RETRY_WAIT, MAX_RETRY_WAIT);
+        StoreFollower { gateway, backoff, is_store_lost: false }
+    }
+
+    /// Reads the whole store, and retries until that succeeds.
+    ///
+    /// At the first read, everything but the configuration may be slightly
+    /// stale: the watch that follows brings what has changed since.
+    async fn read_all(&mut self) {
+        if self.gateway.knowledge.is_empty() && self.load_from_hall().await {
+            return self.note_success();
+        }
+        let consistency = match self.gateway.knowledge.is_empty() {
+            true => Consistency::Stale,
+            false => Consistency::Linearizable,
+        };
+        loop {
+            match self.try_read_all(consistency).await {
+                Ok(()) => return self.note_success(),
+                Err(error) => self.note_failure(&error).await,
+            }
+        }
+    }
+
+    /// Loads everything from a VM of the data hall that reads the store for
+    /// the others; returns whether that succeeded.
+    async fn load_from_hall(&self) -> bool {
+        let gateway = &self.gateway;
+        let prefix = document::hall_prefix(&gateway.settings.data_hall);
+        let recorded =
+            gateway.store.read_all(&prefix, Consistency::Stale).await;
+        // If the store does not respond, the full read that follows retries.
+        let Ok(recorded) = recorded else { return false };
+        for item in recorded.items {
+            gateway.apply_news(gateway.knowledge.take_item(item));
+        }
+        let readers = gateway.peers.readers();
+        mesh::take_from_either(gateway, &readers).await
+    }
+
+    async fn try_read_all(
+        &self,
+        consistency: Consistency,
+    ) -> Result<(), StoreError> {
+        let gateway = &self.gateway;
+        let asked_at = gateway.clock.now();
+        let all = gateway.store.read_all(ALL_KEYS, consistency).await?;
+        let news = gateway.knowledge.take_all(all);
+        gateway.apply_news(news);
+        match consistency {
+            Consistency::Linearizable => {
+                gateway.knowledge.prove(asked_at);
+                gateway.peers.note_looked(asked_at);
+            }
+            // Before the operators' first configuration there is nothing to
+            // prove, and all VMs of a new fleet are in that state.
+            Consistency::Stale if gateway.knowledge.is_empty() => {
+                gateway.peers.note_looked(asked_at);
+            }
+            Consistency::Stale => {
+                // If the history is lost, the watch finds that out as well.
+                revalidate(gateway).await?;
+            }
+        }
+        Ok(())
+    }
+
+    /// Applies changes until the store has lost the history of some of them.
+    async fn watch(&mut self) {
+        loop {
+            let gateway = &self.gateway;
+            let role = gateway.watch_role();
+            if role == WatchRole::Rest {
+                task::sleep(ROLE_CHECK_INTERVAL).await;
+                continue;
+            }
+            if role == WatchRole::Look || self.is_store_lost {
+                // A short call finds out sooner than a watch that the store
+                // is back, and renews the proof of freshness at once.
+                match revalidate(gateway).await {
+                    Ok(Revalidated::Everything) => self.note_success(),
+                    Ok(Revalidated::ConfigurationOnly) => {
+                        gateway.note_store_failure();
+                        return;
+                    }
+                    Err(error) => self.note_failure(&error).await,
+                }
+                continue;
+            }
+            let asked_at = gateway.clock.now();
+            let since = gateway.knowledge.as_of();
+            let wait = gateway.settings.watch_timeout;
+            match gateway.store.watch(ALL_KEYS, since, wait).await {
+                Ok(WatchOutcome::Changes(changes)) => {
+                    let digest = gateway.knowledge.digest();
+                    // Changes that the first watcher has already sent to all
+                    // VMs are not sent again.
+                    if gateway.knowledge.lacks_any(&changes) {
+                        mesh::tell_news(gateway, digest, &changes);
+                    }
+                    apply_changes(gateway, changes, asked_at);
+                    self.note_success();
+                    task::sleep(watch_pause(&self.gateway)).await;
+                }
+                Ok(WatchOutcome::HistoryLost) => {
+                    gateway.note_store_failure();
+                    return;
+                }
+                Err(error) => self.note_failure(&error).await,
+            }
+        }
+    }
+
+    fn note_success(&mut self) {
+        self.backoff.reset();
+        self.gateway.peers.note_watch(None);
+        if std::mem::take(&mut self.is_store_lost) {
+            Event::StoreBack.record(fields(json!({})));
+        }
+    }
+
+    async fn note_failure(&mut self, error: &StoreError) {
+        self.gateway.note_store_failure();
+        self.gateway.peers.note_watch(Some(self.gateway.clock.now()));
+        if !std::mem::replace(&mut self.is_store_lost, true) {
+            let reason = error.to_string();
+            Event::StoreLost.record(fields(json!({ "reason": reason })));
+        }
+        wait_to_retry(&self.gateway, &mut self.backoff).await;
+    }
+}
+
+/// Returns the pause before the next watch.
+fn watch_pause(gateway: &Gateway) -> Duration {
+    match gateway.peers.is_first_watcher(gateway.clock.now()) {
+        true => WATCH_PAUSE,
+        false => WATCH_PAUSE_STANDBY,
+    }
+}
+
+/// Waits before the next call to a store that did not respond. The wait gets
+/// shorter if this VM becomes one of the first of its hall meanwhile, because
+/// others there are lost.
+async fn wait_to_retry(gateway: &Gateway, backoff: &mut Backoff) {
+    let began_at = gateway.clock.now();
+    let wait = backoff.wait();
+    loop {
+        let now = gateway.clock.now();
+        let limit = match gateway.peers.is_forward(now) {
+            true => wait,
+            false => wait.mul_f64(RETRY_FACTOR_STANDBY),
+        };
+        let waited = now.saturating_duration_since(began_at);
+        if waited >= limit {
+            return;
+        }
+        task::sleep((limit - waited).min(ROLE_CHECK_INTERVAL)).await;
+    }
+}
+
+/// Renews the proof of freshness for as long as it is polled.
+///
+/// A watch renews it only when it ends; meanwhile a watch that returns at once
+/// does.
+pub(crate) async fn revalidate_loop(gateway: Arc<Gateway>) {
+    let mut backoff = Backoff::new(MIN_REVALIDATE_WAIT, MAX_REVALIDATE_WAIT);
+    loop {
+        let now = gateway.clock.now();
+        let least = match gateway.peers.is_first_of_hall(now) {
+            true => REVALIDATE_FRACTION,
+            false => REVALIDATE_FRACTION_STANDBY,
+        };
+        let part = least + REVALIDATE_JITTER * rand::random::<f64>();
+        let patience = gateway.settings.key_revocation_limit.mul_f64(part);
+        let age = gateway.knowledge.proof_age(now);
+        match age {
+            // The first read of the whole store brings the first proof.
+            None => task::sleep(patience).await,
+            Some(age) if age < patience => task::sleep(patience - age).await,
+            // The store follower already checks whether the store is back.
+            Some(_) if !gateway.peers.can_watch(now) => {
+                task::sleep(ROLE_CHECK_INTERVAL).await;
+            }
+            Some(_) if revalidate(&gateway).await.is_ok() => backoff.reset(),
+            Some(_) => {
+                // The watch logs that the store is lost.
+                gateway.note_store_failure();
+                wait_to_retry(&gateway, &mut backoff).await;
+            }
+        }
+    }
+}
+
+/// What a call has shown to be current.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Revalidated {
+    /// The whole state.
+    Everything,
+    /// The configuration alone: the store has lost the history of the rest.
+    ConfigurationOnly,
+}
+
+/// Applies all changes since the last ones, so that the state is current.
+///
+/// The answer holds only the changes. To read a configuration of a thousand
+/// routes instead took a VM with an eighth of a core and 20 Mbit/s a quarter
+/// of a second at each renewal, and as long again at its start.
+async fn revalidate(gateway: &Gateway) -> Result<Revalidated, StoreError> {
+    let asked_at = gateway.clock.now();
+    let since = gateway.knowledge.as_of();
+    let store = &gateway.store;
+    match store.watch(ALL_KEYS, since, Duration::ZERO).await? {
+        WatchOutcome::Changes(changes) => {
+            apply_changes(gateway, changes, asked_at);
+            gateway.peers.note_looked(asked_at);
+            Ok(Revalidated::Everything)
+        }
+        WatchOutcome::HistoryLost => {
+            revalidate_by_reading(gateway).await?;
+            Ok(Revalidated::ConfigurationOnly)
+        }
+    }
+}
+
+/// Applies all changes since the last ones; the state is then current as of
+/// `asked_at`.
+fn apply_changes(
+    gateway: &Gateway,
+    changes: StoreItems,
+    asked_at: BootInstant,
+) {
+    let news = gateway.knowledge.take_changes(changes);
+    gateway.apply_news(news);
+    gateway.knowledge.prove(asked_at);
+}
+
+/// Reads the configuration, which is then current.
+async fn revalidate_by_reading(gateway: &Gateway) -> Result<(), StoreError> {
+    let asked_at = gateway.clock.now();
+    match gateway.store.read(document::CONFIGURATION_KEY).await? {
+        Some(item) => {
+            let news = gateway.knowledge.take_item(item);
+            gateway.apply_news(news);
+            gateway.knowledge.prove(asked_at);
+        }
+        None => task::sleep(MAX_RETRY_WAIT).await,
+    }
+    Ok(())
+}
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -1,7 +1,7 @@
-//! The record of one request: what decided it, and how it ended.
+//! The trace of one request: what decided its route, its attempts and its end.
 //!
-//! A trace writes one line when its request ends, with every attempt. If it
-//! is dropped before, the caller has left, and the line says so.
+//! A trace writes one log line when its request ends. If it is dropped before,
+//! the caller has closed the connection, and the line says so.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,7 +12,7 @@
     crashes::digest::RequestDigest,
     event::Event,
     facts::route::{Route, TableVersion},
-    gateway::inbound::Inbound,
+    gateway::request_head::RequestHead,
     id::{ModelId, OrganisationId},
     metrics::{Metrics, OTHER},
     placing::{
@@ -25,12 +25,12 @@
     unit::Percent,
 };
 
-/// One attempt at an upstream.
+/// The trace of one attempt at an upstream.
 #[derive(Debug)]
 struct AttemptTrace {
     upstream: String,
     software: String,
-    /// The version that was wanted during a roll-out, and why.
+    /// The version preferred during a rollout, `old` or `new`, and why.
     version: Option<(&'static str, ChoiceReason)>,
     model: Option<ModelId>,
     requests_there: u32,
@@ -38,30 +38,30 @@
     began_ms: u64,
     ended_ms: Option<u64>,
     end: String,
-    /// Whether the upstream said that it is leaving.
-    says_leaving: bool,
-    /// The rest that the upstream asked for.
-    rest_wanted: Option<RetryAfter>,
-    /// The rate limit that the upstream named.
+    /// Whether the upstream reported that it is leaving.
+    is_leaving: bool,
+    /// The `Retry-After` of the upstream.
+    retry_after: Option<RetryAfter>,
+    /// The rate limit that the upstream reported.
     rate_limit: Option<RateLimit>,
     confidence: Option<u8>,
-    kept: Option<NoEscalation>,
+    no_escalation: Option<NoEscalation>,
 }
 
 /// How a request ended.
 #[derive(Clone, Debug)]
-pub(crate) enum End {
-    /// With an upstream's answer, of this status.
+pub(crate) enum RequestEnd {
+    /// With the response of an upstream, of this status.
     Answered(u16),
-    /// With an answer of the router, of this status and code.
-    Refused(u16, &'static str, String),
-    /// Its answer broke off.
-    Broken(String),
-    /// Its caller left.
-    Left,
+    /// With a response of the router: status, error code and reason.
+    Rejected(u16, &'static str, String),
+    /// Its response was aborted, for this reason.
+    Aborted(String),
+    /// Its caller closed the connection.
+    CallerLeft,
 }
 
-/// The record of one request.
+/// Collects the trace of one request and logs it at its end.
 pub(crate) struct Trace {
     clock: SharedClock,
     metrics: Arc<Metrics>,
@@ -78,11 +78,11 @@
     last_part_ms: Option<u64>,
     longest_pause_ms: u64,
     attempts: Vec<AttemptTrace>,
-    is_ended: bool,
+    is_written: bool,
 }
 
 impl Trace {
-    /// Begins the record of the request with this id.
+    /// Begins the trace of the request with this id.
     pub(crate) fn new(
         id: &str,
         clock: SharedClock,
@@ -104,12 +104,13 @@
             last_part_ms: None,
             longest_pause_ms: 0,
             attempts: Vec::new(),
-            is_ended: false,
+            is_written: false,
         }
     }
 
-    /// Notes by which configuration it is judged.
-    pub(crate) fn judged_by(
+    /// Records the configuration in force and the age of its proof of
+    /// freshness.
+    pub(crate) fn note_configuration(
         &mut self,
         table: TableVersion,
         proof_age: Option<Duration>,
@@ -118,29 +119,29 @@
         self.proof_age = proof_age;
     }
 
-    /// Notes its route.
-    pub(crate) fn on_route(&mut self, route: Arc<Route>) {
+    /// Records the route of the request.
+    pub(crate) fn note_route(&mut self, route: Arc<Route>) {
         self.route = Some(route);
     }
 
-    /// Notes what its head says.
-    pub(crate) fn of(&mut self, inbound: &Inbound) {
-        self.prompt_tokens = inbound.prompt_tokens;
-        self.session.clone_from(&inbound.session);
+    /// Records the prompt length and the session from the request head.
+    pub(crate) fn note_request(&mut self, request: &RequestHead) {
+        self.prompt_tokens = request.prompt_tokens;
+        self.session.clone_from(&request.session);
     }
 
-    /// Notes what the request is known again by.
+    /// Records the digest that identifies the request when it is sent again.
     pub(crate) fn note_digest(&mut self, digest: RequestDigest) {
         self.digest = Some(digest);
     }
 
-    /// Notes who is asking.
-    pub(crate) fn asked_by(&mut self, organisation: OrganisationId) {
+    /// Records the organisation of the caller.
+    pub(crate) fn note_organisation(&mut self, organisation: OrganisationId) {
         self.organisation = Some(organisation);
     }
 
-    /// Notes that an attempt begins.
-    pub(crate) fn begin(
+    /// Records that an attempt begins.
+    pub(crate) fn begin_attempt(
         &mut self,
         member: &Member,
         model: Option<ModelId>,
@@ -153,18 +154,18 @@
             model,
             requests_there: member.requests(now),
             reading_there_ms: member.prefill_backlog(now).as_millis() as u64,
-            began_ms: self.passed_ms(),
+            began_ms: self.elapsed_ms(),
             ended_ms: None,
             end: "running".to_owned(),
-            says_leaving: false,
-            rest_wanted: None,
+            is_leaving: false,
+            retry_after: None,
             rate_limit: None,
             confidence: None,
-            kept: None,
+            no_escalation: None,
         });
     }
 
-    /// Notes which version the last attempt was to go to during a roll-out.
+    /// Records which version the last attempt preferred during a rollout.
     pub(crate) fn note_version(&mut self, choice: &VersionChoice) {
         let wanted = match choice.rule {
             VersionRule::Any => return,
@@ -176,34 +177,34 @@
         }
     }
 
-    /// Notes what the upstream says of itself in its answer.
-    pub(crate) fn note_statement(&mut self, statement: &UpstreamSignals) {
+    /// Records what the upstream reported about itself in its response.
+    pub(crate) fn note_signals(&mut self, signals: &UpstreamSignals) {
         if let Some(last) = self.attempts.last_mut() {
-            last.says_leaving = statement.is_leaving;
-            last.rest_wanted.clone_from(&statement.retry_after);
-            last.rate_limit.clone_from(&statement.rate_limit);
+            last.is_leaving = signals.is_leaving;
+            last.retry_after.clone_from(&signals.retry_after);
+            last.rate_limit.clone_from(&signals.rate_limit);
         }
     }
 
-    /// Notes what the model thinks of its answer, and why it is passed on if
-    /// it is.
+    /// Records the confidence of the model in its answer and, unless a larger
+    /// model is asked, why the answer is kept.
     pub(crate) fn note_confidence(
         &mut self,
         confidence: Percent,
-        kept: Option<NoEscalation>,
+        no_escalation: Option<NoEscalation>,
     ) {
         if let Some(last) = self.attempts.last_mut() {
             last.confidence = Some(confidence.value());
-            last.kept = kept;
+            last.no_escalation = no_escalation;
         }
     }
 
-    /// Notes how the last attempt ended.
+    /// Records how the last attempt ended, and counts it by `label`.
     pub(crate) fn end_attempt(&mut self, label: &str, detail: &str) {
-        let passed_ms = self.passed_ms();
+        let elapsed_ms = self.elapsed_ms();
         self.metrics.attempts.with_label_values(&[label]).inc();
         if let Some(last) = self.attempts.last_mut() {
-            last.ended_ms = Some(passed_ms);
+            last.ended_ms = Some(elapsed_ms);
             last.end = match detail.is_empty() {
                 true => label.to_owned(),
                 false => format!("{label}: {detail}"),
@@ -211,30 +212,30 @@
         }
     }
 
-    /// Notes that a part of the answer goes out.
-    pub(crate) fn part(&mut self) {
-        let passed_ms = self.passed_ms();
-        self.first_part_ms.get_or_insert(passed_ms);
+    /// Records that a part of the response is sent to the caller.
+    pub(crate) fn note_body_part(&mut self) {
+        let elapsed_ms = self.elapsed_ms();
+        self.first_part_ms.get_or_insert(elapsed_ms);
         if let Some(last_part_ms) = self.last_part_ms {
-            let pause_ms = passed_ms - last_part_ms;
+            let pause_ms = elapsed_ms - last_part_ms;
             self.longest_pause_ms = self.longest_pause_ms.max(pause_ms);
         }
-        self.last_part_ms = Some(passed_ms);
+        self.last_part_ms = Some(elapsed_ms);
     }
 
-    /// Ends the record.
-    pub(crate) fn end(mut self, end: End) {
+    /// Ends the trace and logs it.
+    pub(crate) fn end(mut self, end: RequestEnd) {
         self.write(end);
     }
 
-    fn passed_ms(&self) -> u64 {
+    fn elapsed_ms(&self) -> u64 {
         let now = self.clock.now();
         now.saturating_duration_since(self.started_at).as_millis() as u64
     }
 
-    fn write(&mut self, end: End) {
-        self.is_ended = true;
-        self.count(&end);
+    fn write(&mut self, end: RequestEnd) {
+        self.is_written = true;
+        self.update_metrics(&end);
         let mut fields = Map::new();
         fields.insert("id".into(), self.id.as_str().into());
         let mut put = |name: &str, value: Value| {
@@ -252,38 +253,38 @@
         put("session", json!(self.session));
         let digest = self.digest.map(|digest| digest.to_string());
         put("request_digest", json!(digest));
-        put("passed_ms", json!(self.passed_ms()));
+        put("passed_ms", json!(self.elapsed_ms()));
         put("first_part_ms", json!(self.first_part_ms));
         let pause_ms = Some(self.longest_pause_ms).filter(|ms| *ms > 0);
         put("longest_pause_ms", json!(pause_ms));
         let attempts = self.attempts.iter().map(AttemptTrace::to_json);
         put("attempts", attempts.collect());
         match &end {
-            End::Answered(status) => put("status", json!(status)),
-            End::Refused(status, code, reason) => {
+            RequestEnd::Answered(status) => put("status", json!(status)),
+            RequestEnd::Rejected(status, code, reason) => {
                 put("status", json!(status));
                 put("code", json!(code));
                 put("reason", json!(reason));
             }
-            End::Broken(reason) => {
+            RequestEnd::Aborted(reason) => {
                 put("code", json!("broken_off"));
                 put("reason", json!(reason));
             }
-            End::Left => put("code", json!("caller_left")),
+            RequestEnd::CallerLeft => put("code", json!("caller_left")),
         }
         let event = match end {
-            End::Answered(_) => Event::RequestEnded,
+            RequestEnd::Answered(_) => Event::RequestEnded,
             _ => Event::RequestFailed,
         };
         event.record(fields);
     }
 
-    fn count(&self, end: &End) {
+    fn update_metrics(&self, end: &RequestEnd) {
         let code = match end {
-            End::Answered(_) => "answered",
-            End::Refused(_, code, _) => code,
-            End::Broken(_) => "broken_off",
-            End::Left => "caller_left",
+            RequestEnd::Answered(_) => "answered",
+            RequestEnd::Rejected(_, code, _) => code,
+            RequestEnd::Aborted(_) => "broken_off",
+            RequestEnd::CallerLeft => "caller_left",
         };
         let organisation = self.organisation.as_ref();
         let organisation = organisation.map_or(OTHER, |o| o.as_str());
@@ -291,8 +292,8 @@
         let labels = &[organisation, class];
         let metrics = &self.metrics;
         metrics.requests.with_label_values(&[organisation, class, code]).inc();
-        let passed_s = self.passed_ms() as f64 / 1000.0;
-        metrics.latency_s.with_label_values(labels).observe(passed_s);
+        let elapsed_s = self.elapsed_ms() as f64 / 1000.0;
+        metrics.latency_s.with_label_values(labels).observe(elapsed_s);
         if let Some(first_part_ms) = self.first_part_ms {
             let first_part_s = first_part_ms as f64 / 1000.0;
             let metric = metrics.first_token_s.with_label_values(labels);
@@ -303,8 +304,8 @@
 
 impl Drop for Trace {
     fn drop(&mut self) {
-        if !self.is_ended {
-            self.write(End::Left);
+        if !self.is_written {
+            self.write(RequestEnd::CallerLeft);
         }
     }
 }
@@ -332,18 +333,18 @@
         if let Some(ended_ms) = self.ended_ms {
             fields.insert("ended_ms".into(), ended_ms.into());
         }
-        if self.says_leaving {
+        if self.is_leaving {
             fields.insert("says_leaving".into(), true.into());
         }
-        let rest = match &self.rest_wanted {
+        let retry_after = match &self.retry_after {
             None => None,
             Some(RetryAfter::For(time)) => {
                 Some(json!(time.as_millis() as u64))
             }
             Some(RetryAfter::Unreadable(text)) => Some(json!(text)),
         };
-        if let Some(rest) = rest {
-            fields.insert("rest_wanted_ms".into(), rest);
+        if let Some(retry_after) = retry_after {
+            fields.insert("rest_wanted_ms".into(), retry_after);
         }
         match &self.rate_limit {
             None | Some(RateLimit::Unlimited) => {}
@@ -358,8 +359,8 @@
         if let Some(confidence) = self.confidence {
             fields.insert("confidence".into(), confidence.into());
         }
-        if let Some(kept) = self.kept {
-            fields.insert("kept".into(), kept.as_str().into());
+        if let Some(no_escalation) = self.no_escalation {
+            fields.insert("kept".into(), no_escalation.as_str().into());
         }
         fields.insert("end".into(), self.end.as_str().into());
         Value::Object(fields)
--- a/src/gateway/own_words.rs
+++ b/src/gateway/upstream_signals.rs
@@ -1,7 +1,9 @@
-//! Hearing what upstreams say of themselves.
+//! Applies what upstreams report about themselves: that they are leaving, for
+//! how long to back off, their rate limit and their load.
 //!
-//! Every answer of an upstream comes through [`Gateway::hear`], whatever was
-//! asked and however the attempt goes on; what is kept of it stands in
+//! The signals of every response of an upstream go through
+//! [`Gateway::apply_signals`], whatever the attempt was and however it ends.
+//! The resulting state of an upstream is in
 //! [`reported_state`](crate::placing::reported_state).
 
 use serde_json::json;
@@ -18,31 +20,32 @@
 };
 
 impl Gateway {
-    /// Takes in what an upstream says of itself in its answer to what was
-    /// sent at `sent_at`.
-    pub(crate) fn hear(
+    /// Applies the signals in the response of an upstream to an attempt that
+    /// was sent at `sent_at`.
+    pub(crate) fn apply_signals(
         &self,
         member: &Member,
-        statement: &UpstreamSignals,
+        signals: &UpstreamSignals,
         sent_at: BootInstant,
     ) {
         let now = self.clock.now();
-        let news = self.pool.apply_signals(member, statement, sent_at, now);
-        for news in &news {
-            self.note_own_news(member, news);
+        let changes = self.pool.apply_signals(member, signals, sent_at, now);
+        for change in &changes {
+            self.log_change(member, change);
         }
     }
 
-    /// Takes in which upstreams have said to another VM that they are leaving.
+    /// Merges which upstreams are leaving, as reported by another VM.
     ///
-    /// A VM tells all of its data hall in a round of beats, and few of the
-    /// others, so whoever hears it tells it on.
+    /// In one round of heartbeats a VM reaches all VMs of its data hall but
+    /// only a few of the others, so every receiver passes the report on.
     pub(crate) fn merge_leaving_upstreams(
         &self,
         from: &str,
-        told: &[ShortHash],
+        reported: &[ShortHash],
     ) {
-        for member in self.pool.merge_peer_leaving(told, self.clock.now()) {
+        for member in self.pool.merge_peer_leaving(reported, self.clock.now())
+        {
             Event::UpstreamLeaving.record(fields(json!({
                 "upstream": member.entry.incarnation().to_string(),
                 "by": "vm",
@@ -51,39 +54,40 @@
         }
     }
 
-    /// Takes in which rate limits another VM has told of.
+    /// Merges rate limits of upstreams, as reported by another VM. `is_near`
+    /// says that it is in the data hall of this VM.
     pub(crate) fn merge_rate_limits(
         &self,
         from: &str,
-        told: &[RateLimitReport],
+        reported: &[RateLimitReport],
         is_near: bool,
     ) {
         let now = self.clock.now();
-        for (member, news) in
-            self.pool.merge_peer_rate_limits(told, is_near, now)
+        for (member, change) in
+            self.pool.merge_peer_rate_limits(reported, is_near, now)
         {
             let mut details = json!({
                 "upstream": member.entry.incarnation().to_string(),
                 "by": "vm",
                 "told_by": from,
             });
-            if let ReportedChange::RateLimited(rate) = news {
+            if let ReportedChange::RateLimited(rate) = change {
                 details["per_s"] = rate.per_s().into();
-                // The own data hall is to hear it from this VM.
+                // This VM passes it on to its own data hall.
                 if !is_near {
                     self.early_heartbeat.wake();
                 }
             }
-            news.event().record(fields(details));
+            change.event().record(fields(details));
         }
     }
 
-    fn note_own_news(&self, member: &Member, news: &ReportedChange) {
-        let life = member.entry.incarnation().to_string();
+    fn log_change(&self, member: &Member, change: &ReportedChange) {
+        let incarnation = member.entry.incarnation().to_string();
         let said = &self.metrics.upstreams_said;
-        said.with_label_values(&[news.label()]).inc();
-        let mut details = json!({ "upstream": life });
-        match news {
+        said.with_label_values(&[change.label()]).inc();
+        let mut details = json!({ "upstream": incarnation });
+        match change {
             ReportedChange::Leaving => {
                 self.early_heartbeat.wake();
                 details["by"] = "answer".into();
@@ -103,7 +107,7 @@
             ReportedChange::RateLimitLifted => details["by"] = "answer".into(),
             ReportedChange::BackoffEnded => {}
         }
-        news.event().record(fields(details));
+        change.event().record(fields(details));
     }
 }
 
