--- a/src/api/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -746,8 +746,7 @@
         };
         let result = self.until_cancelled(limit, work).await;
         if let Ok(exchange) = &result {
-            self.apply_signals(
-                selected, exchange.status, &exchange.headers);
+            self.apply_signals(selected, exchange.status, &exchange.headers);
         }
         self.report_to_breaker(selected, result.as_ref().err().copied());
         result
@@ -775,8 +774,7 @@
         let work = async {
             let sent = self.vm.http.send(call, reuse).await;
             let exchange = sent.map_err(attempt_fault)?;
-            self.apply_signals(
-                selected, exchange.status, &exchange.headers);
+            self.apply_signals(selected, exchange.status, &exchange.headers);
             exchange.read_whole(most).await.map_err(attempt_fault)
         };
         let result = match can_cancel {
