--- a/src/crashes/attribution.rs
+++ b/src/crashes/attribution.rs
@@ -1,64 +1,69 @@
-//! Which requests crash the upstreams that run them, by who was there when
-//! upstreams ended.
+//! Attributes the crashes of upstreams to the requests that caused them.
 //!
-//! An engine has sixteen requests and more at once, and all of them break off
-//! with it. Those that are then tried again beside the culprit see the next
-//! one end as well: of 585 requests in the logs of an incident that were there
-//! by chance, 164 saw three upstreams end and more. So ends that a request
-//! with more of them explains count against nobody else.
+//! An engine runs sixteen requests and more at once, and a crash breaks off
+//! all of them. Bystanders that are retried beside the culprit see the next
+//! crash as well: of 585 bystanders in the logs of an incident, 164 saw three
+//! crashes and more. So a crash that is explained by a request with more
+//! crashes does not count against any other request.
 
 use std::{
     cmp::Reverse,
     collections::{BTreeMap, BTreeSet},
 };
 
-use crate::crashes::{digest::RequestDigest, observation::End};
+use crate::crashes::{digest::RequestDigest, observation::CrashId};
 
-/// Upstreams that must have ended under a request, with no other to explain
-/// it, before it is held back. Operators allow three.
-pub(crate) const ENDS_HELD: usize = 3;
+/// Crashes that no other request explains after which a request is
+/// quarantined. Operators allow three.
+pub(crate) const MIN_CRASHES: usize = 3;
 
-/// The upstreams that ended while they had one request, each with how long it
-/// had it, in milliseconds.
-pub(crate) type Ends = BTreeMap<End, u16>;
+/// The crashes under one request, each with the time for which the upstream
+/// had been running the request, in milliseconds.
+pub(crate) type Crashes = BTreeMap<CrashId, u16>;
 
-/// The requests that explain the ends of upstreams, the one with the most
-/// ends first; of two with as many, the one that was there for less long, as
-/// an upstream ends when it begins to run the culprit.
+/// Returns the requests that explain the crashes: repeatedly the request with
+/// the most unexplained crashes. Of two with as many it takes the one that
+/// had been running for less time, since an upstream crashes soon after it
+/// begins to run the culprit.
 ///
-/// One that is held back already stays so while any of its ends is not
-/// explained by others: two culprits that meet now and then would release each
-/// other, and end three more each time.
+/// A request in `quarantined` stays a culprit while any of its crashes is not
+/// explained by others. Otherwise two culprits that sometimes run on the same
+/// upstream would release each other, and each release costs three more
+/// upstreams.
 pub(crate) fn culprits<'a>(
-    ends: impl Iterator<Item = (RequestDigest, &'a Ends)>,
-    held: &BTreeSet<RequestDigest>,
+    crashes: impl Iterator<Item = (RequestDigest, &'a Crashes)>,
+    quarantined: &BTreeSet<RequestDigest>,
 ) -> BTreeSet<RequestDigest> {
-    let is_open = |request: &RequestDigest, ends: &Ends| {
-        let least = if held.contains(request) { 1 } else { ENDS_HELD };
-        ends.len() >= least
+    let is_candidate = |request: &RequestDigest, crashes: &Crashes| {
+        let least =
+            if quarantined.contains(request) { 1 } else { MIN_CRASHES };
+        crashes.len() >= least
     };
-    let mut open: BTreeMap<RequestDigest, Ends> = ends
-        .filter(|(request, ends)| is_open(request, ends))
-        .map(|(request, ends)| (request, ends.clone()))
+    let mut candidates: BTreeMap<RequestDigest, Crashes> = crashes
+        .filter(|(request, crashes)| is_candidate(request, crashes))
+        .map(|(request, crashes)| (request, crashes.clone()))
         .collect();
     let mut found = BTreeSet::new();
-    while let Some(request) = most_ends(&open) {
-        let Some(explained) = open.remove(&request) else { break };
+    while let Some(request) = most_crashes(&candidates) {
+        let Some(explained) = candidates.remove(&request) else { break };
         found.insert(request);
-        open.retain(|request, ends| {
-            ends.retain(|end, _| !explained.contains_key(end));
-            is_open(request, ends)
+        candidates.retain(|request, crashes| {
+            crashes.retain(|crash, _| !explained.contains_key(crash));
+            is_candidate(request, crashes)
         });
     }
     found
 }
 
-fn most_ends(open: &BTreeMap<RequestDigest, Ends>) -> Option<RequestDigest> {
-    let weight = |ends: &Ends| {
-        let had_ms: u64 = ends.values().map(|ms| u64::from(*ms)).sum();
-        (ends.len(), Reverse(had_ms))
+fn most_crashes(
+    candidates: &BTreeMap<RequestDigest, Crashes>,
+) -> Option<RequestDigest> {
+    let weight = |crashes: &Crashes| {
+        let in_flight_ms: u64 =
+            crashes.values().map(|ms| u64::from(*ms)).sum();
+        (crashes.len(), Reverse(in_flight_ms))
     };
-    let most = open.iter().max_by_key(|(_, ends)| weight(ends));
+    let most = candidates.iter().max_by_key(|(_, crashes)| weight(crashes));
     most.map(|(request, _)| *request)
 }
 
--- a/src/crashes/broadcast_queue.rs
+++ b/src/crashes/broadcast_queue.rs
@@ -1,42 +1,43 @@
-//! What one VM has to tell the others of requests and ends, round by round.
+//! The queue of observations that this VM sends to others in its heartbeats.
 
 use std::cmp::Reverse;
 
 use crate::crashes::observation::RequestObservation;
 
-/// Rounds of beats in which a VM tells the same: each goes to all of its data
-/// hall, and one datagram in thirty is lost at worst.
-pub(crate) const TOLD_ROUNDS: u8 = 4;
+/// Rounds of heartbeats in which an observation is repeated. Each round
+/// reaches all VMs of the data hall, and at worst one datagram in thirty is
+/// lost.
+pub(crate) const BROADCAST_ROUNDS: u8 = 4;
 
-/// Sightings that one beat carries, some 600 bytes.
-pub(crate) const TOLD_MOST: usize = 32;
+/// Maximum number of observations in one heartbeat, some 600 bytes.
+pub(crate) const MAX_PER_HEARTBEAT: usize = 32;
 
-/// Sightings that wait to be told after a beat.
-const TELLINGS_MOST: usize = 512;
+/// Maximum number of observations that stay queued after a heartbeat.
+const MAX_QUEUED: usize = 512;
 
-/// Whom a VM has something from.
+/// Where this VM has an observation from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Source {
-    /// It has seen it itself.
+    /// This VM made it.
     Own,
-    /// A VM of its data hall, which told all others there as well.
+    /// A VM of the same data hall, which also sent it to all others there.
     OwnHall,
     /// A VM of another data hall.
     OtherHall,
-    /// The platform's store, or another VM that was asked for all it knows.
+    /// The platform's store, or another VM's reply with all that it knows.
     Snapshot,
 }
 
-/// Whom a beat goes to.
+/// The VMs that a heartbeat is sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Audience {
-    /// The VMs of the own data hall.
+    /// The VMs of this VM's data hall.
     OwnHall,
-    /// VMs of others.
+    /// VMs of other data halls.
     OtherHalls,
 }
 
-/// Something to tell in the next rounds of beats.
+/// A queued observation, with the rounds that are left for each audience.
 #[derive(Debug)]
 struct Broadcast {
     observation: RequestObservation,
@@ -47,8 +48,10 @@
 impl Broadcast {
     fn new(observation: RequestObservation, source: Source) -> Broadcast {
         let (own_hall_left, other_halls_left) = match source {
-            Source::Own | Source::OtherHall => (TOLD_ROUNDS, TOLD_ROUNDS),
-            Source::OwnHall => (0, TOLD_ROUNDS),
+            Source::Own | Source::OtherHall => {
+                (BROADCAST_ROUNDS, BROADCAST_ROUNDS)
+            }
+            Source::OwnHall => (0, BROADCAST_ROUNDS),
             Source::Snapshot => (0, 0),
         };
         Broadcast { observation, own_hall_left, other_halls_left }
@@ -66,44 +69,47 @@
     }
 }
 
-/// Everything that is still to be told.
+/// The observations that are still to be sent.
 #[derive(Debug, Default)]
 pub(crate) struct BroadcastQueue(Vec<Broadcast>);
 
 impl BroadcastQueue {
-    /// Adds something that comes from `source`, unless all others have it or
-    /// it is being told already.
+    /// Queues an observation that came from `source`, unless it is queued
+    /// already or no other VM needs it from this one.
     pub(crate) fn add(
         &mut self,
         observation: RequestObservation,
         source: Source,
     ) {
-        let is_told =
-            self.0.iter().any(|told| told.observation == observation);
-        let telling = Broadcast::new(observation, source);
-        if !is_told && !telling.is_over() {
-            self.0.push(telling);
+        let is_queued =
+            self.0.iter().any(|queued| queued.observation == observation);
+        let broadcast = Broadcast::new(observation, source);
+        if !is_queued && !broadcast.is_over() {
+            self.0.push(broadcast);
         }
     }
 
-    /// What the next beat to these VMs tells, that of the highest rank first.
+    /// Returns the observations for the next heartbeat to `audience`, those
+    /// of the highest `priority` first, and counts the round.
     pub(crate) fn take(
         &mut self,
         audience: Audience,
-        rank: impl Fn(&RequestObservation) -> usize,
+        priority: impl Fn(&RequestObservation) -> usize,
     ) -> Vec<RequestObservation> {
-        self.0.sort_by_key(|telling| Reverse(rank(&telling.observation)));
-        let mut told = Vec::new();
-        for telling in &mut self.0 {
-            let observation = telling.observation;
-            let left = telling.left(audience);
-            if *left > 0 && told.len() < TOLD_MOST {
+        self.0.sort_by_key(|broadcast| {
+            Reverse(priority(&broadcast.observation))
+        });
+        let mut taken = Vec::new();
+        for broadcast in &mut self.0 {
+            let observation = broadcast.observation;
+            let left = broadcast.left(audience);
+            if *left > 0 && taken.len() < MAX_PER_HEARTBEAT {
                 *left -= 1;
-                told.push(observation);
+                taken.push(observation);
             }
         }
-        self.0.retain(|telling| !telling.is_over());
-        self.0.truncate(TELLINGS_MOST);
-        told
+        self.0.retain(|broadcast| !broadcast.is_over());
+        self.0.truncate(MAX_QUEUED);
+        taken
     }
 }
--- a/src/crashes/digest.rs
+++ b/src/crashes/digest.rs
@@ -1,7 +1,7 @@
-//! Knowing a request again by what it holds.
+//! Identifies a request by its content.
 //!
-//! The id of a request is new each time that its caller sends it, at whatever
-//! VM. What an upstream runs is the same, and so is what that does to it.
+//! A request gets a new id each time that its caller sends it, to any VM, but
+//! the upstream runs the same content and crashes in the same way.
 
 use std::{fmt, str::FromStr};
 
@@ -14,9 +14,10 @@
 
 /// A digest of a request's method, path, caller and body.
 ///
-/// It is the first eight bytes of a BLAKE3 hash: among a million requests that
-/// differ, two share one with a chance of one in forty million. The caller is
-/// part of it, so that nobody can send what another's request is taken for.
+/// It is the first eight bytes of a BLAKE3 hash: among a million different
+/// requests, the chance that two collide is one in forty million. The caller
+/// is included, so that no caller can get another's request quarantined by
+/// sending the same content.
 #[derive(
     Clone,
     Copy,
@@ -33,7 +34,7 @@
 pub struct RequestDigest(pub u64);
 
 impl RequestDigest {
-    /// Digests a request; `path` is with its query.
+    /// Computes the digest of a request; `path` includes the query.
     pub fn of(
         method: &str,
         path: &str,
@@ -43,7 +44,7 @@
         let organisation = organisation.map_or("", OrganisationId::as_str);
         let mut hasher = blake3::Hasher::new();
         for part in [method, path, organisation] {
-            // None of them holds a zero byte, which keeps them apart.
+            // None of the parts contains a zero byte, so it separates them.
             hasher.update(part.as_bytes());
             hasher.update(&[0]);
         }
--- a/src/crashes/digest/tests.rs
+++ b/src/crashes/digest/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn everything_that_a_request_holds_counts() {
+fn every_part_of_a_request_changes_its_digest() {
     let usual = digest("POST", "/a/b?c", "village", b"text");
     assert_eq!(usual, digest("POST", "/a/b?c", "village", b"text"));
     for other in [
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn it_is_read_as_it_is_written() {
+fn digests_round_trip_as_text() {
     let usual = digest("GET", "/a", "village", b"");
     assert_eq!(usual.to_string().parse().ok(), Some(usual));
     for faulty in ["", "12", "+123456789abcdef", "g123456789abcdef"] {
--- a/src/crashes/mod.rs
+++ b/src/crashes/mod.rs
@@ -1,21 +1,23 @@
-//! What one request may do to the fleet: requests that crash the upstreams
-//! that run them, known elsewhere as queries of death.
+//! Detects requests that crash the upstreams that run them, also known as
+//! queries of death, and keeps them from further upstreams.
 //!
-//! Such a request comes again, at any VM and under another id, and each time
-//! the blame went to the upstream alone. Here it is known again, and held back
-//! everywhere once three upstreams have ended under it.
+//! The caller of such a request sends it again, to any VM and under a new id,
+//! and each crash looks like a fault of the upstream alone. This module
+//! recognizes the request by its content and quarantines it on all VMs once
+//! three upstreams have crashed while running it.
 //!
-//! # The way of a crash
+//! # From a crash to a quarantine
 //!
-//! * [`digest`]: a request is known again by what it holds.
-//! * [`crash_check`]: an attempt is lost; has its upstream ended?
-//! * [`tracker`]: what this VM knows of requests and of upstreams that ended,
-//!   and which requests it holds back.
-//! * [`attribution`]: the culprit is told from those that were there by chance.
-//! * [`observation`], [`tellings`]: what VMs tell each other of it, in their
-//!   beats.
-//! * [`persistence`]: what is held back lies in the platform's store as well, for
-//!   VMs that start later, if need be all of them.
+//! * [`digest`]: identifies a request by its content.
+//! * [`crash_check`]: after a lost attempt, checks whether the upstream has
+//!   crashed.
+//! * [`tracker`]: the crashes and completed requests that this VM knows of,
+//!   and the requests that it quarantines.
+//! * [`attribution`]: tells the requests that cause crashes from bystanders.
+//! * [`observation`], [`broadcast_queue`]: what VMs tell each other about
+//!   crashes, in their heartbeats.
+//! * [`persistence`]: writes the quarantine to the platform's store, for VMs
+//!   that start later, even if none of the present ones is left by then.
 
 pub(crate) mod attribution;
 pub(crate) mod broadcast_queue;
--- a/src/crashes/observation.rs
+++ b/src/crashes/observation.rs
@@ -1,14 +1,15 @@
-//! What one VM tells the others of requests and of upstreams that ended.
+//! What VMs tell each other about requests and the crashes of upstreams.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{crashes::digest::RequestDigest, message::ShortHash};
 
-/// One end of an upstream.
+/// Identifies one crash of an upstream.
 ///
-/// It is of one life, so that one end counts once, whoever tells of it and
-/// however often. Where the store is away, an upstream may start and end again
-/// before anybody hears of its new life; the number tells such ends apart.
+/// It names an incarnation of the upstream, so that a crash counts once,
+/// whichever VMs report it and however often. While the store is unavailable,
+/// an upstream may restart and crash again before any VM learns of its new
+/// incarnation; `number` distinguishes such crashes.
 #[derive(
     Clone,
     Copy,
@@ -21,42 +22,46 @@
     Serialize,
     Deserialize,
 )]
-pub struct End {
-    /// The life of the upstream.
+pub struct CrashId {
+    /// The incarnation of the upstream.
     pub upstream: ShortHash,
-    /// How many ends of that life were known before.
+    /// How many crashes of that incarnation were known before this one.
     pub number: u8,
 }
 
-/// An upstream that ended while it had a request.
+/// A crash of an upstream while it was running a request.
+///
+/// Also stored as JSON in the platform's store, under the names given here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// Its end.
-    pub end: End,
-    /// How long it had the request by then, in milliseconds.
-    pub had_ms: u16,
+    /// Which crash it was.
+    #[serde(rename = "end")]
+    pub id: CrashId,
+    /// How long the upstream had been running the request, in milliseconds.
+    #[serde(rename = "had_ms")]
+    pub in_flight_ms: u16,
 }
 
-/// What was seen of a request.
+/// How an attempt at a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestOutcome {
-    /// An upstream ended while it had the request.
+    /// The upstream crashed while running the request.
     Crashed(Crash),
-    /// An upstream ran it to its end.
+    /// The upstream ran the request to its end.
     Completed,
 }
 
-/// What one VM tells the others of one request.
+/// What one VM tells the others about a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestObservation {
     /// The request.
     pub request: RequestDigest,
-    /// What was seen of it.
+    /// How an attempt at it ended.
     pub outcome: RequestOutcome,
 }
 
 impl RequestObservation {
-    /// The sightings of upstreams that ended while they had a request.
+    /// Returns one observation for each crash under a request.
     pub(crate) fn of_crashes(
         request: RequestDigest,
         crashes: Vec<Crash>,
--- a/src/crashes/persistence.rs
+++ b/src/crashes/persistence.rs
@@ -11,7 +11,7 @@
 use crate::{
     chains::store::{Backoff, StoreError},
     clock::BootInstant,
-    crashes::tracker::REMEMBERED,
+    crashes::tracker::CRASH_TTL,
     event::Event,
     gateway::{Gateway, fields},
     platform::{
@@ -82,7 +82,7 @@
     values: &[ConditionalWrite],
 ) -> Result<WriteOutcome, StoreError> {
     let store = &gateway.store;
-    let lease = store.take_lease(REMEMBERED).await?;
+    let lease = store.take_lease(CRASH_TTL).await?;
     let written = store.write_all(values, Some(lease)).await?;
     // Whatever stands there now, this VM is to know it.
     gateway.peers.look();
--- a/src/crashes/tracker.rs
+++ b/src/crashes/tracker.rs
@@ -1,10 +1,11 @@
-//! What a VM knows of requests under which upstreams have ended, by its own
-//! attempts and by the word of the others.
+//! The requests under which upstreams have crashed, as this VM knows them
+//! from its own attempts and from the reports of other VMs.
 //!
-//! An attempt that is lost says nothing yet. Once its upstream is known to
-//! have ended, everything that it had is a suspect, and what explains three
-//! ends is held back ([`attribution`](crate::crashes::attribution)). What has run
-//! whole anywhere is none.
+//! A lost attempt alone proves nothing. Once its upstream is known to have
+//! crashed, every request that was in flight there becomes a suspect, and a
+//! request that explains three crashes is quarantined (see
+//! [`attribution`](crate::crashes::attribution)). A request that any upstream
+//! has completed is not a suspect.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -16,147 +17,157 @@
 use crate::{
     clock::BootInstant,
     crashes::{
-        attribution::{self, Ends},
+        attribution::{self, Crashes},
         broadcast_queue::{Audience, BroadcastQueue, Source},
         digest::RequestDigest,
-        observation::{Crash, End, RequestObservation, RequestOutcome},
+        observation::{Crash, CrashId, RequestObservation, RequestOutcome},
     },
     http_client::Listening,
     message::ShortHash,
 };
 
-/// Time for which an end counts against a request, from when this VM heard of
-/// it: long enough that one that comes once a minute is known again, and a
-/// caller who mends what it sends is not held back for ever.
-pub(crate) const REMEMBERED: Duration = Duration::from_secs(600);
+/// Time for which a request stays a suspect after the last crash that this VM
+/// learned of: long enough that a request sent once a minute is recognized,
+/// and short enough that a caller who corrects a request can send it again.
+pub(crate) const CRASH_TTL: Duration = Duration::from_secs(600);
 
-/// Time for which a request that ran whole is known for one that may.
-const WELL_REMEMBERED: Duration = Duration::from_secs(60);
+/// Time for which a completed request is not a suspect.
+const COMPLETED_TTL: Duration = Duration::from_secs(60);
 
-/// Time for which a lost attempt waits to hear what became of its upstream.
-const OPEN_FOR: Duration = Duration::from_secs(10);
+/// Time for which a lost attempt is kept until it is known whether its
+/// upstream crashed.
+const PENDING_TTL: Duration = Duration::from_secs(10);
 
-/// Requests that are remembered with the ends that they saw. An engine has at
-/// most some sixty, so these are the ends of seventy at least; with more the
-/// least suspect is forgotten.
-const SUSPECTS_MOST: usize = 4096;
+/// Maximum number of suspects. An engine runs at most some sixty requests, so
+/// they cover at least seventy crashes; beyond that the least suspect one is
+/// evicted.
+const MAX_SUSPECTS: usize = 4096;
 
-/// Ends remembered of one request; more say nothing new.
-const ENDS_MOST: usize = 16;
+/// Maximum number of crashes kept for each request; further ones do not
+/// change the attribution.
+const MAX_CRASHES_PER_REQUEST: usize = 16;
 
-/// Requests remembered as having run whole: a minute of one VM's.
-const WELL_MOST: usize = 1024;
+/// Maximum number of completed requests kept: one minute of one VM's.
+const MAX_COMPLETED: usize = 1024;
 
-/// Lives of upstreams at which attempts were lost that are remembered.
-const LIVES_MOST: usize = 1024;
+/// Maximum number of upstream incarnations with lost attempts kept.
+const MAX_UPSTREAMS: usize = 1024;
 
-/// What is to be done after an attempt was lost.
+/// What the caller has to do after a lost attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NextStep {
-    /// Find out whether the upstream has ended, and settle it.
+    /// Check whether the upstream has crashed, and record the result.
     Check,
-    /// Nothing: that is known, or somebody is finding out.
+    /// Nothing: the crash is known, or a check is already running.
     Nothing,
 }
 
-/// A request that is held back from now on, or no longer.
+/// A change of the set of quarantined requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QuarantineChange {
-    /// It crashes what runs it.
+    /// The request crashes upstreams and is quarantined from now on.
     Added {
         /// The request.
         request: RequestDigest,
-        /// Upstreams that have ended under it.
+        /// Crashes of upstreams that were running it.
         ends: usize,
     },
-    /// It was held back, and is not any more.
+    /// The request is no longer quarantined.
     Released(RequestDigest),
 }
 
-/// Attempts that were lost at an upstream, of which it is open whether it has
-/// ended.
+/// Attempts lost at an upstream that may or may not have crashed.
 #[derive(Debug)]
-struct Lost {
+struct PendingAttempts {
     requests: Vec<(RequestDigest, u16)>,
     since: BootInstant,
 }
 
-/// One life of an upstream at which attempts were lost.
+/// One incarnation of an upstream at which attempts were lost.
 #[derive(Debug)]
-struct Life {
-    /// How many ends of it are known, and when the last one became known.
-    ends: u8,
-    ended_at: Option<BootInstant>,
-    lost: Option<Lost>,
-    noted_at: BootInstant,
+struct UpstreamState {
+    /// Number of its known crashes, and when this VM learned of the last one.
+    crashes: u8,
+    crashed_at: Option<BootInstant>,
+    pending: Option<PendingAttempts>,
+    updated_at: BootInstant,
 }
 
-impl Life {
-    fn new(now: BootInstant) -> Life {
-        Life { ends: 0, ended_at: None, lost: None, noted_at: now }
+impl UpstreamState {
+    fn new(now: BootInstant) -> UpstreamState {
+        UpstreamState {
+            crashes: 0,
+            crashed_at: None,
+            pending: None,
+            updated_at: now,
+        }
     }
 
-    /// The last end, if an attempt that began then was under way at it.
-    fn end_of(
+    /// Returns the last crash, if an attempt that began at `began_at` was in
+    /// flight then.
+    fn crash_during(
         &self,
         upstream: ShortHash,
         began_at: BootInstant,
-    ) -> Option<End> {
-        let was_there = self.ended_at.is_some_and(|at| began_at <= at);
-        let number = self.ends.saturating_sub(1);
-        was_there.then_some(End { upstream, number })
+    ) -> Option<CrashId> {
+        let was_there = self.crashed_at.is_some_and(|at| began_at <= at);
+        let number = self.crashes.saturating_sub(1);
+        was_there.then_some(CrashId { upstream, number })
     }
 }
 
-/// A request under which upstreams have ended.
+/// A request that was in flight when upstreams crashed.
 #[derive(Debug)]
 struct Suspect {
-    ends: Ends,
-    /// When an end was last heard of.
-    heard_at: BootInstant,
+    crashes: Crashes,
+    /// When this VM learned of the last crash.
+    updated_at: BootInstant,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    lives: HashMap<ShortHash, Life>,
+    upstreams: HashMap<ShortHash, UpstreamState>,
     suspects: HashMap<RequestDigest, Suspect>,
-    ran_whole: HashMap<RequestDigest, BootInstant>,
+    completed: HashMap<RequestDigest, BootInstant>,
     broadcast_queue: BroadcastQueue,
-    held: BTreeSet<RequestDigest>,
-    /// Those of them of which nothing was forgotten since.
-    firmly_held: BTreeSet<RequestDigest>,
+    quarantined: BTreeSet<RequestDigest>,
+    /// The quarantined requests whose crashes are all still known here. These
+    /// stay in quarantine more easily, see [`attribution::culprits`].
+    retained: BTreeSet<RequestDigest>,
 }
 
-/// The record of one VM.
+/// The crashes that one VM knows of, and the requests that it quarantines.
 #[derive(Debug, Default)]
 pub(crate) struct CrashTracker {
     state: Mutex<State>,
 }
 
 impl CrashTracker {
-    /// Whether any request is held back.
+    /// Whether any request is quarantined.
     pub(crate) fn has_quarantined(&self) -> bool {
-        !self.lock().held.is_empty()
+        !self.lock().quarantined.is_empty()
     }
 
-    /// Whether a request is held back.
+    /// Whether a request is quarantined.
     pub(crate) fn is_quarantined(
         &self,
         request: RequestDigest,
         now: BootInstant,
     ) -> bool {
         let state = self.lock();
-        state.is_suspect(request, now) && state.held.contains(&request)
+        state.is_suspect(request, now) && state.quarantined.contains(&request)
     }
 
-    /// The requests that are held back, with the ends that they explain.
+    /// Returns the quarantined requests, with the crashes under each.
     pub(crate) fn quarantined(&self) -> Vec<(RequestDigest, Vec<Crash>)> {
         let state = self.lock();
-        let held = state.held.iter();
-        held.map(|request| (*request, state.crashes(*request))).collect()
+        let quarantined = state.quarantined.iter();
+        quarantined
+            .map(|request| (*request, state.crashes(*request)))
+            .collect()
     }
 
-    /// Takes in that an attempt was lost that had begun at `began_at`.
+    /// Records that an attempt which began at `began_at` was lost.
     pub(crate) fn record_lost_attempt(
         &self,
         request: RequestDigest,
@@ -164,26 +175,32 @@
         began_at: BootInstant,
         now: BootInstant,
     ) -> (NextStep, Vec<QuarantineChange>) {
-        let had = now.saturating_duration_since(began_at).as_millis();
-        let had_ms = u16::try_from(had).unwrap_or(u16::MAX);
+        let in_flight = now.saturating_duration_since(began_at).as_millis();
+        let in_flight_ms = u16::try_from(in_flight).unwrap_or(u16::MAX);
         let mut state = self.lock();
-        let life = state.life(upstream, now);
-        if let Some(end) = life.end_of(upstream, began_at) {
-            state.take(request, Crash { end, had_ms }, Source::Own, now);
-            return (NextStep::Nothing, state.judge());
+        let known = state.upstream(upstream, now);
+        if let Some(id) = known.crash_during(upstream, began_at) {
+            state.add_crash(
+                request,
+                Crash { id, in_flight_ms },
+                Source::Own,
+                now,
+            );
+            return (NextStep::Nothing, state.update_quarantine());
         }
-        if let Some(lost) = &mut life.lost
-            && is_recent(lost.since, OPEN_FOR, now)
+        if let Some(pending) = &mut known.pending
+            && is_recent(pending.since, PENDING_TTL, now)
         {
-            lost.requests.push((request, had_ms));
+            pending.requests.push((request, in_flight_ms));
             return (NextStep::Nothing, Vec::new());
         }
-        let requests = vec![(request, had_ms)];
-        life.lost = Some(Lost { requests, since: now });
+        let requests = vec![(request, in_flight_ms)];
+        known.pending = Some(PendingAttempts { requests, since: now });
         (NextStep::Check, Vec::new())
     }
 
-    /// Takes in what became of an upstream at which attempts were lost.
+    /// Records whether an upstream at which attempts were lost still takes
+    /// connections.
     pub(crate) fn record_probe(
         &self,
         upstream: ShortHash,
@@ -191,37 +208,38 @@
         now: BootInstant,
     ) -> Vec<QuarantineChange> {
         let mut state = self.lock();
-        let life = state.life(upstream, now);
+        let known = state.upstream(upstream, now);
         match listening {
-            // Another VM may have told of this end meanwhile.
-            Listening::No if life.lost.is_some() => {
-                let number = life.ends;
-                state.end(End { upstream, number }, now);
+            // Without pending attempts, another VM has reported this crash
+            // in the meantime.
+            Listening::No if known.pending.is_some() => {
+                let number = known.crashes;
+                state.record_crash(CrashId { upstream, number }, now);
             }
-            Listening::Yes => life.lost = None,
-            // Another VM may get to know.
+            Listening::Yes => known.pending = None,
+            // Another VM may still report a crash.
             Listening::No | Listening::Unknown => {}
         }
-        state.judge()
+        state.update_quarantine()
     }
 
-    /// Takes in that an upstream ran a request to its end.
+    /// Records that an upstream completed a request.
     pub(crate) fn record_completed(
         &self,
         request: RequestDigest,
         now: BootInstant,
     ) -> Vec<QuarantineChange> {
         let mut state = self.lock();
-        make_room(&mut state.ran_whole, WELL_MOST, |at| *at);
-        state.ran_whole.insert(request, now);
-        if !state.forget(request) {
+        evict_oldest(&mut state.completed, MAX_COMPLETED, |at| *at);
+        state.completed.insert(request, now);
+        if !state.remove_suspect(request) {
             return Vec::new();
         }
-        state.tell(request, RequestOutcome::Completed, Source::Own);
-        state.judge()
+        state.broadcast(request, RequestOutcome::Completed, Source::Own);
+        state.update_quarantine()
     }
 
-    /// Takes in what another VM tells, or what was kept.
+    /// Merges observations of other VMs, or those read from the store.
     pub(crate) fn merge_observations(
         &self,
         observations: &[RequestObservation],
@@ -235,12 +253,12 @@
         for RequestObservation { request, outcome } in observations {
             match outcome {
                 RequestOutcome::Crashed(crash) => {
-                    state.end(crash.end, now);
-                    state.take(*request, *crash, source, now);
+                    state.record_crash(crash.id, now);
+                    state.add_crash(*request, *crash, source, now);
                 }
                 RequestOutcome::Completed => {
-                    if state.forget(*request) {
-                        state.tell(
+                    if state.remove_suspect(*request) {
+                        state.broadcast(
                             *request,
                             RequestOutcome::Completed,
                             source,
@@ -249,129 +267,147 @@
                 }
             }
         }
-        state.judge()
+        state.update_quarantine()
     }
 
-    /// What the next beat to these VMs tells.
+    /// Returns the observations for the next heartbeat to `audience`, those
+    /// of the requests with the most crashes first.
     pub(crate) fn next_broadcasts(
         &self,
         audience: Audience,
     ) -> Vec<RequestObservation> {
         let mut state = self.lock();
         let State { broadcast_queue, suspects, .. } = &mut *state;
-        broadcast_queue.take(audience, |told| {
-            suspects.get(&told.request).map_or(0, |s| s.ends.len())
+        broadcast_queue.take(audience, |observation| {
+            suspects.get(&observation.request).map_or(0, |s| s.crashes.len())
         })
     }
 
-    /// What another VM is handed that asks for all that is known.
+    /// Returns the crashes under all quarantined requests, for a VM that asks
+    /// for everything that is known.
     pub(crate) fn quarantine_observations(&self) -> Vec<RequestObservation> {
-        let held = self.quarantined().into_iter();
-        held.flat_map(|(request, crashes)| {
-            RequestObservation::of_crashes(request, crashes)
-        })
-        .collect()
+        let quarantined = self.quarantined().into_iter();
+        quarantined
+            .flat_map(|(request, crashes)| {
+                RequestObservation::of_crashes(request, crashes)
+            })
+            .collect()
     }
 
-    /// Forgets what is too old.
+    /// Drops expired entries.
     pub(crate) fn expire(&self, now: BootInstant) -> Vec<QuarantineChange> {
         let mut state = self.lock();
         state
-            .lives
-            .retain(|_, life| is_recent(life.noted_at, REMEMBERED, now));
-        state.ran_whole.retain(|_, at| is_recent(*at, WELL_REMEMBERED, now));
+            .upstreams
+            .retain(|_, known| is_recent(known.updated_at, CRASH_TTL, now));
+        state.completed.retain(|_, at| is_recent(*at, COMPLETED_TTL, now));
         let suspects = state.suspects.iter();
-        let old = suspects.filter(|(_, suspect)| {
-            !is_recent(suspect.heard_at, REMEMBERED, now)
+        let expired = suspects.filter(|(_, suspect)| {
+            !is_recent(suspect.updated_at, CRASH_TTL, now)
         });
-        let old: Vec<RequestDigest> =
-            old.map(|(request, _)| *request).collect();
-        for request in old {
-            state.forget(request);
+        let expired: Vec<RequestDigest> =
+            expired.map(|(request, _)| *request).collect();
+        for request in expired {
+            state.remove_suspect(request);
         }
-        state.judge()
+        state.update_quarantine()
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("crash record lock")
+        self.state.lock().expect("crash tracker lock")
     }
 }
 
 impl State {
     fn crashes(&self, request: RequestDigest) -> Vec<Crash> {
         let suspect = self.suspects.get(&request);
-        let ends = suspect.into_iter().flat_map(|suspect| &suspect.ends);
-        ends.map(|(end, had_ms)| Crash { end: *end, had_ms: *had_ms })
-            .collect()
+        let crashes = suspect.into_iter().flat_map(|suspect| &suspect.crashes);
+        crashes.map(|(id, ms)| Crash { id: *id, in_flight_ms: *ms }).collect()
     }
 
-    /// Whether ends under a request are known that are not too old.
+    /// Whether unexpired crashes under a request are known.
     fn is_suspect(&self, request: RequestDigest, now: BootInstant) -> bool {
         self.suspects.get(&request).is_some_and(|suspect| {
-            is_recent(suspect.heard_at, REMEMBERED, now)
+            is_recent(suspect.updated_at, CRASH_TTL, now)
         })
     }
 
-    /// What is known of a life of an upstream.
-    fn life(&mut self, upstream: ShortHash, now: BootInstant) -> &mut Life {
-        if !self.lives.contains_key(&upstream) {
-            make_room(&mut self.lives, LIVES_MOST, |life| life.noted_at);
+    /// Returns the state of an incarnation of an upstream, created if needed.
+    fn upstream(
+        &mut self,
+        upstream: ShortHash,
+        now: BootInstant,
+    ) -> &mut UpstreamState {
+        if !self.upstreams.contains_key(&upstream) {
+            evict_oldest(&mut self.upstreams, MAX_UPSTREAMS, |known| {
+                known.updated_at
+            });
         }
-        let life = self.lives.entry(upstream);
-        let life = life.or_insert_with(|| Life::new(now));
-        life.noted_at = now;
-        life
+        let known = self.upstreams.entry(upstream);
+        let known = known.or_insert_with(|| UpstreamState::new(now));
+        known.updated_at = now;
+        known
     }
 
-    /// Notes an end of an upstream, if it is news, with all that it had of
-    /// this VM.
-    fn end(&mut self, end: End, now: BootInstant) {
-        let life = self.life(end.upstream, now);
-        if end.number < life.ends {
+    /// Records a crash, unless it is known, and adds it to the requests of
+    /// this VM whose attempts are pending there.
+    fn record_crash(&mut self, id: CrashId, now: BootInstant) {
+        let known = self.upstream(id.upstream, now);
+        if id.number < known.crashes {
             return;
         }
-        life.ends = end.number.saturating_add(1);
-        life.ended_at = Some(now);
-        let Some(lost) = life.lost.take() else { return };
-        if !is_recent(lost.since, OPEN_FOR, now) {
+        known.crashes = id.number.saturating_add(1);
+        known.crashed_at = Some(now);
+        let Some(pending) = known.pending.take() else { return };
+        if !is_recent(pending.since, PENDING_TTL, now) {
             return;
         }
-        for (request, had_ms) in lost.requests {
-            self.take(request, Crash { end, had_ms }, Source::Own, now);
+        for (request, in_flight_ms) in pending.requests {
+            self.add_crash(
+                request,
+                Crash { id, in_flight_ms },
+                Source::Own,
+                now,
+            );
         }
     }
 
-    /// Takes in that an upstream ended while it had a request.
-    fn take(
+    /// Adds a crash to those under a request, unless an upstream completed
+    /// the request lately.
+    fn add_crash(
         &mut self,
         request: RequestDigest,
         crash: Crash,
         source: Source,
         now: BootInstant,
     ) {
-        let ran_at = self.ran_whole.get(&request);
-        if ran_at.is_some_and(|at| is_recent(*at, WELL_REMEMBERED, now)) {
-            // Who has not had it yet takes it for a culprit.
-            self.tell(request, RequestOutcome::Completed, Source::Own);
+        let completed_at = self.completed.get(&request);
+        if completed_at.is_some_and(|at| is_recent(*at, COMPLETED_TTL, now)) {
+            // VMs that have not had this request yet would suspect it.
+            self.broadcast(request, RequestOutcome::Completed, Source::Own);
             return;
         }
         if !self.is_suspect(request, now) {
-            self.forget(request);
-            self.drop_least_suspect();
+            self.remove_suspect(request);
+            self.evict_least_suspect();
         }
         let suspect = self.suspects.entry(request);
-        let suspect = suspect
-            .or_insert_with(|| Suspect { ends: Ends::new(), heard_at: now });
-        let ends = &mut suspect.ends;
-        if ends.len() >= ENDS_MOST || ends.contains_key(&crash.end) {
+        let suspect = suspect.or_insert_with(|| Suspect {
+            crashes: Crashes::new(),
+            updated_at: now,
+        });
+        let crashes = &mut suspect.crashes;
+        if crashes.len() >= MAX_CRASHES_PER_REQUEST
+            || crashes.contains_key(&crash.id)
+        {
             return;
         }
-        ends.insert(crash.end, crash.had_ms);
-        suspect.heard_at = now;
-        self.tell(request, RequestOutcome::Crashed(crash), source);
+        crashes.insert(crash.id, crash.in_flight_ms);
+        suspect.updated_at = now;
+        self.broadcast(request, RequestOutcome::Crashed(crash), source);
     }
 
-    fn tell(
+    fn broadcast(
         &mut self,
         request: RequestDigest,
         outcome: RequestOutcome,
@@ -381,67 +417,71 @@
             .add(RequestObservation { request, outcome }, source);
     }
 
-    /// Forgets the ends that a request saw; returns whether there were any.
-    fn forget(&mut self, request: RequestDigest) -> bool {
-        self.firmly_held.remove(&request);
+    /// Removes a request from the suspects; returns whether it was one.
+    fn remove_suspect(&mut self, request: RequestDigest) -> bool {
+        self.retained.remove(&request);
         self.suspects.remove(&request).is_some()
     }
 
-    /// Makes room for one more suspect.
-    fn drop_least_suspect(&mut self) {
-        if self.suspects.len() < SUSPECTS_MOST {
+    /// Evicts the suspect with the fewest crashes if there is no room for
+    /// another one.
+    fn evict_least_suspect(&mut self) {
+        if self.suspects.len() < MAX_SUSPECTS {
             return;
         }
-        let least = self
-            .suspects
-            .iter()
-            .min_by_key(|(_, suspect)| (suspect.ends.len(), suspect.heard_at));
+        let least = self.suspects.iter().min_by_key(|(_, suspect)| {
+            (suspect.crashes.len(), suspect.updated_at)
+        });
         if let Some(request) = least.map(|(request, _)| *request) {
-            self.forget(request);
+            self.remove_suspect(request);
         }
     }
 
-    /// Finds anew what is held back.
-    fn judge(&mut self) -> Vec<QuarantineChange> {
+    /// Recomputes the quarantine and returns what changed.
+    fn update_quarantine(&mut self) -> Vec<QuarantineChange> {
         let suspects = self.suspects.iter();
-        let ends =
-            suspects.map(|(request, suspect)| (*request, &suspect.ends));
-        let held = attribution::culprits(ends, &self.firmly_held);
-        let released = self.held.difference(&held);
+        let crashes =
+            suspects.map(|(request, suspect)| (*request, &suspect.crashes));
+        let culprits = attribution::culprits(crashes, &self.retained);
+        let released = self.quarantined.difference(&culprits);
         let mut changes: Vec<QuarantineChange> = released
             .map(|request| QuarantineChange::Released(*request))
             .collect();
-        let new = held.difference(&self.held).map(|request| {
+        let added = culprits.difference(&self.quarantined).map(|request| {
             QuarantineChange::Added {
                 request: *request,
-                ends: self.suspects.get(request).map_or(0, |s| s.ends.len()),
+                ends: self
+                    .suspects
+                    .get(request)
+                    .map_or(0, |s| s.crashes.len()),
             }
         });
-        changes.extend(new);
-        self.firmly_held.clone_from(&held);
-        self.held = held;
+        changes.extend(added);
+        self.retained.clone_from(&culprits);
+        self.quarantined = culprits;
         changes
     }
 }
 
-/// Whether something was known at a time that is not too long ago. Whatever
-/// decides asks this, and does not wait for [`CrashTracker::expire`]: that has
-/// not run when a VM is woken.
+/// Whether less than `limit` has passed since `at`.
+///
+/// Every decision checks this and does not rely on [`CrashTracker::expire`],
+/// which has not run yet right after a suspended VM is resumed.
 fn is_recent(at: BootInstant, limit: Duration, now: BootInstant) -> bool {
     now.saturating_duration_since(at) < limit
 }
 
-/// Drops the entry with the earliest time if there are `most` already.
-fn make_room<K: Copy + Eq + Hash, V>(
+/// Removes the oldest entry if the map has `max` entries already.
+fn evict_oldest<K: Copy + Eq + Hash, V>(
     map: &mut HashMap<K, V>,
-    most: usize,
+    max: usize,
     at: impl Fn(&V) -> BootInstant,
 ) {
-    if map.len() < most {
+    if map.len() < max {
         return;
     }
-    let eldest = map.iter().min_by_key(|(_, value)| at(value));
-    if let Some(key) = eldest.map(|(key, _)| *key) {
+    let oldest = map.iter().min_by_key(|(_, value)| at(value));
+    if let Some(key) = oldest.map(|(key, _)| *key) {
         map.remove(&key);
     }
 }
