--- a/src/crashes/crash_check.rs
+++ b/src/crashes/crash_check.rs
@@ -1,8 +1,9 @@
-//! Finding out whether an upstream has ended under a request.
+//! Checks whether an upstream has crashed while running a request.
 //!
-//! A connection that breaks says little: it may have been reset while the
-//! upstream is well, and one that leaves closes what is left at its end. One
-//! that has crashed refuses the next connection, or has started anew.
+//! A broken connection alone proves nothing: it may have been reset while the
+//! upstream is healthy, and an upstream that shuts down closes its remaining
+//! connections. An upstream that has crashed refuses the next connection, or
+//! has started again.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,12 +19,12 @@
     task,
 };
 
-/// Time until an upstream that still takes connections is asked once more: a
-/// process that ends closes its sockets one after the other.
-const SECOND_LOOK: Duration = Duration::from_millis(150);
+/// Time after which an upstream that still takes connections is probed once
+/// more: a process that exits closes its sockets one after the other.
+const SECOND_PROBE_DELAY: Duration = Duration::from_millis(150);
 
-/// Takes in that an attempt was lost at an upstream where it began at
-/// `began_at`.
+/// Records that an attempt which began at `began_at` was lost, and checks in
+/// the background whether the upstream has crashed.
 pub(crate) fn record_lost_attempt(
     gateway: &Arc<Gateway>,
     member: &Arc<Member>,
@@ -31,18 +32,24 @@
     began_at: BootInstant,
 ) {
     let now = gateway.clock.now();
-    let life = member.upstream.short_hash;
+    let incarnation = member.upstream.short_hash;
     let has_crashed = member.has_crashed();
     if !has_crashed && !member.takes_requests(now) {
-        // It was leaving: its end was planned.
+        // It was shutting down, as planned.
         return;
     }
-    let (next, changes) =
-        gateway.crashes.record_lost_attempt(request, life, began_at, now);
+    let (next, changes) = gateway.crashes.record_lost_attempt(
+        request,
+        incarnation,
+        began_at,
+        now,
+    );
     gateway.note_crash_changes(&changes);
     match next {
         NextStep::Nothing => gateway.early_heartbeat.wake(),
-        NextStep::Check if has_crashed => settle(gateway, member, request),
+        NextStep::Check if has_crashed => {
+            record_crash(gateway, member, request)
+        }
         NextStep::Check => {
             let (gateway, member) = (gateway.clone(), member.clone());
             task::spawn(check(gateway, member, request)).detach();
@@ -58,29 +65,30 @@
     let address = member.entry.address;
     let mut listening = gateway.http.probe(address).await;
     if listening == Listening::Yes {
-        task::sleep(SECOND_LOOK).await;
+        task::sleep(SECOND_PROBE_DELAY).await;
         listening = gateway.http.probe(address).await;
     }
     if listening == Listening::No || member.has_crashed() {
-        settle(&gateway, &member, request);
+        record_crash(&gateway, &member, request);
         return;
     }
     let now = gateway.clock.now();
-    let life = member.upstream.short_hash;
-    let changes = gateway.crashes.record_probe(life, listening, now);
+    let incarnation = member.upstream.short_hash;
+    let changes = gateway.crashes.record_probe(incarnation, listening, now);
     gateway.note_crash_changes(&changes);
 }
 
-/// Takes in that an upstream has ended.
-fn settle(gateway: &Gateway, member: &Member, request: RequestDigest) {
+/// Records that an upstream has crashed.
+fn record_crash(gateway: &Gateway, member: &Member, request: RequestDigest) {
     Event::UpstreamEnded.record(fields(json!({
         "upstream": member.entry.life().to_string(),
         "request": request.to_string(),
     })));
     gateway.metrics.upstreams_ended.inc();
     let now = gateway.clock.now();
-    let life = member.upstream.short_hash;
-    let changes = gateway.crashes.record_probe(life, Listening::No, now);
+    let incarnation = member.upstream.short_hash;
+    let changes =
+        gateway.crashes.record_probe(incarnation, Listening::No, now);
     gateway.note_crash_changes(&changes);
     gateway.early_heartbeat.wake();
 }
--- a/src/crashes/persistence.rs
+++ b/src/crashes/persistence.rs
@@ -1,8 +1,9 @@
-//! Keeping in the platform's store what is held back.
+//! Writes the quarantined requests to the platform's store.
 //!
-//! Beats tell it to the VMs that are there. One that starts later, if need be
-//! after all of them have gone, reads it with everything else. Any VM can
-//! write it, and the steward does, under a lease that is not renewed.
+//! Heartbeats carry the quarantine to the VMs that are running. A VM that
+//! starts later, even after all of them have gone, reads it from the store.
+//! Any VM could write it; the steward does, under a lease that is not
+//! renewed, so that the entries expire.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,33 +22,34 @@
     task,
 };
 
-/// Time between two looks at what is held back.
-const LOOK_PERIOD: Duration = Duration::from_millis(250);
+/// Time between two checks for unwritten requests.
+const CHECK_PERIOD: Duration = Duration::from_millis(250);
 
-/// Longest wait after it could not be written.
-const RETRY_MOST: Duration = Duration::from_secs(5);
+/// Longest wait before a failed write is repeated.
+const MAX_RETRY_WAIT: Duration = Duration::from_secs(5);
 
-/// Writes what is held back for as long as it is polled.
+/// Drops expired crashes and writes the quarantine, for as long as polled.
 pub(crate) async fn run(gateway: Arc<Gateway>) {
-    let mut backoff = Backoff::new(LOOK_PERIOD, RETRY_MOST);
+    let mut backoff = Backoff::new(CHECK_PERIOD, MAX_RETRY_WAIT);
     loop {
-        task::sleep(LOOK_PERIOD).await;
+        task::sleep(CHECK_PERIOD).await;
         let now = gateway.clock.now();
         let changes = gateway.crashes.expire(now);
         gateway.note_crash_changes(&changes);
-        let due = due(&gateway, now);
-        if due.is_empty() {
+        let missing = missing_entries(&gateway, now);
+        if missing.is_empty() {
             continue;
         }
-        match write(&gateway, &due).await {
+        match write(&gateway, &missing).await {
             Ok(WriteOutcome::Committed(_)) => backoff.reset(),
-            // Another VM has written it, which this one is to hear of first.
+            // Another VM has written an entry, which this one must read
+            // before it tries again.
             Ok(WriteOutcome::Conflict | WriteOutcome::LeaseExpired) => {
                 task::sleep(backoff.wait()).await;
             }
             Err(error) => {
                 Event::HeldNotKept.record(fields(json!({
-                    "requests": due.len(),
+                    "requests": missing.len(),
                     "reason": error.to_string(),
                 })));
                 task::sleep(backoff.wait()).await;
@@ -56,8 +58,9 @@
     }
 }
 
-/// What this VM is to write: nothing, unless it is the steward.
-fn due(gateway: &Gateway, now: BootInstant) -> Vec<ConditionalWrite> {
+/// Returns the entries that this VM has to write: none, unless it is the
+/// steward.
+fn missing_entries(gateway: &Gateway, now: BootInstant) -> Vec<ConditionalWrite> {
     if !gateway.crashes.has_quarantined() {
         return Vec::new();
     }
@@ -65,8 +68,8 @@
     if !gateway.peers.is_steward(own_proof, now) {
         return Vec::new();
     }
-    let held = gateway.crashes.quarantined().into_iter();
-    let missing = held.filter_map(|(request, crashes)| {
+    let quarantined = gateway.crashes.quarantined().into_iter();
+    let missing = quarantined.filter_map(|(request, crashes)| {
         let key = document::crashing_request_key(request);
         if gateway.knowledge.version_of(&key).is_some() {
             return None;
@@ -84,7 +87,7 @@
     let store = &gateway.store;
     let lease = store.take_lease(CRASH_TTL).await?;
     let written = store.write_all(values, Some(lease)).await?;
-    // Whatever stands there now, this VM is to know it.
+    // Have this VM read the entries, whoever wrote them.
     gateway.peers.look();
     Ok(written)
 }
