--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,10 +1,11 @@
-//! Time as an interface, so that rules about time can be tested without it.
+//! Time behind a trait, so that tests can control it.
 //!
-//! A VM may be suspended for seconds. The steady clock of the operating system
-//! stands still meanwhile, so that all that was known before would seem as
-//! young as it was: keys that were taken away, leases that others hold by now.
-//! [`BootInstant`] counts that time, and is a type of its own so that nothing
-//! else can stand in for it by mistake.
+//! A VM may be suspended for seconds. The monotonic clock of the operating
+//! system stops meanwhile, so that everything learned before would seem as
+//! recent as it was: revoked keys would still be accepted, and leases that
+//! others hold by now would seem valid. [`BootInstant`] includes the time of
+//! suspension. It is a separate type so that no other clock is used by
+//! mistake.
 
 use std::{
     ops::{Add, AddAssign, Sub},
@@ -16,39 +17,40 @@
 
 const NANOS_IN_SECOND: i64 = 1_000_000_000;
 
-/// A moment on a clock that never goes back and also counts the time for which
-/// the machine is suspended.
+/// An instant of a monotonic clock that also counts the time for which the
+/// machine is suspended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BootInstant {
-    /// Time since the machine was booted; negative for a moment before that,
-    /// of which another VM may tell.
+    /// Time since the machine was booted; negative for an earlier instant,
+    /// which another VM may report.
     since_boot_ns: i64,
 }
 
 impl BootInstant {
-    /// The time from `earlier` to this moment, none if that is later.
+    /// Returns the time from `earlier` to this instant, zero if `earlier` is
+    /// later.
     pub fn saturating_duration_since(self, earlier: BootInstant) -> Duration {
         let passed_ns =
             self.since_boot_ns.saturating_sub(earlier.since_boot_ns);
         Duration::from_nanos(passed_ns.max(0) as u64)
     }
 
-    /// The moment that comes `time` before this one, unless that is centuries
-    /// ago.
+    /// Returns the instant `time` before this one; `None` if that cannot be
+    /// represented, which takes three centuries.
     pub fn checked_sub(self, time: Duration) -> Option<BootInstant> {
         let since_boot_ns = self.since_boot_ns.checked_sub(nanos(time))?;
         Some(BootInstant { since_boot_ns })
     }
 }
 
-/// A time in nanoseconds, three centuries at most.
+/// Converts a duration to nanoseconds, saturating at three centuries.
 fn nanos(time: Duration) -> i64 {
     i64::try_from(time.as_nanos()).unwrap_or(i64::MAX)
 }
 
 #[cfg(test)]
 impl BootInstant {
-    /// A moment for a test to begin with.
+    /// Returns the current instant of the system clock, for tests.
     pub(crate) fn now() -> BootInstant {
         SystemClock.now()
     }
@@ -88,16 +90,16 @@
 
 /// A source of time.
 ///
-/// Deadlines, ages and leases use [`Clock::now`]. Only what people read uses
+/// Deadlines, ages and leases use [`Clock::now`]. Only output for people uses
 /// [`Clock::system_time`].
 pub trait Clock: Send + Sync {
-    /// The present moment.
+    /// Returns the current instant.
     fn now(&self) -> BootInstant;
 
-    /// The time of day.
+    /// Returns the current date and time, which may jump.
     fn system_time(&self) -> SystemTime;
 
-    /// The time of day in milliseconds since the Unix epoch.
+    /// Returns the current date and time in milliseconds since the Unix epoch.
     fn unix_ms(&self) -> u64 {
         let since = self.system_time().duration_since(UNIX_EPOCH);
         since.unwrap_or(Duration::ZERO).as_millis() as u64
--- a/src/clock/tests.rs
+++ b/src/clock/tests.rs
@@ -5,17 +5,17 @@
 }
 
 #[test]
-fn moments_are_apart_by_what_is_added() {
+fn adding_and_subtracting_durations_are_inverse() {
     let start = at(Duration::from_secs(5));
     let time = Duration::from_millis(1_500);
     assert_eq!((start + time) - start, time);
     assert_eq!((start + time) - time, start);
-    assert_eq!(start - (start + time), Duration::ZERO, "it is later");
+    assert_eq!(start - (start + time), Duration::ZERO, "saturates at zero");
 }
 
-/// Another VM may tell of what was before this machine was booted.
+/// Another VM may report something that happened before this machine booted.
 #[test]
-fn a_moment_may_lie_before_the_boot() {
+fn an_instant_may_precede_the_boot() {
     let booted = at(Duration::from_secs(1));
     let before = booted.checked_sub(Duration::from_secs(3)).unwrap();
     assert!(before < booted);
--- a/src/frame.rs
+++ b/src/frame.rs
@@ -1,8 +1,8 @@
-//! Frames between VMs: a version byte, a byte that says how the body is
-//! packed, a `postcard` body, a keyed tag.
+//! Frames between VMs: a format byte, a compression byte, a `postcard` body
+//! and a keyed authentication tag.
 //!
-//! Whatever does not verify or decode is dropped and counted by the caller,
-//! so that a message kind of a later release, or garbage, does no harm.
+//! Callers drop and count frames that do not verify or decode, so that a
+//! message type of a later release, or garbage, does no harm.
 
 use miniz_oxide::{
     deflate::compress_to_vec, inflate::decompress_to_vec_with_limit,
@@ -11,52 +11,52 @@
 
 use crate::secret::ClusterKey;
 
-/// The release of the frame format; other releases are dropped.
+/// The version of the frame format; frames of other versions are dropped.
 const FORMAT: u8 = 8;
 
 const TAG_BYTES: usize = 16;
 
-/// A body that follows as it is.
+/// The compression byte of an uncompressed body.
 const PLAIN: u8 = 0;
 
-/// A body that follows as deflated.
+/// The compression byte of a deflated body.
 const DEFLATED: u8 = 1;
 
-/// Size from which a body is deflated: below it little is gained, and a
-/// heartbeat stays cheap.
-const DEFLATE_FROM_BYTES: usize = 2 << 10;
+/// Minimum size of a body that is deflated: compressing smaller ones gains
+/// little, and heartbeats stay cheap.
+const MIN_DEFLATE_BYTES: usize = 2 << 10;
 
-/// How hard the body is deflated, of 10; a configuration of 10 KB shrinks to
-/// a quarter already.
+/// Compression level, of 10; this one already shrinks a configuration of
+/// 10 KB to a quarter.
 const DEFLATE_LEVEL: u8 = 3;
 
-/// The largest datagram that is sent, safely under a usual path MTU.
+/// Maximum size of a datagram, safely below the usual path MTU.
 pub(crate) const DATAGRAM_LIMIT_BYTES: usize = 1400;
 
-/// The largest frame on a stream.
+/// Maximum size of a frame on a TCP connection.
 pub(crate) const FRAME_LIMIT_BYTES: usize = 8 << 20;
 
-/// The largest body that a deflated one may grow to.
-const INFLATED_MOST: usize = FRAME_LIMIT_BYTES;
+/// Maximum size of an inflated body.
+const MAX_INFLATED_BYTES: usize = FRAME_LIMIT_BYTES;
 
-/// Bytes before the body.
+/// Number of bytes before the body.
 const HEAD_BYTES: usize = 2;
 
 /// Why a frame was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// It is shorter than an empty frame.
+    /// The frame is shorter than an empty frame.
     Short,
-    /// It has another format.
+    /// The frame has another format version.
     Format,
-    /// Its tag does not match.
+    /// The authentication tag does not match.
     Tag,
-    /// Its body does not decode.
+    /// The body does not decode.
     Body,
 }
 
 impl FrameError {
-    /// The word used as a metric label.
+    /// Returns the error's value of the metric label.
     pub fn as_str(self) -> &'static str {
         match self {
             FrameError::Short => "short",
@@ -67,19 +67,19 @@
     }
 }
 
-/// Seals and opens frames.
+/// Encodes and authenticates frames, and verifies and decodes them.
 #[derive(Clone)]
 pub struct FrameCodec {
     key: [u8; 32],
 }
 
 impl FrameCodec {
-    /// Derives the key from the cluster key.
+    /// Creates a codec with a key derived from the cluster key.
     pub fn new(cluster_key: &ClusterKey) -> FrameCodec {
         FrameCodec { key: cluster_key.frame_key() }
     }
 
-    /// Encodes and seals a message.
+    /// Encodes a message as an authenticated frame.
     ///
     /// # Panics
     ///
@@ -89,7 +89,7 @@
         frame = postcard::to_extend(message, frame)
             .expect("messages between VMs encode");
         let body = &frame[HEAD_BYTES..];
-        if body.len() >= DEFLATE_FROM_BYTES {
+        if body.len() >= MIN_DEFLATE_BYTES {
             let deflated = deflate(body);
             frame = vec![FORMAT, DEFLATED];
             frame.extend_from_slice(&deflated);
@@ -104,7 +104,7 @@
     /// # Errors
     ///
     /// A [`FrameError`] for anything that [`FrameCodec::seal`] of the same
-    /// release and key has not made.
+    /// format and key has not produced.
     pub fn open<T: DeserializeOwned>(
         &self,
         frame: &[u8],
@@ -112,7 +112,7 @@
         let split =
             frame.len().checked_sub(TAG_BYTES).ok_or(FrameError::Short)?;
         let (sealed, tag) = frame.split_at(split);
-        let [format, packing, body @ ..] = sealed else {
+        let [format, compression, body @ ..] = sealed else {
             return Err(FrameError::Short);
         };
         if *format != FORMAT {
@@ -123,11 +123,11 @@
             return Err(FrameError::Tag);
         }
         let inflated;
-        let body = match *packing {
+        let body = match *compression {
             PLAIN => body,
             DEFLATED => {
-                inflated =
-                    inflate(body, INFLATED_MOST).ok_or(FrameError::Body)?;
+                inflated = inflate(body, MAX_INFLATED_BYTES)
+                    .ok_or(FrameError::Body)?;
                 &inflated
             }
             _ => return Err(FrameError::Body),
@@ -136,18 +136,18 @@
     }
 }
 
-/// Deflates bytes as those of a frame.
+/// Deflates bytes with the level used for frames.
 pub(crate) fn deflate(bytes: &[u8]) -> Vec<u8> {
     compress_to_vec(bytes, DEFLATE_LEVEL)
 }
 
-/// Inflates what [`deflate`] has made; `None` for anything else, or when it
-/// grows beyond `limit_bytes`.
+/// Inflates the output of [`deflate`]. Returns `None` for any other input, or
+/// if the result exceeds `limit_bytes`.
 pub(crate) fn inflate(bytes: &[u8], limit_bytes: usize) -> Option<Vec<u8>> {
     decompress_to_vec_with_limit(bytes, limit_bytes).ok()
 }
 
-/// Compares without revealing by its time where the difference is.
+/// Compares in constant time, which hides where the difference is.
 fn same_bytes(a: &[u8], b: &[u8]) -> bool {
     let difference = a.iter().zip(b).fold(0, |sum, (x, y)| sum | (x ^ y));
     a.len() == b.len() && difference == 0
@@ -180,7 +180,7 @@
     }
 
     #[test]
-    fn every_changed_bit_is_noticed() {
+    fn every_flipped_bit_and_truncation_is_rejected() {
         let frame = codec("1").seal(&42_u64);
         for at in 0..frame.len() * 8 {
             let mut changed = frame.clone();
@@ -194,7 +194,7 @@
     }
 
     #[test]
-    fn an_unknown_kind_is_a_body_fault() {
+    fn an_unknown_message_type_is_a_body_error() {
         #[derive(serde::Serialize)]
         enum Later {
             #[allow(dead_code)]
--- a/src/id.rs
+++ b/src/id.rs
@@ -1,7 +1,7 @@
-//! Identifiers: a newtype for each thing that has a name or a number.
+//! Identifiers: a newtype for each kind of name or number.
 //!
-//! Names are short ASCII words (`[a-z0-9._-]`, 64 bytes at most), so that they
-//! can stand in URLs, metric labels, log lines and store keys as they are.
+//! Names are short ASCII words (`[a-z0-9._-]`, 64 bytes at most), so that
+//! URLs, metric labels, log lines and store keys can contain them unescaped.
 
 use std::{fmt, str::FromStr, sync::Arc};
 
@@ -9,21 +9,21 @@
 
 use crate::error::{Error, ErrorKind};
 
-/// The greatest length of a name, in bytes.
-pub const NAME_LIMIT_BYTES: usize = 64;
+/// Maximum length of a name, in bytes.
+pub const MAX_NAME_BYTES: usize = 64;
 
 fn check_name(kind: &str, text: &str) -> Result<(), Error> {
     let allowed = |c: char| {
         c.is_ascii_lowercase() || c.is_ascii_digit() || "._-".contains(c)
     };
-    if text.is_empty() || text.len() > NAME_LIMIT_BYTES {
+    if text.is_empty() || text.len() > MAX_NAME_BYTES {
         return Err(Error::new(ErrorKind::InvalidInput).context(format!(
-            "{kind} must have 1 to {NAME_LIMIT_BYTES} characters"
+            "{kind} must have 1 to {MAX_NAME_BYTES} characters"
         )));
     }
     if !text.chars().all(allowed) {
         return Err(Error::new(ErrorKind::InvalidInput).context(format!(
-            "{kind} `{text}` may hold only a-z, 0-9, `.`, `_` and `-`"
+            "{kind} `{text}` may contain only a-z, 0-9, `.`, `_` and `-`"
         )));
     }
     Ok(())
@@ -40,7 +40,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -78,7 +78,7 @@
 }
 
 name_type! {
-    /// The name of an entry VM, stable over restarts of its process.
+    /// The name of a VM that runs this router, stable over restarts.
     VmId, "VM id"
 }
 name_type! {
@@ -86,7 +86,7 @@
     DataHallId, "data hall id"
 }
 name_type! {
-    /// The name of an organisation, the unit of templates and bills.
+    /// The name of an organisation, to which templates and bills belong.
     OrganisationId, "organisation id"
 }
 name_type! {
@@ -102,15 +102,14 @@
     ServiceId, "service id"
 }
 name_type! {
-    /// The name of one upstream: a replica of a model or a plain service.
+    /// The name of an upstream: a replica of a model or of a plain service.
     UpstreamId, "upstream id"
 }
 
-/// One life of one VM's process; a replaced VM has a new one.
+/// Identifies one run of a VM's process; a replaced VM has a new one.
 ///
-/// The number grows with each start: it is the start time in microseconds
-/// since the Unix epoch, so that a later life of the same VM id compares
-/// greater.
+/// It is the start time in microseconds since the Unix epoch, so that a later
+/// incarnation of the same VM id compares greater.
 #[derive(
     Clone,
     Copy,
@@ -132,7 +131,7 @@
     }
 }
 
-/// The identity of one request, and of its decision and its bill.
+/// Identifies a request, its decision and its bill.
 ///
 /// Written `vm~incarnation~sequence`, with both numbers in hexadecimal.
 #[derive(
@@ -142,9 +141,9 @@
 pub struct RequestId {
     /// The VM that admitted the request.
     pub vm: VmId,
-    /// The life of that VM in which it did.
+    /// The incarnation of that VM.
     pub incarnation: Incarnation,
-    /// The position of the request in that life.
+    /// The sequence number of the request in that incarnation.
     pub sequence: u64,
 }
 
@@ -192,7 +191,7 @@
     }
 }
 
-/// A position in the chain of configuration changes; 0 is before the first.
+/// A position in the chain of configuration changes; 0 precedes the first.
 #[derive(
     Clone,
     Copy,
@@ -210,7 +209,7 @@
 pub struct Revision(pub u64);
 
 impl Revision {
-    /// The revision after this one.
+    /// Returns the revision after this one.
     pub fn next(self) -> Revision {
         Revision(self.0 + 1)
     }
@@ -238,7 +237,7 @@
     use super::*;
 
     #[test]
-    fn names_are_checked() {
+    fn invalid_names_are_rejected() {
         assert!("petitions-desk".parse::<OrganisationId>().is_ok());
         assert!("".parse::<OrganisationId>().is_err());
         assert!("A b".parse::<VmId>().is_err());
@@ -256,8 +255,8 @@
     }
 }
 
-/// When an upstream started, in milliseconds since the Unix epoch by its own
-/// clock; of two starts under one name, the later has the greater one.
+/// The start time of an upstream, in milliseconds since the Unix epoch by its
+/// own clock. Of two starts under one name, the later compares greater.
 #[derive(
     Clone,
     Copy,
@@ -285,19 +284,20 @@
     fn from_str(text: &str) -> Result<StartMs, Error> {
         let number = text.parse().map_err(|error| {
             Error::new(ErrorKind::InvalidInput)
-                .context(format!("start `{text}`: {error}"))
+                .context(format!("start time `{text}`: {error}"))
         })?;
         Ok(StartMs(number))
     }
 }
 
-/// One life of an upstream, which may start again under its name: what is
-/// known or told of one life says nothing of another.
+/// One incarnation of an upstream, which may restart under the same name.
+/// Whatever is known or reported about one incarnation does not apply to
+/// another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct UpstreamIncarnation {
     /// The upstream.
     pub id: UpstreamId,
-    /// When the life began; `None` for one that tells no start.
+    /// When it started; `None` if the upstream does not report that.
     pub started: Option<StartMs>,
 }
 
--- a/src/message.rs
+++ b/src/message.rs
@@ -1,8 +1,11 @@
 //! The messages between VMs: datagrams, and requests with their replies.
 //!
-//! VMs, upstreams and organisations stand in datagrams as short hashes of
-//! their names, to keep within the byte budget of control traffic. A hash
-//! that the receiver cannot resolve is skipped.
+//! Messages are encoded without field names, so the order of fields and
+//! variants is part of the format.
+//!
+//! Datagrams carry short hashes in place of the names of VMs, upstreams and
+//! organisations, to stay within the byte budget of control traffic. A
+//! receiver ignores a hash that it cannot resolve.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -26,7 +29,7 @@
     unit::{Mbps, RequestRate},
 };
 
-/// The short hash of a name.
+/// A 32-bit hash of a name.
 #[derive(
     Clone,
     Copy,
@@ -43,180 +46,183 @@
 pub struct ShortHash(pub u32);
 
 impl ShortHash {
-    /// Hashes a name.
+    /// Returns the hash of a name.
     pub fn of(name: &str) -> ShortHash {
         ShortHash(crate::rendezvous::short_hash(name.as_bytes()))
     }
 }
 
-/// What one VM has at an upstream.
+/// The requests that one VM has in flight at an upstream.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize,
 )]
 pub struct InFlightWork {
-    /// Requests.
+    /// Number of requests in flight.
     pub requests: u16,
-    /// Time that the prompts take which are being read, in milliseconds.
+    /// Expected prefill time of their prompts that are still being processed,
+    /// in milliseconds.
     pub prefill_ms: u16,
 }
 
-/// A failure at an upstream, as one VM tells it to the others of its data
+/// A failed attempt at an upstream, reported to the other VMs of the data
 /// hall.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamFailureReport {
     /// The upstream.
     pub upstream: ShortHash,
-    /// How the attempt ended.
+    /// The outcome of the attempt.
     pub verdict: AttemptOutcome,
 }
 
-/// The rate limit that an upstream named, as one VM tells it to the others.
+/// The rate limit that an upstream announced, reported to other VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RateLimitReport {
-    /// The life of the upstream.
+    /// The incarnation of the upstream.
     pub upstream: ShortHash,
-    /// The rate; `None` where it named none any more.
+    /// The limit; `None` once the upstream no longer announces one.
     pub rate: Option<RequestRate>,
-    /// How long ago it said so, in milliseconds.
+    /// Time since the upstream's announcement, in milliseconds.
     pub age_ms: u16,
 }
 
-/// What an upstream stated of its load, as one VM tells it to the others.
+/// The load that an upstream announced, reported to other VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamLoadReport {
     /// The upstream.
     pub upstream: ShortHash,
-    /// Requests that it worked on.
+    /// Requests that it was running.
     pub running: u16,
-    /// Requests that waited there.
+    /// Requests in its queue.
     pub waiting: u16,
-    /// How long ago it said so, in milliseconds.
+    /// Time since the upstream's announcement, in milliseconds.
     pub age_ms: u16,
 }
 
-/// A sign of life of one VM, passed on by others.
+/// The latest heartbeat of one VM, relayed by others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatEntry {
     /// The VM.
     pub vm: ShortHash,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// A number that grows while it lives.
+    /// A counter that grows with each heartbeat of this incarnation.
     pub counter: u32,
-    /// Whether it is in a planned stop.
+    /// Whether it is shutting down as planned.
     pub leaving: bool,
 }
 
-/// The load of one upstream, passed on by others.
+/// The load of one upstream, relayed by other VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadEntry {
     /// The upstream.
     pub upstream: ShortHash,
-    /// The age of the figures.
+    /// The age of the figures, in milliseconds.
     pub age_ms: u16,
-    /// Requests that it works on.
+    /// Requests that it is running.
     pub running: u16,
-    /// Requests that wait there.
+    /// Requests in its queue.
     pub waiting: u16,
-    /// Requests that it can work on at once.
+    /// Requests that it can run at the same time.
     pub slots: u16,
-    /// Whether it is leaving.
+    /// Whether it is shutting down.
     pub leaving: bool,
     /// The versions that it has loaded.
     pub versions: Vec<ShortHash>,
 }
 
-/// A sum over one data hall, passed on by others.
+/// A tally over one data hall, relayed by other VMs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TallyEntry {
     /// The data hall.
     pub data_hall: ShortHash,
-    /// What is summed.
+    /// What is counted.
     pub key: TallyKey,
-    /// The age of the sum.
+    /// The age of the tally, in milliseconds.
     pub age_ms: u16,
-    /// The sum.
+    /// The counts.
     pub tally: Tally,
 }
 
-/// What one VM tells another in a gossip round.
+/// The message that one VM sends to another in a gossip round.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Gossip {
     /// The sender.
     pub vm: VmId,
     /// Its data hall.
     pub data_hall: DataHallId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Where it listens for other VMs.
+    /// The address at which it listens for other VMs.
     pub peer_address: SocketAddr,
-    /// The configuration revision in force there.
+    /// The configuration revision that it has in force.
     pub revision: Revision,
-    /// The age of the last proof that this revision is current.
+    /// The age of the last proof that this revision is current, in
+    /// milliseconds; `None` without any.
     pub proof_age_ms: Option<u32>,
-    /// Signs of life.
+    /// Heartbeats of VMs.
     pub heartbeats: Vec<HeartbeatEntry>,
-    /// Loads.
+    /// Loads of upstreams.
     pub loads: Vec<LoadEntry>,
-    /// Sums over data halls.
+    /// Tallies over data halls.
     pub tallies: Vec<TallyEntry>,
 }
 
-/// What a VM has heard from an upstream that its data hall is to know at once.
+/// A change announced by an upstream, sent to the data hall at once.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum UpstreamNotice {
-    /// It is leaving.
+    /// It is shutting down.
     Leaving(ShortHash),
-    /// It has begun to name a rate limit, or names none any more.
+    /// It has begun or ceased to announce a rate limit.
     RateLimit(RateLimitReport),
 }
 
 impl UpstreamNotice {
-    /// The same, told again some time later.
+    /// Returns the notice as it is sent again after `time`.
     pub(crate) fn aged_by(self, time: Duration) -> UpstreamNotice {
         match self {
             UpstreamNotice::Leaving(_) => self,
-            UpstreamNotice::RateLimit(told) => {
+            UpstreamNotice::RateLimit(report) => {
                 let later_ms = u16::try_from(time.as_millis());
                 let later_ms = later_ms.unwrap_or(u16::MAX);
-                let age_ms = told.age_ms.saturating_add(later_ms);
-                UpstreamNotice::RateLimit(RateLimitReport { age_ms, ..told })
+                let age_ms = report.age_ms.saturating_add(later_ms);
+                UpstreamNotice::RateLimit(RateLimitReport { age_ms, ..report })
             }
         }
     }
 }
 
-/// A message that may be lost.
+/// A message sent by UDP, which may be lost.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Datagram {
     /// A gossip round.
     Gossip(Gossip),
-    /// An upstream has said something of itself.
+    /// A change that an upstream has announced.
     Notice(UpstreamNotice),
-    /// One VM's own sums, for the VM that adds up its data hall.
+    /// One VM's tallies, for the VM that adds up those of the data hall.
     TallyReport {
         /// The sender.
         vm: VmId,
-        /// Its sums.
+        /// Its tallies.
         tallies: Vec<(TallyKey, Tally)>,
     },
 }
 
-/// The last beat that a VM has had from another.
+/// Identifies the last heartbeat received from a VM, echoed back to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatEcho {
-    /// The other VM's life.
+    /// The incarnation of the VM that sent the heartbeat.
     pub incarnation: Incarnation,
-    /// The number of the beat.
+    /// The number of the heartbeat.
     pub number: u32,
-    /// How long it has been here.
+    /// Time since the heartbeat was received, in milliseconds.
     pub elapsed_ms: u32,
 }
 
-/// What a VM before a platform tells each other VM a few times a second.
+/// The message that a VM in front of a platform sends to other VMs a few times
+/// a second.
 ///
-/// It carries an echo of the receiver's last beat, so that the receiver knows
-/// that everything in it is younger than that beat.
+/// It echoes the receiver's last heartbeat, so that the receiver knows that
+/// its contents are more recent than that heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The sender.
@@ -225,67 +231,65 @@
     pub data_hall: DataHallId,
     /// The rate of its network link.
     pub link_mbps: Mbps,
-    /// Where it listens for other VMs.
+    /// The address at which it listens for other VMs.
     pub peer_address: SocketAddr,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// A number that grows while it lives.
+    /// A number that grows with each heartbeat of this incarnation.
     pub number: u32,
-    /// The receiver's last beat that arrived.
+    /// The last heartbeat that it received from the receiver.
     pub echo: Option<HeartbeatEcho>,
-    /// Whether it is in a planned stop.
+    /// Whether it is shutting down as planned.
     pub leaving: bool,
-    /// The version of the platform's store up to which it knows all.
+    /// The version of the platform's store that it has read completely.
     pub as_of: u64,
-    /// A digest of all that it knows.
+    /// A digest of all that it has read from the store.
     pub digest: u64,
-    /// The version of the configuration in force there.
+    /// The version of the configuration that it has in force.
     pub configuration_version: u64,
-    /// The age of the last proof that this configuration is current.
+    /// The age of the last proof that this configuration is current, in
+    /// milliseconds; `None` without any.
     pub proof_age_ms: Option<u32>,
-    /// Whether the platform's store answers it, as far as it knows.
+    /// Whether it can reach the platform's store, as far as it knows.
     pub can_watch: bool,
-    /// What it has at each upstream that has any of it.
+    /// Its requests in flight, for each upstream that has any.
     pub in_flight: Vec<(ShortHash, InFlightWork)>,
-    /// What upstreams have stated to it since its last beat.
+    /// Loads that upstreams have announced to it since its last heartbeat.
     pub load_reports: Vec<UpstreamLoadReport>,
-    /// Upstreams at which its attempts have failed lately, for the VMs of its
-    /// data hall.
+    /// Recent failures of its attempts, for the VMs of its data hall.
     pub failures: Vec<UpstreamFailureReport>,
-    /// Lives of upstreams that have said lately that they are leaving.
+    /// Incarnations of upstreams that have recently announced their shutdown.
     pub leaving_upstreams: Vec<ShortHash>,
-    /// Rate limits that upstreams have named lately: to it, for the VMs of its
-    /// data hall; to any VM that it has heard, for those of other halls.
+    /// Recently announced rate limits: for the VMs of its data hall those
+    /// announced to it, for other halls also those that others reported to it.
     pub rate_limits: Vec<RateLimitReport>,
-    /// What it has seen of the roll-outs that are running, for the VMs of its
-    /// data hall.
+    /// Its evidence on the running roll-outs, for the VMs of its data hall.
     pub evidence: Vec<Evidence>,
-    /// What was seen lately of requests and of upstreams that ended.
+    /// Recent observations of requests and of crashed upstreams.
     pub observations: Vec<RequestObservation>,
-    /// What the VMs of a whole data hall have seen: of its own for the VMs of
-    /// other halls, and of other halls, which it was told, for those of its
-    /// own.
+    /// The evidence of whole data halls: that of its own hall for the VMs of
+    /// other halls, and that received from other halls for the VMs of its own.
     pub hall_evidence: Vec<HallEvidence>,
 }
 
-/// What one VM asks of another over a stream.
+/// A request from one VM to another, over a TCP connection.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// The changes after a revision.
+    /// Asks for the configuration changes after a revision.
     Changes {
-        /// The revision that the asker has.
+        /// The revision that the sender has.
         after: Revision,
     },
-    /// Settle a claim; the receiver should own its slot.
+    /// Decides a claim; the receiver should own the claim's slot.
     Claim(ClaimRequest),
-    /// Record the outcome of a claim.
+    /// Records the outcome of a claim.
     Settle {
         /// The claim.
         claim: ClaimRequest,
-        /// What became of it.
+        /// Its outcome.
         outcome: ClaimOutcome,
     },
-    /// Hold claims for a slot's owner while the store is out.
+    /// Replicates the claims of a slot's owner while the store is unavailable.
     HoldClaims {
         /// The slot.
         slot: u32,
@@ -293,33 +297,34 @@
         index: u64,
         /// The owner.
         owner: VmId,
-        /// The owner's life.
+        /// The owner's incarnation.
         incarnation: Incarnation,
-        /// The position of the first claim in all since the store went
-        /// out.
+        /// The position of the first of `claims` among all claims since the
+        /// store became unavailable.
         first: u64,
-        /// The claims from there on.
+        /// The claims from that position on.
         claims: Vec<OfflineClaim>,
     },
-    /// Hold bills, and commit them if the receiver is a writer.
+    /// Hands over bills to keep, and to commit if the receiver is a writer.
     Bills(Vec<Bill>),
-    /// Find a decision.
+    /// Asks for the decision on a request.
     Decision(RequestId),
-    /// Everything that is known from the platform's store.
+    /// Asks for everything that the receiver has read from the platform's
+    /// store.
     Knowledge,
-    /// Take everything from the sender, which knows more than it can tell
-    /// every VM unasked.
+    /// Tells the receiver to fetch the sender's [`PeerReply::Knowledge`],
+    /// which is too large to be sent to every VM unasked.
     PullKnowledge {
-        /// Where the sender listens for other VMs.
+        /// The address at which the sender listens for other VMs.
         from: SocketAddr,
     },
-    /// Take in what has changed in the platform's store.
+    /// Sends the changes that the sender has read from the platform's store.
     KnowledgeDelta {
-        /// The digest of what was known before.
+        /// The digest of the sender's knowledge before the changes.
         digest_before: u64,
-        /// The version of the store up to which it holds.
+        /// The version of the store that the changes lead up to.
         as_of: u64,
-        /// What has changed.
+        /// The changed entries.
         items: Vec<ChangedItem>,
     },
 }
@@ -327,32 +332,32 @@
 /// The reply to a [`PeerRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerReply {
-    /// The changes asked for, in order.
+    /// The requested changes, in order.
     Changes(Vec<Change>),
-    /// A whole configuration, when the changes are no longer at hand.
+    /// The whole configuration, if the requested changes are no longer kept.
     Snapshot(String),
-    /// The verdict on a claim.
+    /// The decision on a claim.
     Verdict(ClaimVerdict),
-    /// Done.
+    /// The request was carried out.
     Done,
-    /// The bills are held; those committed to the store are named.
+    /// The bills are kept; some may have been committed to the store.
     BillsHeld {
-        /// Requests whose bill is in the store.
+        /// Requests whose bill has been committed.
         committed: Vec<RequestId>,
     },
-    /// The decision, if it is known.
+    /// The decision on the request, if it is known.
     Decision(Option<Box<Decision>>),
-    /// Everything that is known from the platform's store.
+    /// Everything that the VM has read from the platform's store.
     Knowledge {
-        /// The version of the store up to which it holds.
+        /// The version of the store that was read completely.
         as_of: u64,
-        /// The values, as [`crate::facts::knowledge_pack`] packs them.
+        /// The entries, as [`crate::facts::knowledge_pack`] packs them.
         packed: Vec<u8>,
-        /// The age of the proof that they are current.
+        /// The age of the proof that they are current, in milliseconds.
         proof_age_ms: u32,
-        /// The requests that are held back, and why.
+        /// The crashes under all quarantined requests.
         observations: Vec<RequestObservation>,
     },
-    /// The receiver cannot or may not do it.
+    /// The receiver cannot or may not carry out the request; says why.
     Refused(String),
 }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,5 +1,5 @@
-//! Requests between VMs over TCP: one connection for each pair, many
-//! requests on it at once, each with its own number and time limit.
+//! Requests between VMs over TCP: one connection to each VM, on which many
+//! requests are multiplexed, each with its own number and timeout.
 
 use std::{
     collections::HashMap,
@@ -27,15 +27,15 @@
     task::{self, Task, within},
 };
 
-/// Longest time to connect to another VM.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout for connecting to another VM.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why another VM gave no reply.
+/// Why a request to another VM got no reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum PeerError {
-    /// Nothing can have arrived there.
+    /// The request was not sent.
     NotSent(String),
-    /// It may have been carried out there.
+    /// The request may have been carried out.
     OutcomeUnknown(String),
 }
 
@@ -50,16 +50,17 @@
     }
 }
 
+/// A request or a reply with the number that matches one to the other.
 #[derive(Serialize, Deserialize)]
-struct Numbered<T> {
+struct Envelope<T> {
     number: u64,
     body: T,
 }
 
 type Pending = Arc<Mutex<HashMap<u64, Sender<PeerReply>>>>;
 
-/// An open connection to one VM.
-struct Link {
+/// An open connection to one VM, on the client side.
+struct ClientConnection {
     writer: AsyncMutex<TcpStream>,
     pending: Pending,
     is_closed: Arc<AtomicBool>,
@@ -70,7 +71,7 @@
 pub(crate) struct PeerClient {
     codec: FrameCodec,
     metrics: Arc<Metrics>,
-    links: AsyncMutex<HashMap<SocketAddr, Arc<Link>>>,
+    connections: AsyncMutex<HashMap<SocketAddr, Arc<ClientConnection>>>,
     next_number: AtomicU64,
 }
 
@@ -79,32 +80,33 @@
         PeerClient {
             codec,
             metrics,
-            links: AsyncMutex::new(HashMap::new()),
+            connections: AsyncMutex::new(HashMap::new()),
             next_number: AtomicU64::new(1),
         }
     }
 
-    /// Sends a request and waits for its reply, at most `limit`.
+    /// Sends a request and waits at most `limit` for its reply.
     pub(crate) async fn call(
         &self,
         address: SocketAddr,
         request: PeerRequest,
         limit: Duration,
     ) -> Result<PeerReply, PeerError> {
-        let link = match within(CONNECT_LIMIT, self.link(address)).await {
-            Some(Ok(link)) => link,
-            Some(Err(e)) => return Err(PeerError::NotSent(e.to_string())),
-            None => return Err(PeerError::NotSent("connecting".into())),
-        };
-        let work = self.exchange(&link, request);
+        let connection =
+            match within(CONNECT_TIMEOUT, self.connection(address)).await {
+                Some(Ok(connection)) => connection,
+                Some(Err(e)) => return Err(PeerError::NotSent(e.to_string())),
+                None => return Err(PeerError::NotSent("connecting".into())),
+            };
+        let work = self.exchange(&connection, request);
         match within(limit, work).await {
             Some(Ok(reply)) => Ok(reply),
             Some(Err(error)) => {
-                self.forget(address, &link).await;
+                self.disconnect(address, &connection).await;
                 Err(error)
             }
             None => {
-                self.forget(address, &link).await;
+                self.disconnect(address, &connection).await;
                 Err(PeerError::OutcomeUnknown(format!(
                     "no reply in {limit:?}"
                 )))
@@ -114,15 +116,19 @@
 
     async fn exchange(
         &self,
-        link: &Link,
+        connection: &ClientConnection,
         request: PeerRequest,
     ) -> Result<PeerReply, PeerError> {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
-        let frame = self.codec.seal(&Numbered { number, body: request });
+        let frame = self.codec.seal(&Envelope { number, body: request });
         let (sender, receiver) = bounded(1);
-        link.pending.lock().expect("pending lock").insert(number, sender);
+        connection
+            .pending
+            .lock()
+            .expect("pending lock")
+            .insert(number, sender);
         let sent = {
-            let mut writer = link.writer.lock().await;
+            let mut writer = connection.writer.lock().await;
             write_frame(&mut writer, &frame).await
         };
         count_bytes(&self.metrics, frame.len());
@@ -130,46 +136,56 @@
             Ok(()) => receiver.recv().await.ok(),
             Err(_) => None,
         };
-        link.pending.lock().expect("pending lock").remove(&number);
+        connection.pending.lock().expect("pending lock").remove(&number);
         reply
             .ok_or_else(|| PeerError::OutcomeUnknown("connection lost".into()))
     }
 
-    async fn link(&self, address: SocketAddr) -> io::Result<Arc<Link>> {
-        if let Some(link) = self.links.lock().await.get(&address)
-            // Only a new connection tells whether a VM is there again.
-            && !link.is_closed.load(Ordering::Relaxed)
+    /// Returns the open connection to a VM, or opens one.
+    async fn connection(
+        &self,
+        address: SocketAddr,
+    ) -> io::Result<Arc<ClientConnection>> {
+        if let Some(connection) = self.connections.lock().await.get(&address)
+            // A closed connection never recovers, even if the VM is back.
+            && !connection.is_closed.load(Ordering::Relaxed)
         {
-            return Ok(link.clone());
+            return Ok(connection.clone());
         }
-        // Not under the lock: a VM that is gone would hold up the requests
-        // to all others until the time to connect is over.
+        // Connects without the lock: an unreachable VM would delay the
+        // requests to all others until the timeout.
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let pending: Pending = Arc::default();
         let is_closed = Arc::new(AtomicBool::new(false));
         let replies =
             read_replies(stream.clone(), self.codec.clone(), pending.clone());
-        let closes = is_closed.clone();
+        let closed = is_closed.clone();
         let reader = async move {
             replies.await;
-            closes.store(true, Ordering::Relaxed);
+            closed.store(true, Ordering::Relaxed);
         };
-        let link = Arc::new(Link {
+        let connection = Arc::new(ClientConnection {
             writer: AsyncMutex::new(stream),
             pending,
             is_closed,
             _reader: task::spawn(reader),
         });
-        self.links.lock().await.insert(address, link.clone());
-        Ok(link)
+        self.connections.lock().await.insert(address, connection.clone());
+        Ok(connection)
     }
 
-    async fn forget(&self, address: SocketAddr, link: &Arc<Link>) {
-        let mut links = self.links.lock().await;
-        let same = links.get(&address).is_some_and(|l| Arc::ptr_eq(l, link));
+    async fn disconnect(
+        &self,
+        address: SocketAddr,
+        connection: &Arc<ClientConnection>,
+    ) {
+        let mut connections = self.connections.lock().await;
+        let same = connections
+            .get(&address)
+            .is_some_and(|c| Arc::ptr_eq(c, connection));
         if same {
-            links.remove(&address);
+            connections.remove(&address);
         }
     }
 }
@@ -180,30 +196,30 @@
     pending: Pending,
 ) {
     while let Ok(frame) = read_frame(&mut stream).await {
-        let Ok(reply) = codec.open::<Numbered<PeerReply>>(&frame) else {
+        let Ok(reply) = codec.open::<Envelope<PeerReply>>(&frame) else {
             break;
         };
         let waiting =
             pending.lock().expect("pending lock").remove(&reply.number);
         if let Some(waiting) = waiting {
-            // The asker may have given up; its reply is then dropped.
+            // The caller may have given up; the reply is then dropped.
             let _ = waiting.try_send(reply.body);
         }
     }
-    // Dropping the senders tells every asker that the connection is lost.
+    // Dropping the senders tells every caller that the connection is lost.
     pending.lock().expect("pending lock").clear();
 }
 
-/// Answers the requests of other VMs.
+/// Handles the requests of other VMs.
 pub(crate) trait PeerService: Send + Sync + 'static {
-    /// Answers one request.
+    /// Handles one request and returns the reply.
     fn answer(
         self: Arc<Self>,
         request: PeerRequest,
     ) -> impl Future<Output = PeerReply> + Send;
 }
 
-/// Accepts connections of other VMs for as long as it is polled.
+/// Accepts connections of other VMs, for as long as it is polled.
 pub(crate) async fn serve<S: PeerService>(
     listener: TcpListener,
     codec: FrameCodec,
@@ -213,26 +229,28 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let connection = Connection {
+                let connection = ServerConnection {
                     codec: codec.clone(),
                     metrics: metrics.clone(),
                     service: service.clone(),
                 };
                 task::spawn(connection.run(stream)).detach();
             }
-            // Out of file descriptors, say; others must be closed first.
+            // For example out of file descriptors: waits until others are
+            // closed.
             Err(_) => task::sleep(Duration::from_millis(50)).await,
         }
     }
 }
 
-struct Connection<S> {
+/// An accepted connection of another VM.
+struct ServerConnection<S> {
     codec: FrameCodec,
     metrics: Arc<Metrics>,
     service: Arc<S>,
 }
 
-impl<S: PeerService> Connection<S> {
+impl<S: PeerService> ServerConnection<S> {
     async fn run(self, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let writer = Arc::new(AsyncMutex::new(stream.clone()));
@@ -248,17 +266,17 @@
             task::spawn(async move {
                 let body = service.answer(request.body).await;
                 let number = request.number;
-                let reply = codec.seal(&Numbered { number, body });
+                let reply = codec.seal(&Envelope { number, body });
                 count_bytes(&metrics, reply.len());
                 let mut writer = writer.lock().await;
-                // An asker that is gone needs no reply.
+                // A caller that is gone needs no reply.
                 let _ = write_frame(&mut writer, &reply).await;
             })
             .detach();
         }
     }
 
-    fn open<T: DeserializeOwned>(&self, frame: &[u8]) -> Option<Numbered<T>> {
+    fn open<T: DeserializeOwned>(&self, frame: &[u8]) -> Option<Envelope<T>> {
         match self.codec.open(frame) {
             Ok(message) => Some(message),
             Err(fault) => {
@@ -278,10 +296,10 @@
 
 async fn write_frame(stream: &mut TcpStream, frame: &[u8]) -> io::Result<()> {
     let length = (frame.len() as u32).to_be_bytes();
-    let mut whole = Vec::with_capacity(length.len() + frame.len());
-    whole.extend_from_slice(&length);
-    whole.extend_from_slice(frame);
-    stream.write_all(&whole).await
+    let mut bytes = Vec::with_capacity(length.len() + frame.len());
+    bytes.extend_from_slice(&length);
+    bytes.extend_from_slice(frame);
+    stream.write_all(&bytes).await
 }
 
 async fn read_frame(stream: &mut TcpStream) -> io::Result<Vec<u8>> {
--- a/src/rendezvous.rs
+++ b/src/rendezvous.rs
@@ -1,10 +1,10 @@
-//! Rendezvous hashing: who of several takes a share of the work.
+//! Rendezvous hashing: assigns work to one of several members.
 //!
-//! Every VM computes the same order from the same members. When members
-//! differ for a moment, two VMs may take the same share; that costs a
-//! repeated or conflicting call and never safety.
+//! Every VM computes the same order from the same members. While the VMs know
+//! different members, two of them may take the same work. That costs a
+//! repeated or conflicting call but never safety.
 
-/// The order in which `members` come into question for `subject`.
+/// Returns `members` in the order of preference for `subject`.
 pub(crate) fn rank<'a, T: AsRef<[u8]> + ?Sized>(
     subject: &[u8],
     members: impl Iterator<Item = &'a T>,
@@ -16,7 +16,7 @@
     scored.into_iter().map(|(_, member)| member).collect()
 }
 
-/// The weight of one member for a subject.
+/// Returns the weight of one member for a subject.
 pub(crate) fn score(subject: &[u8], member: &[u8]) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&(subject.len() as u64).to_le_bytes());
@@ -25,21 +25,22 @@
     first_u64(&hasher.finalize())
 }
 
-/// A short hash of a name, used where a name would be too long to send.
+/// Returns a short hash of a name, used where a name would be too long to
+/// send.
 pub(crate) fn short_hash(name: &[u8]) -> u32 {
     first_u64(&blake3::hash(name)) as u32
 }
 
-/// The first eight bytes of a hash as a number.
+/// Returns the first eight bytes of a hash as a number.
 pub(crate) fn first_u64(hash: &blake3::Hash) -> u64 {
     let bytes = hash.as_bytes()[..8].try_into().expect("eight bytes");
     u64::from_le_bytes(bytes)
 }
 
-/// Mixes a subject and a member, both hashed already, into a score.
+/// Mixes the hashes of a subject and a member into a score.
 ///
-/// This is the finaliser of MurmurHash3, which spreads every bit; it costs
-/// a few nanoseconds where [`score`] costs a few hundred.
+/// This is the finalizer of MurmurHash3, in which every input bit affects all
+/// output bits. It takes a few nanoseconds, [`score`] a few hundred.
 pub(crate) fn mix(subject: u64, member: u64) -> u64 {
     let mut mixed = subject ^ member.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
@@ -52,7 +53,7 @@
     use super::*;
 
     #[test]
-    fn losing_a_member_moves_only_its_share() {
+    fn removing_a_member_moves_only_its_subjects() {
         let members: Vec<String> =
             (0..10).map(|n| format!("vm-{n}")).collect();
         let fewer: Vec<String> = members[1..].to_vec();
@@ -65,7 +66,7 @@
     }
 
     #[test]
-    fn shares_are_even() {
+    fn subjects_are_spread_evenly() {
         let members: Vec<String> = (0..8).map(|n| format!("vm-{n}")).collect();
         let mut counts = [0_u32; 8];
         for subject in 0..8000_u32 {
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,39 +1,41 @@
-//! The retry budget: retries as a share of the requests, never a storm.
+//! The retry budget: limits retries to a share of the requests, which
+//! prevents retry storms.
 
 use std::sync::Mutex;
 
-/// Retries that may be saved up.
-const SAVED_MOST: f64 = 20.0;
+/// Maximum number of retries that the budget accumulates.
+const MAX_BALANCE: f64 = 20.0;
 
-/// Retries that are there at the start.
-const SAVED_AT_START: f64 = 5.0;
+/// Number of retries in a new budget.
+const INITIAL_BALANCE: f64 = 5.0;
 
-/// A budget that each request fills a little and each retry draws on.
+/// A balance of retries to which each request adds a fraction and from which
+/// each retry takes one.
 #[derive(Debug)]
 pub struct RetryBudget {
     share: f64,
-    saved: Mutex<f64>,
+    balance: Mutex<f64>,
 }
 
 impl RetryBudget {
-    /// Creates a budget of `share` retries for each request.
+    /// Creates a budget that adds `share` retries for each request.
     pub fn new(share: f64) -> RetryBudget {
-        RetryBudget { share, saved: Mutex::new(SAVED_AT_START) }
+        RetryBudget { share, balance: Mutex::new(INITIAL_BALANCE) }
     }
 
-    /// Counts a request.
+    /// Adds the share of one request to the balance.
     pub fn count_request(&self) {
-        let mut saved = self.saved.lock().expect("retry lock");
-        *saved = (*saved + self.share).min(SAVED_MOST);
+        let mut balance = self.balance.lock().expect("retry lock");
+        *balance = (*balance + self.share).min(MAX_BALANCE);
     }
 
-    /// Takes one retry, if the budget allows it.
+    /// Takes one retry from the balance; returns `false` if there is none.
     pub fn try_retry(&self) -> bool {
-        let mut saved = self.saved.lock().expect("retry lock");
-        if *saved < 1.0 {
+        let mut balance = self.balance.lock().expect("retry lock");
+        if *balance < 1.0 {
             return false;
         }
-        *saved -= 1.0;
+        *balance -= 1.0;
         true
     }
 }
@@ -43,7 +45,7 @@
     use super::*;
 
     #[test]
-    fn retries_stay_a_share_of_requests() {
+    fn retries_are_limited_to_a_share_of_requests() {
         let budget = RetryBudget::new(0.1);
         let mut retries = 0.0;
         for _ in 0..10_000 {
@@ -52,6 +54,6 @@
                 retries += 1.0;
             }
         }
-        assert!(retries <= 10_000.0 * 0.1 + SAVED_AT_START);
+        assert!(retries <= 10_000.0 * 0.1 + INITIAL_BALANCE);
     }
 }
--- a/src/token_bucket.rs
+++ b/src/token_bucket.rs
@@ -1,4 +1,4 @@
-//! A token bucket: a rate with a burst, judged by a clock passed in.
+//! A token bucket: a rate limit with a burst. The caller passes the time.
 
 use std::time::Duration;
 
@@ -10,27 +10,28 @@
     rate_per_s: f64,
     burst: f64,
     tokens: f64,
-    filled_at: BootInstant,
+    refilled_at: BootInstant,
 }
 
 impl TokenBucket {
-    /// Creates a bucket that lets `burst` through at once and `rate_per_s`
+    /// Creates a bucket that allows `burst` tokens at once and `rate_per_s`
     /// in the long run.
     pub(crate) fn new(
         rate_per_s: f64,
         burst: f64,
         now: BootInstant,
     ) -> TokenBucket {
-        TokenBucket { rate_per_s, burst, tokens: burst, filled_at: now }
+        TokenBucket { rate_per_s, burst, tokens: burst, refilled_at: now }
     }
 
-    /// Takes `amount` tokens, or says how long to wait for them.
+    /// Takes `amount` tokens, or returns how long to wait for them, at most
+    /// 60 s.
     pub(crate) fn take(
         &mut self,
         amount: f64,
         now: BootInstant,
     ) -> Result<(), Duration> {
-        self.fill(now);
+        self.refill(now);
         if self.tokens >= amount {
             self.tokens -= amount;
             return Ok(());
@@ -42,24 +43,24 @@
         Err(Duration::from_secs_f64(wait_s.min(60.0)))
     }
 
-    /// Changes rate and burst and keeps what is in the bucket.
+    /// Changes rate and burst, and keeps the tokens up to the new burst.
     pub(crate) fn set_rate(
         &mut self,
         rate_per_s: f64,
         burst: f64,
         now: BootInstant,
     ) {
-        self.fill(now);
+        self.refill(now);
         self.rate_per_s = rate_per_s;
         self.burst = burst;
         self.tokens = self.tokens.min(burst);
     }
 
-    fn fill(&mut self, now: BootInstant) {
-        let passed = now.saturating_duration_since(self.filled_at);
+    fn refill(&mut self, now: BootInstant) {
+        let passed = now.saturating_duration_since(self.refilled_at);
         let gained = passed.as_secs_f64() * self.rate_per_s;
         self.tokens = (self.tokens + gained).min(self.burst);
-        self.filled_at = now;
+        self.refilled_at = now;
     }
 }
 
@@ -68,7 +69,7 @@
     use super::*;
 
     #[test]
-    fn a_bucket_lets_the_burst_and_then_the_rate_through() {
+    fn a_bucket_allows_the_burst_and_then_the_rate() {
         let start = BootInstant::now();
         let mut bucket = TokenBucket::new(10.0, 2.0, start);
         assert!(bucket.take(1.0, start).is_ok());
--- a/src/unit.rs
+++ b/src/unit.rs
@@ -1,4 +1,4 @@
-//! Quantities: a newtype for each size, rate and share.
+//! Quantities: a newtype for each kind of amount, rate and share.
 
 use std::{fmt, ops::Add, str::FromStr};
 
@@ -6,7 +6,7 @@
 
 use crate::error::{Error, ErrorKind};
 
-/// A sum of money in millionths of the operator's currency unit.
+/// An amount of money in millionths of the operator's currency unit.
 #[derive(
     Clone,
     Copy,
@@ -45,8 +45,8 @@
     }
 }
 
-/// Reads a number from 0 up to, but not including, `limit`; `what` names it in
-/// the error.
+/// Parses a number from 0 up to, but not including, `limit`; `what` names the
+/// quantity in the error message.
 fn parse_below(text: &str, what: &str, limit: f64) -> Result<f64, Error> {
     let invalid =
         |reason: String| Error::new(ErrorKind::InvalidInput).context(reason);
@@ -59,7 +59,7 @@
     }
 }
 
-/// The rate of a network link, in megabits a second.
+/// The bandwidth of a network link, in megabits per second.
 #[derive(
     Clone,
     Copy,
@@ -90,21 +90,21 @@
     }
 }
 
-/// How many requests are taken in a second.
+/// A number of requests per second.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct RequestRate {
-    /// In thousandths of a request a second.
+    /// In thousandths of a request per second.
     milli_per_s: u32,
 }
 
 impl RequestRate {
-    /// The highest that is told from others.
-    const MOST_PER_S: f64 = 1e6;
+    /// The highest rate that can be represented.
+    const MAX_PER_S: f64 = 1e6;
 
-    /// Requests a second.
+    /// Returns the rate in requests per second.
     pub fn per_s(self) -> f64 {
         f64::from(self.milli_per_s) / 1000.0
     }
@@ -119,10 +119,10 @@
 impl FromStr for RequestRate {
     type Err = Error;
 
-    /// Reads a decimal number; what is too high to matter is the highest.
+    /// Parses a decimal number; higher rates become the highest one.
     fn from_str(text: &str) -> Result<Self, Error> {
         let per_s = parse_below(text, "a request rate", f64::INFINITY)?;
-        let per_s = per_s.min(RequestRate::MOST_PER_S);
+        let per_s = per_s.min(RequestRate::MAX_PER_S);
         Ok(RequestRate { milli_per_s: (per_s * 1000.0).round() as u32 })
     }
 }
@@ -135,9 +135,9 @@
 pub struct Share(f64);
 
 impl Share {
-    /// Nothing.
+    /// The share 0.
     pub const ZERO: Share = Share(0.0);
-    /// The whole.
+    /// The share 1.
     pub const ONE: Share = Share(1.0);
 
     /// Creates a share.
@@ -153,7 +153,7 @@
         Ok(Share(value))
     }
 
-    /// The value, from 0 to 1.
+    /// Returns the value, from 0 to 1.
     pub fn value(self) -> f64 {
         self.0
     }
@@ -191,12 +191,12 @@
     }
 }
 
-/// A whole number of hundredths, 0 to 100.
+/// A whole percentage from 0 to 100.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Percent(u8);
 
 impl Percent {
-    /// Creates one.
+    /// Creates a percentage.
     ///
     /// # Errors
     ///
@@ -209,7 +209,7 @@
         Err(Error::new(ErrorKind::InvalidInput).context(reason))
     }
 
-    /// The number, 0 to 100.
+    /// Returns the number, from 0 to 100.
     pub fn value(self) -> u8 {
         self.0
     }
@@ -226,8 +226,9 @@
 
     fn from_str(text: &str) -> Result<Self, Error> {
         let number = text.trim().parse().map_err(|_| {
-            Error::new(ErrorKind::InvalidInput)
-                .context(format!("`{text}` is not a whole number to 100"))
+            Error::new(ErrorKind::InvalidInput).context(format!(
+                "`{text}` is not a whole number from 0 to 100"
+            ))
         })?;
         Percent::new(number)
     }
@@ -247,7 +248,7 @@
     }
 
     #[test]
-    fn request_rates_round_trip_and_are_bounded() {
+    fn request_rates_round_trip_and_saturate() {
         let rate = |text: &str| text.parse::<RequestRate>();
         for text in ["0", "0.3", "1.4", "40", "1000000"] {
             assert_eq!(rate(text).unwrap().to_string(), text);
@@ -260,7 +261,7 @@
     }
 
     #[test]
-    fn shares_are_bounded() {
+    fn shares_outside_0_to_1_are_rejected() {
         assert!(Share::new(1.01).is_err());
         assert!(Share::new(f64::NAN).is_err());
         assert_eq!("0.5".parse::<Share>().unwrap().value(), 0.5);
