--- a/src/rollouts/choice.rs
+++ b/src/rollouts/choice.rs
@@ -25,9 +25,9 @@
     /// Nothing is known of its session, or it has none, so it was drawn.
     Drawn,
     /// The last request of its session that this VM had, so long ago.
-    OwnSession(Duration),
+    LocalSession(Duration),
     /// What another VM told of its session, so long ago.
-    ToldSession(Duration),
+    PeerSession(Duration),
 }
 
 impl ChoiceReason {
@@ -37,17 +37,16 @@
             ChoiceReason::Stopped => "stopped",
             ChoiceReason::Completed => "completed",
             ChoiceReason::Drawn => "drawn",
-            ChoiceReason::OwnSession(_) => "own_session",
-            ChoiceReason::ToldSession(_) => "told_session",
+            ChoiceReason::LocalSession(_) => "own_session",
+            ChoiceReason::PeerSession(_) => "told_session",
         }
     }
 
     /// The age of what was known of its session.
     pub fn session_age(self) -> Option<Duration> {
         match self {
-            ChoiceReason::OwnSession(age) | ChoiceReason::ToldSession(age) => {
-                Some(age)
-            }
+            ChoiceReason::LocalSession(age)
+            | ChoiceReason::PeerSession(age) => Some(age),
             _ => None,
         }
     }
--- a/src/rollouts/evidence.rs
+++ b/src/rollouts/evidence.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{message::ShortHash, rollouts::comparison::Answers};
+use crate::{message::ShortHash, rollouts::comparison::AnswerCounts};
 
 /// What a VM, or all of a data hall, has seen of a roll-out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -20,20 +20,20 @@
     /// How long the roll-out has been running.
     pub running_ms: u32,
     /// How long it had been running when the trial ended, if it has.
-    pub trial_ended_ms: Option<u32>,
+    pub canary_ended_ms: Option<u32>,
     /// Whether the new version has been stopped.
     pub stopped: bool,
     /// Requests that are still at the old version.
     pub old_in_flight: u16,
     /// Sessions at the old version that the trial would take.
-    pub old_sessions: Vec<ToldSession>,
-    /// Answers by route, of the old and the new version.
-    pub answers: Vec<(ShortHash, Answers, Answers)>,
+    pub old_sessions: Vec<OldVersionSession>,
+    /// AnswerCounts by route, of the old and the new version.
+    pub answers: Vec<(ShortHash, AnswerCounts, AnswerCounts)>,
 }
 
 /// A session at the old version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldSession {
+pub struct OldVersionSession {
     /// The session.
     pub session: ShortHash,
     /// How long nothing of it has been under way.
--- a/src/rollouts/peer_evidence.rs
+++ b/src/rollouts/peer_evidence.rs
@@ -6,33 +6,33 @@
     clock::BootInstant,
     message::ShortHash,
     rollouts::{
-        comparison::Answers,
-        evidence::{Evidence, HallEvidence, ToldSession},
+        comparison::AnswerCounts,
+        evidence::{Evidence, HallEvidence, OldVersionSession},
     },
 };
 
 /// Age up to which a VM's count of requests in flight is used.
-const COUNT_LIFETIME: Duration = Duration::from_secs(6);
+const IN_FLIGHT_TTL: Duration = Duration::from_secs(6);
 
 /// Time after which the VMs of this hall are told the sum of another one
 /// again, where it holds no session that is news to them.
-const RELAY_PERIOD: Duration = Duration::from_millis(800);
+const RELAY_INTERVAL: Duration = Duration::from_millis(800);
 
 /// Age of its last sum up to which a hall is known to be done with the old
 /// version.
-const SUM_LIFETIME: Duration = Duration::from_secs(2);
+const HALL_SUM_TTL: Duration = Duration::from_secs(2);
 
 /// Time before its last sum for which no sum of a hall may have told of
 /// requests at the old version: a VM that has only just started knows little
 /// of its hall.
-const IDLE_TIME: Duration = Duration::from_millis(1200);
+const MIN_IDLE_TIME: Duration = Duration::from_millis(1200);
 
 /// Most sessions in one sum. A hall with 400 requests a second, each of
 /// another session, has 220 that the trial would take within seven seconds.
-const SESSIONS_MOST: usize = 512;
+const MAX_SESSIONS: usize = 512;
 
-/// Answers by route, of the old and the new version.
-pub(super) type ByRoute = HashMap<ShortHash, [Answers; 2]>;
+/// AnswerCounts by route, of the old and the new version.
+pub(super) type AnswersByRoute = HashMap<ShortHash, [AnswerCounts; 2]>;
 
 /// How the sum of another data hall came here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,20 +48,20 @@
 pub(super) struct PeerEvidence {
     /// The VMs of this hall.
     vms: HashMap<String, (BootInstant, Evidence)>,
-    halls: HashMap<ShortHash, Hall>,
+    halls: HashMap<ShortHash, HallState>,
     /// Sessions at the old version.
-    sessions: HashMap<ShortHash, Session>,
+    sessions: HashMap<ShortHash, PeerSession>,
 }
 
 /// The sums of another data hall, of which no VM there knows all.
 #[derive(Debug)]
-struct Hall {
+struct HallState {
     /// When the newest was made.
     at: BootInstant,
     /// When the newest was made that told of requests at the old version.
     busy_at: Option<BootInstant>,
     old_in_flight: u16,
-    answers: ByRoute,
+    answers: AnswersByRoute,
     /// When this hall's VMs were last told one.
     relayed_at: Option<BootInstant>,
     /// Whether one has come since from the hall itself.
@@ -69,7 +69,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Session {
+struct PeerSession {
     /// When something of it was last under way.
     used_at: BootInstant,
     /// The hall it is at; `None` for this VM's own.
@@ -86,7 +86,7 @@
         told: Evidence,
         now: BootInstant,
     ) {
-        self.note_sessions(&told.old_sessions, None, now, true);
+        self.merge_sessions(&told.old_sessions, None, now, true);
         self.vms.insert(vm.to_owned(), (now, told));
     }
 
@@ -102,15 +102,16 @@
         let sum = &told.evidence;
         let is_relayed = way == Delivery::Relayed;
         let hall = Some(told.data_hall);
-        self.note_sessions(&sum.old_sessions, hall, at, is_relayed);
-        let held = self.halls.entry(told.data_hall).or_insert_with(|| Hall {
-            at,
-            busy_at: None,
-            old_in_flight: 0,
-            answers: HashMap::new(),
-            relayed_at: None,
-            is_fresh: false,
-        });
+        self.merge_sessions(&sum.old_sessions, hall, at, is_relayed);
+        let held =
+            self.halls.entry(told.data_hall).or_insert_with(|| HallState {
+                at,
+                busy_at: None,
+                old_in_flight: 0,
+                answers: HashMap::new(),
+                relayed_at: None,
+                is_fresh: false,
+            });
         held.take(sum, at);
         match way {
             Delivery::Direct => held.is_fresh = true,
@@ -118,9 +119,9 @@
         }
     }
 
-    fn note_sessions(
+    fn merge_sessions(
         &mut self,
-        told: &[ToldSession],
+        told: &[OldVersionSession],
         hall: Option<ShortHash>,
         at: BootInstant,
         is_relayed: bool,
@@ -128,7 +129,7 @@
         for session in told {
             let idle = Duration::from_millis(session.idle_ms.into());
             let used_at = at.checked_sub(idle).unwrap_or(at);
-            let news = Session { used_at, hall, is_relayed };
+            let news = PeerSession { used_at, hall, is_relayed };
             let held = self.sessions.entry(session.session).or_insert(news);
             // Where it has moved to is told, too.
             let was_told_here = held.hall == hall && held.is_relayed;
@@ -164,7 +165,7 @@
     }
 
     /// Adds what the VMs of this hall have seen.
-    pub(super) fn add_near_answers(&self, sum: &mut ByRoute) {
+    pub(super) fn add_own_hall_answers(&self, sum: &mut AnswersByRoute) {
         for (_, told) in self.vms.values() {
             for (route, old, new) in &told.answers {
                 add(sum, *route, &[*old, *new]);
@@ -173,8 +174,8 @@
     }
 
     /// Adds what all other VMs have seen.
-    pub(super) fn add_answers(&self, sum: &mut ByRoute) {
-        self.add_near_answers(sum);
+    pub(super) fn add_answers(&self, sum: &mut AnswersByRoute) {
+        self.add_own_hall_answers(sum);
         for hall in self.halls.values() {
             for (route, answers) in &hall.answers {
                 add(sum, *route, answers);
@@ -183,16 +184,16 @@
     }
 
     /// Requests at the old version of the other VMs of this hall.
-    pub(super) fn near_in_flight(&self, now: BootInstant) -> u32 {
+    pub(super) fn own_hall_in_flight(&self, now: BootInstant) -> u32 {
         let recent = self.vms.values().filter(|(at, _)| {
-            now.saturating_duration_since(*at) < COUNT_LIFETIME
+            now.saturating_duration_since(*at) < IN_FLIGHT_TTL
         });
         recent.map(|(_, told)| u32::from(told.old_in_flight)).sum()
     }
 
     /// Whether other halls have told lately that nothing of theirs is at the
     /// old version any more.
-    pub(super) fn are_idle(
+    pub(super) fn all_idle(
         &self,
         halls: &[ShortHash],
         now: BootInstant,
@@ -209,16 +210,16 @@
         &self,
         hall: Option<ShortHash>,
         now: BootInstant,
-    ) -> Vec<ToldSession> {
+    ) -> Vec<OldVersionSession> {
         let of = self.sessions.iter().filter(|(_, s)| s.hall == hall);
-        let mut told: Vec<ToldSession> = of
+        let mut told: Vec<OldVersionSession> = of
             .map(|(session, held)| {
                 let idle = now.saturating_duration_since(held.used_at);
-                told_session(*session, idle)
+                old_version_session(*session, idle)
             })
             .collect();
         told.sort_by_key(|session| session.idle_ms);
-        told.truncate(SESSIONS_MOST);
+        told.truncate(MAX_SESSIONS);
         told
     }
 
@@ -227,12 +228,13 @@
     pub(super) fn due_relays(&self, now: BootInstant) -> Vec<ShortHash> {
         let due = self.halls.iter().filter(|(name, hall)| {
             hall.is_fresh
-                && (hall.is_relay_due(now) || self.has_news_of(**name))
+                && (hall.is_relay_due(now)
+                    || self.has_unrelayed_sessions(**name))
         });
         due.map(|(name, _)| *name).collect()
     }
 
-    fn has_news_of(&self, hall: ShortHash) -> bool {
+    fn has_unrelayed_sessions(&self, hall: ShortHash) -> bool {
         let mut of = self.sessions.values().filter(|s| s.hall == Some(hall));
         of.any(|session| !session.is_relayed)
     }
@@ -242,10 +244,10 @@
     pub(super) fn relay(
         &mut self,
         name: ShortHash,
-        frame: &Evidence,
+        template: &Evidence,
         now: BootInstant,
     ) -> Option<HallEvidence> {
-        let old_sessions = match frame.trial_ended_ms {
+        let old_sessions = match template.canary_ended_ms {
             None => self.sessions_of(Some(name), now),
             Some(_) => Vec::new(),
         };
@@ -260,25 +262,25 @@
         let age = now.saturating_duration_since(hall.at);
         Some(HallEvidence {
             data_hall: name,
-            age_ms: bounded_ms(age),
+            age_ms: saturating_ms(age),
             evidence: Evidence {
                 old_in_flight: hall.old_in_flight,
                 old_sessions,
-                answers: listed(&hall.answers),
-                ..frame.clone()
+                answers: to_list(&hall.answers),
+                ..template.clone()
             },
         })
     }
 }
 
-impl Hall {
+impl HallState {
     /// Takes in a sum. Each lacks what its VM has not heard, so of answers
     /// the most counts that any has told.
     fn take(&mut self, sum: &Evidence, at: BootInstant) {
         for (route, old, new) in &sum.answers {
             let held = self.answers.entry(*route).or_default();
-            held[0] = held[0].most(*old);
-            held[1] = held[1].most(*new);
+            held[0] = held[0].max(*old);
+            held[1] = held[1].max(*new);
         }
         if sum.old_in_flight > 0 {
             self.busy_at = self.busy_at.max(Some(at));
@@ -291,33 +293,43 @@
 
     fn is_idle(&self, now: BootInstant) -> bool {
         let since_busy = |busy_at| self.at.saturating_duration_since(busy_at);
-        now.saturating_duration_since(self.at) < SUM_LIFETIME
-            && self.busy_at.is_none_or(|at| since_busy(at) >= IDLE_TIME)
+        now.saturating_duration_since(self.at) < HALL_SUM_TTL
+            && self.busy_at.is_none_or(|at| since_busy(at) >= MIN_IDLE_TIME)
     }
 
     fn is_relay_due(&self, now: BootInstant) -> bool {
-        self.relayed_at
-            .is_none_or(|at| now.saturating_duration_since(at) >= RELAY_PERIOD)
+        self.relayed_at.is_none_or(|at| {
+            now.saturating_duration_since(at) >= RELAY_INTERVAL
+        })
     }
 }
 
 /// A session as it is told.
-pub(super) fn told_session(session: ShortHash, idle: Duration) -> ToldSession {
-    ToldSession { session, idle_ms: bounded_ms(idle) }
+pub(super) fn old_version_session(
+    session: ShortHash,
+    idle: Duration,
+) -> OldVersionSession {
+    OldVersionSession { session, idle_ms: saturating_ms(idle) }
 }
 
-/// Answers as they are told.
-pub(super) fn listed(answers: &ByRoute) -> Vec<(ShortHash, Answers, Answers)> {
+/// AnswerCounts as they are told.
+pub(super) fn to_list(
+    answers: &AnswersByRoute,
+) -> Vec<(ShortHash, AnswerCounts, AnswerCounts)> {
     let by_route = answers.iter();
     by_route.map(|(route, [old, new])| (*route, *old, *new)).collect()
 }
 
-fn add(sum: &mut ByRoute, route: ShortHash, answers: &[Answers; 2]) {
+fn add(
+    sum: &mut AnswersByRoute,
+    route: ShortHash,
+    answers: &[AnswerCounts; 2],
+) {
     let held = sum.entry(route).or_default();
     held[0].add(answers[0]);
     held[1].add(answers[1]);
 }
 
-fn bounded_ms(time: Duration) -> u16 {
+fn saturating_ms(time: Duration) -> u16 {
     u16::try_from(time.as_millis()).unwrap_or(u16::MAX)
 }
--- a/src/rollouts/registry.rs
+++ b/src/rollouts/registry.rs
@@ -20,7 +20,7 @@
 const SESSION_SLACK: Duration = Duration::from_secs(1);
 
 /// Versions of a service that are kept as taken back; the eldest are long gone.
-const WITHDRAWN_MOST: usize = 16;
+const MAX_WITHDRAWN: usize = 16;
 
 /// A step that a roll-out is due for.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -69,8 +69,8 @@
         if held.is_some_and(|held| held.order == order) {
             return false;
         }
-        self.note_over(&service, held);
-        self.allow_again(&service, &order.target);
+        self.record_end(&service, held);
+        self.clear_withdrawn(&service, &order.target);
         let rollout = Rollout::new(order, self.session_lifetime, now);
         rollouts.insert(service, rollout);
         true
@@ -94,28 +94,28 @@
     pub fn remove(&self, service: &ServiceId) {
         let mut rollouts = self.running.lock().expect("rollouts lock");
         let over = rollouts.remove(service);
-        self.note_over(service, over.as_ref());
+        self.record_end(service, over.as_ref());
     }
 
     /// Keeps that the version of a roll-out was taken back, if it was.
-    fn note_over(&self, service: &ServiceId, over: Option<&Rollout>) {
-        if let Some(over) = over.filter(|over| over.is_taken_back()) {
+    fn record_end(&self, service: &ServiceId, over: Option<&Rollout>) {
+        if let Some(over) = over.filter(|over| over.is_withdrawn()) {
             self.withdraw(service, over.order.target.clone());
         }
     }
 
     fn withdraw(&self, service: &ServiceId, version: VersionId) {
-        self.allow_again(service, &version);
+        self.clear_withdrawn(service, &version);
         let mut withdrawn = self.withdrawn.lock().expect("withdrawn lock");
         let versions = withdrawn.entry(service.clone()).or_default();
         versions.push(version);
-        if versions.len() > WITHDRAWN_MOST {
+        if versions.len() > MAX_WITHDRAWN {
             versions.remove(0);
         }
     }
 
     /// A version that is ordered once more is a new one like any other.
-    fn allow_again(&self, service: &ServiceId, version: &VersionId) {
+    fn clear_withdrawn(&self, service: &ServiceId, version: &VersionId) {
         let mut withdrawn = self.withdrawn.lock().expect("withdrawn lock");
         if let Some(versions) = withdrawn.get_mut(service) {
             versions.retain(|held| held != version);
--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -23,10 +23,11 @@
     rendezvous,
     rollouts::{
         choice::ChoiceReason,
-        comparison::{Answers, is_worse},
-        evidence::{Evidence, HallEvidence, ToldSession},
+        comparison::{AnswerCounts, is_worse},
+        evidence::{Evidence, HallEvidence, OldVersionSession},
         peer_evidence::{
-            ByRoute, Delivery, PeerEvidence, listed, told_session,
+            AnswersByRoute, Delivery, PeerEvidence, old_version_session,
+            to_list,
         },
         sessions::Sessions,
     },
@@ -34,7 +35,7 @@
 
 /// Share of the requests that a new version gets on trial; the platform
 /// allows `canary_share`, and repeated requests need room below it.
-const TRIAL_SHARE: f64 = 0.08;
+const CANARY_SHARE: f64 = 0.08;
 
 /// Time after an order in which the new version gets nothing yet: by then all
 /// VMs have heard of it and told which sessions are at the old one. It takes a
@@ -42,47 +43,47 @@
 /// there. Of 100 sessions a second that ask three times within 1.2 s, each
 /// time at another of 240 VMs in six halls, 0.7 change their version in place
 /// of 3.2 with 1.5 s (mean of six replays).
-const TRIAL_START: Duration = Duration::from_millis(2500);
+const CANARY_DELAY: Duration = Duration::from_millis(2500);
 
 /// The same after this VM learned of the order, where others have known it
 /// for longer: it hears all of its own hall within a beat, and what that knows
 /// of other halls.
-const LISTEN_TIME: Duration = Duration::from_millis(1200);
+const SYNC_TIME: Duration = Duration::from_millis(1200);
 
 /// Part of the allowed time until which the trial lasts; sessions may change
 /// version only in the second half.
-const TRIAL_END: f64 = 0.52;
+const CANARY_MIN_PART: f64 = 0.52;
 
-/// Answers of the new version that end the trial. A version that fails a third
+/// AnswerCounts of the new version that end the trial. A version that fails a third
 /// of its requests has failed the four by then that it is judged by; one that
 /// rose by the time alone got a sixth of all requests where few came.
-const TRIAL_ANSWERS: u32 = 12;
+const CANARY_MIN_ANSWERS: u32 = 12;
 
 /// Part of the allowed time at which the trial ends although there were fewer:
 /// a good version must be completed where hardly anybody asks.
-const TRIAL_END_LATEST: f64 = 0.8;
+const CANARY_MAX_PART: f64 = 0.8;
 
 /// Part of the allowed time after the trial for which a part of the requests
 /// goes to the new version, before all do.
-const PART_TIME: f64 = 0.06;
+const PARTIAL_PART: f64 = 0.06;
 
 /// The share of the requests in that part.
-const PART_SHARE: f64 = 0.4;
+const PARTIAL_SHARE: f64 = 0.4;
 
 /// Part of the allowed time after all requests go to the new version, in which
 /// the old version's last ones are waited for.
-const MOVE_TIME: f64 = 0.06;
+const DRAIN_PART: f64 = 0.06;
 
 /// Part of the allowed time after which a roll-out is completed although
 /// the old version still works on something.
-const COMPLETE_ANYWAY: f64 = 0.93;
+const COMPLETE_AT_PART: f64 = 0.93;
 
 /// Time after which a VM that is not the steward records that a version was
 /// stopped, if nobody has yet.
-const RECORD_ANYWAY: Duration = Duration::from_millis(700);
+const FALLBACK_RECORD_DELAY: Duration = Duration::from_millis(700);
 
 /// Sessions told in one beat; a VM has a few at a time.
-const SESSIONS_TOLD_MOST: usize = 64;
+const MAX_SESSIONS_PER_HEARTBEAT: usize = 64;
 
 /// How many times the usual a first part of an answer may take before the
 /// answer counts as bad.
@@ -144,8 +145,8 @@
     /// How long it had been running when the trial ended. All VMs go by the
     /// first that ended it, so that a session that moved with one of them
     /// does not move back with another.
-    trial_ended: Option<Duration>,
-    own: ByRoute,
+    canary_ended: Option<Duration>,
+    own: AnswersByRoute,
     first_part_s: HashMap<ShortHash, f64>,
     pub(super) told: PeerEvidence,
 }
@@ -169,7 +170,7 @@
             started_at: now,
             progress: None,
             stopped_at: None,
-            trial_ended: None,
+            canary_ended: None,
             own: HashMap::new(),
             first_part_s: HashMap::new(),
             told: PeerEvidence::default(),
@@ -178,7 +179,7 @@
 
     /// Whether its version was taken back. One that all others have completed
     /// is the only one left, whatever this VM has seen of it.
-    pub(super) fn is_taken_back(&self) -> bool {
+    pub(super) fn is_withdrawn(&self) -> bool {
         match self.progress {
             Some(RolloutProgress::Reverted) => true,
             Some(RolloutProgress::Completed) => false,
@@ -204,41 +205,41 @@
     /// The share of the requests that the new version gets.
     fn share(&self, now: BootInstant) -> f64 {
         let passed = |since| now.saturating_duration_since(since);
-        let is_early = passed(self.started_at) < TRIAL_START
-            || passed(self.learned_at) < LISTEN_TIME;
-        match self.trial_ended {
+        let is_early = passed(self.started_at) < CANARY_DELAY
+            || passed(self.learned_at) < SYNC_TIME;
+        match self.canary_ended {
             None if is_early => 0.0,
-            None => TRIAL_SHARE,
-            Some(end) if self.passed(now) < self.part(end) + PART_TIME => {
-                PART_SHARE
+            None => CANARY_SHARE,
+            Some(end) if self.passed(now) < self.part(end) + PARTIAL_PART => {
+                PARTIAL_SHARE
             }
             Some(_) => 1.0,
         }
     }
 
     /// Ends the trial once it has lasted for long enough and shown enough.
-    fn end_trial(&mut self, now: BootInstant) {
+    fn end_canary(&mut self, now: BootInstant) {
         let passed = self.passed(now);
-        if self.trial_ended.is_some() || passed < TRIAL_END {
+        if self.canary_ended.is_some() || passed < CANARY_MIN_PART {
             return;
         }
-        let pooled = self.pooled();
-        let of_new = |sides: &[Answers; 2]| {
+        let all_answers = self.all_answers();
+        let of_new = |sides: &[AnswerCounts; 2]| {
             let new = sides[VersionSide::New as usize];
             new.all + new.lost
         };
-        let seen: u32 = pooled.values().map(of_new).sum();
-        if seen >= TRIAL_ANSWERS || passed >= TRIAL_END_LATEST {
+        let seen: u32 = all_answers.values().map(of_new).sum();
+        if seen >= CANARY_MIN_ANSWERS || passed >= CANARY_MAX_PART {
             let running = now.saturating_duration_since(self.started_at);
-            self.trial_ended = Some(running);
+            self.canary_ended = Some(running);
         }
     }
 
     /// What this VM and the others have seen, by route.
-    fn pooled(&self) -> ByRoute {
-        let mut pooled = self.own.clone();
-        self.told.add_answers(&mut pooled);
-        pooled
+    fn all_answers(&self) -> AnswersByRoute {
+        let mut all_answers = self.own.clone();
+        self.told.add_answers(&mut all_answers);
+        all_answers
     }
 
     pub(super) fn choose_version(
@@ -262,11 +263,13 @@
             true => VersionSide::New,
             false => VersionSide::Old,
         };
-        let is_trial = self.trial_ended.is_none();
+        let is_canary = self.canary_ended.is_none();
         let held = session.and_then(|_| self.session(subject, own, now));
         let (side, reason) = match held {
             Some((VersionSide::New, by)) => (VersionSide::New, by),
-            Some((VersionSide::Old, by)) if is_trial => (VersionSide::Old, by),
+            Some((VersionSide::Old, by)) if is_canary => {
+                (VersionSide::Old, by)
+            }
             _ => (side, ChoiceReason::Drawn),
         };
         let rule = match side {
@@ -296,11 +299,11 @@
     ) -> Option<(VersionSide, ChoiceReason)> {
         if let Some((software, idle)) = own {
             let side = self.side(software);
-            return Some((side, ChoiceReason::OwnSession(idle)));
+            return Some((side, ChoiceReason::LocalSession(idle)));
         }
         let idle = self.told.session_idle(session, now)?;
         (idle < self.session_lifetime)
-            .then_some((VersionSide::Old, ChoiceReason::ToldSession(idle)))
+            .then_some((VersionSide::Old, ChoiceReason::PeerSession(idle)))
     }
 
     /// This VM's sessions at the old version that the trial would take.
@@ -308,15 +311,15 @@
         &self,
         own: &Sessions,
         now: BootInstant,
-    ) -> Vec<ToldSession> {
-        if self.trial_ended.is_some() {
+    ) -> Vec<OldVersionSession> {
+        if self.canary_ended.is_some() {
             return Vec::new();
         }
         let target = &self.order.target;
-        let old = own.at_others(target, self.session_lifetime, now);
-        let drawn = old.filter(|(old, _)| self.draw(*old) < TRIAL_SHARE);
-        let told = drawn.map(|(old, idle)| told_session(old, idle));
-        told.take(SESSIONS_TOLD_MOST).collect()
+        let old = own.on_other_versions(target, self.session_lifetime, now);
+        let drawn = old.filter(|(old, _)| self.draw(*old) < CANARY_SHARE);
+        let told = drawn.map(|(old, idle)| old_version_session(old, idle));
+        told.take(MAX_SESSIONS_PER_HEARTBEAT).collect()
     }
 
     fn side(&self, software: &VersionId) -> VersionSide {
@@ -384,12 +387,14 @@
             service: ShortHash::of(service.as_str()),
             target: ShortHash::of(self.order.target.as_str()),
             running_ms: running.as_millis() as u32,
-            trial_ended_ms: self.trial_ended.map(|end| end.as_millis() as u32),
+            canary_ended_ms: self
+                .canary_ended
+                .map(|end| end.as_millis() as u32),
             stopped: self.stopped_at.is_some(),
             old_in_flight: old_in_flight.min(u32::from(u16::MAX)) as u16,
             old_sessions: own
                 .map_or_else(Vec::new, |own| self.old_sessions(own, now)),
-            answers: listed(&self.own),
+            answers: to_list(&self.own),
         }
     }
 
@@ -400,17 +405,17 @@
         now: BootInstant,
     ) -> Evidence {
         let mut answers = self.own.clone();
-        self.told.add_near_answers(&mut answers);
-        let near = self.told.near_in_flight(now);
+        self.told.add_own_hall_answers(&mut answers);
+        let near = self.told.own_hall_in_flight(now);
         let old = u32::from(own.old_in_flight) + near;
         let mut old_sessions = own.old_sessions;
-        if self.trial_ended.is_none() {
+        if self.canary_ended.is_none() {
             old_sessions.extend(self.told.sessions_of(None, now));
         }
         Evidence {
             old_in_flight: old.min(u32::from(u16::MAX)) as u16,
             old_sessions,
-            answers: listed(&answers),
+            answers: to_list(&answers),
             ..own
         }
     }
@@ -421,7 +426,7 @@
         told: Evidence,
         now: BootInstant,
     ) {
-        self.follow(&told, now);
+        self.merge_progress(&told, now);
         self.told.merge_vm(vm, told, now);
     }
 
@@ -431,22 +436,22 @@
         way: Delivery,
         now: BootInstant,
     ) {
-        self.follow(&told.evidence, now);
+        self.merge_progress(&told.evidence, now);
         self.told.merge_hall(told, way, now);
     }
 
     /// Takes in how far another VM has come.
-    fn follow(&mut self, told: &Evidence, now: BootInstant) {
+    fn merge_progress(&mut self, told: &Evidence, now: BootInstant) {
         // The VM that has known of the order longest knows best when it was
         // given; one that was restarted learns it so.
         let running = Duration::from_millis(u64::from(told.running_ms));
         if let Some(started_at) = now.checked_sub(running) {
             self.started_at = self.started_at.min(started_at);
         }
-        let told_end = told.trial_ended_ms.map(u64::from);
+        let told_end = told.canary_ended_ms.map(u64::from);
         let told_end = told_end.map(Duration::from_millis);
-        let ends = self.trial_ended.into_iter().chain(told_end);
-        self.trial_ended = ends.min();
+        let ends = self.canary_ended.into_iter().chain(told_end);
+        self.canary_ended = ends.min();
         if told.stopped {
             self.stopped_at.get_or_insert(now);
         }
@@ -457,9 +462,10 @@
         if self.stopped_at.is_some() || !self.is_running() {
             return None;
         }
-        self.end_trial(now);
-        let pooled = self.pooled();
-        let worse = pooled.values().find(|[old, new]| is_worse(*old, *new))?;
+        self.end_canary(now);
+        let all_answers = self.all_answers();
+        let worse =
+            all_answers.values().find(|[old, new]| is_worse(*old, *new))?;
         let [old, new] = worse;
         self.stopped_at = Some(now);
         Some(format!(
@@ -480,7 +486,7 @@
         }
         if let Some(stopped_at) = self.stopped_at {
             let passed = now.saturating_duration_since(stopped_at);
-            let is_due = is_steward || passed >= RECORD_ANYWAY;
+            let is_due = is_steward || passed >= FALLBACK_RECORD_DELAY;
             return is_due.then_some(RolloutProgress::Reverted);
         }
         match self.progress {
@@ -492,15 +498,15 @@
             Some(RolloutProgress::Running) => {}
         }
         let passed = self.passed(now);
-        let left = old_in_flight + self.told.near_in_flight(now);
+        let left = old_in_flight + self.told.own_hall_in_flight(now);
         // What others told is half a second old, so the old version's last
         // requests are waited for a little beyond the move.
-        let is_moved = self.trial_ended.is_some_and(|end| {
-            passed > self.part(end) + PART_TIME + MOVE_TIME
+        let is_moved = self.canary_ended.is_some_and(|end| {
+            passed > self.part(end) + PARTIAL_PART + DRAIN_PART
         });
         let is_done =
-            is_moved && left == 0 && self.told.are_idle(other_halls, now);
-        (is_done || passed > COMPLETE_ANYWAY)
+            is_moved && left == 0 && self.told.all_idle(other_halls, now);
+        (is_done || passed > COMPLETE_AT_PART)
             .then_some(RolloutProgress::Completed)
     }
 }
--- a/src/rollouts/rollout/tests.rs
+++ b/src/rollouts/rollout/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::{
     id::ServiceId,
-    rollouts::{comparison::BAD_ANSWERS, registry::Rollouts},
+    rollouts::{comparison::MIN_BAD_ANSWERS, registry::Rollouts},
 };
 
 /// Time for which a session goes on after its last request.
@@ -47,12 +47,12 @@
     assert_eq!(share(&rollouts, now), 0.0);
     let on_trial = share(&rollouts, now + ALLOWED / 4);
     assert!((0.06..0.1).contains(&on_trial), "{on_trial}");
-    answer(&rollouts, TRIAL_ANSWERS);
+    answer(&rollouts, CANARY_MIN_ANSWERS);
     rollouts.evaluate(now + ALLOWED / 4);
     let still = share(&rollouts, now + ALLOWED / 2);
     assert!((0.06..0.1).contains(&still), "{still}");
-    rollouts.evaluate(now + ALLOWED.mul_f64(TRIAL_END));
-    let part = share(&rollouts, now + ALLOWED.mul_f64(TRIAL_END + 0.01));
+    rollouts.evaluate(now + ALLOWED.mul_f64(CANARY_MIN_PART));
+    let part = share(&rollouts, now + ALLOWED.mul_f64(CANARY_MIN_PART + 0.01));
     assert!((0.3..0.5).contains(&part), "{part}");
     assert_eq!(share(&rollouts, now + ALLOWED.mul_f64(0.7)), 1.0);
 }
@@ -73,13 +73,13 @@
     let now = BootInstant::now();
     let rollouts = running(now);
     let at = |part: f64| now + ALLOWED.mul_f64(part);
-    answer(&rollouts, TRIAL_ANSWERS - 1);
+    answer(&rollouts, CANARY_MIN_ANSWERS - 1);
     rollouts.evaluate(at(0.7));
     let on_trial = share(&rollouts, at(0.7));
     assert!((0.06..0.1).contains(&on_trial), "{on_trial}");
     answer(&rollouts, 1);
     rollouts.evaluate(at(0.71));
-    let moved = at(0.711 + PART_TIME);
+    let moved = at(0.711 + PARTIAL_PART);
     assert_eq!(share(&rollouts, moved), 1.0);
     // A VM that has seen less goes by what the first one found.
     let other = running(now);
@@ -87,13 +87,16 @@
     assert_eq!(share(&other, moved), 1.0);
 
     let unasked = running(now);
-    unasked.evaluate(at(TRIAL_END_LATEST - 0.01));
-    let on_trial = share(&unasked, at(TRIAL_END_LATEST - 0.01));
+    unasked.evaluate(at(CANARY_MAX_PART - 0.01));
+    let on_trial = share(&unasked, at(CANARY_MAX_PART - 0.01));
     assert!((0.06..0.1).contains(&on_trial), "{on_trial}");
-    unasked.evaluate(at(TRIAL_END_LATEST));
-    assert_eq!(share(&unasked, at(TRIAL_END_LATEST + 0.001 + PART_TIME)), 1.0);
+    unasked.evaluate(at(CANARY_MAX_PART));
+    assert_eq!(
+        share(&unasked, at(CANARY_MAX_PART + 0.001 + PARTIAL_PART)),
+        1.0
+    );
     let due =
-        unasked.pending_statuses(true, |_, _| 0, &[], at(COMPLETE_ANYWAY));
+        unasked.pending_statuses(true, |_, _| 0, &[], at(COMPLETE_AT_PART));
     assert_eq!(due[0].status.progress, RolloutProgress::Completed);
 }
 
@@ -207,7 +210,7 @@
 fn others_record_a_stop_only_later() {
     let now = BootInstant::now();
     let rollouts = running(now);
-    for _ in 0..BAD_ANSWERS {
+    for _ in 0..MIN_BAD_ANSWERS {
         let new = version("v2");
         rollouts.record_answer(
             &service(),
@@ -220,7 +223,7 @@
     assert_eq!(rollouts.evaluate(now).len(), 1);
     assert_eq!(rollouts.pending_statuses(false, |_, _| 0, &[], now), []);
     assert_eq!(rollouts.pending_statuses(true, |_, _| 0, &[], now).len(), 1);
-    let later = now + RECORD_ANYWAY;
+    let later = now + FALLBACK_RECORD_DELAY;
     assert_eq!(
         rollouts.pending_statuses(false, |_, _| 0, &[], later).len(),
         1
@@ -301,8 +304,8 @@
 fn completed_waits_for_the_old_versions_last_requests() {
     let now = BootInstant::now();
     let rollouts = running(now);
-    answer(&rollouts, TRIAL_ANSWERS);
-    rollouts.evaluate(now + ALLOWED.mul_f64(TRIAL_END));
+    answer(&rollouts, CANARY_MIN_ANSWERS);
+    rollouts.evaluate(now + ALLOWED.mul_f64(CANARY_MIN_PART));
     let at = now + ALLOWED.mul_f64(0.7);
     assert_eq!(rollouts.pending_statuses(true, |_, _| 1, &[], at), []);
     assert_eq!(rollouts.pending_statuses(false, |_, _| 0, &[], at), []);
@@ -317,8 +320,8 @@
 fn a_vm_that_was_restarted_learns_how_long_it_has_been() {
     let now = BootInstant::now();
     let old = running(now);
-    answer(&old, TRIAL_ANSWERS);
-    old.evaluate(now + ALLOWED.mul_f64(TRIAL_END));
+    answer(&old, CANARY_MIN_ANSWERS);
+    old.evaluate(now + ALLOWED.mul_f64(CANARY_MIN_PART));
     let at = now + ALLOWED.mul_f64(0.7);
     let restarted = running(at);
     assert!(share(&restarted, at) < 0.2);
@@ -336,7 +339,7 @@
     let late = running(at);
     late.merge_evidence("vm-2", &other.evidence(|_, _| 0, at), at);
     assert_eq!(share(&late, at), 0.0);
-    assert!(share(&late, at + LISTEN_TIME) > 0.06);
+    assert!(share(&late, at + SYNC_TIME) > 0.06);
 }
 
 #[test]
--- a/src/rollouts/sessions.rs
+++ b/src/rollouts/sessions.rs
@@ -7,12 +7,12 @@
 
 /// Sessions that are remembered: those of seven seconds at 2,800 requests a
 /// second, each of another session. Beyond them new ones are not noted.
-const SESSIONS_MOST: usize = 20_000;
+const MAX_SESSIONS: usize = 20_000;
 
 /// The sessions of one service.
 #[derive(Debug, Default)]
 pub(crate) struct Sessions {
-    held: HashMap<ShortHash, Session>,
+    sessions: HashMap<ShortHash, Session>,
 }
 
 #[derive(Debug)]
@@ -20,7 +20,7 @@
     /// The version that its last request went to.
     software: VersionId,
     /// Its attempts that have not ended.
-    under_way: u32,
+    in_flight: u32,
     /// When its last attempt began, or ended.
     used_at: BootInstant,
 }
@@ -28,7 +28,7 @@
 impl Session {
     /// How long nothing of it has been under way.
     fn idle(&self, now: BootInstant) -> Duration {
-        match self.under_way {
+        match self.in_flight {
             0 => now.saturating_duration_since(self.used_at),
             _ => Duration::ZERO,
         }
@@ -44,25 +44,25 @@
         lifetime: Duration,
         now: BootInstant,
     ) {
-        if self.held.len() >= SESSIONS_MOST {
-            self.held.retain(|_, held| held.idle(now) < lifetime);
+        if self.sessions.len() >= MAX_SESSIONS {
+            self.sessions.retain(|_, sessions| sessions.idle(now) < lifetime);
         }
-        if let Some(held) = self.held.get_mut(&session) {
-            held.software = software.clone();
-            held.used_at = now;
-            held.under_way += 1;
-        } else if self.held.len() < SESSIONS_MOST {
+        if let Some(sessions) = self.sessions.get_mut(&session) {
+            sessions.software = software.clone();
+            sessions.used_at = now;
+            sessions.in_flight += 1;
+        } else if self.sessions.len() < MAX_SESSIONS {
             let software = software.clone();
-            let held = Session { software, under_way: 1, used_at: now };
-            self.held.insert(session, held);
+            let sessions = Session { software, in_flight: 1, used_at: now };
+            self.sessions.insert(session, sessions);
         }
     }
 
     /// Notes that an attempt of a session has ended.
     pub(crate) fn end(&mut self, session: ShortHash, now: BootInstant) {
-        if let Some(held) = self.held.get_mut(&session) {
-            held.under_way = held.under_way.saturating_sub(1);
-            held.used_at = now;
+        if let Some(sessions) = self.sessions.get_mut(&session) {
+            sessions.in_flight = sessions.in_flight.saturating_sub(1);
+            sessions.used_at = now;
         }
     }
 
@@ -74,21 +74,21 @@
         lifetime: Duration,
         now: BootInstant,
     ) -> Option<(&VersionId, Duration)> {
-        let held = self.held.get(&session)?;
-        let idle = held.idle(now);
-        (idle < lifetime).then_some((&held.software, idle))
+        let sessions = self.sessions.get(&session)?;
+        let idle = sessions.idle(now);
+        (idle < lifetime).then_some((&sessions.software, idle))
     }
 
     /// The sessions at other versions than `target`, with how long nothing of
     /// each has been under way.
-    pub(crate) fn at_others(
+    pub(crate) fn on_other_versions(
         &self,
         target: &VersionId,
         lifetime: Duration,
         now: BootInstant,
     ) -> impl Iterator<Item = (ShortHash, Duration)> {
         let others =
-            self.held.iter().filter(move |(_, s)| s.software != *target);
+            self.sessions.iter().filter(move |(_, s)| s.software != *target);
         let idle = others.map(move |(session, s)| (*session, s.idle(now)));
         idle.filter(move |(_, idle)| *idle < lifetime)
     }
