--- a/src/crashes/persistence.rs
+++ b/src/crashes/persistence.rs
@@ -60,7 +60,10 @@
 
 /// Returns the entries that this VM has to write: none, unless it is the
 /// steward.
-fn missing_entries(gateway: &Gateway, now: BootInstant) -> Vec<ConditionalWrite> {
+fn missing_entries(
+    gateway: &Gateway,
+    now: BootInstant,
+) -> Vec<ConditionalWrite> {
     if !gateway.crashes.has_quarantined() {
         return Vec::new();
     }
--- a/src/rollouts/choice.rs
+++ b/src/rollouts/choice.rs
@@ -1,37 +1,37 @@
-//! Which version a request goes to while one is being rolled out, and why.
+//! The version chosen for a request during a rollout, and the reason.
 
 use std::time::Duration;
 
 use crate::{id::VersionId, placing::pool::VersionRule};
 
-/// Which version may answer a request, and what decided so.
+/// The versions that may answer a request, and the reason.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VersionChoice {
-    /// Which version may answer it.
+    /// The rule for the choice of an upstream.
     pub rule: VersionRule,
-    /// What decided so; `None` without a roll-out.
+    /// The reason for the rule; `None` without a rollout.
     pub reason: Option<ChoiceReason>,
-    /// Versions that were taken back, which may answer none.
+    /// Withdrawn versions, which may not answer any request.
     pub withdrawn: Vec<VersionId>,
 }
 
-/// What decided which version may answer a request.
+/// The reason for the choice of a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChoiceReason {
     /// The new version was stopped or reverted.
     Stopped,
-    /// The new version has everything.
+    /// The rollout is completed; the new version gets all requests.
     Completed,
-    /// Nothing is known of its session, or it has none, so it was drawn.
+    /// The request has no session or an unknown one, so a hash decided.
     Drawn,
-    /// The last request of its session that this VM had, so long ago.
+    /// This VM sent the session's last request, the given time ago.
     LocalSession(Duration),
-    /// What another VM told of its session, so long ago.
+    /// Another VM reported the session, last used the given time ago.
     PeerSession(Duration),
 }
 
 impl ChoiceReason {
-    /// How the log calls it.
+    /// Returns the name used in the log.
     pub fn as_str(self) -> &'static str {
         match self {
             ChoiceReason::Stopped => "stopped",
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The age of what was known of its session.
+    /// Returns how long the session had been idle, if a session decided.
     pub fn session_age(self) -> Option<Duration> {
         match self {
             ChoiceReason::LocalSession(age)
--- a/src/rollouts/comparison.rs
+++ b/src/rollouts/comparison.rs
@@ -1,51 +1,51 @@
-//! How the answers of two versions compare.
+//! Compares the answers of two versions.
 
 use serde::{Deserialize, Serialize};
 
-/// Bad answers on one route that are enough to judge a version by.
+/// Minimum number of bad answers on one route for a version to be worse.
 pub(crate) const MIN_BAD_ANSWERS: u32 = 4;
 
-/// How much larger than the old version's a new version's share of bad
-/// answers may be.
+/// How far the new version's share of bad answers may exceed the old one's.
 const MAX_BAD_SHARE_INCREASE: f64 = 0.2;
 
-/// Lost answers on one route that are enough to judge a version by.
+/// Minimum number of lost answers on one route for a version to be worse.
 const MIN_LOST_ANSWERS: u32 = 20;
 
-/// Share of lost answers above which a version is worse.
+/// Share of lost answers above which a version can be worse.
 const MIN_LOST_SHARE: f64 = 0.5;
 
-/// How many times the old version's share of lost answers that must be.
+/// Minimum ratio of the new version's share of lost answers to the old one's.
 const MIN_LOST_RATIO: f64 = 5.0;
 
-/// AnswerCounts of the old version from which its share is known.
+/// Number of answers of the old version from which its share of bad ones is
+/// used as the baseline.
 const MIN_BASELINE_ANSWERS: u32 = 10;
 
-/// How answers were, of one version on one route.
+/// Counts of answers of one version on one route.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize,
 )]
 pub struct AnswerCounts {
-    /// All that came.
+    /// Complete answers.
     pub all: u32,
-    /// Those of them that were failures or came much too late.
+    /// Complete answers that were errors or far too slow.
     pub bad: u32,
-    /// Those that did not come, or not whole.
+    /// Answers that did not arrive, or not completely.
     pub lost: u32,
 }
 
 impl AnswerCounts {
-    /// The share of bad ones among those that came.
+    /// Returns the share of bad answers among the complete ones.
     fn bad_share(self) -> f64 {
         f64::from(self.bad) / f64::from(self.all.max(1))
     }
 
-    /// The share of lost ones among all.
+    /// Returns the share of lost answers among all.
     fn lost_share(self) -> f64 {
         f64::from(self.lost) / f64::from((self.all + self.lost).max(1))
     }
 
-    /// The more of each count, of two that were taken of the same answers.
+    /// Returns the maximum of each count, for two counts of the same answers.
     pub(crate) fn max(self, other: AnswerCounts) -> AnswerCounts {
         AnswerCounts {
             all: self.all.max(other.all),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Adds what another VM has seen.
+    /// Adds the counts of other answers.
     pub(crate) fn add(&mut self, other: AnswerCounts) {
         self.all += other.all;
         self.bad += other.bad;
@@ -62,11 +62,12 @@
     }
 }
 
-/// Whether a new version is worse than the old one.
+/// Whether the new version is worse than the old one.
 ///
-/// An answer that is lost says first of all that a machine or a way to it is:
-/// a few machines are lost on most days, and a new version has few. So it
-/// takes many of them, and an old version that loses hardly any.
+/// A lost answer usually means that a machine or the network failed. A few
+/// machines fail on most days, and a new version has few machines. So lost
+/// answers count only if there are many, and if the old version loses hardly
+/// any.
 pub(crate) fn is_worse(old: AnswerCounts, new: AnswerCounts) -> bool {
     let baseline = match old.all >= MIN_BASELINE_ANSWERS {
         true => old.bad_share(),
--- a/src/rollouts/evidence.rs
+++ b/src/rollouts/evidence.rs
@@ -1,51 +1,52 @@
-//! What VMs tell each other of a roll-out that is running.
+//! What VMs report to each other about a running rollout.
 //!
-//! Each VM tells its own part to those of its data hall. What all of a hall
-//! have told is summed up for the VMs of other halls, and any of those that
-//! hears such a sum tells it to its own hall. So everything is known
-//! everywhere after two beats and the way of one between halls, however many
-//! VMs a hall has and however rarely two of different halls hear each other.
+//! Each VM sends its evidence to the VMs of its data hall. For other halls it
+//! sums up the evidence of its hall, and a VM that receives such a sum relays
+//! it within its own hall. So every VM has all evidence after two heartbeats
+//! and one between halls, however many VMs a hall has and however rarely two
+//! VMs of different halls exchange heartbeats.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{message::ShortHash, rollouts::comparison::AnswerCounts};
 
-/// What a VM, or all of a data hall, has seen of a roll-out.
+/// The evidence of a VM, or of a whole data hall, on a rollout.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Evidence {
     /// The service.
     pub service: ShortHash,
     /// The new version.
     pub target: ShortHash,
-    /// How long the roll-out has been running.
+    /// Time since the rollout began, in milliseconds.
     pub running_ms: u32,
-    /// How long it had been running when the trial ended, if it has.
+    /// How long after its beginning the canary phase ended, in milliseconds;
+    /// `None` while that lasts.
     pub canary_ended_ms: Option<u32>,
     /// Whether the new version has been stopped.
     pub stopped: bool,
-    /// Requests that are still at the old version.
+    /// Requests in flight at other versions than the new one.
     pub old_in_flight: u16,
-    /// Sessions at the old version that the trial would take.
+    /// Sessions on the old version that the hash would assign to the canary.
     pub old_sessions: Vec<OldVersionSession>,
-    /// AnswerCounts by route, of the old and the new version.
+    /// Answer counts by route, of the old and the new version.
     pub answers: Vec<(ShortHash, AnswerCounts, AnswerCounts)>,
 }
 
-/// A session at the old version.
+/// A session on the old version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OldVersionSession {
     /// The session.
     pub session: ShortHash,
-    /// How long nothing of it has been under way.
+    /// Time for which it has been idle, in milliseconds.
     pub idle_ms: u16,
 }
 
-/// What all VMs of a data hall have seen of a roll-out.
+/// The summed evidence of all VMs of a data hall on a rollout.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HallEvidence {
     /// The data hall.
     pub data_hall: ShortHash,
-    /// The age of the sum.
+    /// The age of the sum, in milliseconds.
     pub age_ms: u16,
     /// The sum.
     pub evidence: Evidence,
--- a/src/rollouts/mod.rs
+++ b/src/rollouts/mod.rs
@@ -1,12 +1,14 @@
-//! Bringing a new version of a service's software in, or taking it back.
+//! Rollouts of new versions of a service's software, and their reversal.
 //!
-//! * [`registry`]: all that are known, shared by a VM's tasks.
-//! * [`rollout`]: one of them: which requests it gets, and how far it is.
-//! * [`choice`]: which version a request goes to, and why.
-//! * [`comparison`]: whether its answers are worse than the old one's.
-//! * [`evidence`]: what VMs tell each other of it.
-//! * `peer_evidence`: what others have told, and what of that is passed on.
-//! * `sessions`: which version each session is at.
+//! * [`registry`]: all known rollouts, shared by a VM's tasks.
+//! * [`rollout`]: one rollout: the requests that the new version gets, and its
+//!   progress.
+//! * [`choice`]: the version chosen for a request, and the reason.
+//! * [`comparison`]: whether the new version's answers are worse than the old
+//!   one's.
+//! * [`evidence`]: what VMs report to each other about a rollout.
+//! * `peer_evidence`: the reports of other VMs, and which are relayed.
+//! * `sessions`: the version that each session is on.
 
 pub mod choice;
 pub mod comparison;
--- a/src/rollouts/peer_evidence.rs
+++ b/src/rollouts/peer_evidence.rs
@@ -1,4 +1,4 @@
-//! What other VMs have told of one roll-out, and what of it is passed on.
+//! The evidence of other VMs on one rollout, and which of it is relayed.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -11,139 +11,143 @@
     },
 };
 
-/// Age up to which a VM's count of requests in flight is used.
+/// Maximum age of a VM's count of requests in flight.
 const IN_FLIGHT_TTL: Duration = Duration::from_secs(6);
 
-/// Time after which the VMs of this hall are told the sum of another one
-/// again, where it holds no session that is news to them.
+/// Interval at which another hall's sum is relayed to the VMs of this one,
+/// unless it has a session that they do not know yet.
 const RELAY_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Age of its last sum up to which a hall is known to be done with the old
+/// Maximum age of a hall's last sum for the hall to count as idle on the old
 /// version.
 const HALL_SUM_TTL: Duration = Duration::from_secs(2);
 
-/// Time before its last sum for which no sum of a hall may have told of
-/// requests at the old version: a VM that has only just started knows little
-/// of its hall.
+/// Time before its last sum during which no sum of an idle hall may have
+/// counted requests at the old version. A single sum does not suffice: it may
+/// come from a VM that has just started and knows little of its hall.
 const MIN_IDLE_TIME: Duration = Duration::from_millis(1200);
 
-/// Most sessions in one sum. A hall with 400 requests a second, each of
-/// another session, has 220 that the trial would take within seven seconds.
+/// Maximum number of sessions in one sum. In a hall with 400 requests per
+/// second, each of a different session, the hash assigns 220 sessions to the
+/// canary within seven seconds.
 const MAX_SESSIONS: usize = 512;
 
-/// AnswerCounts by route, of the old and the new version.
+/// Answer counts by route, of the old and the new version.
 pub(super) type AnswersByRoute = HashMap<ShortHash, [AnswerCounts; 2]>;
 
-/// How the sum of another data hall came here.
+/// How the sum of another data hall arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Delivery {
-    /// From a VM there, to this VM alone.
+    /// From a VM of that hall, to this VM alone.
     Direct,
-    /// From a VM of this hall, which tells all of it.
+    /// From a VM of this hall, which sends it to all others here.
     Relayed,
 }
 
-/// What other VMs have told of one roll-out.
+/// The evidence received from other VMs on one rollout.
 #[derive(Debug, Default)]
 pub(super) struct PeerEvidence {
-    /// The VMs of this hall.
+    /// The latest evidence of each other VM of this hall.
     vms: HashMap<String, (BootInstant, Evidence)>,
     halls: HashMap<ShortHash, HallState>,
-    /// Sessions at the old version.
+    /// Sessions on the old version.
     sessions: HashMap<ShortHash, PeerSession>,
 }
 
-/// The sums of another data hall, of which no VM there knows all.
+/// The merged sums of another data hall. Each sum may lack some of that
+/// hall's VMs.
 #[derive(Debug)]
 struct HallState {
-    /// When the newest was made.
+    /// When the latest sum was made.
     at: BootInstant,
-    /// When the newest was made that told of requests at the old version.
+    /// When the latest sum with requests at the old version was made.
     busy_at: Option<BootInstant>,
     old_in_flight: u16,
     answers: AnswersByRoute,
-    /// When this hall's VMs were last told one.
+    /// When a sum was last relayed within this hall.
     relayed_at: Option<BootInstant>,
-    /// Whether one has come since from the hall itself.
+    /// Whether a sum has arrived directly since then.
     is_fresh: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct PeerSession {
-    /// When something of it was last under way.
+    /// When an attempt of it was last in flight.
     used_at: BootInstant,
-    /// The hall it is at; `None` for this VM's own.
+    /// The hall that it is in; `None` for this VM's own.
     hall: Option<ShortHash>,
-    /// Whether this hall's VMs were told.
+    /// Whether the VMs of this hall know of it.
     is_relayed: bool,
 }
 
 impl PeerEvidence {
-    /// Takes in what a VM of this hall tells.
+    /// Merges the evidence of a VM of this hall.
     pub(super) fn merge_vm(
         &mut self,
         vm: &str,
-        told: Evidence,
+        evidence: Evidence,
         now: BootInstant,
     ) {
-        self.merge_sessions(&told.old_sessions, None, now, true);
-        self.vms.insert(vm.to_owned(), (now, told));
+        self.merge_sessions(&evidence.old_sessions, None, now, true);
+        self.vms.insert(vm.to_owned(), (now, evidence));
     }
 
-    /// Takes in the sum of another hall.
+    /// Merges the sum of another hall.
     pub(super) fn merge_hall(
         &mut self,
-        told: &HallEvidence,
-        way: Delivery,
+        received: &HallEvidence,
+        delivery: Delivery,
         now: BootInstant,
     ) {
-        let age = Duration::from_millis(told.age_ms.into());
+        let age = Duration::from_millis(received.age_ms.into());
         let at = now.checked_sub(age).unwrap_or(now);
-        let sum = &told.evidence;
-        let is_relayed = way == Delivery::Relayed;
-        let hall = Some(told.data_hall);
+        let sum = &received.evidence;
+        let is_relayed = delivery == Delivery::Relayed;
+        let hall = Some(received.data_hall);
         self.merge_sessions(&sum.old_sessions, hall, at, is_relayed);
-        let held =
-            self.halls.entry(told.data_hall).or_insert_with(|| HallState {
-                at,
-                busy_at: None,
-                old_in_flight: 0,
-                answers: HashMap::new(),
-                relayed_at: None,
-                is_fresh: false,
+        let known =
+            self.halls.entry(received.data_hall).or_insert_with(|| {
+                HallState {
+                    at,
+                    busy_at: None,
+                    old_in_flight: 0,
+                    answers: HashMap::new(),
+                    relayed_at: None,
+                    is_fresh: false,
+                }
             });
-        held.take(sum, at);
-        match way {
-            Delivery::Direct => held.is_fresh = true,
-            Delivery::Relayed => held.relayed_at = Some(now),
+        known.merge(sum, at);
+        match delivery {
+            Delivery::Direct => known.is_fresh = true,
+            Delivery::Relayed => known.relayed_at = Some(now),
         }
     }
 
     fn merge_sessions(
         &mut self,
-        told: &[OldVersionSession],
+        received: &[OldVersionSession],
         hall: Option<ShortHash>,
         at: BootInstant,
         is_relayed: bool,
     ) {
-        for session in told {
+        for session in received {
             let idle = Duration::from_millis(session.idle_ms.into());
             let used_at = at.checked_sub(idle).unwrap_or(at);
-            let news = PeerSession { used_at, hall, is_relayed };
-            let held = self.sessions.entry(session.session).or_insert(news);
-            // Where it has moved to is told, too.
-            let was_told_here = held.hall == hall && held.is_relayed;
-            if held.used_at < used_at {
-                *held = news;
+            let latest = PeerSession { used_at, hall, is_relayed };
+            let known = self.sessions.entry(session.session).or_insert(latest);
+            // A session that moves to another hall is relayed again.
+            let was_relayed = known.hall == hall && known.is_relayed;
+            if known.used_at < used_at {
+                *known = latest;
             }
-            if held.hall == hall {
-                held.is_relayed = is_relayed || was_told_here;
+            if known.hall == hall {
+                known.is_relayed = is_relayed || was_relayed;
             }
         }
     }
 
-    /// Forgets sessions of which nothing has been under way for `lifetime`.
-    pub(super) fn forget_sessions(
+    /// Drops sessions that have been idle for `lifetime`.
+    pub(super) fn expire_sessions(
         &mut self,
         lifetime: Duration,
         now: BootInstant,
@@ -153,27 +157,27 @@
         });
     }
 
-    /// How long nothing has been under way of a session at the old version,
-    /// as far as others have told.
+    /// Returns how long a session on the old version has been idle; `None` if
+    /// no other VM has reported it.
     pub(super) fn session_idle(
         &self,
         session: ShortHash,
         now: BootInstant,
     ) -> Option<Duration> {
-        let held = self.sessions.get(&session)?;
-        Some(now.saturating_duration_since(held.used_at))
+        let known = self.sessions.get(&session)?;
+        Some(now.saturating_duration_since(known.used_at))
     }
 
-    /// Adds what the VMs of this hall have seen.
+    /// Adds the answers of the other VMs of this hall to `sum`.
     pub(super) fn add_own_hall_answers(&self, sum: &mut AnswersByRoute) {
-        for (_, told) in self.vms.values() {
-            for (route, old, new) in &told.answers {
+        for (_, evidence) in self.vms.values() {
+            for (route, old, new) in &evidence.answers {
                 add(sum, *route, &[*old, *new]);
             }
         }
     }
 
-    /// Adds what all other VMs have seen.
+    /// Adds the answers of all other VMs to `sum`.
     pub(super) fn add_answers(&self, sum: &mut AnswersByRoute) {
         self.add_own_hall_answers(sum);
         for hall in self.halls.values() {
@@ -183,48 +187,50 @@
         }
     }
 
-    /// Requests at the old version of the other VMs of this hall.
+    /// Returns the number of requests that the other VMs of this hall have in
+    /// flight at the old version.
     pub(super) fn own_hall_in_flight(&self, now: BootInstant) -> u32 {
         let recent = self.vms.values().filter(|(at, _)| {
             now.saturating_duration_since(*at) < IN_FLIGHT_TTL
         });
-        recent.map(|(_, told)| u32::from(told.old_in_flight)).sum()
+        recent.map(|(_, evidence)| u32::from(evidence.old_in_flight)).sum()
     }
 
-    /// Whether other halls have told lately that nothing of theirs is at the
-    /// old version any more.
+    /// Whether all of `halls` have recently reported that they have nothing in
+    /// flight at the old version.
     pub(super) fn all_idle(
         &self,
         halls: &[ShortHash],
         now: BootInstant,
     ) -> bool {
         let is_idle = |hall: &ShortHash| {
-            self.halls.get(hall).is_some_and(|held| held.is_idle(now))
+            self.halls.get(hall).is_some_and(|known| known.is_idle(now))
         };
         halls.iter().all(is_idle)
     }
 
-    /// The sessions of other VMs of this hall, or of another one, the latest
-    /// used first.
+    /// Returns the sessions in `hall`, or those of other VMs of this hall for
+    /// `None`, the most recently used first.
     pub(super) fn sessions_of(
         &self,
         hall: Option<ShortHash>,
         now: BootInstant,
     ) -> Vec<OldVersionSession> {
-        let of = self.sessions.iter().filter(|(_, s)| s.hall == hall);
-        let mut told: Vec<OldVersionSession> = of
-            .map(|(session, held)| {
-                let idle = now.saturating_duration_since(held.used_at);
+        let in_hall = self.sessions.iter().filter(|(_, s)| s.hall == hall);
+        let mut sessions: Vec<OldVersionSession> = in_hall
+            .map(|(session, known)| {
+                let idle = now.saturating_duration_since(known.used_at);
                 old_version_session(*session, idle)
             })
             .collect();
-        told.sort_by_key(|session| session.idle_ms);
-        told.truncate(MAX_SESSIONS);
-        told
+        sessions.sort_by_key(|session| session.idle_ms);
+        sessions.truncate(MAX_SESSIONS);
+        sessions
     }
 
-    /// The halls whose sums the VMs of this one are to be told now: those
-    /// with a session that is news to them, and the others once in a while.
+    /// Returns the halls whose sums are due to be relayed within this hall:
+    /// those with a session that has not been relayed yet, and the others
+    /// every [`RELAY_INTERVAL`].
     pub(super) fn due_relays(&self, now: BootInstant) -> Vec<ShortHash> {
         let due = self.halls.iter().filter(|(name, hall)| {
             hall.is_fresh
@@ -235,12 +241,13 @@
     }
 
     fn has_unrelayed_sessions(&self, hall: ShortHash) -> bool {
-        let mut of = self.sessions.values().filter(|s| s.hall == Some(hall));
-        of.any(|session| !session.is_relayed)
+        let mut in_hall =
+            self.sessions.values().filter(|s| s.hall == Some(hall));
+        in_hall.any(|session| !session.is_relayed)
     }
 
-    /// The sum of another hall that its VMs have told, for those of this one;
-    /// `frame` gives what it has in common with all.
+    /// Returns the sum of another hall to relay within this one; `template`
+    /// provides the fields that are the same for all halls.
     pub(super) fn relay(
         &mut self,
         name: ShortHash,
@@ -252,8 +259,8 @@
             Some(_) => Vec::new(),
         };
         for session in &old_sessions {
-            if let Some(held) = self.sessions.get_mut(&session.session) {
-                held.is_relayed = true;
+            if let Some(known) = self.sessions.get_mut(&session.session) {
+                known.is_relayed = true;
             }
         }
         let hall = self.halls.get_mut(&name)?;
@@ -274,13 +281,13 @@
 }
 
 impl HallState {
-    /// Takes in a sum. Each lacks what its VM has not heard, so of answers
-    /// the most counts that any has told.
-    fn take(&mut self, sum: &Evidence, at: BootInstant) {
+    /// Merges a sum. Each sum lacks the evidence that its sender has not
+    /// received, so the maximum of each answer count is kept.
+    fn merge(&mut self, sum: &Evidence, at: BootInstant) {
         for (route, old, new) in &sum.answers {
-            let held = self.answers.entry(*route).or_default();
-            held[0] = held[0].max(*old);
-            held[1] = held[1].max(*new);
+            let known = self.answers.entry(*route).or_default();
+            known[0] = known[0].max(*old);
+            known[1] = known[1].max(*new);
         }
         if sum.old_in_flight > 0 {
             self.busy_at = self.busy_at.max(Some(at));
@@ -304,7 +311,7 @@
     }
 }
 
-/// A session as it is told.
+/// Returns a session in the form in which it is sent to other VMs.
 pub(super) fn old_version_session(
     session: ShortHash,
     idle: Duration,
@@ -312,7 +319,7 @@
     OldVersionSession { session, idle_ms: saturating_ms(idle) }
 }
 
-/// AnswerCounts as they are told.
+/// Returns answer counts in the form in which they are sent to other VMs.
 pub(super) fn to_list(
     answers: &AnswersByRoute,
 ) -> Vec<(ShortHash, AnswerCounts, AnswerCounts)> {
@@ -325,9 +332,9 @@
     route: ShortHash,
     answers: &[AnswerCounts; 2],
 ) {
-    let held = sum.entry(route).or_default();
-    held[0].add(answers[0]);
-    held[1].add(answers[1]);
+    let counts = sum.entry(route).or_default();
+    counts[0].add(answers[0]);
+    counts[1].add(answers[1]);
 }
 
 fn saturating_ms(time: Duration) -> u16 {
--- a/src/rollouts/registry.rs
+++ b/src/rollouts/registry.rs
@@ -1,4 +1,4 @@
-//! All roll-outs that one VM knows of, shared by its tasks.
+//! All rollouts that one VM knows of, shared by its tasks.
 
 use std::{collections::HashMap, sync::Mutex, time::Duration};
 
@@ -16,48 +16,50 @@
     },
 };
 
-/// Added to that time: a request may have waited at its caller's before.
+/// Added to the session timeout, since a request may have been delayed at its
+/// caller.
 const SESSION_SLACK: Duration = Duration::from_secs(1);
 
-/// Versions of a service that are kept as taken back; the eldest are long gone.
+/// Maximum number of withdrawn versions kept for each service; the upstreams
+/// of older ones are long gone.
 const MAX_WITHDRAWN: usize = 16;
 
-/// A step that a roll-out is due for.
+/// A rollout status that has to be written to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingStatus {
     /// The service.
     pub service: ServiceId,
-    /// What is to be recorded.
+    /// The status to write.
     pub status: RolloutStatus,
 }
 
-/// All roll-outs that this VM knows of.
+/// All rollouts that this VM knows of.
 #[derive(Debug)]
 pub struct Rollouts {
-    /// Time after the end of its last request in which a session goes on.
+    /// Time after the end of its last request for which a session is kept.
     session_lifetime: Duration,
     running: Mutex<HashMap<ServiceId, Rollout>>,
-    /// Versions that were taken back, the last one last: their upstreams go
-    /// on for a while after the order is gone or another one given. Taken
-    /// after `running` where both are.
+    /// Withdrawn versions, the most recent one last. Their upstreams run on
+    /// for a while after the order was deleted or replaced. Locked after
+    /// `running` where both are.
     withdrawn: Mutex<HashMap<ServiceId, Vec<VersionId>>>,
-    /// Taken after `running` where both are.
+    /// Locked after `running` where both are.
     sessions: Mutex<HashMap<ServiceId, Sessions>>,
 }
 
 impl Rollouts {
-    /// Creates a list without roll-outs; `session_time` is how long after the
-    /// end of a request the next one still belongs to its session.
-    pub fn new(session_time: Duration) -> Rollouts {
+    /// Creates a registry without rollouts. A request belongs to the session
+    /// of the previous one if it arrives within `session_timeout` of its end.
+    pub fn new(session_timeout: Duration) -> Rollouts {
         Rollouts {
-            session_lifetime: session_time + SESSION_SLACK,
+            session_lifetime: session_timeout + SESSION_SLACK,
             running: Mutex::default(),
             withdrawn: Mutex::default(),
             sessions: Mutex::default(),
         }
     }
 
-    /// Takes in an order; returns whether it is a new one.
+    /// Applies an operator's order; returns whether it is a new one.
     pub fn apply_order(
         &self,
         service: ServiceId,
@@ -65,18 +67,18 @@
         now: BootInstant,
     ) -> bool {
         let mut rollouts = self.running.lock().expect("rollouts lock");
-        let held = rollouts.get(&service);
-        if held.is_some_and(|held| held.order == order) {
+        let previous = rollouts.get(&service);
+        if previous.is_some_and(|previous| previous.order == order) {
             return false;
         }
-        self.record_end(&service, held);
+        self.record_end(&service, previous);
         self.clear_withdrawn(&service, &order.target);
         let rollout = Rollout::new(order, self.session_lifetime, now);
         rollouts.insert(service, rollout);
         true
     }
 
-    /// Takes in the state that stands in the store.
+    /// Applies a status that was read from the store.
     pub fn set_status(&self, service: &ServiceId, status: &RolloutStatus) {
         let mut rollouts = self.running.lock().expect("rollouts lock");
         let Some(rollout) = rollouts.get_mut(service) else {
@@ -90,17 +92,17 @@
         }
     }
 
-    /// Forgets a roll-out whose order is gone.
+    /// Removes a rollout whose order was deleted.
     pub fn remove(&self, service: &ServiceId) {
         let mut rollouts = self.running.lock().expect("rollouts lock");
-        let over = rollouts.remove(service);
-        self.record_end(service, over.as_ref());
+        let removed = rollouts.remove(service);
+        self.record_end(service, removed.as_ref());
     }
 
-    /// Keeps that the version of a roll-out was taken back, if it was.
-    fn record_end(&self, service: &ServiceId, over: Option<&Rollout>) {
-        if let Some(over) = over.filter(|over| over.is_withdrawn()) {
-            self.withdraw(service, over.order.target.clone());
+    /// Keeps the version of an ended rollout as withdrawn, if it was.
+    fn record_end(&self, service: &ServiceId, ended: Option<&Rollout>) {
+        if let Some(ended) = ended.filter(|ended| ended.is_withdrawn()) {
+            self.withdraw(service, ended.order.target.clone());
         }
     }
 
@@ -114,11 +116,12 @@
         }
     }
 
-    /// A version that is ordered once more is a new one like any other.
+    /// Removes a version from the withdrawn ones, so that it can be ordered
+    /// again.
     fn clear_withdrawn(&self, service: &ServiceId, version: &VersionId) {
         let mut withdrawn = self.withdrawn.lock().expect("withdrawn lock");
         if let Some(versions) = withdrawn.get_mut(service) {
-            versions.retain(|held| held != version);
+            versions.retain(|withdrawn| withdrawn != version);
         }
     }
 
@@ -127,7 +130,7 @@
         withdrawn.get(service).cloned().unwrap_or_default()
     }
 
-    /// Which version may answer a request.
+    /// Chooses the version for a request.
     pub fn choose_version(
         &self,
         service: &ServiceId,
@@ -151,8 +154,8 @@
         VersionChoice { rule, reason: Some(reason), withdrawn }
     }
 
-    /// Notes that an attempt of a session begins, and which version it goes
-    /// to; it is under way until [`Rollouts::end_session`].
+    /// Records that an attempt of a session is sent to a version; the attempt
+    /// is in flight until [`Rollouts::end_session`].
     pub fn begin_session(
         &self,
         service: &ServiceId,
@@ -166,7 +169,7 @@
         of_service.begin(session, software, self.session_lifetime, now);
     }
 
-    /// Notes that an attempt of a session has ended.
+    /// Records that an attempt of a session has ended.
     pub fn end_session(
         &self,
         service: &ServiceId,
@@ -179,22 +182,24 @@
         }
     }
 
-    /// Takes in how an answer of a version on a route was.
+    /// Records the outcome of an attempt at a version, with the time to the
+    /// first part of its answer.
     pub fn record_answer(
         &self,
         service: &ServiceId,
         software: &VersionId,
         route: &str,
-        verdict: AttemptOutcome,
+        outcome: AttemptOutcome,
         first_part: Option<Duration>,
     ) {
         let mut rollouts = self.running.lock().expect("rollouts lock");
         if let Some(rollout) = rollouts.get_mut(service) {
-            rollout.record_answer(software, route, verdict, first_part);
+            rollout.record_answer(software, route, outcome, first_part);
         }
     }
 
-    /// What this VM has to tell of the roll-outs that are running.
+    /// Returns this VM's evidence on the running rollouts. `old_in_flight`
+    /// counts its requests at versions of a service other than the given one.
     pub fn evidence(
         &self,
         old_in_flight: impl Fn(&ServiceId, &VersionId) -> u32,
@@ -213,8 +218,8 @@
             .collect()
     }
 
-    /// What the VMs of a data hall have seen of the roll-outs that are
-    /// running, for those of other halls; `own` is this VM's evidence.
+    /// Returns the summed evidence of this VM's data hall on the running
+    /// rollouts, for the VMs of other halls; `own` is this VM's evidence.
     pub fn hall_evidence(
         &self,
         data_hall: ShortHash,
@@ -230,8 +235,8 @@
         sums.collect()
     }
 
-    /// What other data halls have told of the roll-outs that are running and
-    /// the VMs of this one are to be told now; `own` is this VM's evidence.
+    /// Returns the evidence of other data halls that is due to be relayed to
+    /// the VMs of this one; `own` is this VM's evidence.
     pub fn relayed_evidence(
         &self,
         own: &[Evidence],
@@ -241,45 +246,45 @@
         let mut relays = Vec::new();
         for own in own {
             let Some(rollout) = find(&mut rollouts, own) else { continue };
-            let told = &mut rollout.told;
-            told.forget_sessions(self.session_lifetime, now);
-            for hall in told.due_relays(now) {
-                relays.extend(told.relay(hall, own, now));
+            let peers = &mut rollout.peers;
+            peers.expire_sessions(self.session_lifetime, now);
+            for hall in peers.due_relays(now) {
+                relays.extend(peers.relay(hall, own, now));
             }
         }
         relays
     }
 
-    /// Takes in what another VM of this data hall tells.
+    /// Merges the evidence of another VM of this data hall.
     pub fn merge_evidence(
         &self,
         vm: &str,
-        told: &[Evidence],
+        received: &[Evidence],
         now: BootInstant,
     ) {
         let mut rollouts = self.running.lock().expect("rollouts lock");
-        for told in told {
-            if let Some(rollout) = find(&mut rollouts, told) {
-                rollout.merge_evidence(vm, told.clone(), now);
+        for evidence in received {
+            if let Some(rollout) = find(&mut rollouts, evidence) {
+                rollout.merge_evidence(vm, evidence.clone(), now);
             }
         }
     }
 
-    /// Takes in what all VMs of another data hall tell.
+    /// Merges the summed evidence of another data hall.
     pub(crate) fn merge_hall_evidence(
         &self,
-        told: &HallEvidence,
-        way: Delivery,
+        received: &HallEvidence,
+        delivery: Delivery,
         now: BootInstant,
     ) {
         let mut rollouts = self.running.lock().expect("rollouts lock");
-        if let Some(rollout) = find(&mut rollouts, &told.evidence) {
-            rollout.merge_hall_evidence(told, way, now);
+        if let Some(rollout) = find(&mut rollouts, &received.evidence) {
+            rollout.merge_hall_evidence(received, delivery, now);
         }
     }
 
-    /// Judges the running roll-outs; returns those that were stopped just
-    /// now, with the reason.
+    /// Evaluates the running rollouts; returns the services whose new version
+    /// this call stopped, with the reason.
     pub fn evaluate(&self, now: BootInstant) -> Vec<(ServiceId, String)> {
         let mut rollouts = self.running.lock().expect("rollouts lock");
         let mut stopped = Vec::new();
@@ -291,12 +296,12 @@
         stopped
     }
 
-    /// What is to be recorded in the store about the roll-outs.
+    /// Returns the statuses that this VM has to write to the store.
     ///
-    /// `is_steward` says whether this VM keeps the records; another one
-    /// records only that a version was stopped, and a little later. A version
-    /// is completed once no VM of this hall nor of `other_halls` works at the
-    /// old one, whose upstreams then stop.
+    /// The steward writes all of them. Any other VM writes only that a version
+    /// was stopped, and a little later. A rollout is completed once no VM of
+    /// this hall and of `other_halls` has requests in flight at the old
+    /// version, since its upstreams then shut down.
     pub fn pending_statuses(
         &self,
         is_steward: bool,
@@ -305,35 +310,36 @@
         now: BootInstant,
     ) -> Vec<PendingStatus> {
         let rollouts = self.running.lock().expect("rollouts lock");
-        let mut due = Vec::new();
+        let mut pending = Vec::new();
         for (service, rollout) in rollouts.iter() {
             let old = old_in_flight(service, &rollout.order.target);
             let progress =
-                rollout.pending_statuses(is_steward, old, other_halls, now);
+                rollout.pending_status(is_steward, old, other_halls, now);
             if let Some(progress) = progress {
                 let target = rollout.order.target.clone();
                 let status = RolloutStatus { target, progress };
-                due.push(PendingStatus { service: service.clone(), status });
+                pending
+                    .push(PendingStatus { service: service.clone(), status });
             }
         }
-        due
+        pending
     }
 
-    /// Whether any roll-out is running.
+    /// Whether any rollout is running.
     pub fn any_running(&self) -> bool {
         let rollouts = self.running.lock().expect("rollouts lock");
         rollouts.values().any(Rollout::is_running)
     }
 }
 
-/// The roll-out that a VM tells of, if it is known here.
+/// Returns the rollout that a VM's evidence is about, if it is known here.
 fn find<'a>(
     rollouts: &'a mut HashMap<ServiceId, Rollout>,
-    told: &Evidence,
+    evidence: &Evidence,
 ) -> Option<&'a mut Rollout> {
     let is_it = |service: &ServiceId, rollout: &Rollout| {
-        told.service == ShortHash::of(service.as_str())
-            && told.target == ShortHash::of(rollout.order.target.as_str())
+        evidence.service == ShortHash::of(service.as_str())
+            && evidence.target == ShortHash::of(rollout.order.target.as_str())
     };
     let mut all = rollouts.iter_mut();
     let found = all.find(|(service, rollout)| is_it(service, rollout));
--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -1,17 +1,18 @@
-//! Roll-outs of a service's software: which requests a new version gets, and
+//! Rollouts of a service's software: which requests a new version gets, and
 //! whether it is kept.
 //!
-//! An operator orders a version and allows a time for it. In the first part of
-//! that time a small share of the requests goes to it, and none of a session
-//! that began on the old one. That lasts until enough answers have come to
-//! judge it by, or hardly any time is left. If its answers are as good as the
-//! old version's, all requests go to it, and the roll-out is completed once
-//! the old version has nothing left to do. If they are worse, it gets nothing
-//! more and the roll-out is reverted.
+//! An operator orders a version and sets a time limit. In the first phase, the
+//! canary phase, a small share of the requests goes to the new version, but
+//! no session that began on the old one. The phase lasts until enough answers
+//! have arrived to compare the versions, or hardly any time is left. If the
+//! answers are as good as the old version's, all requests go to the new one,
+//! and the rollout is completed once the old version has nothing in flight.
+//! If they are worse, the new version gets no more requests and the rollout is
+//! reverted.
 //!
-//! Every VM judges by the evidence of all VMs and stops by itself; the share
-//! is bounded on each VM, so the bound holds however many are alive or can
-//! hear each other.
+//! Every VM evaluates the evidence of all VMs and stops the version by itself.
+//! Each VM bounds the share of its own requests, so the bound holds however
+//! many VMs are alive or can reach each other.
 
 use std::{collections::HashMap, fmt, time::Duration};
 
@@ -33,82 +34,84 @@
     },
 };
 
-/// Share of the requests that a new version gets on trial; the platform
-/// allows `canary_share`, and repeated requests need room below it.
+/// Share of the requests that a new version gets in the canary phase, below
+/// the platform's limit `canary_share` to leave room for retries.
 const CANARY_SHARE: f64 = 0.08;
 
-/// Time after an order in which the new version gets nothing yet: by then all
-/// VMs have heard of it and told which sessions are at the old one. It takes a
-/// beat to those of the same data hall, one to another hall, and one more
-/// there. Of 100 sessions a second that ask three times within 1.2 s, each
-/// time at another of 240 VMs in six halls, 0.7 change their version in place
-/// of 3.2 with 1.5 s (mean of six replays).
+/// Time after an order before the new version gets requests. By then all VMs
+/// have the order and have reported which sessions are on the old version:
+/// that takes a heartbeat within the data hall, one to another hall, and one
+/// within that hall. With 100 sessions per second that send three requests
+/// within 1.2 s, each to a different one of 240 VMs in six halls, 0.7 sessions
+/// change their version, in the mean of six replays; with 1.5 s it was 3.2.
 const CANARY_DELAY: Duration = Duration::from_millis(2500);
 
-/// The same after this VM learned of the order, where others have known it
-/// for longer: it hears all of its own hall within a beat, and what that knows
-/// of other halls.
+/// Time after this VM got the order before it sends requests to the new
+/// version, if others have had the order for longer. Within a heartbeat it
+/// receives the reports of all VMs of its hall, with what they know of other
+/// halls.
 const SYNC_TIME: Duration = Duration::from_millis(1200);
 
-/// Part of the allowed time until which the trial lasts; sessions may change
-/// version only in the second half.
+/// Part of the allowed time that the canary phase lasts at least: sessions may
+/// change their version only in the second half.
 const CANARY_MIN_PART: f64 = 0.52;
 
-/// AnswerCounts of the new version that end the trial. A version that fails a third
-/// of its requests has failed the four by then that it is judged by; one that
-/// rose by the time alone got a sixth of all requests where few came.
+/// Number of answers of the new version that end the canary phase. By then a
+/// version that fails a third of its requests has had the four bad answers
+/// for which it is stopped. When the phase ended by time alone, such a version
+/// got a sixth of all requests of a service with few.
 const CANARY_MIN_ANSWERS: u32 = 12;
 
-/// Part of the allowed time at which the trial ends although there were fewer:
-/// a good version must be completed where hardly anybody asks.
+/// Part of the allowed time at which the canary phase ends with fewer answers:
+/// a good version must be completed even if there are hardly any requests.
 const CANARY_MAX_PART: f64 = 0.8;
 
-/// Part of the allowed time after the trial for which a part of the requests
-/// goes to the new version, before all do.
+/// Part of the allowed time after the canary phase during which only a part of
+/// the requests goes to the new version.
 const PARTIAL_PART: f64 = 0.06;
 
-/// The share of the requests in that part.
+/// Share of the requests that the new version gets in that time.
 const PARTIAL_SHARE: f64 = 0.4;
 
-/// Part of the allowed time after all requests go to the new version, in which
-/// the old version's last ones are waited for.
+/// Part of the allowed time, from when all requests go to the new version,
+/// for the last requests at the old version to end.
 const DRAIN_PART: f64 = 0.06;
 
-/// Part of the allowed time after which a roll-out is completed although
-/// the old version still works on something.
+/// Part of the allowed time after which a rollout is completed even if the old
+/// version still has requests in flight.
 const COMPLETE_AT_PART: f64 = 0.93;
 
-/// Time after which a VM that is not the steward records that a version was
-/// stopped, if nobody has yet.
+/// Time after which a VM that is not the steward writes to the store that a
+/// version was stopped, if no other VM has.
 const FALLBACK_RECORD_DELAY: Duration = Duration::from_millis(700);
 
-/// Sessions told in one beat; a VM has a few at a time.
+/// Maximum number of sessions in one heartbeat; a VM has a few at a time.
 const MAX_SESSIONS_PER_HEARTBEAT: usize = 64;
 
-/// How many times the usual a first part of an answer may take before the
-/// answer counts as bad.
+/// Factor by which the time to the first part of an answer may exceed the mean
+/// before the answer counts as bad.
 const SLOW_FACTOR: f64 = 4.0;
 
-/// Weight of one more time in the mean of a route's times.
+/// Weight of a new value in the moving average of a route's times.
 const MEAN_WEIGHT: f64 = 0.1;
 
-/// An operator's order to roll a version out.
+/// An operator's order to roll out a version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutOrder {
-    /// The version.
+    /// The new version.
     pub target: VersionId,
-    /// The time within which it is to be done.
+    /// The time within which the rollout has to be completed or reverted.
     pub time_allowed: Duration,
 }
 
-/// How far a roll-out is.
+/// The progress of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutProgress {
-    /// Under way.
+    /// The rollout is neither completed nor reverted.
     Running,
-    /// The new version has everything.
+    /// The new version gets all requests.
     Completed,
-    /// The old version has everything again.
+    /// The old version gets all requests again.
     Reverted,
 }
 
@@ -122,35 +125,42 @@
     }
 }
 
-/// The state of a roll-out as it stands in the store.
+/// The status of a rollout, as written to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutStatus {
-    /// The version.
+    /// The new version.
     pub target: VersionId,
-    /// How far it is.
+    /// The progress of the rollout.
     pub progress: RolloutProgress,
 }
 
-/// One roll-out as this VM sees it.
+/// One rollout as this VM knows it.
 #[derive(Debug)]
 pub(super) struct Rollout {
     pub(super) order: RolloutOrder,
     session_lifetime: Duration,
-    /// When this VM learned of the order.
+    /// When this VM got the order.
     learned_at: BootInstant,
-    /// When it was given, as far as any VM knows.
+    /// When the order was given: the earliest time that any VM has reported.
     started_at: BootInstant,
+    /// The progress written to the store; `None` if there is none yet.
     pub(super) progress: Option<RolloutProgress>,
+    /// When this VM stopped the new version, by itself or because another VM
+    /// did.
     stopped_at: Option<BootInstant>,
-    /// How long it had been running when the trial ended. All VMs go by the
-    /// first that ended it, so that a session that moved with one of them
-    /// does not move back with another.
+    /// How long after `started_at` the canary phase ended. All VMs adopt the
+    /// earliest end, so that a session which one of them moved to the new
+    /// version is not moved back by another.
     canary_ended: Option<Duration>,
-    own: AnswersByRoute,
-    first_part_s: HashMap<ShortHash, f64>,
-    pub(super) told: PeerEvidence,
+    /// This VM's answers.
+    own_answers: AnswersByRoute,
+    /// The moving average of the old version's times to the first part of an
+    /// answer, by route.
+    mean_first_part_s: HashMap<ShortHash, f64>,
+    pub(super) peers: PeerEvidence,
 }
 
+/// A version, as the index of its answer counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum VersionSide {
     Old = 0,
@@ -171,14 +181,14 @@
             progress: None,
             stopped_at: None,
             canary_ended: None,
-            own: HashMap::new(),
-            first_part_s: HashMap::new(),
-            told: PeerEvidence::default(),
+            own_answers: HashMap::new(),
+            mean_first_part_s: HashMap::new(),
+            peers: PeerEvidence::default(),
         }
     }
 
-    /// Whether its version was taken back. One that all others have completed
-    /// is the only one left, whatever this VM has seen of it.
+    /// Whether the new version was withdrawn. A version whose rollout is
+    /// recorded as completed is the only one left, even if this VM stopped it.
     pub(super) fn is_withdrawn(&self) -> bool {
         match self.progress {
             Some(RolloutProgress::Reverted) => true,
@@ -191,36 +201,39 @@
         matches!(self.progress, None | Some(RolloutProgress::Running))
     }
 
-    /// Part of the allowed time that has passed.
-    fn passed(&self, now: BootInstant) -> f64 {
+    /// Returns the elapsed part of the allowed time.
+    fn elapsed_part(&self, now: BootInstant) -> f64 {
         self.part(now.saturating_duration_since(self.started_at))
     }
 
-    /// A time as a part of the allowed one.
+    /// Returns a duration as a part of the allowed time.
     fn part(&self, time: Duration) -> f64 {
         let allowed = self.order.time_allowed.as_secs_f64().max(0.001);
         time.as_secs_f64() / allowed
     }
 
-    /// The share of the requests that the new version gets.
+    /// Returns the share of the requests that the new version gets now.
     fn share(&self, now: BootInstant) -> f64 {
-        let passed = |since| now.saturating_duration_since(since);
-        let is_early = passed(self.started_at) < CANARY_DELAY
-            || passed(self.learned_at) < SYNC_TIME;
+        let elapsed = |since| now.saturating_duration_since(since);
+        let is_early = elapsed(self.started_at) < CANARY_DELAY
+            || elapsed(self.learned_at) < SYNC_TIME;
         match self.canary_ended {
             None if is_early => 0.0,
             None => CANARY_SHARE,
-            Some(end) if self.passed(now) < self.part(end) + PARTIAL_PART => {
+            Some(end)
+                if self.elapsed_part(now) < self.part(end) + PARTIAL_PART =>
+            {
                 PARTIAL_SHARE
             }
             Some(_) => 1.0,
         }
     }
 
-    /// Ends the trial once it has lasted for long enough and shown enough.
+    /// Ends the canary phase once it has lasted long enough and the new
+    /// version has given enough answers.
     fn end_canary(&mut self, now: BootInstant) {
-        let passed = self.passed(now);
-        if self.canary_ended.is_some() || passed < CANARY_MIN_PART {
+        let elapsed = self.elapsed_part(now);
+        if self.canary_ended.is_some() || elapsed < CANARY_MIN_PART {
             return;
         }
         let all_answers = self.all_answers();
@@ -228,20 +241,22 @@
             let new = sides[VersionSide::New as usize];
             new.all + new.lost
         };
-        let seen: u32 = all_answers.values().map(of_new).sum();
-        if seen >= CANARY_MIN_ANSWERS || passed >= CANARY_MAX_PART {
+        let answers: u32 = all_answers.values().map(of_new).sum();
+        if answers >= CANARY_MIN_ANSWERS || elapsed >= CANARY_MAX_PART {
             let running = now.saturating_duration_since(self.started_at);
             self.canary_ended = Some(running);
         }
     }
 
-    /// What this VM and the others have seen, by route.
+    /// Returns the answer counts of all VMs, by route.
     fn all_answers(&self) -> AnswersByRoute {
-        let mut all_answers = self.own.clone();
-        self.told.add_answers(&mut all_answers);
+        let mut all_answers = self.own_answers.clone();
+        self.peers.add_answers(&mut all_answers);
         all_answers
     }
 
+    /// Chooses the version for a request. `own` is the version that the
+    /// session is on according to this VM, and for how long it has been idle.
     pub(super) fn choose_version(
         &mut self,
         session: Option<&str>,
@@ -264,11 +279,11 @@
             false => VersionSide::Old,
         };
         let is_canary = self.canary_ended.is_none();
-        let held = session.and_then(|_| self.session(subject, own, now));
-        let (side, reason) = match held {
-            Some((VersionSide::New, by)) => (VersionSide::New, by),
-            Some((VersionSide::Old, by)) if is_canary => {
-                (VersionSide::Old, by)
+        let known = session.and_then(|_| self.session(subject, own, now));
+        let (side, reason) = match known {
+            Some((VersionSide::New, reason)) => (VersionSide::New, reason),
+            Some((VersionSide::Old, reason)) if is_canary => {
+                (VersionSide::Old, reason)
             }
             _ => (side, ChoiceReason::Drawn),
         };
@@ -279,18 +294,21 @@
         (rule, reason)
     }
 
-    /// A number in `0..=1` for a subject, the same on every VM.
+    /// Returns a hash of a session or request as a number in `0..=1`, the same
+    /// on every VM.
     fn draw(&self, subject: ShortHash) -> f64 {
         f64::from(subject.0 ^ self.salt()) / f64::from(u32::MAX)
     }
 
-    /// Makes the draw of a subject differ from one roll-out to the next.
+    /// Returns a salt that gives a session different numbers in different
+    /// rollouts.
     fn salt(&self) -> u32 {
         let target = ShortHash::of(self.order.target.as_str());
         rendezvous::mix(u64::from(target.0), 1) as u32
     }
 
-    /// The version that a session is at, here or on another VM.
+    /// Returns the version that a session is on, according to this VM or else
+    /// to the reports of other VMs.
     fn session(
         &self,
         session: ShortHash,
@@ -301,12 +319,13 @@
             let side = self.side(software);
             return Some((side, ChoiceReason::LocalSession(idle)));
         }
-        let idle = self.told.session_idle(session, now)?;
+        let idle = self.peers.session_idle(session, now)?;
         (idle < self.session_lifetime)
             .then_some((VersionSide::Old, ChoiceReason::PeerSession(idle)))
     }
 
-    /// This VM's sessions at the old version that the trial would take.
+    /// Returns this VM's sessions on the old version that the hash would
+    /// assign to the canary.
     fn old_sessions(
         &self,
         own: &Sessions,
@@ -318,8 +337,8 @@
         let target = &self.order.target;
         let old = own.on_other_versions(target, self.session_lifetime, now);
         let drawn = old.filter(|(old, _)| self.draw(*old) < CANARY_SHARE);
-        let told = drawn.map(|(old, idle)| old_version_session(old, idle));
-        told.take(MAX_SESSIONS_PER_HEARTBEAT).collect()
+        let sessions = drawn.map(|(old, idle)| old_version_session(old, idle));
+        sessions.take(MAX_SESSIONS_PER_HEARTBEAT).collect()
     }
 
     fn side(&self, software: &VersionId) -> VersionSide {
@@ -329,21 +348,24 @@
         }
     }
 
+    /// Records the outcome of an attempt, with the time to the first part of
+    /// its answer.
     pub(super) fn record_answer(
         &mut self,
         software: &VersionId,
         route: &str,
-        verdict: AttemptOutcome,
+        outcome: AttemptOutcome,
         first_part: Option<Duration>,
     ) {
         let side = self.side(software);
         let route = ShortHash::of(route);
-        let mut is_bad = verdict == AttemptOutcome::Failed;
+        let mut is_bad = outcome == AttemptOutcome::Failed;
         if let Some(first_part) = first_part {
             is_bad |= self.is_slow(route, side, first_part.as_secs_f64());
         }
-        let answers = &mut self.own.entry(route).or_default()[side as usize];
-        if verdict == AttemptOutcome::Lost {
+        let answers =
+            &mut self.own_answers.entry(route).or_default()[side as usize];
+        if outcome == AttemptOutcome::Lost {
             answers.lost += 1;
             return;
         }
@@ -351,30 +373,31 @@
         answers.bad += u32::from(is_bad);
     }
 
-    /// Whether a first part came much later than the old version's mostly do,
-    /// whose times it takes in.
+    /// Whether a first part took much longer than the old version's mean; adds
+    /// the old version's times to that mean.
     ///
-    /// The old version's own late ones count too: prompts differ in length, so
-    /// that some answers of any version take far longer than the mean.
+    /// This applies to the answers of both versions: prompts differ in length,
+    /// so that some answers of any version take far longer than the mean.
     fn is_slow(
         &mut self,
         route: ShortHash,
         side: VersionSide,
         first_part_s: f64,
     ) -> bool {
-        let Some(usual) = self.first_part_s.get_mut(&route) else {
+        let Some(mean_s) = self.mean_first_part_s.get_mut(&route) else {
             if side == VersionSide::Old {
-                self.first_part_s.insert(route, first_part_s);
+                self.mean_first_part_s.insert(route, first_part_s);
             }
             return false;
         };
-        let is_slow = first_part_s > *usual * SLOW_FACTOR;
+        let is_slow = first_part_s > *mean_s * SLOW_FACTOR;
         if side == VersionSide::Old {
-            *usual += (first_part_s - *usual) * MEAN_WEIGHT;
+            *mean_s += (first_part_s - *mean_s) * MEAN_WEIGHT;
         }
         is_slow
     }
 
+    /// Returns this VM's evidence, for the VMs of its hall.
     pub(super) fn evidence(
         &self,
         service: &ServiceId,
@@ -394,23 +417,23 @@
             old_in_flight: old_in_flight.min(u32::from(u16::MAX)) as u16,
             old_sessions: own
                 .map_or_else(Vec::new, |own| self.old_sessions(own, now)),
-            answers: to_list(&self.own),
+            answers: to_list(&self.own_answers),
         }
     }
 
-    /// What all VMs of this hall have seen, as far as they have told.
+    /// Adds the evidence of the other VMs of this hall to `own`, this VM's.
     pub(super) fn hall_evidence(
         &self,
         own: Evidence,
         now: BootInstant,
     ) -> Evidence {
-        let mut answers = self.own.clone();
-        self.told.add_own_hall_answers(&mut answers);
-        let near = self.told.own_hall_in_flight(now);
-        let old = u32::from(own.old_in_flight) + near;
+        let mut answers = self.own_answers.clone();
+        self.peers.add_own_hall_answers(&mut answers);
+        let others = self.peers.own_hall_in_flight(now);
+        let old = u32::from(own.old_in_flight) + others;
         let mut old_sessions = own.old_sessions;
         if self.canary_ended.is_none() {
-            old_sessions.extend(self.told.sessions_of(None, now));
+            old_sessions.extend(self.peers.sessions_of(None, now));
         }
         Evidence {
             old_in_flight: old.min(u32::from(u16::MAX)) as u16,
@@ -420,44 +443,48 @@
         }
     }
 
+    /// Merges the evidence of a VM of this hall.
     pub(super) fn merge_evidence(
         &mut self,
         vm: &str,
-        told: Evidence,
+        received: Evidence,
         now: BootInstant,
     ) {
-        self.merge_progress(&told, now);
-        self.told.merge_vm(vm, told, now);
+        self.merge_progress(&received, now);
+        self.peers.merge_vm(vm, received, now);
     }
 
+    /// Merges the summed evidence of another hall.
     pub(super) fn merge_hall_evidence(
         &mut self,
-        told: &HallEvidence,
-        way: Delivery,
+        received: &HallEvidence,
+        delivery: Delivery,
         now: BootInstant,
     ) {
-        self.merge_progress(&told.evidence, now);
-        self.told.merge_hall(told, way, now);
+        self.merge_progress(&received.evidence, now);
+        self.peers.merge_hall(received, delivery, now);
     }
 
-    /// Takes in how far another VM has come.
-    fn merge_progress(&mut self, told: &Evidence, now: BootInstant) {
-        // The VM that has known of the order longest knows best when it was
-        // given; one that was restarted learns it so.
-        let running = Duration::from_millis(u64::from(told.running_ms));
+    /// Merges the start, the end of the canary phase and the stop that another
+    /// VM reports.
+    fn merge_progress(&mut self, received: &Evidence, now: BootInstant) {
+        // The VM that has had the order for longest knows best when it was
+        // given. A restarted VM learns the time in this way.
+        let running = Duration::from_millis(u64::from(received.running_ms));
         if let Some(started_at) = now.checked_sub(running) {
             self.started_at = self.started_at.min(started_at);
         }
-        let told_end = told.canary_ended_ms.map(u64::from);
-        let told_end = told_end.map(Duration::from_millis);
-        let ends = self.canary_ended.into_iter().chain(told_end);
+        let received_end = received.canary_ended_ms.map(u64::from);
+        let received_end = received_end.map(Duration::from_millis);
+        let ends = self.canary_ended.into_iter().chain(received_end);
         self.canary_ended = ends.min();
-        if told.stopped {
+        if received.stopped {
             self.stopped_at.get_or_insert(now);
         }
     }
 
-    /// Stops the version if its answers are worse than the old one's.
+    /// Stops the new version if its answers are worse than the old one's;
+    /// returns the reason if this call stopped it.
     pub(super) fn evaluate(&mut self, now: BootInstant) -> Option<String> {
         if self.stopped_at.is_some() || !self.is_running() {
             return None;
@@ -474,7 +501,8 @@
         ))
     }
 
-    pub(super) fn pending_statuses(
+    /// Returns the progress that this VM has to write to the store, if any.
+    pub(super) fn pending_status(
         &self,
         is_steward: bool,
         old_in_flight: u32,
@@ -485,8 +513,8 @@
             return None;
         }
         if let Some(stopped_at) = self.stopped_at {
-            let passed = now.saturating_duration_since(stopped_at);
-            let is_due = is_steward || passed >= FALLBACK_RECORD_DELAY;
+            let elapsed = now.saturating_duration_since(stopped_at);
+            let is_due = is_steward || elapsed >= FALLBACK_RECORD_DELAY;
             return is_due.then_some(RolloutProgress::Reverted);
         }
         match self.progress {
@@ -497,16 +525,16 @@
             None => return Some(RolloutProgress::Running),
             Some(RolloutProgress::Running) => {}
         }
-        let passed = self.passed(now);
-        let left = old_in_flight + self.told.own_hall_in_flight(now);
-        // What others told is half a second old, so the old version's last
-        // requests are waited for a little beyond the move.
+        let elapsed = self.elapsed_part(now);
+        let left = old_in_flight + self.peers.own_hall_in_flight(now);
+        // The reports of other VMs are half a second old, so the rollout is
+        // completed only some time after all requests go to the new version.
         let is_moved = self.canary_ended.is_some_and(|end| {
-            passed > self.part(end) + PARTIAL_PART + DRAIN_PART
+            elapsed > self.part(end) + PARTIAL_PART + DRAIN_PART
         });
-        let is_done =
-            is_moved && left == 0 && self.told.all_idle(other_halls, now);
-        (is_done || passed > COMPLETE_AT_PART)
+        let is_drained =
+            is_moved && left == 0 && self.peers.all_idle(other_halls, now);
+        (is_drained || elapsed > COMPLETE_AT_PART)
             .then_some(RolloutProgress::Completed)
     }
 }
--- a/src/rollouts/sessions.rs
+++ b/src/rollouts/sessions.rs
@@ -1,12 +1,12 @@
-//! Which version the sessions of one service are at, as far as this VM has
-//! had their requests.
+//! The version that each session of a service is on, for the sessions whose
+//! requests this VM has sent.
 
 use std::{collections::HashMap, time::Duration};
 
 use crate::{clock::BootInstant, id::VersionId, message::ShortHash};
 
-/// Sessions that are remembered: those of seven seconds at 2,800 requests a
-/// second, each of another session. Beyond them new ones are not noted.
+/// Maximum number of sessions kept: those of seven seconds at 2,800 requests
+/// per second, each of a different session. Further ones are not recorded.
 const MAX_SESSIONS: usize = 20_000;
 
 /// The sessions of one service.
@@ -17,16 +17,17 @@
 
 #[derive(Debug)]
 struct Session {
-    /// The version that its last request went to.
+    /// The version that its last request was sent to.
     software: VersionId,
-    /// Its attempts that have not ended.
+    /// Number of its attempts in flight.
     in_flight: u32,
-    /// When its last attempt began, or ended.
+    /// When an attempt of it last began or ended.
     used_at: BootInstant,
 }
 
 impl Session {
-    /// How long nothing of it has been under way.
+    /// Returns the time since its last attempt ended; zero while one is in
+    /// flight.
     fn idle(&self, now: BootInstant) -> Duration {
         match self.in_flight {
             0 => now.saturating_duration_since(self.used_at),
@@ -36,7 +37,7 @@
 }
 
 impl Sessions {
-    /// Notes that an attempt of a session begins, and which version it goes to.
+    /// Records that an attempt of a session is sent to a version.
     pub(crate) fn begin(
         &mut self,
         session: ShortHash,
@@ -45,42 +46,42 @@
         now: BootInstant,
     ) {
         if self.sessions.len() >= MAX_SESSIONS {
-            self.sessions.retain(|_, sessions| sessions.idle(now) < lifetime);
+            self.sessions.retain(|_, known| known.idle(now) < lifetime);
         }
-        if let Some(sessions) = self.sessions.get_mut(&session) {
-            sessions.software = software.clone();
-            sessions.used_at = now;
-            sessions.in_flight += 1;
+        if let Some(known) = self.sessions.get_mut(&session) {
+            known.software = software.clone();
+            known.used_at = now;
+            known.in_flight += 1;
         } else if self.sessions.len() < MAX_SESSIONS {
             let software = software.clone();
-            let sessions = Session { software, in_flight: 1, used_at: now };
-            self.sessions.insert(session, sessions);
+            let known = Session { software, in_flight: 1, used_at: now };
+            self.sessions.insert(session, known);
         }
     }
 
-    /// Notes that an attempt of a session has ended.
+    /// Records that an attempt of a session has ended.
     pub(crate) fn end(&mut self, session: ShortHash, now: BootInstant) {
-        if let Some(sessions) = self.sessions.get_mut(&session) {
-            sessions.in_flight = sessions.in_flight.saturating_sub(1);
-            sessions.used_at = now;
+        if let Some(known) = self.sessions.get_mut(&session) {
+            known.in_flight = known.in_flight.saturating_sub(1);
+            known.used_at = now;
         }
     }
 
-    /// The version that a session is at, and how long nothing of it has been
-    /// under way; `None` once that is as long as `lifetime`.
+    /// Returns the version that a session is on and for how long the session
+    /// has been idle; `None` if it is unknown or that is `lifetime` or longer.
     pub(crate) fn version(
         &self,
         session: ShortHash,
         lifetime: Duration,
         now: BootInstant,
     ) -> Option<(&VersionId, Duration)> {
-        let sessions = self.sessions.get(&session)?;
-        let idle = sessions.idle(now);
-        (idle < lifetime).then_some((&sessions.software, idle))
+        let known = self.sessions.get(&session)?;
+        let idle = known.idle(now);
+        (idle < lifetime).then_some((&known.software, idle))
     }
 
-    /// The sessions at other versions than `target`, with how long nothing of
-    /// each has been under way.
+    /// Returns the sessions on versions other than `target`, with the time for
+    /// which each has been idle.
     pub(crate) fn on_other_versions(
         &self,
         target: &VersionId,
