--- a/src/crashes/replay.rs
+++ b/src/crashes/replay.rs
@@ -1,11 +1,10 @@
-//! Replays of requests that crash upstreams, with the VMs of a whole fleet
-//! that tell each other what they see, by a clock.
+//! Replays of requests that crash upstreams, in a whole fleet of VMs that
+//! exchange heartbeats, with a simulated clock.
 //!
-//! Upstreams run many requests at once, and all of them end with one. What
-//! broke off is tried again at those that are left, beside what ended the
-//! first. Each replay counts the upstreams that ended, the sends of culprits
-//! later than operators allow, and the refusals of requests that were only
-//! there by chance.
+//! An upstream runs many requests at once, and a crash breaks off all of them.
+//! They are retried at the remaining upstreams, beside the culprit. Each
+//! replay counts the upstreams that crashed, the sends of culprits that are
+//! later than operators allow, and the rejections of bystanders.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -22,99 +21,99 @@
     message::ShortHash,
 };
 
-/// Time in which all VMs are to know what they need, as operators state it.
-const CONTACT_MS: u64 = 3_000;
+/// Time that operators allow for all VMs to learn of a culprit.
+const DETECTION_MS: u64 = 3_000;
 
-/// Sends that operators allow after that time, once three have ended.
-const SENDS_MOST: usize = 3;
+/// Number of sends of one culprit that operators allow later than that after
+/// its third crash.
+const MAX_LATE_SENDS: usize = 3;
 
-/// Attempts that a route allows.
+/// Number of attempts that a route allows.
 const ATTEMPTS: u32 = 3;
 
-/// Time that an upstream is gone which has crashed.
-const BACK_AFTER_MS: u64 = 3_000;
+/// Time until a crashed upstream is back.
+const RESTART_MS: u64 = 3_000;
 
-/// Time until an upstream that runs a culprit ends.
+/// Time until an upstream that runs a culprit crashes.
 const CRASH_AFTER_MS: u64 = 60;
 
-/// Time after which a caller whose request failed sends it once more, to any
-/// VM.
-const RETURN_AFTER_MS: u64 = 200;
+/// Time after which a caller sends a failed request once more, to any VM.
+const CALLER_RETRY_MS: u64 = 200;
 
-/// Time that other requests run.
-const RUN_MS: u64 = 1_000;
+/// Time for which other requests run.
+const BYSTANDER_RUN_MS: u64 = 1_000;
 
 /// Length of a replay.
-const LENGTH_MS: u64 = 12_000;
+const REPLAY_MS: u64 = 12_000;
 
-/// When the first culprit comes.
-const BEGIN_MS: u64 = 1_000;
+/// When the first culprit is sent.
+const FIRST_CULPRIT_MS: u64 = 1_000;
 
-/// The first digests are those of culprits, and the next that of a request
-/// that many callers of one organisation send alike.
-const HOT: u64 = 100;
-const FIRST_USUAL: u64 = 1_000;
+/// The digest of a request that many callers of one organisation send
+/// identically. Lower ones are culprits', higher ones bystanders'.
+const POPULAR: u64 = 100;
+const FIRST_BYSTANDER: u64 = 1_000;
 
-/// When a rack is lost, right after the first culprit has come.
-const RACK_MS: u64 = 1_100;
+/// When a rack loses power, right after the first culprit was sent.
+const RACK_FAILURE_MS: u64 = 1_100;
 
-/// When one is lost beside requests that are alike, the first of which have
-/// ended by then.
-const LATE_RACK_MS: u64 = 2_100;
+/// When a rack loses power in the replay of identical requests, the first of
+/// which have completed by then.
+const LATE_RACK_FAILURE_MS: u64 = 2_100;
 
-/// Time in which VMs that hear each other know what one of them does: two
-/// beats.
-const TOLD_MS: u64 = 1_000;
+/// Time within which an observation reaches all connected VMs: two
+/// heartbeats.
+const HEARTBEATS_MS: u64 = 1_000;
 
-/// What is played.
+/// The parameters of a replay.
 struct Plan {
     halls: usize,
-    vms_of_hall: usize,
+    vms_per_hall: usize,
     upstreams: usize,
-    /// Usual requests in a second.
-    usual_per_s: u64,
+    /// Bystanders per second, all different.
+    bystanders_per_s: u64,
     culprits: u64,
-    /// Time between two tries of each culprit, at any VM.
+    /// Time between two sends of each culprit, to any VM.
     culprit_every_ms: u64,
-    /// Requests in a second that are alike.
-    hot_per_s: u64,
-    /// Upstreams that lose power together, and when.
-    rack: Option<(usize, u64)>,
+    /// Identical requests per second.
+    popular_per_s: u64,
+    /// Number of upstreams that lose power together, and when.
+    rack_failure: Option<(usize, u64)>,
 }
 
 impl Default for Plan {
-    /// A small site: nine VMs before eighteen engines.
+    /// A small site: nine VMs in front of eighteen engines.
     fn default() -> Plan {
         Plan {
             halls: 3,
-            vms_of_hall: 3,
+            vms_per_hall: 3,
             upstreams: 18,
-            usual_per_s: 100,
+            bystanders_per_s: 100,
             culprits: 1,
             culprit_every_ms: 300,
-            hot_per_s: 0,
-            rack: None,
+            popular_per_s: 0,
+            rack_failure: None,
         }
     }
 }
 
-/// What a replay has shown.
+/// The results of a replay.
 #[derive(Debug, Default)]
 struct Outcome {
-    /// Upstreams that ended under culprits.
-    ended: usize,
-    /// The most sends of one culprit later than operators allow.
-    sends_later: usize,
-    /// Other requests that came, and how many of them were refused as if they
-    /// were culprits.
-    others: usize,
-    others_refused: usize,
-    /// When the last of them was refused.
-    last_refused_ms: u64,
-    /// Others of which no attempt brought an answer.
-    others_failed: usize,
+    /// Upstreams crashed by culprits.
+    crashed: usize,
+    /// Maximum over all culprits of the sends later than operators allow.
+    late_sends: usize,
+    /// Other requests, and how many of them were rejected as culprits.
+    bystanders: usize,
+    bystanders_rejected: usize,
+    /// When the last of them was rejected.
+    last_rejected_ms: u64,
+    /// Other requests without an answer from any attempt.
+    bystanders_failed: usize,
 }
 
+/// An attempt in flight at an upstream.
 #[derive(Clone, Copy, Debug)]
 struct Run {
     vm: usize,
@@ -125,7 +124,7 @@
 
 #[derive(Debug, Default)]
 struct Upstream {
-    life: u32,
+    incarnation: u32,
     down_until_ms: u64,
     runs: Vec<Run>,
 }
@@ -135,31 +134,34 @@
     fleet: Fleet,
     random: StdRng,
     upstreams: Vec<Upstream>,
-    next_life: u32,
-    next_usual: u64,
-    /// Requests that are sent once more, and when; and all that were.
-    returns: Vec<(u64, RequestDigest)>,
-    returned: BTreeSet<RequestDigest>,
-    /// The ends under each culprit, and its sends, by time.
-    ends: BTreeMap<RequestDigest, Vec<u64>>,
-    sends: BTreeMap<RequestDigest, Vec<u64>>,
+    next_incarnation: u32,
+    next_bystander: u64,
+    /// Requests that are to be sent once more, and when.
+    caller_retries: Vec<(u64, RequestDigest)>,
+    /// Requests that were sent once more.
+    retried: BTreeSet<RequestDigest>,
+    /// The times of the crashes under each culprit.
+    crashes_by_culprit: BTreeMap<RequestDigest, Vec<u64>>,
+    /// The times of the sends of each culprit.
+    sends_by_culprit: BTreeMap<RequestDigest, Vec<u64>>,
     outcome: Outcome,
 }
 
 impl Replay {
     fn new(plan: Plan, seed: u64) -> Replay {
-        let fleet = Fleet::new(plan.halls, plan.vms_of_hall);
-        let upstreams = (1..=plan.upstreams as u32)
-            .map(|life| Upstream { life, ..Upstream::default() });
+        let fleet = Fleet::new(plan.halls, plan.vms_per_hall);
+        let upstreams = (1..=plan.upstreams as u32).map(|incarnation| {
+            Upstream { incarnation, ..Upstream::default() }
+        });
         Replay {
             upstreams: upstreams.collect(),
-            next_life: plan.upstreams as u32 + 1,
-            next_usual: FIRST_USUAL,
+            next_incarnation: plan.upstreams as u32 + 1,
+            next_bystander: FIRST_BYSTANDER,
             random: StdRng::seed_from_u64(seed),
-            returns: Vec::new(),
-            returned: BTreeSet::new(),
-            ends: BTreeMap::new(),
-            sends: BTreeMap::new(),
+            caller_retries: Vec::new(),
+            retried: BTreeSet::new(),
+            crashes_by_culprit: BTreeMap::new(),
+            sends_by_culprit: BTreeMap::new(),
             outcome: Outcome::default(),
             fleet,
             plan,
@@ -171,30 +173,31 @@
     }
 
     fn run(mut self) -> Outcome {
-        while self.fleet.elapsed_ms < LENGTH_MS {
+        while self.fleet.elapsed_ms < REPLAY_MS {
             self.fleet.step();
-            self.arrive();
-            self.end_runs();
-            self.lose_rack();
-            self.come_back();
+            self.send_due();
+            self.complete_runs();
+            self.fail_rack();
+            self.restart_upstreams();
         }
-        self.outcome.sends_later = self.sends_later();
+        self.outcome.late_sends = self.late_sends();
         self.outcome
     }
 
-    fn arrive(&mut self) {
+    /// Sends the requests that are due in this step.
+    fn send_due(&mut self) {
         let now_ms = self.fleet.elapsed_ms;
-        for _ in 0..self.count_of(self.plan.usual_per_s) {
-            let request = RequestDigest(self.next_usual);
-            self.next_usual += 1;
-            self.come(request);
+        for _ in 0..self.count_of(self.plan.bystanders_per_s) {
+            let request = RequestDigest(self.next_bystander);
+            self.next_bystander += 1;
+            self.send_to_any_vm(request);
         }
-        for _ in 0..self.count_of(self.plan.hot_per_s) {
-            self.come(RequestDigest(HOT));
+        for _ in 0..self.count_of(self.plan.popular_per_s) {
+            self.send_to_any_vm(RequestDigest(POPULAR));
         }
         let is_due = |(at_ms, _): &(u64, RequestDigest)| *at_ms <= now_ms;
-        let (due, later) = self.returns.drain(..).partition(is_due);
-        self.returns = later;
+        let (due, later) = self.caller_retries.drain(..).partition(is_due);
+        self.caller_retries = later;
         let due: Vec<(u64, RequestDigest)> = due;
         for (_, request) in due {
             let vm = self.random.random_range(0..self.fleet.vms.len());
@@ -203,74 +206,77 @@
         let every_ms = self.plan.culprit_every_ms;
         for culprit in 0..self.plan.culprits {
             let is_due = (now_ms + culprit * 70).is_multiple_of(every_ms);
-            if now_ms >= BEGIN_MS && is_due {
-                self.come(RequestDigest(culprit));
+            if now_ms >= FIRST_CULPRIT_MS && is_due {
+                self.send_to_any_vm(RequestDigest(culprit));
             }
         }
     }
 
-    /// How many of so many in a second come in one step.
+    /// Returns the number of requests in one step, for a rate per second.
     fn count_of(&mut self, per_s: u64) -> u64 {
         let (whole, rest) = (per_s / 100, per_s % 100);
         whole + u64::from(self.random.random_range(0..100) < rest)
     }
 
-    fn come(&mut self, request: RequestDigest) {
+    fn send_to_any_vm(&mut self, request: RequestDigest) {
         let vm = self.random.random_range(0..self.fleet.vms.len());
         if !self.is_culprit(request) {
-            self.outcome.others += 1;
+            self.outcome.bystanders += 1;
         }
         self.attempt(vm, request, ATTEMPTS);
     }
 
-    /// Sends a request to any upstream, unless the VM holds it back.
+    /// Sends a request to any upstream, unless the VM has quarantined it.
     fn attempt(&mut self, vm: usize, request: RequestDigest, left: u32) {
         let is_culprit = self.is_culprit(request);
         let now_ms = self.fleet.elapsed_ms;
         let now = self.fleet.clock.now();
-        let is_held = self.fleet.vms[vm].crashes.is_quarantined(request, now);
-        if is_held && left > 0 {
-            self.note_refused(request);
+        let is_quarantined =
+            self.fleet.vms[vm].crashes.is_quarantined(request, now);
+        if is_quarantined && left > 0 {
+            self.record_rejected(request);
             return;
         }
-        let living: Vec<usize> = (0..self.upstreams.len())
+        let running: Vec<usize> = (0..self.upstreams.len())
             .filter(|at| self.upstreams[*at].down_until_ms <= now_ms)
             .collect();
-        if left == 0 || living.is_empty() {
-            self.note_failed(request);
+        if left == 0 || running.is_empty() {
+            self.record_failed(request);
             return;
         }
         if is_culprit {
-            self.sends.entry(request).or_default().push(now_ms);
+            self.sends_by_culprit.entry(request).or_default().push(now_ms);
         }
-        let at = living[self.random.random_range(0..living.len())];
+        let at = running[self.random.random_range(0..running.len())];
         let run =
             Run { vm, request, began_ms: now_ms, attempts_left: left - 1 };
         self.upstreams[at].runs.push(run);
     }
 
-    /// No attempt has brought an answer; its caller tries once more.
-    fn note_failed(&mut self, request: RequestDigest) {
+    /// Records that no attempt brought an answer; the caller sends the request
+    /// once more.
+    fn record_failed(&mut self, request: RequestDigest) {
         if self.is_culprit(request) {
             return;
         }
-        if self.returned.insert(request) {
-            let at_ms = self.fleet.elapsed_ms + RETURN_AFTER_MS;
-            self.returns.push((at_ms, request));
+        if self.retried.insert(request) {
+            let at_ms = self.fleet.elapsed_ms + CALLER_RETRY_MS;
+            self.caller_retries.push((at_ms, request));
         } else {
-            self.outcome.others_failed += 1;
+            self.outcome.bystanders_failed += 1;
         }
     }
 
-    fn note_refused(&mut self, request: RequestDigest) {
+    fn record_rejected(&mut self, request: RequestDigest) {
         if !self.is_culprit(request) {
-            self.outcome.others_refused += 1;
-            self.outcome.last_refused_ms = self.fleet.elapsed_ms;
+            self.outcome.bystanders_rejected += 1;
+            self.outcome.last_rejected_ms = self.fleet.elapsed_ms;
         }
     }
 
-    /// Ends what has run for long enough, and the upstreams of culprits.
-    fn end_runs(&mut self) {
+    /// Completes requests that have run for long enough, and crashes the
+    /// upstreams of culprits.
+    fn complete_runs(&mut self) {
         let now_ms = self.fleet.elapsed_ms;
         for at in 0..self.upstreams.len() {
             let culprit = self.upstreams[at].runs.iter().find(|run| {
@@ -278,12 +284,16 @@
                 self.is_culprit(run.request) && ran_ms >= CRASH_AFTER_MS
             });
             if let Some(request) = culprit.map(|run| run.request) {
-                self.ends.entry(request).or_default().push(now_ms);
-                self.outcome.ended += 1;
+                self.crashes_by_culprit
+                    .entry(request)
+                    .or_default()
+                    .push(now_ms);
+                self.outcome.crashed += 1;
                 self.crash(at);
                 continue;
             }
-            let is_over = |run: &Run| now_ms - run.began_ms >= RUN_MS;
+            let is_over =
+                |run: &Run| now_ms - run.began_ms >= BYSTANDER_RUN_MS;
             let runs = &mut self.upstreams[at].runs;
             let over: Vec<Run> =
                 runs.iter().copied().filter(is_over).collect();
@@ -296,22 +306,26 @@
         }
     }
 
-    /// An upstream ends; each VM sees its attempts there lost, and that it
+    /// Crashes an upstream: each VM loses its attempts there and finds that it
     /// takes no connections.
     fn crash(&mut self, at: usize) {
         let now_ms = self.fleet.elapsed_ms;
         let now = self.fleet.clock.now();
         let upstream = &mut self.upstreams[at];
-        let life = ShortHash(upstream.life);
-        upstream.down_until_ms = now_ms + BACK_AFTER_MS;
+        let incarnation = ShortHash(upstream.incarnation);
+        upstream.down_until_ms = now_ms + RESTART_MS;
         let runs = std::mem::take(&mut upstream.runs);
         for run in &runs {
             let crashes = &self.fleet.vms[run.vm].crashes;
             let began_at = now - Duration::from_millis(now_ms - run.began_ms);
-            let (next, _) =
-                crashes.record_lost_attempt(run.request, life, began_at, now);
+            let (next, _) = crashes.record_lost_attempt(
+                run.request,
+                incarnation,
+                began_at,
+                now,
+            );
             if next == NextStep::Check {
-                crashes.record_probe(life, Listening::No, now);
+                crashes.record_probe(incarnation, Listening::No, now);
             }
             self.fleet.schedule_early_heartbeat(run.vm);
         }
@@ -320,31 +334,33 @@
         }
     }
 
-    fn lose_rack(&mut self) {
-        if let Some((size, at_ms)) = self.plan.rack
+    fn fail_rack(&mut self) {
+        if let Some((size, at_ms)) = self.plan.rack_failure
             && self.fleet.elapsed_ms == at_ms
         {
             (0..size).for_each(|at| self.crash(at));
         }
     }
 
-    /// Gives upstreams that are back a new life.
-    fn come_back(&mut self) {
+    /// Gives a new incarnation to the upstreams that are back.
+    fn restart_upstreams(&mut self) {
         let now_ms = self.fleet.elapsed_ms;
         for upstream in &mut self.upstreams {
             if upstream.down_until_ms == now_ms {
-                upstream.life = self.next_life;
-                self.next_life += 1;
+                upstream.incarnation = self.next_incarnation;
+                self.next_incarnation += 1;
             }
         }
     }
 
-    fn sends_later(&self) -> usize {
-        let later = self.sends.iter().map(|(request, sends)| {
-            let ends = self.ends.get(request);
-            let third = ends.and_then(|ends| ends.get(2));
+    /// Returns the maximum over all culprits of the sends that are later than
+    /// operators allow.
+    fn late_sends(&self) -> usize {
+        let later = self.sends_by_culprit.iter().map(|(request, sends)| {
+            let crashes = self.crashes_by_culprit.get(request);
+            let third = crashes.and_then(|crashes| crashes.get(2));
             third.map_or(0, |third| {
-                let allowed = third + CONTACT_MS;
+                let allowed = third + DETECTION_MS;
                 sends.iter().filter(|at| **at > allowed).count()
             })
         });
@@ -352,89 +368,99 @@
     }
 }
 
-/// Plays a plan with some seeds, and adds up what they show.
-fn play(plan: impl Fn() -> Plan, seeds: u64) -> Outcome {
+/// Runs a replay with several seeds and sums up the outcomes.
+fn replay(plan: impl Fn() -> Plan, seeds: u64) -> Outcome {
     let mut sum = Outcome::default();
-    let mut culprits = BTreeSet::new();
+    let mut crashes = BTreeSet::new();
     for seed in 0..seeds {
         let outcome = Replay::new(plan(), seed).run();
-        culprits.insert(outcome.ended);
-        sum.ended += outcome.ended;
-        sum.sends_later = sum.sends_later.max(outcome.sends_later);
-        sum.others += outcome.others;
-        sum.others_refused += outcome.others_refused;
-        sum.last_refused_ms = sum.last_refused_ms.max(outcome.last_refused_ms);
-        sum.others_failed += outcome.others_failed;
+        crashes.insert(outcome.crashed);
+        sum.crashed += outcome.crashed;
+        sum.late_sends = sum.late_sends.max(outcome.late_sends);
+        sum.bystanders += outcome.bystanders;
+        sum.bystanders_rejected += outcome.bystanders_rejected;
+        sum.last_rejected_ms =
+            sum.last_rejected_ms.max(outcome.last_rejected_ms);
+        sum.bystanders_failed += outcome.bystanders_failed;
     }
-    println!("{seeds} seeds, ended {culprits:?}: {sum:?}");
+    println!("{seeds} seeds, crashed {crashes:?}: {sum:?}");
     sum
 }
 
 #[test]
 fn one_culprit_at_a_small_site() {
-    let outcome = play(Plan::default, 10);
-    assert!(outcome.sends_later <= SENDS_MOST, "{outcome:?}");
-    assert_eq!(outcome.others_refused, 0, "{outcome:?}");
+    let outcome = replay(Plan::default, 10);
+    assert!(outcome.late_sends <= MAX_LATE_SENDS, "{outcome:?}");
+    assert_eq!(outcome.bystanders_rejected, 0, "{outcome:?}");
 }
 
 #[test]
 fn three_culprits_at_once() {
     let plan = || Plan { culprits: 3, ..Plan::default() };
-    let outcome = play(plan, 10);
-    assert!(outcome.sends_later <= SENDS_MOST, "{outcome:?}");
-    assert_eq!(outcome.others_refused, 0, "{outcome:?}");
+    let outcome = replay(plan, 10);
+    assert!(outcome.late_sends <= MAX_LATE_SENDS, "{outcome:?}");
+    assert_eq!(outcome.bystanders_rejected, 0, "{outcome:?}");
 }
 
-/// What saw the rack end and then two upstreams of the culprit may be refused
-/// until the culprit's part in those is told.
+/// A bystander that was in the rack and then beside the culprit in two crashes
+/// may be rejected until the VM learns of the culprit's part in these.
 #[test]
-fn a_culprit_while_a_rack_is_lost() {
-    let plan = || Plan { rack: Some((6, RACK_MS)), ..Plan::default() };
-    let outcome = play(plan, 10);
-    assert!(outcome.sends_later <= SENDS_MOST, "{outcome:?}");
-    assert!(outcome.last_refused_ms <= RACK_MS + TOLD_MS, "{outcome:?}");
+fn a_culprit_while_a_rack_loses_power() {
+    let plan = || Plan {
+        rack_failure: Some((6, RACK_FAILURE_MS)),
+        ..Plan::default()
+    };
+    let outcome = replay(plan, 10);
+    assert!(outcome.late_sends <= MAX_LATE_SENDS, "{outcome:?}");
+    assert!(
+        outcome.last_rejected_ms <= RACK_FAILURE_MS + HEARTBEATS_MS,
+        "{outcome:?}"
+    );
 }
 
-/// Many callers of one organisation send alike, so that it is at every
-/// upstream of a rack that is lost. A VM that has not had it yet holds it back
-/// until another tells that it has run.
+/// A request that many callers send identically is in flight at every upstream
+/// of a rack that loses power. A VM that has not completed it yet quarantines
+/// it until another VM reports that it was completed.
 #[test]
-fn a_request_that_many_send_is_taken_again_at_once_after_a_rack() {
+fn an_identical_request_of_many_callers_is_released_after_a_rack_failure() {
     let plan = || Plan {
         culprits: 0,
-        hot_per_s: 30,
-        rack: Some((6, LATE_RACK_MS)),
+        popular_per_s: 30,
+        rack_failure: Some((6, LATE_RACK_FAILURE_MS)),
         ..Plan::default()
     };
-    let outcome = play(plan, 10);
-    assert!(outcome.last_refused_ms <= LATE_RACK_MS + TOLD_MS, "{outcome:?}");
+    let outcome = replay(plan, 10);
+    assert!(
+        outcome.last_rejected_ms <= LATE_RACK_FAILURE_MS + HEARTBEATS_MS,
+        "{outcome:?}"
+    );
 }
 
 #[test]
 fn eighty_vms_in_four_halls() {
     let plan = || Plan {
         halls: 4,
-        vms_of_hall: 20,
+        vms_per_hall: 20,
         upstreams: 60,
-        usual_per_s: 300,
+        bystanders_per_s: 300,
         ..Plan::default()
     };
-    let outcome = play(plan, 2);
-    assert!(outcome.sends_later <= SENDS_MOST, "{outcome:?}");
-    assert_eq!(outcome.others_refused, 0, "{outcome:?}");
+    let outcome = replay(plan, 2);
+    assert!(outcome.late_sends <= MAX_LATE_SENDS, "{outcome:?}");
+    assert_eq!(outcome.bystanders_rejected, 0, "{outcome:?}");
 }
 
 #[test]
 fn three_hundred_vms_in_six_halls() {
     let plan = || Plan {
         halls: 6,
-        vms_of_hall: 50,
+        vms_per_hall: 50,
         upstreams: 160,
-        usual_per_s: 700,
+        bystanders_per_s: 700,
         culprits: 3,
         ..Plan::default()
     };
-    let outcome = play(plan, 1);
-    assert!(outcome.sends_later <= SENDS_MOST, "{outcome:?}");
-    assert_eq!(outcome.others_refused, 0, "{outcome:?}");
+    let outcome = replay(plan, 1);
+    assert!(outcome.late_sends <= MAX_LATE_SENDS, "{outcome:?}");
+    assert_eq!(outcome.bystanders_rejected, 0, "{outcome:?}");
 }
--- a/src/rollouts/fleet_tests.rs
+++ b/src/rollouts/fleet_tests.rs
@@ -1,15 +1,16 @@
-//! Roll-outs in a fleet of six data halls, whose VMs tell each other what a
-//! real one's do: each one's beats to all of its own hall and to few of the
-//! others, by a clock that the test moves.
+//! Tests of rollouts in a fleet of six data halls with a simulated clock. The
+//! VMs send their heartbeats as in production: to all VMs of their own hall
+//! and to few of the others.
 //!
-//! Callers' sessions move from hall to hall while a new version is on trial.
-//! Each VM then has to know which sessions are at the old version, but what
-//! was told of them went to one VM of the other halls in each half second, so
-//! that a given VM heard of it every two minutes, and the trial began after a
-//! second and a half. A session that had moved was unknown, and one in twelve
-//! was drawn for the new version. Of 7,847 sessions in the logs of 295 VMs 250
-//! moved to another hall within fifteen seconds, and for three of these VMs
-//! had been told where they were. One that changed its version:
+//! Sessions move between halls during the canary phase, and must keep their
+//! version. So each VM has to know which sessions are on the old version. If
+//! other halls learn of them only from direct heartbeats, one of which goes to
+//! a single VM every half second, a given VM gets a report every two minutes.
+//! If the canary phase then begins after 1.5 s, most sessions that move are
+//! unknown, and one in twelve of these is assigned to the new version. Of
+//! 7,847 sessions in the logs of 295 VMs, 250 moved to another hall within
+//! fifteen seconds, and for only three of them the VMs there had a report. One
+//! that changed its version:
 //!
 //! ```text
 //! 2.473-2.826   v1 guediawaye-34 version_wanted old, version_by drawn
@@ -38,17 +39,19 @@
 
 const HALLS: usize = 6;
 
-/// With as many in a hall, a beat goes to one VM of the others in each round.
+/// With this many VMs in a hall, each round of heartbeats goes to a single VM
+/// of the other halls.
 const VMS_OF_HALL: usize = 40;
 
-/// The time that the operator allows for the roll-out.
+/// The time that the operator allows for the rollout.
 const ALLOWED: Duration = Duration::from_secs(24);
 
-/// Sessions that go on throughout.
+/// Number of sessions, which last for the whole test.
 const SESSIONS: usize = 400;
 
-/// Sessions that may change their version in the first half of a roll-out.
-const CHANGES_MOST: usize = 3;
+/// Maximum number of sessions that may change their version in the first half
+/// of a rollout.
+const MAX_CHANGES: usize = 3;
 
 fn service() -> ServiceId {
     "writers".parse().unwrap()
@@ -62,7 +65,7 @@
     RolloutOrder { target: version("v2"), time_allowed: ALLOWED }
 }
 
-/// The fleet, in which a new version is rolled out.
+/// A fleet in which a new version is rolled out.
 struct Rollout {
     fleet: Fleet,
 }
@@ -80,7 +83,7 @@
         Rollout { fleet: Fleet::new(HALLS, VMS_OF_HALL) }
     }
 
-    /// Has all VMs hear of the operator's order.
+    /// Applies the operator's order on all VMs.
     fn order(&self) {
         let running = RolloutStatus {
             target: version("v2"),
@@ -96,7 +99,7 @@
         self.fleet.step();
     }
 
-    /// The halls whose VMs complete the roll-out up to that time.
+    /// Returns the halls whose VMs complete the rollout before `until_ms`.
     fn completed_by(&mut self, until_ms: u64) -> BTreeSet<String> {
         let mut halls = BTreeSet::new();
         while self.elapsed_ms < until_ms {
@@ -108,9 +111,9 @@
             for (number, vm) in self.vms.iter().enumerate() {
                 vm.knowledge.prove(now);
                 vm.rollouts.evaluate(now);
-                let due = rollout_status::due_records(vm, now);
-                let completes = due.iter().any(|due| {
-                    due.status.progress == RolloutProgress::Completed
+                let pending = rollout_status::due_records(vm, now);
+                let completes = pending.iter().any(|pending| {
+                    pending.status.progress == RolloutProgress::Completed
                 });
                 if completes {
                     halls.insert(self.hall_name(number));
@@ -120,8 +123,8 @@
         halls
     }
 
-    /// Asks a VM to place a session's request; returns the version.
-    fn ask(&self, vm: usize, session: &str) -> VersionId {
+    /// Sends a request of a session to a VM; returns the chosen version.
+    fn send(&self, vm: usize, session: &str) -> VersionId {
         let now = self.clock.now();
         let rollouts = &self.vms[vm].rollouts;
         let choice =
@@ -137,7 +140,7 @@
 }
 
 #[test]
-fn sessions_that_move_between_halls_keep_their_version_on_trial() {
+fn sessions_that_move_between_halls_keep_their_version_in_the_canary_phase() {
     let mut fleet = Rollout::new();
     let mut random = StdRng::seed_from_u64(1);
     let old = version("v1");
@@ -146,35 +149,36 @@
         .collect();
     let mut last = vec![old.clone(); SESSIONS];
     let mut changes = 0;
-    // Sessions begin in the two seconds before the order; the first half of
-    // the time allowed is left before it is over.
+    // Sessions begin in the two seconds before the order, and go on until
+    // nearly half of the allowed time is over.
     while fleet.elapsed_ms < 13_000 {
         if fleet.elapsed_ms == 2_000 {
             fleet.order();
         }
         fleet.step();
         for session in 0..SESSIONS {
-            // Each asks once a second, and has moved every third time.
-            let turn = session as u64 * STEP_MS % 1000;
-            if fleet.elapsed_ms % 1000 != turn {
+            // Each sends a request once a second, every third time to
+            // another VM.
+            let offset_ms = session as u64 * STEP_MS % 1000;
+            if fleet.elapsed_ms % 1000 != offset_ms {
                 continue;
             }
             if random.random_ratio(1, 3) {
                 at[session] = random.random_range(0..fleet.vms.len());
             }
             let name = format!("session-{session}");
-            let software = fleet.ask(at[session], &name);
+            let software = fleet.send(at[session], &name);
             changes += usize::from(software != last[session]);
             last[session] = software;
         }
     }
-    assert!(changes <= CHANGES_MOST, "{changes} changed their version");
+    assert!(changes <= MAX_CHANGES, "{changes} changed their version");
 }
 
-/// Sessions that begin while the VMs still tell each other which there are,
-/// and move at once.
+/// Sessions that begin before the VMs have received each other's reports, and
+/// move at once.
 #[test]
-fn sessions_that_begin_right_before_the_trial_keep_their_version() {
+fn sessions_that_begin_right_before_the_canary_phase_keep_their_version() {
     let mut fleet = Rollout::new();
     let mut random = StdRng::seed_from_u64(2);
     let mut changes = 0;
@@ -182,29 +186,29 @@
     let mut sessions: Vec<(u64, VersionId)> = Vec::new();
     while fleet.elapsed_ms < 8_000 {
         fleet.step();
-        // A hundred begin each second, and each asks again after 400, 800 and
-        // 1,200 ms, always at another VM of any hall.
+        // A hundred sessions begin each second. Each sends further requests
+        // after 400, 800 and 1,200 ms, always to a random VM of any hall.
         if fleet.elapsed_ms < 6_000 {
             let vm = random.random_range(0..fleet.vms.len());
             let name = format!("session-{}", fleet.elapsed_ms);
-            sessions.push((fleet.elapsed_ms, fleet.ask(vm, &name)));
+            sessions.push((fleet.elapsed_ms, fleet.send(vm, &name)));
         }
         for (began_ms, last) in &mut sessions {
-            let passed_ms = fleet.elapsed_ms - *began_ms;
-            if !matches!(passed_ms, 400 | 800 | 1200) {
+            let since_ms = fleet.elapsed_ms - *began_ms;
+            if !matches!(since_ms, 400 | 800 | 1200) {
                 continue;
             }
             let vm = random.random_range(0..fleet.vms.len());
-            let software = fleet.ask(vm, &format!("session-{began_ms}"));
+            let software = fleet.send(vm, &format!("session-{began_ms}"));
             changes += usize::from(software != *last);
             *last = software;
         }
     }
-    assert!(changes <= CHANGES_MOST, "{changes} changed their version");
+    assert!(changes <= MAX_CHANGES, "{changes} changed their version");
 }
 
 #[test]
-fn no_hall_completes_while_another_works_at_the_old_version() {
+fn no_hall_completes_while_another_has_requests_at_the_old_version() {
     let mut fleet = Rollout::new();
     let now = fleet.clock.now();
     let old = UpstreamEntry {
@@ -228,10 +232,10 @@
         let good = AttemptOutcome::Success;
         vm.rollouts.record_answer(&service(), &new, "write", good, None);
     }
-    // The new version has everything after 0.64 of the time allowed, and is
-    // completed in any case after 0.93 of it.
+    // The new version gets all requests after 0.64 of the allowed time, and
+    // the rollout is completed in any case after 0.93 of it.
     let too_early = fleet.completed_by(18_000);
     assert!(too_early.is_empty(), "completed by {too_early:?}");
     drop(stream);
-    assert!(!fleet.completed_by(20_000).is_empty(), "nothing is left to do");
+    assert!(!fleet.completed_by(20_000).is_empty(), "nothing is in flight");
 }
--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -58,8 +58,8 @@
 
 /// Number of answers of the new version that end the canary phase. By then a
 /// version that fails a third of its requests has had the four bad answers
-/// for which it is stopped. When the phase ended by time alone, such a version
-/// got a sixth of all requests of a service with few.
+/// for which it is stopped. If the phase ended by time alone, such a version
+/// would get a sixth of all requests of a service with few.
 const CANARY_MIN_ANSWERS: u32 = 12;
 
 /// Part of the allowed time at which the canary phase ends with fewer answers:
--- a/src/rollouts/rollout/tests.rs
+++ b/src/rollouts/rollout/tests.rs
@@ -4,8 +4,8 @@
     rollouts::{comparison::MIN_BAD_ANSWERS, registry::Rollouts},
 };
 
-/// Time for which a session goes on after its last request.
-const SESSION_TIME: Duration = Duration::from_secs(5);
+/// Time after its last request for which a session lasts.
+const SESSION_TIMEOUT: Duration = Duration::from_secs(5);
 
 const ALLOWED: Duration = Duration::from_secs(20);
 
@@ -18,7 +18,7 @@
 }
 
 fn running(now: BootInstant) -> Rollouts {
-    let rollouts = Rollouts::new(SESSION_TIME);
+    let rollouts = Rollouts::new(SESSION_TIMEOUT);
     let order = RolloutOrder { target: version("v2"), time_allowed: ALLOWED };
     assert!(rollouts.apply_order(service(), order, now));
     let status = RolloutStatus {
@@ -29,7 +29,7 @@
     rollouts
 }
 
-/// The share of sessions that the new version gets at a time.
+/// Returns the share of sessions that the new version gets at `now`.
 fn share(rollouts: &Rollouts, now: BootInstant) -> f64 {
     let new = (0..10_000).filter(|number| {
         let session = format!("session-{number}");
@@ -41,67 +41,69 @@
 }
 
 #[test]
-fn a_new_version_gets_a_small_share_and_then_everything() {
+fn a_new_version_gets_a_small_share_and_then_all_requests() {
     let now = BootInstant::now();
     let rollouts = running(now);
     assert_eq!(share(&rollouts, now), 0.0);
-    let on_trial = share(&rollouts, now + ALLOWED / 4);
-    assert!((0.06..0.1).contains(&on_trial), "{on_trial}");
-    answer(&rollouts, CANARY_MIN_ANSWERS);
+    let in_canary = share(&rollouts, now + ALLOWED / 4);
+    assert!((0.06..0.1).contains(&in_canary), "{in_canary}");
+    record_good_answers(&rollouts, CANARY_MIN_ANSWERS);
     rollouts.evaluate(now + ALLOWED / 4);
-    let still = share(&rollouts, now + ALLOWED / 2);
-    assert!((0.06..0.1).contains(&still), "{still}");
+    let still_in_canary = share(&rollouts, now + ALLOWED / 2);
+    assert!((0.06..0.1).contains(&still_in_canary), "{still_in_canary}");
     rollouts.evaluate(now + ALLOWED.mul_f64(CANARY_MIN_PART));
-    let part = share(&rollouts, now + ALLOWED.mul_f64(CANARY_MIN_PART + 0.01));
-    assert!((0.3..0.5).contains(&part), "{part}");
+    let partial =
+        share(&rollouts, now + ALLOWED.mul_f64(CANARY_MIN_PART + 0.01));
+    assert!((0.3..0.5).contains(&partial), "{partial}");
     assert_eq!(share(&rollouts, now + ALLOWED.mul_f64(0.7)), 1.0);
 }
 
-/// Good answers of the new version.
-fn answer(rollouts: &Rollouts, count: u32) {
+/// Records good answers of the new version.
+fn record_good_answers(rollouts: &Rollouts, count: u32) {
     let new = version("v2");
     for _ in 0..count {
-        let verdict = AttemptOutcome::Success;
-        rollouts.record_answer(&service(), &new, "write", verdict, None);
+        let outcome = AttemptOutcome::Success;
+        rollouts.record_answer(&service(), &new, "write", outcome, None);
     }
 }
 
-/// Few requests come: a version that hardly anybody has asked yet does not
-/// rise by the time alone, but a good one is completed all the same.
+/// With few requests, a version must not get all of them by time alone, before
+/// it has given enough answers; a good one must be completed all the same.
 #[test]
-fn a_version_rises_once_enough_answers_have_shown_it() {
+fn the_canary_phase_ends_after_enough_answers_or_at_the_latest_time() {
     let now = BootInstant::now();
     let rollouts = running(now);
     let at = |part: f64| now + ALLOWED.mul_f64(part);
-    answer(&rollouts, CANARY_MIN_ANSWERS - 1);
+    record_good_answers(&rollouts, CANARY_MIN_ANSWERS - 1);
     rollouts.evaluate(at(0.7));
-    let on_trial = share(&rollouts, at(0.7));
-    assert!((0.06..0.1).contains(&on_trial), "{on_trial}");
-    answer(&rollouts, 1);
+    let in_canary = share(&rollouts, at(0.7));
+    assert!((0.06..0.1).contains(&in_canary), "{in_canary}");
+    record_good_answers(&rollouts, 1);
     rollouts.evaluate(at(0.71));
-    let moved = at(0.711 + PARTIAL_PART);
-    assert_eq!(share(&rollouts, moved), 1.0);
-    // A VM that has seen less goes by what the first one found.
+    let full_at = at(0.711 + PARTIAL_PART);
+    assert_eq!(share(&rollouts, full_at), 1.0);
+    // A VM with fewer answers adopts the end that the first one found.
     let other = running(now);
-    other.merge_evidence("vm-2", &rollouts.evidence(|_, _| 0, moved), moved);
-    assert_eq!(share(&other, moved), 1.0);
-
-    let unasked = running(now);
-    unasked.evaluate(at(CANARY_MAX_PART - 0.01));
-    let on_trial = share(&unasked, at(CANARY_MAX_PART - 0.01));
-    assert!((0.06..0.1).contains(&on_trial), "{on_trial}");
-    unasked.evaluate(at(CANARY_MAX_PART));
-    assert_eq!(
-        share(&unasked, at(CANARY_MAX_PART + 0.001 + PARTIAL_PART)),
-        1.0
+    other.merge_evidence(
+        "vm-2",
+        &rollouts.evidence(|_, _| 0, full_at),
+        full_at,
     );
-    let due =
-        unasked.pending_statuses(true, |_, _| 0, &[], at(COMPLETE_AT_PART));
-    assert_eq!(due[0].status.progress, RolloutProgress::Completed);
+    assert_eq!(share(&other, full_at), 1.0);
+
+    let idle = running(now);
+    idle.evaluate(at(CANARY_MAX_PART - 0.01));
+    let in_canary = share(&idle, at(CANARY_MAX_PART - 0.01));
+    assert!((0.06..0.1).contains(&in_canary), "{in_canary}");
+    idle.evaluate(at(CANARY_MAX_PART));
+    assert_eq!(share(&idle, at(CANARY_MAX_PART + 0.001 + PARTIAL_PART)), 1.0);
+    let pending =
+        idle.pending_statuses(true, |_, _| 0, &[], at(COMPLETE_AT_PART));
+    assert_eq!(pending[0].status.progress, RolloutProgress::Completed);
 }
 
 #[test]
-fn a_session_keeps_its_version_through_the_trial() {
+fn a_session_keeps_its_version_during_the_canary_phase() {
     let now = BootInstant::now();
     let rollouts = running(now);
     let at = now + ALLOWED / 4;
@@ -119,10 +121,10 @@
 }
 
 #[test]
-fn a_session_that_began_before_the_order_on_another_vm_stays() {
+fn a_session_begun_on_another_vm_before_the_order_keeps_its_version() {
     let now = BootInstant::now();
-    let here = Rollouts::new(SESSION_TIME);
-    let there = Rollouts::new(SESSION_TIME);
+    let here = Rollouts::new(SESSION_TIMEOUT);
+    let there = Rollouts::new(SESSION_TIMEOUT);
     let old = version("v1");
     let names: Vec<String> =
         (0..500).map(|number| format!("session-{number}")).collect();
@@ -134,8 +136,8 @@
     for rollouts in [&here, &there] {
         rollouts.apply_order(service(), order.clone(), now);
     }
-    let told = there.evidence(|_, _| 0, now);
-    here.merge_evidence("vm-2", &told, now);
+    let evidence = there.evidence(|_, _| 0, now);
+    here.merge_evidence("vm-2", &evidence, now);
     let at = now + Duration::from_secs(3);
     for name in &names {
         let rule = here.choose_version(&service(), Some(name), "r", at).rule;
@@ -176,25 +178,26 @@
     let at = now + ALLOWED / 4;
     let rule = here.choose_version(&service(), None, "r", at).rule;
     assert_eq!(rule, VersionRule::Never(version("v2")));
-    let due = here.pending_statuses(true, |_, _| 0, &[], now);
-    assert_eq!(due[0].status.progress, RolloutProgress::Reverted);
-    // The other VM stops as soon as it hears of it.
+    let pending = here.pending_statuses(true, |_, _| 0, &[], now);
+    assert_eq!(pending[0].status.progress, RolloutProgress::Reverted);
+    // The other VM stops as soon as it receives the report.
     there.merge_evidence("vm-1", &here.evidence(|_, _| 0, now), now);
     let rule = there.choose_version(&service(), None, "r", at).rule;
     assert_eq!(rule, VersionRule::Never(version("v2")));
 }
 
 #[test]
-fn lost_answers_speak_of_machines_until_there_are_many() {
+fn lost_answers_stop_a_version_only_if_there_are_many() {
     let now = BootInstant::now();
     let rollouts = running(now);
-    let record = |software: &str, verdict, count| {
+    let record = |software: &str, outcome, count| {
         for _ in 0..count {
             let software = version(software);
-            rollouts.record_answer(&service(), &software, "a", verdict, None);
+            rollouts.record_answer(&service(), &software, "a", outcome, None);
         }
     };
-    // A quarter of all machines is lost, and of the new version's three two.
+    // A quarter of all machines fails, among them two of the new version's
+    // three.
     record("v1", AttemptOutcome::Success, 100);
     record("v1", AttemptOutcome::Lost, 30);
     record("v2", AttemptOutcome::Success, 2);
@@ -207,7 +210,7 @@
 }
 
 #[test]
-fn others_record_a_stop_only_later() {
+fn vms_other_than_the_steward_record_a_stop_later() {
     let now = BootInstant::now();
     let rollouts = running(now);
     for _ in 0..MIN_BAD_ANSWERS {
@@ -231,17 +234,17 @@
 }
 
 #[test]
-fn failures_that_the_old_version_has_too_stop_nothing() {
+fn failures_that_both_versions_have_do_not_stop_the_new_one() {
     let now = BootInstant::now();
     let rollouts = running(now);
     for name in ["v1", "v2"] {
         for number in 0..100 {
-            let verdict = match number % 5 {
+            let outcome = match number % 5 {
                 0 => AttemptOutcome::Failed,
                 _ => AttemptOutcome::Success,
             };
             let version = version(name);
-            rollouts.record_answer(&service(), &version, "a", verdict, None);
+            rollouts.record_answer(&service(), &version, "a", outcome, None);
         }
     }
     assert_eq!(rollouts.evaluate(now), []);
@@ -273,16 +276,12 @@
     assert_eq!(rollouts.evaluate(now).len(), 1);
 }
 
-/// Prompts differ in length, so a part of any version's answers takes far
-/// longer than the mean. Such answers counted as bad for the new version only,
-/// and a good one was stopped in one hall:
-///
-/// ```text
-/// E084 RolloutStopped "4 of 19 answers bad on one route, 0 of 317 of the old
-/// version"
-/// ```
+/// Prompts differ in length, so some answers of any version take far longer
+/// than the mean. If those counted as bad for the new version only, a good one
+/// would be stopped with "4 of 19 answers bad on one route, 0 of 317 of the
+/// old version".
 #[test]
-fn a_good_version_whose_times_spread_as_the_old_ones_do_is_kept() {
+fn a_version_whose_times_vary_like_the_old_ones_is_kept() {
     let now = BootInstant::now();
     let rollouts = running(now);
     let record = |name: &str, number: u64| {
@@ -301,26 +300,26 @@
 }
 
 #[test]
-fn completed_waits_for_the_old_versions_last_requests() {
+fn completion_waits_for_the_old_versions_last_requests() {
     let now = BootInstant::now();
     let rollouts = running(now);
-    answer(&rollouts, CANARY_MIN_ANSWERS);
+    record_good_answers(&rollouts, CANARY_MIN_ANSWERS);
     rollouts.evaluate(now + ALLOWED.mul_f64(CANARY_MIN_PART));
     let at = now + ALLOWED.mul_f64(0.7);
     assert_eq!(rollouts.pending_statuses(true, |_, _| 1, &[], at), []);
     assert_eq!(rollouts.pending_statuses(false, |_, _| 0, &[], at), []);
-    let due = rollouts.pending_statuses(true, |_, _| 0, &[], at);
-    assert_eq!(due[0].status.progress, RolloutProgress::Completed);
+    let pending = rollouts.pending_statuses(true, |_, _| 0, &[], at);
+    assert_eq!(pending[0].status.progress, RolloutProgress::Completed);
     let late = now + ALLOWED.mul_f64(0.95);
-    let due = rollouts.pending_statuses(true, |_, _| 1, &[], late);
-    assert_eq!(due[0].status.progress, RolloutProgress::Completed);
+    let pending = rollouts.pending_statuses(true, |_, _| 1, &[], late);
+    assert_eq!(pending[0].status.progress, RolloutProgress::Completed);
 }
 
 #[test]
-fn a_vm_that_was_restarted_learns_how_long_it_has_been() {
+fn a_restarted_vm_learns_when_the_rollout_began() {
     let now = BootInstant::now();
     let old = running(now);
-    answer(&old, CANARY_MIN_ANSWERS);
+    record_good_answers(&old, CANARY_MIN_ANSWERS);
     old.evaluate(now + ALLOWED.mul_f64(CANARY_MIN_PART));
     let at = now + ALLOWED.mul_f64(0.7);
     let restarted = running(at);
@@ -329,10 +328,10 @@
     assert_eq!(share(&restarted, at), 1.0);
 }
 
-/// It starts in the middle of a trial, and is told by one VM how long that has
-/// been on before it has heard of the sessions of all.
+/// A VM that starts during the canary phase learns from one VM when the phase
+/// began before it has received the sessions of all others.
 #[test]
-fn a_vm_that_learns_of_a_trial_late_listens_first() {
+fn a_vm_that_gets_the_order_late_waits_for_the_reports_of_others() {
     let now = BootInstant::now();
     let other = running(now);
     let at = now + ALLOWED / 4;
@@ -343,7 +342,7 @@
 }
 
 #[test]
-fn a_roll_out_that_has_ended_stays_ended() {
+fn an_ended_rollout_stays_ended() {
     let now = BootInstant::now();
     let rollouts = running(now);
     let reverted = RolloutStatus {
