--- a/src/crashes/tracker.rs
+++ b/src/crashes/tracker.rs
@@ -47,7 +47,7 @@
 /// change the attribution.
 const MAX_CRASHES_PER_REQUEST: usize = 16;
 
-/// Maximum number of completed requests kept: one minute of one VM's.
+/// Maximum number of completed requests kept: those of one minute on one VM.
 const MAX_COMPLETED: usize = 1024;
 
 /// Maximum number of upstream incarnations with lost attempts kept.
--- a/src/message.rs
+++ b/src/message.rs
@@ -263,7 +263,7 @@
     /// Recently announced rate limits: for the VMs of its data hall those
     /// announced to it, for other halls also those that others reported to it.
     pub rate_limits: Vec<RateLimitReport>,
-    /// Its evidence on the running roll-outs, for the VMs of its data hall.
+    /// Its evidence on the running rollouts, for the VMs of its data hall.
     pub evidence: Vec<Evidence>,
     /// Recent observations of requests and of crashed upstreams.
     pub observations: Vec<RequestObservation>,
