--- a/src/message.rs
+++ b/src/message.rs
@@ -71,7 +71,7 @@
     /// The upstream.
     pub upstream: ShortHash,
     /// The outcome of the attempt.
-    pub verdict: AttemptOutcome,
+    pub outcome: AttemptOutcome,
 }
 
 /// The rate limit that an upstream announced, reported to other VMs.
--- a/src/placing/pool/told.rs
+++ b/src/placing/pool/told.rs
@@ -221,7 +221,7 @@
             let Some(member) = members.by_short.get(&failure.upstream) else {
                 continue;
             };
-            if member.health.hear(failure.verdict, now).is_some() {
+            if member.health.hear(failure.outcome, now).is_some() {
                 unfit.push(member.entry.id.clone());
             }
         }
--- a/src/placing/seen.rs
+++ b/src/placing/seen.rs
@@ -189,9 +189,9 @@
         self.told_at.extend(told_now);
         self.told_at.retain(|_, at| is_recent(*at, now));
         let told = failed.into_iter();
-        told.map(|(upstream, verdict)| UpstreamFailureReport {
+        told.map(|(upstream, outcome)| UpstreamFailureReport {
             upstream,
-            verdict,
+            outcome,
         })
         .take(FAILURES_MOST)
         .collect()
