--- a/src/crashes/tracker.rs
+++ b/src/crashes/tracker.rs
@@ -70,7 +70,7 @@
         /// The request.
         request: RequestDigest,
         /// Crashes of upstreams that were running it.
-        ends: usize,
+        crashes: usize,
     },
     /// The request is no longer quarantined.
     Released(RequestDigest),
@@ -450,7 +450,7 @@
         let added = culprits.difference(&self.quarantined).map(|request| {
             QuarantineChange::Added {
                 request: *request,
-                ends: self
+                crashes: self
                     .suspects
                     .get(request)
                     .map_or(0, |s| s.crashes.len()),
--- a/src/crashes/tracker/tests.rs
+++ b/src/crashes/tracker/tests.rs
@@ -42,7 +42,7 @@
     let changes = tracker.record_probe(upstream(3), Listening::No, now);
     assert_eq!(
         changes,
-        [QuarantineChange::Added { request: DEADLY, ends: 3 }]
+        [QuarantineChange::Added { request: DEADLY, crashes: 3 }]
     );
     assert!(tracker.is_quarantined(DEADLY, now));
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -414,11 +414,11 @@
     pub(crate) fn note_crash_changes(&self, changes: &[QuarantineChange]) {
         for change in changes {
             match change {
-                QuarantineChange::Added { request, ends } => {
+                QuarantineChange::Added { request, crashes } => {
                     self.metrics.requests_held.inc();
                     Event::RequestHeld.record(fields(json!({
                         "request": request.to_string(),
-                        "upstreams_ended": ends,
+                        "upstreams_ended": crashes,
                     })));
                 }
                 QuarantineChange::Released(request) => {
