--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -373,7 +373,7 @@
             }
             Fact::RolloutOver(service) => self.rollouts.remove(&service),
             Fact::RolloutStatus(service, status) => {
-                self.rollouts.set_status(&service, &status);
+                self.rollouts.apply_status(&service, &status);
                 Event::RolloutRecorded.record(fields(json!({
                     "service": service,
                     "target": status.target,
--- a/src/gateway/rollout_status.rs
+++ b/src/gateway/rollout_status.rs
@@ -103,7 +103,7 @@
     if let Some(held) = value.and_then(|v| document::read_status(&v).ok())
         && stands(&held, &due.status)
     {
-        gateway.rollouts.set_status(&due.service, &held);
+        gateway.rollouts.apply_status(&due.service, &held);
         return Ok(());
     }
     let value = document::write_status(&due.service, &due.status);
@@ -112,7 +112,7 @@
     if let WriteOutcome::Committed(version) =
         store.write_all(&[state], None).await?
     {
-        gateway.rollouts.set_status(&due.service, &due.status);
+        gateway.rollouts.apply_status(&due.service, &due.status);
         Event::RolloutRecorded.record(fields(json!({
             "service": due.service,
             "target": due.status.target,
--- a/src/rollouts/fleet_tests.rs
+++ b/src/rollouts/fleet_tests.rs
@@ -91,7 +91,7 @@
         };
         for vm in &self.vms {
             vm.rollouts.apply_order(service(), order(), self.clock.now());
-            vm.rollouts.set_status(&service(), &running);
+            vm.rollouts.apply_status(&service(), &running);
         }
     }
 
--- a/src/rollouts/registry.rs
+++ b/src/rollouts/registry.rs
@@ -79,7 +79,7 @@
     }
 
     /// Applies a status that was read from the store.
-    pub fn set_status(&self, service: &ServiceId, status: &RolloutStatus) {
+    pub fn apply_status(&self, service: &ServiceId, status: &RolloutStatus) {
         let mut rollouts = self.running.lock().expect("rollouts lock");
         let Some(rollout) = rollouts.get_mut(service) else {
             if status.progress == RolloutProgress::Reverted {
--- a/src/rollouts/rollout/tests.rs
+++ b/src/rollouts/rollout/tests.rs
@@ -25,7 +25,7 @@
         target: version("v2"),
         progress: RolloutProgress::Running,
     };
-    rollouts.set_status(&service(), &status);
+    rollouts.apply_status(&service(), &status);
     rollouts
 }
 
@@ -349,7 +349,7 @@
         target: version("v2"),
         progress: RolloutProgress::Reverted,
     };
-    rollouts.set_status(&service(), &reverted);
+    rollouts.apply_status(&service(), &reverted);
     assert!(!rollouts.any_running());
     assert_eq!(rollouts.pending_statuses(true, |_, _| 0, &[], now), []);
     let order = RolloutOrder { target: version("v2"), time_allowed: ALLOWED };
