--- a/src/rollouts/comparison.rs
+++ b/src/rollouts/comparison.rs
@@ -27,7 +27,7 @@
 )]
 pub struct AnswerCounts {
     /// Complete answers.
-    pub all: u32,
+    pub complete: u32,
     /// Complete answers that were errors or far too slow.
     pub bad: u32,
     /// Answers that did not arrive, or not completely.
@@ -37,18 +37,18 @@
 impl AnswerCounts {
     /// Returns the share of bad answers among the complete ones.
     fn bad_share(self) -> f64 {
-        f64::from(self.bad) / f64::from(self.all.max(1))
+        f64::from(self.bad) / f64::from(self.complete.max(1))
     }
 
     /// Returns the share of lost answers among all.
     fn lost_share(self) -> f64 {
-        f64::from(self.lost) / f64::from((self.all + self.lost).max(1))
+        f64::from(self.lost) / f64::from((self.complete + self.lost).max(1))
     }
 
     /// Returns the maximum of each count, for two counts of the same answers.
     pub(crate) fn max(self, other: AnswerCounts) -> AnswerCounts {
         AnswerCounts {
-            all: self.all.max(other.all),
+            complete: self.complete.max(other.complete),
             bad: self.bad.max(other.bad),
             lost: self.lost.max(other.lost),
         }
@@ -56,7 +56,7 @@
 
     /// Adds the counts of other answers.
     pub(crate) fn add(&mut self, other: AnswerCounts) {
-        self.all += other.all;
+        self.complete += other.complete;
         self.bad += other.bad;
         self.lost += other.lost;
     }
@@ -69,7 +69,7 @@
 /// answers count only if there are many, and if the old version loses hardly
 /// any.
 pub(crate) fn is_worse(old: AnswerCounts, new: AnswerCounts) -> bool {
-    let baseline = match old.all >= MIN_BASELINE_ANSWERS {
+    let baseline = match old.complete >= MIN_BASELINE_ANSWERS {
         true => old.bad_share(),
         false => 0.0,
     };
--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -239,7 +239,7 @@
         let all_answers = self.all_answers();
         let of_new = |sides: &[AnswerCounts; 2]| {
             let new = sides[VersionSide::New as usize];
-            new.all + new.lost
+            new.complete + new.lost
         };
         let answers: u32 = all_answers.values().map(of_new).sum();
         if answers >= CANARY_MIN_ANSWERS || elapsed >= CANARY_MAX_PART {
@@ -369,7 +369,7 @@
             answers.lost += 1;
             return;
         }
-        answers.all += 1;
+        answers.complete += 1;
         answers.bad += u32::from(is_bad);
     }
 
@@ -497,7 +497,7 @@
         self.stopped_at = Some(now);
         Some(format!(
             "{} of {} answers bad on one route, {} of {} of the old version",
-            new.bad, new.all, old.bad, old.all
+            new.bad, new.complete, old.bad, old.complete
         ))
     }
 
