--- a/src/crashes/tracker.rs
+++ b/src/crashes/tracker.rs
@@ -131,8 +131,9 @@
     completed: HashMap<RequestDigest, BootInstant>,
     broadcast_queue: BroadcastQueue,
     quarantined: BTreeSet<RequestDigest>,
-    /// The quarantined requests whose crashes are all still known here. These
-    /// stay in quarantine more easily, see [`attribution::culprits`].
+    /// The requests that were quarantined by the last update and have remained
+    /// suspects since. A single crash that no other request explains keeps them
+    /// in quarantine, see [`attribution::culprits`].
     retained: BTreeSet<RequestDigest>,
 }
 
--- a/src/rollouts/registry.rs
+++ b/src/rollouts/registry.rs
@@ -38,12 +38,12 @@
 pub struct Rollouts {
     /// Time after the end of its last request for which a session is kept.
     session_lifetime: Duration,
-    running: Mutex<HashMap<ServiceId, Rollout>>,
+    rollouts: Mutex<HashMap<ServiceId, Rollout>>,
     /// Withdrawn versions, the most recent one last. Their upstreams run on
     /// for a while after the order was deleted or replaced. Locked after
-    /// `running` where both are.
+    /// `rollouts` where both are.
     withdrawn: Mutex<HashMap<ServiceId, Vec<VersionId>>>,
-    /// Locked after `running` where both are.
+    /// Locked after `rollouts` where both are.
     sessions: Mutex<HashMap<ServiceId, Sessions>>,
 }
 
@@ -53,7 +53,7 @@
     pub fn new(session_timeout: Duration) -> Rollouts {
         Rollouts {
             session_lifetime: session_timeout + SESSION_SLACK,
-            running: Mutex::default(),
+            rollouts: Mutex::default(),
             withdrawn: Mutex::default(),
             sessions: Mutex::default(),
         }
@@ -66,7 +66,7 @@
         order: RolloutOrder,
         now: BootInstant,
     ) -> bool {
-        let mut rollouts = self.running.lock().expect("rollouts lock");
+        let mut rollouts = self.rollouts.lock().expect("rollouts lock");
         let previous = rollouts.get(&service);
         if previous.is_some_and(|previous| previous.order == order) {
             return false;
@@ -80,7 +80,7 @@
 
     /// Applies a status that was read from the store.
     pub fn apply_status(&self, service: &ServiceId, status: &RolloutStatus) {
-        let mut rollouts = self.running.lock().expect("rollouts lock");
+        let mut rollouts = self.rollouts.lock().expect("rollouts lock");
         let Some(rollout) = rollouts.get_mut(service) else {
             if status.progress == RolloutProgress::Reverted {
                 self.withdraw(service, status.target.clone());
@@ -94,7 +94,7 @@
 
     /// Removes a rollout whose order was deleted.
     pub fn remove(&self, service: &ServiceId) {
-        let mut rollouts = self.running.lock().expect("rollouts lock");
+        let mut rollouts = self.rollouts.lock().expect("rollouts lock");
         let removed = rollouts.remove(service);
         self.record_end(service, removed.as_ref());
     }
@@ -138,7 +138,7 @@
         request_id: &str,
         now: BootInstant,
     ) -> VersionChoice {
-        let mut rollouts = self.running.lock().expect("rollouts lock");
+        let mut rollouts = self.rollouts.lock().expect("rollouts lock");
         let withdrawn = self.withdrawn(service);
         let Some(rollout) = rollouts.get_mut(service) else {
             return VersionChoice { withdrawn, ..VersionChoice::default() };
@@ -192,7 +192,7 @@
         outcome: AttemptOutcome,
         first_part: Option<Duration>,
     ) {
-        let mut rollouts = self.running.lock().expect("rollouts lock");
+        let mut rollouts = self.rollouts.lock().expect("rollouts lock");
         if let Some(rollout) = rollouts.get_mut(service) {
             rollout.record_answer(software, route, outcome, first_part);
         }
@@ -205,7 +205,7 @@
         old_in_flight: impl Fn(&ServiceId, &VersionId) -> u32,
         now: BootInstant,
     ) -> Vec<Evidence> {
-        let rollouts = self.running.lock().expect("rollouts lock");
+        let rollouts = self.rollouts.lock().expect("rollouts lock");
         let sessions = self.sessions.lock().expect("sessions lock");
         let running =
             rollouts.iter().filter(|(_, rollout)| rollout.is_running());
@@ -226,7 +226,7 @@
         own: &[Evidence],
         now: BootInstant,
     ) -> Vec<HallEvidence> {
-        let mut rollouts = self.running.lock().expect("rollouts lock");
+        let mut rollouts = self.rollouts.lock().expect("rollouts lock");
         let sums = own.iter().filter_map(|own| {
             let rollout = find(&mut rollouts, own)?;
             let evidence = rollout.hall_evidence(own.clone(), now);
@@ -242,7 +242,7 @@
         own: &[Evidence],
         now: BootInstant,
     ) -> Vec<HallEvidence> {
-        let mut rollouts = self.running.lock().expect("rollouts lock");
+        let mut rollouts = self.rollouts.lock().expect("rollouts lock");
         let mut relays = Vec::new();
         for own in own {
             let Some(rollout) = find(&mut rollouts, own) else { continue };
@@ -262,7 +262,7 @@
         received: &[Evidence],
         now: BootInstant,
     ) {
-        let mut rollouts = self.running.lock().expect("rollouts lock");
+        let mut rollouts = self.rollouts.lock().expect("rollouts lock");
         for evidence in received {
             if let Some(rollout) = find(&mut rollouts, evidence) {
                 rollout.merge_evidence(vm, evidence.clone(), now);
@@ -277,7 +277,7 @@
         delivery: Delivery,
         now: BootInstant,
     ) {
-        let mut rollouts = self.running.lock().expect("rollouts lock");
+        let mut rollouts = self.rollouts.lock().expect("rollouts lock");
         if let Some(rollout) = find(&mut rollouts, &received.evidence) {
             rollout.merge_hall_evidence(received, delivery, now);
         }
@@ -286,7 +286,7 @@
     /// Evaluates the running rollouts; returns the services whose new version
     /// this call stopped, with the reason.
     pub fn evaluate(&self, now: BootInstant) -> Vec<(ServiceId, String)> {
-        let mut rollouts = self.running.lock().expect("rollouts lock");
+        let mut rollouts = self.rollouts.lock().expect("rollouts lock");
         let mut stopped = Vec::new();
         for (service, rollout) in rollouts.iter_mut() {
             if let Some(reason) = rollout.evaluate(now) {
@@ -309,7 +309,7 @@
         other_halls: &[ShortHash],
         now: BootInstant,
     ) -> Vec<PendingStatus> {
-        let rollouts = self.running.lock().expect("rollouts lock");
+        let rollouts = self.rollouts.lock().expect("rollouts lock");
         let mut pending = Vec::new();
         for (service, rollout) in rollouts.iter() {
             let old = old_in_flight(service, &rollout.order.target);
@@ -327,7 +327,7 @@
 
     /// Whether any rollout is running.
     pub fn any_running(&self) -> bool {
-        let rollouts = self.running.lock().expect("rollouts lock");
+        let rollouts = self.rollouts.lock().expect("rollouts lock");
         rollouts.values().any(Rollout::is_running)
     }
 }
--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -66,12 +66,12 @@
 /// a good version must be completed even if there are hardly any requests.
 const CANARY_MAX_PART: f64 = 0.8;
 
-/// Part of the allowed time after the canary phase during which only a part of
-/// the requests goes to the new version.
-const PARTIAL_PART: f64 = 0.06;
+/// Part of the allowed time that the ramp-up phase lasts: after the canary
+/// phase, only a part of the requests goes to the new version at first.
+const RAMP_PART: f64 = 0.06;
 
-/// Share of the requests that the new version gets in that time.
-const PARTIAL_SHARE: f64 = 0.4;
+/// Share of the requests that the new version gets in the ramp-up phase.
+const RAMP_SHARE: f64 = 0.4;
 
 /// Part of the allowed time, from when all requests go to the new version,
 /// for the last requests at the old version to end.
@@ -221,9 +221,9 @@
             None if is_early => 0.0,
             None => CANARY_SHARE,
             Some(end)
-                if self.elapsed_part(now) < self.part(end) + PARTIAL_PART =>
+                if self.elapsed_part(now) < self.part(end) + RAMP_PART =>
             {
-                PARTIAL_SHARE
+                RAMP_SHARE
             }
             Some(_) => 1.0,
         }
@@ -530,7 +530,7 @@
         // The reports of other VMs are half a second old, so the rollout is
         // completed only some time after all requests go to the new version.
         let is_moved = self.canary_ended.is_some_and(|end| {
-            elapsed > self.part(end) + PARTIAL_PART + DRAIN_PART
+            elapsed > self.part(end) + RAMP_PART + DRAIN_PART
         });
         let is_drained =
             is_moved && left == 0 && self.peers.all_idle(other_halls, now);
--- a/src/rollouts/rollout/tests.rs
+++ b/src/rollouts/rollout/tests.rs
@@ -80,7 +80,7 @@
     assert!((0.06..0.1).contains(&in_canary), "{in_canary}");
     record_good_answers(&rollouts, 1);
     rollouts.evaluate(at(0.71));
-    let full_at = at(0.711 + PARTIAL_PART);
+    let full_at = at(0.711 + RAMP_PART);
     assert_eq!(share(&rollouts, full_at), 1.0);
     // A VM with fewer answers adopts the end that the first one found.
     let other = running(now);
@@ -96,7 +96,7 @@
     let in_canary = share(&idle, at(CANARY_MAX_PART - 0.01));
     assert!((0.06..0.1).contains(&in_canary), "{in_canary}");
     idle.evaluate(at(CANARY_MAX_PART));
-    assert_eq!(share(&idle, at(CANARY_MAX_PART + 0.001 + PARTIAL_PART)), 1.0);
+    assert_eq!(share(&idle, at(CANARY_MAX_PART + 0.001 + RAMP_PART)), 1.0);
     let pending =
         idle.pending_statuses(true, |_, _| 0, &[], at(COMPLETE_AT_PART));
     assert_eq!(pending[0].status.progress, RolloutProgress::Completed);
