--- a/src/crashes/tracker.rs
+++ b/src/crashes/tracker.rs
@@ -28,7 +28,8 @@
 
 /// Time for which a request stays a suspect after the last crash that this VM
 /// learned of: long enough that a request sent once a minute is recognized,
-/// and short enough that a caller who corrects a request can send it again.
+/// and short enough that a caller who corrects what it sends is not rejected
+/// for ever.
 pub(crate) const CRASH_TTL: Duration = Duration::from_secs(600);
 
 /// Time for which a completed request is not a suspect.
@@ -132,8 +133,8 @@
     broadcast_queue: BroadcastQueue,
     quarantined: BTreeSet<RequestDigest>,
     /// The requests that were quarantined by the last update and have remained
-    /// suspects since. A single crash that no other request explains keeps them
-    /// in quarantine, see [`attribution::culprits`].
+    /// suspects since. A single crash that no other request explains keeps
+    /// them in quarantine, see [`attribution::culprits`].
     retained: BTreeSet<RequestDigest>,
 }
 
