--- a/src/id.rs
+++ b/src/id.rs
@@ -23,7 +23,7 @@
     }
     if !text.chars().all(allowed) {
         return Err(Error::new(ErrorKind::InvalidInput).context(format!(
-            "{kind} `{text}` may contain only a-z, 0-9, `.`, `_` and `-`"
+            "{kind} `{text}` may hold only a-z, 0-9, `.`, `_` and `-`"
         )));
     }
     Ok(())
