--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -379,7 +379,7 @@
             }
             Fact::RolloutOver(service) => self.rollouts.remove(&service),
             Fact::RolloutStatus(service, status) => {
-                self.rollouts.set_status(&service, &status);
+                self.rollouts.apply_status(&service, &status);
                 Event::RolloutRecorded.record(fields(json!({
                     "service": service,
                     "target": status.target,
@@ -421,11 +421,11 @@
     pub(crate) fn log_quarantine_changes(&self, changes: &[QuarantineChange]) {
         for change in changes {
             match change {
-                QuarantineChange::Added { request, ends } => {
+                QuarantineChange::Added { request, crashes } => {
                     self.metrics.requests_held.inc();
                     Event::RequestHeld.record(fields(json!({
                         "request": request.to_string(),
-                        "upstreams_ended": ends,
+                        "upstreams_ended": crashes,
                     })));
                 }
                 QuarantineChange::Released(request) => {
--- a/src/gateway/rollout_status.rs
+++ b/src/gateway/rollout_status.rs
@@ -108,7 +108,7 @@
     if let Some(stored) = value.and_then(|v| document::decode_status(&v).ok())
         && must_keep(&stored, &due.status)
     {
-        gateway.rollouts.set_status(&due.service, &stored);
+        gateway.rollouts.apply_status(&due.service, &stored);
         return Ok(());
     }
     let value = document::encode_status(&due.service, &due.status);
@@ -117,7 +117,7 @@
     if let WriteOutcome::Committed(version) =
         store.write_all(&[write], None).await?
     {
-        gateway.rollouts.set_status(&due.service, &due.status);
+        gateway.rollouts.apply_status(&due.service, &due.status);
         Event::RolloutRecorded.record(fields(json!({
             "service": due.service,
             "target": due.status.target,
