--- a/src/api/steward.rs
+++ b/src/api/steward.rs
@@ -16,7 +16,7 @@
 use crate::{
     api::{estimate::version_hash, template::VersionState, vm::Vm},
     chains::{
-        claim::VmLife,
+        claim::VmIncarnation,
         lease::{Epoch, Lease, LeaseChange},
     },
     clock::BootInstant,
@@ -50,7 +50,7 @@
     /// one than it has seen.
     pub epoch: Epoch,
     /// The steward.
-    pub steward: VmLife,
+    pub steward: VmIncarnation,
     /// What to do.
     pub action: OrderAction,
     /// With which version, as `model@version`.
@@ -66,7 +66,7 @@
 
 impl Steward {
     pub(crate) fn new(
-        vm_life: VmLife,
+        vm_life: VmIncarnation,
         hall: &str,
         settings: &crate::settings::StewardSettings,
     ) -> Steward {
--- a/src/api/vm.rs
+++ b/src/api/vm.rs
@@ -28,7 +28,7 @@
     },
     chains::{
         bill::Bill,
-        claim::VmLife,
+        claim::VmIncarnation,
         claims::{self, Claims},
         configuration::{Change, ConfigurationCell},
         configuration_sync::{RECENT_LIMIT, changes_after},
@@ -119,7 +119,7 @@
         let since = started.duration_since(std::time::UNIX_EPOCH);
         let incarnation =
             Incarnation(since.unwrap_or_default().as_micros() as u64);
-        let life = VmLife { vm: settings.vm.clone(), incarnation };
+        let life = VmIncarnation { vm: settings.vm.clone(), incarnation };
         let hall = settings.data_hall.clone();
         let metrics = Arc::new(Metrics::new());
         let codec = FrameCodec::new(&settings.cluster_key);
@@ -173,8 +173,8 @@
     }
 
     /// This life of this VM.
-    pub(crate) fn identity(&self) -> VmLife {
-        VmLife { vm: self.settings.vm.clone(), incarnation: self.incarnation }
+    pub(crate) fn identity(&self) -> VmIncarnation {
+        VmIncarnation { vm: self.settings.vm.clone(), incarnation: self.incarnation }
     }
 
     /// Whether it takes requests: it has a configuration to work by, and
@@ -406,7 +406,7 @@
                 first,
                 claims,
             } => {
-                let owner = VmLife { vm: owner, incarnation };
+                let owner = VmIncarnation { vm: owner, incarnation };
                 let first = first as usize;
                 let request =
                     HoldRequest { slot, index, owner, first, claims };
--- a/src/chains/claim.rs
+++ b/src/chains/claim.rs
@@ -86,7 +86,7 @@
 
 /// One life of one VM.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct VmLife {
+pub struct VmIncarnation {
     /// The VM.
     pub vm: VmId,
     /// The life.
@@ -174,9 +174,9 @@
     /// A VM owns the slot from here on.
     Owner {
         /// The owner.
-        owner: VmLife,
+        owner: VmIncarnation,
         /// The VM that holds claims with it while the store is out.
-        deputy: Option<VmLife>,
+        deputy: Option<VmIncarnation>,
         /// Until when unknown keys are suspect, if the owner before was
         /// lost without a handover; milliseconds since the Unix epoch.
         gap_until_unix_ms: Option<u64>,
@@ -184,7 +184,7 @@
     /// A VM of another data hall, or no deputy, wants to take over.
     Takeover {
         /// The VM.
-        by: VmLife,
+        by: VmIncarnation,
     },
     /// A request claimed its key.
     Claimed {
@@ -208,9 +208,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ownership {
     /// The owner.
-    pub owner: VmLife,
+    pub owner: VmIncarnation,
     /// Its deputy.
-    pub deputy: Option<VmLife>,
+    pub deputy: Option<VmIncarnation>,
     /// Until when unknown keys are suspect.
     pub gap_until_unix_ms: Option<u64>,
 }
@@ -229,7 +229,7 @@
 pub struct SlotState {
     index: u64,
     ownership: Option<Ownership>,
-    takeover: Option<VmLife>,
+    takeover: Option<VmIncarnation>,
     entries: HashMap<ClaimKey, Entry>,
 }
 
@@ -245,7 +245,7 @@
     }
 
     /// Who wants to take the slot over, if nobody objected yet.
-    pub fn takeover(&self) -> Option<&VmLife> {
+    pub fn takeover(&self) -> Option<&VmIncarnation> {
         self.takeover.as_ref()
     }
 
@@ -469,7 +469,7 @@
     #[test]
     fn a_gap_makes_unknown_keys_suspect() {
         let mut state = SlotState::default();
-        let owner = VmLife {
+        let owner = VmIncarnation {
             vm: "vm-2".parse().unwrap(),
             incarnation: Incarnation(2),
         };
--- a/src/chains/claims.rs
+++ b/src/chains/claims.rs
@@ -17,7 +17,7 @@
         vm::Vm,
     },
     chains::{
-        claim::{ClaimOutcome, ClaimRequest, ClaimVerdict, VmLife},
+        claim::{ClaimOutcome, ClaimRequest, ClaimVerdict, VmIncarnation},
         slot::{HoldRequest, Slot, SlotPeers, redirect},
     },
     id::{DataHallId, VmId},
@@ -462,7 +462,7 @@
 struct VmPeers(Weak<Vm>);
 
 impl SlotPeers for VmPeers {
-    async fn is_gone(&self, life: &VmLife) -> bool {
+    async fn is_gone(&self, life: &VmIncarnation) -> bool {
         let Some(vm) = self.0.upgrade() else { return false };
         if *life == vm.identity() {
             return false;
@@ -481,7 +481,7 @@
         }
     }
 
-    fn pick_deputy(&self) -> Option<VmLife> {
+    fn pick_deputy(&self) -> Option<VmIncarnation> {
         let vm = self.0.upgrade()?;
         let mut peers: Vec<Peer> = vm.view.live_hall_peers();
         peers.sort_by(|a, b| a.vm.cmp(&b.vm));
@@ -490,10 +490,10 @@
         let after = peers.iter().position(|peer| peer.vm > me).unwrap_or(0);
         let deputy = peers.get(after)?;
         let (incarnation, _) = vm.view.liveness(&deputy.vm)?;
-        Some(VmLife { vm: deputy.vm.clone(), incarnation })
+        Some(VmIncarnation { vm: deputy.vm.clone(), incarnation })
     }
 
-    async fn hold(&self, deputy: &VmLife, request: HoldRequest) -> bool {
+    async fn hold(&self, deputy: &VmIncarnation, request: HoldRequest) -> bool {
         let Some(vm) = self.0.upgrade() else { return false };
         let message = PeerRequest::HoldClaims {
             slot: request.slot,
--- a/src/chains/lease.rs
+++ b/src/chains/lease.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::chains::{
-    claim::VmLife,
+    claim::VmIncarnation,
     store::{Condition, Store, StoreError, StoreVersion, Stored, Written},
 };
 
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
     /// The holder, or `None` after it gave the lease back.
-    pub holder: Option<VmLife>,
+    pub holder: Option<VmIncarnation>,
     /// The epoch of the holder.
     pub epoch: Epoch,
     /// The number of the renewal, so that each writes something new.
@@ -62,7 +62,7 @@
 #[derive(Debug)]
 pub struct Lease {
     key: String,
-    me: VmLife,
+    me: VmIncarnation,
     ttl: Duration,
     takeover_wait: Duration,
     seen: Option<Seen>,
@@ -88,7 +88,7 @@
     /// which an order of the old holder may still be on its way.
     pub fn new(
         key: String,
-        me: VmLife,
+        me: VmIncarnation,
         ttl: Duration,
         longest_send: Duration,
     ) -> Lease {
@@ -293,7 +293,7 @@
 
     fn lease(name: &str) -> Lease {
         let me =
-            VmLife { vm: name.parse().unwrap(), incarnation: Incarnation(1) };
+            VmIncarnation { vm: name.parse().unwrap(), incarnation: Incarnation(1) };
         Lease::new("lease/x".to_owned(), me, TTL, SEND)
     }
 
--- a/src/chains/slot.rs
+++ b/src/chains/slot.rs
@@ -22,7 +22,7 @@
         chain::{self, Appended, Batch, WriteId},
         claim::{
             ClaimOutcome, ClaimRecord, ClaimRequest, ClaimVerdict,
-            OfflineClaim, Ownership, SlotState, VmLife,
+            OfflineClaim, Ownership, SlotState, VmIncarnation,
         },
         store::{Condition, SharedStore, StoreError, VALUE_LIMIT_BYTES},
     },
@@ -59,15 +59,15 @@
 /// What a slot needs of the other VMs.
 pub(crate) trait SlotPeers: Send + Sync {
     /// Whether a life of a VM is believed to be over, or out of reach.
-    fn is_gone(&self, life: &VmLife) -> impl Future<Output = bool> + Send;
+    fn is_gone(&self, life: &VmIncarnation) -> impl Future<Output = bool> + Send;
 
     /// A live VM of this hall to hold claims with.
-    fn pick_deputy(&self) -> Option<VmLife>;
+    fn pick_deputy(&self) -> Option<VmIncarnation>;
 
     /// Asks a deputy to hold claims; true when it does.
     fn hold(
         &self,
-        deputy: &VmLife,
+        deputy: &VmIncarnation,
         request: HoldRequest,
     ) -> impl Future<Output = bool> + Send;
 }
@@ -78,7 +78,7 @@
     pub(crate) slot: u32,
     /// The index of the chain up to which the owner has read.
     pub(crate) index: u64,
-    pub(crate) owner: VmLife,
+    pub(crate) owner: VmIncarnation,
     /// The position of the first claim in all since the store went out.
     pub(crate) first: usize,
     pub(crate) claims: Vec<OfflineClaim>,
@@ -87,7 +87,7 @@
 /// Claims held as deputy for an owner that goes on without the store.
 #[derive(Debug, Default)]
 struct Held {
-    owner: Option<VmLife>,
+    owner: Option<VmIncarnation>,
     claims: Vec<OfflineClaim>,
 }
 
@@ -131,14 +131,14 @@
 #[derive(Debug, Default)]
 struct OfflineLog {
     claims: Vec<OfflineClaim>,
-    deputy: Option<VmLife>,
+    deputy: Option<VmIncarnation>,
     held: usize,
 }
 
 /// One claim slot at one VM.
 pub(crate) struct Slot<P> {
     number: u32,
-    me: VmLife,
+    me: VmIncarnation,
     settings: ClaimSettings,
     run_limit: Duration,
     store: SharedStore,
@@ -164,7 +164,7 @@
 impl<P: SlotPeers> Slot<P> {
     pub(crate) fn new(
         number: u32,
-        me: VmLife,
+        me: VmIncarnation,
         settings: ClaimSettings,
         run_limit: Duration,
         store: SharedStore,
@@ -546,7 +546,7 @@
     }
 
     /// Sends the deputy what it does not hold yet, or all of it anew.
-    async fn send_log(&mut self, deputy: &VmLife) -> bool {
+    async fn send_log(&mut self, deputy: &VmIncarnation) -> bool {
         let log = &mut self.offline_log;
         if log.deputy.as_ref() != Some(deputy) {
             log.deputy = Some(deputy.clone());
@@ -1000,7 +1000,7 @@
     ClaimVerdict::Unavailable { reason: reason.to_owned() }
 }
 
-fn not_owner(life: &VmLife) -> ClaimVerdict {
+fn not_owner(life: &VmIncarnation) -> ClaimVerdict {
     ClaimVerdict::NotOwner { ask: life.vm.clone() }
 }
 
--- a/src/chains/slot/tests.rs
+++ b/src/chains/slot/tests.rs
@@ -122,32 +122,32 @@
     links: Arc<Links>,
 }
 
-fn life(number: usize) -> VmLife {
-    VmLife {
+fn life(number: usize) -> VmIncarnation {
+    VmIncarnation {
         vm: format!("vm-{number}").parse().unwrap(),
         incarnation: Incarnation(1),
     }
 }
 
-fn number(life: &VmLife) -> usize {
+fn number(life: &VmIncarnation) -> usize {
     life.vm.as_str()[3..].parse().unwrap()
 }
 
 impl SlotPeers for FakePeers {
-    async fn is_gone(&self, life: &VmLife) -> bool {
+    async fn is_gone(&self, life: &VmIncarnation) -> bool {
         let other = number(life);
         let gone = self.links.gone.lock().unwrap();
         let cut = self.links.cut.lock().unwrap();
         other != self.me && (gone[other] || cut[other] || cut[self.me])
     }
 
-    fn pick_deputy(&self) -> Option<VmLife> {
+    fn pick_deputy(&self) -> Option<VmIncarnation> {
         let gone = self.links.gone.lock().unwrap();
         let next = (self.me + 1..self.me + VMS).map(|n| n % VMS);
         next.into_iter().find(|n| !gone[*n]).map(life)
     }
 
-    async fn hold(&self, deputy: &VmLife, request: HoldRequest) -> bool {
+    async fn hold(&self, deputy: &VmIncarnation, request: HoldRequest) -> bool {
         let other = number(deputy);
         let is_cut = {
             let cut = self.links.cut.lock().unwrap();
