--- a/src/api/vm.rs
+++ b/src/api/vm.rs
@@ -174,7 +174,10 @@
 
     /// This life of this VM.
     pub(crate) fn identity(&self) -> VmIncarnation {
-        VmIncarnation { vm: self.settings.vm.clone(), incarnation: self.incarnation }
+        VmIncarnation {
+            vm: self.settings.vm.clone(),
+            incarnation: self.incarnation,
+        }
     }
 
     /// Whether it takes requests: it has a configuration to work by, and
--- a/src/chains/chain.rs
+++ b/src/chains/chain.rs
@@ -62,8 +62,8 @@
 ///
 /// # Errors
 ///
-/// [`StoreError::NotDone`] when the batch does not and will not stand there;
-/// [`StoreError::MaybeDone`] when that stays open. The caller must then use
+/// [`StoreError::NotApplied`] when the batch does not and will not stand there;
+/// [`StoreError::OutcomeUnknown`] when that stays open. The caller must then use
 /// the same batch, or none, the next time it appends at this index.
 pub async fn append<T>(
     store: &dyn Store,
@@ -81,9 +81,9 @@
         match store.put(&key, &value, Condition::Absent).await {
             Ok(Written::Done(_)) => return Ok(Appended::Mine),
             Ok(Written::Conflict) => {}
-            Err(StoreError::NotDone(reason)) => {
+            Err(StoreError::NotApplied(reason)) => {
                 // An earlier try of this call may still take effect.
-                return Err(in_doubt.unwrap_or(StoreError::NotDone(reason)));
+                return Err(in_doubt.unwrap_or(StoreError::NotApplied(reason)));
             }
             Err(error) => in_doubt = Some(error),
         }
@@ -98,7 +98,7 @@
             }
         }
     }
-    let open = || StoreError::MaybeDone("the write stayed open".into());
+    let open = || StoreError::OutcomeUnknown("the write stayed open".into());
     Err(in_doubt.unwrap_or_else(open))
 }
 
@@ -149,8 +149,9 @@
 
 fn maybe(error: StoreError) -> StoreError {
     match error {
-        StoreError::NotDone(reason) | StoreError::MaybeDone(reason) => {
-            StoreError::MaybeDone(reason)
+        StoreError::NotApplied(reason)
+        | StoreError::OutcomeUnknown(reason) => {
+            StoreError::OutcomeUnknown(reason)
         }
     }
 }
@@ -160,14 +161,14 @@
     T: DeserializeOwned,
 {
     let index = index(&entry.key).ok_or_else(|| {
-        StoreError::MaybeDone(format!("`{}` is no chain key", entry.key))
+        StoreError::OutcomeUnknown(format!("`{}` is no chain key", entry.key))
     })?;
     Ok((index, decode(&entry.value)?))
 }
 
 pub(crate) fn encode<T: Serialize>(value: &T) -> Result<String, StoreError> {
     serde_json::to_string(value)
-        .map_err(|e| StoreError::NotDone(e.to_string()))
+        .map_err(|e| StoreError::NotApplied(e.to_string()))
 }
 
 pub(crate) fn decode<T>(text: &str) -> Result<T, StoreError>
@@ -175,7 +176,7 @@
     T: DeserializeOwned,
 {
     serde_json::from_str(text)
-        .map_err(|e| StoreError::MaybeDone(format!("unreadable: {e}")))
+        .map_err(|e| StoreError::OutcomeUnknown(format!("unreadable: {e}")))
 }
 
 #[cfg(test)]
@@ -242,8 +243,8 @@
                 match verdict {
                     Ok(Appended::Mine) => assert!(mine),
                     Ok(Appended::Other(_)) => assert!(taken && !mine),
-                    Err(StoreError::NotDone(_)) => assert!(!mine),
-                    Err(StoreError::MaybeDone(_)) => {}
+                    Err(StoreError::NotApplied(_)) => assert!(!mine),
+                    Err(StoreError::OutcomeUnknown(_)) => {}
                 }
                 store.plan([]);
                 assert!(store.count("c/") <= 1);
--- a/src/chains/claims.rs
+++ b/src/chains/claims.rs
@@ -493,7 +493,11 @@
         Some(VmIncarnation { vm: deputy.vm.clone(), incarnation })
     }
 
-    async fn hold(&self, deputy: &VmIncarnation, request: HoldRequest) -> bool {
+    async fn hold(
+        &self,
+        deputy: &VmIncarnation,
+        request: HoldRequest,
+    ) -> bool {
         let Some(vm) = self.0.upgrade() else { return false };
         let message = PeerRequest::HoldClaims {
             slot: request.slot,
--- a/src/chains/configuration_sync.rs
+++ b/src/chains/configuration_sync.rs
@@ -276,8 +276,8 @@
 
 fn store_failed(error: &StoreError) -> Error {
     let kind = match error {
-        StoreError::NotDone(_) => ErrorKind::StoreUnavailable,
-        StoreError::MaybeDone(_) => ErrorKind::StoreUncertain,
+        StoreError::NotApplied(_) => ErrorKind::StoreUnavailable,
+        StoreError::OutcomeUnknown(_) => ErrorKind::StoreUncertain,
     };
     Error::new(kind).context(error.to_string()).context("storing the edit")
 }
--- a/src/chains/lease.rs
+++ b/src/chains/lease.rs
@@ -292,8 +292,10 @@
     const SEND: Duration = Duration::from_secs(1);
 
     fn lease(name: &str) -> Lease {
-        let me =
-            VmIncarnation { vm: name.parse().unwrap(), incarnation: Incarnation(1) };
+        let me = VmIncarnation {
+            vm: name.parse().unwrap(),
+            incarnation: Incarnation(1),
+        };
         Lease::new("lease/x".to_owned(), me, TTL, SEND)
     }
 
--- a/src/chains/ledger.rs
+++ b/src/chains/ledger.rs
@@ -403,7 +403,9 @@
                 vm.ledger.skip(&commit);
                 true
             }
-            Err(StoreError::NotDone(_) | StoreError::MaybeDone(_)) => false,
+            Err(StoreError::NotApplied(_) | StoreError::OutcomeUnknown(_)) => {
+                false
+            }
         }
     }
 
--- a/src/chains/memory_store.rs
+++ b/src/chains/memory_store.rs
@@ -118,10 +118,10 @@
         condition: Condition,
     ) -> Result<Written, StoreError> {
         let mut content = self.content.lock().unwrap();
-        let lost = || Err(StoreError::MaybeDone("planned".into()));
+        let lost = || Err(StoreError::OutcomeUnknown("planned".into()));
         match content.faults.pop_front().unwrap_or(Fault::None) {
             Fault::None => Ok(content.put(key, value, condition)),
-            Fault::NotDone => Err(StoreError::NotDone("planned".into())),
+            Fault::NotDone => Err(StoreError::NotApplied("planned".into())),
             Fault::LostCall => lost(),
             Fault::LostAnswer => {
                 content.put(key, value, condition);
--- a/src/chains/slot.rs
+++ b/src/chains/slot.rs
@@ -59,7 +59,10 @@
 /// What a slot needs of the other VMs.
 pub(crate) trait SlotPeers: Send + Sync {
     /// Whether a life of a VM is believed to be over, or out of reach.
-    fn is_gone(&self, life: &VmIncarnation) -> impl Future<Output = bool> + Send;
+    fn is_gone(
+        &self,
+        life: &VmIncarnation,
+    ) -> impl Future<Output = bool> + Send;
 
     /// A live VM of this hall to hold claims with.
     fn pick_deputy(&self) -> Option<VmIncarnation>;
@@ -713,8 +716,8 @@
                 let _ = self.read_end().await;
                 Append::Overtaken
             }
-            Err(StoreError::NotDone(_)) => Append::NotDone,
-            Err(StoreError::MaybeDone(_)) => Append::InDoubt,
+            Err(StoreError::NotApplied(_)) => Append::NotDone,
+            Err(StoreError::OutcomeUnknown(_)) => Append::InDoubt,
         }
     }
 
@@ -744,7 +747,7 @@
                 // The chain was shortened after the base was read.
                 self.reset();
                 let gap = "the chain was shortened meanwhile".to_owned();
-                return Err(StoreError::NotDone(gap));
+                return Err(StoreError::NotApplied(gap));
             }
             self.end_doubt(index, Some(batch.write));
             self.state.apply(index, &batch.content);
--- a/src/chains/slot/tests.rs
+++ b/src/chains/slot/tests.rs
@@ -60,7 +60,7 @@
             self.is_shut.store(true, Ordering::Relaxed);
         }
         match self.is_shut.load(Ordering::Relaxed) {
-            true => Err(StoreError::NotDone("shut".to_owned())),
+            true => Err(StoreError::NotApplied("shut".to_owned())),
             false => Ok(()),
         }
     }
@@ -147,7 +147,11 @@
         next.into_iter().find(|n| !gone[*n]).map(life)
     }
 
-    async fn hold(&self, deputy: &VmIncarnation, request: HoldRequest) -> bool {
+    async fn hold(
+        &self,
+        deputy: &VmIncarnation,
+        request: HoldRequest,
+    ) -> bool {
         let other = number(deputy);
         let is_cut = {
             let cut = self.links.cut.lock().unwrap();
--- a/src/chains/store.rs
+++ b/src/chains/store.rs
@@ -100,16 +100,16 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreError {
     /// The call had no effect and will have none.
-    NotDone(String),
+    NotApplied(String),
     /// The call may have had, or may yet have, its effect.
-    MaybeDone(String),
+    OutcomeUnknown(String),
 }
 
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            StoreError::NotDone(reason) => write!(f, "not done: {reason}"),
-            StoreError::MaybeDone(reason) => {
+            StoreError::NotApplied(reason) => write!(f, "not done: {reason}"),
+            StoreError::OutcomeUnknown(reason) => {
                 write!(f, "may be done: {reason}")
             }
         }
@@ -154,7 +154,7 @@
     ///
     /// # Errors
     ///
-    /// A [`StoreError`]; after [`StoreError::MaybeDone`] the caller must
+    /// A [`StoreError`]; after [`StoreError::OutcomeUnknown`] the caller must
     /// read back.
     async fn put(
         &self,
@@ -266,7 +266,7 @@
             }
         }
         self.counts.limited.fetch_add(1, Ordering::Relaxed);
-        Err(StoreError::NotDone("over this VM's call rate".into()))
+        Err(StoreError::NotApplied("over this VM's call rate".into()))
     }
 
     async fn call(
@@ -277,15 +277,18 @@
         let sent = self.client.fetch(call, limit, ANSWER_LIMIT_BYTES).await;
         let outcome = match sent {
             Err(SendError::NotSent(reason)) => {
-                Err(StoreError::NotDone(reason))
+                Err(StoreError::NotApplied(reason))
             }
-            Err(error) => Err(StoreError::MaybeDone(error.to_string())),
+            Err(error) => Err(StoreError::OutcomeUnknown(error.to_string())),
             Ok(answer) if answer.status == 429 => {
-                Err(StoreError::NotDone("over the service's rate".into()))
+                Err(StoreError::NotApplied("over the service's rate".into()))
+            }
+            Ok(answer) if answer.status >= 500 => {
+                Err(StoreError::OutcomeUnknown(format!(
+                    "the service answered {}",
+                    answer.status
+                )))
             }
-            Ok(answer) if answer.status >= 500 => Err(StoreError::MaybeDone(
-                format!("the service answered {}", answer.status),
-            )),
             Ok(answer) => Ok(answer),
         };
         if outcome.is_err() {
@@ -346,7 +349,7 @@
             return Err(unexpected(answer.status));
         }
         serde_json::from_slice(&answer.body)
-            .map_err(|e| StoreError::MaybeDone(e.to_string()))
+            .map_err(|e| StoreError::OutcomeUnknown(e.to_string()))
     }
 
     async fn put(
@@ -356,7 +359,7 @@
         condition: Condition,
     ) -> Result<Written, StoreError> {
         if value.len() > VALUE_LIMIT_BYTES {
-            return Err(StoreError::NotDone("value too large".into()));
+            return Err(StoreError::NotApplied("value too large".into()));
         }
         let path = self.key_path(key);
         let call = Call::new(self.address, Method::PUT, path)
@@ -402,14 +405,14 @@
 }
 
 fn unexpected(status: u16) -> StoreError {
-    StoreError::MaybeDone(format!("unexpected status {status}"))
+    StoreError::OutcomeUnknown(format!("unexpected status {status}"))
 }
 
 fn etag(answer: &WholeAnswer) -> Result<StoreVersion, StoreError> {
     let text = answer.header("etag").map(|tag| tag.trim_matches('"'));
     text.and_then(|text| text.parse().ok())
         .map(StoreVersion)
-        .ok_or_else(|| StoreError::MaybeDone("no version given".into()))
+        .ok_or_else(|| StoreError::OutcomeUnknown("no version given".into()))
 }
 
 fn stored(answer: WholeAnswer) -> Result<Option<Stored>, StoreError> {
@@ -417,7 +420,7 @@
         200 => {
             let version = etag(&answer)?;
             let value = String::from_utf8(answer.body.to_vec())
-                .map_err(|e| StoreError::MaybeDone(e.to_string()))?;
+                .map_err(|e| StoreError::OutcomeUnknown(e.to_string()))?;
             Ok(Some(Stored { version, value }))
         }
         404 => Ok(None),
--- a/src/gateway/record.rs
+++ b/src/gateway/record.rs
@@ -165,11 +165,11 @@
             // What this VM knows of a record is behind the store.
             WriteOutcome::Conflict => {
                 self.gateway.peers.look();
-                Err(StoreError::NotDone("a record has changed".to_owned()))
+                Err(StoreError::NotApplied("a record has changed".to_owned()))
             }
             WriteOutcome::LeaseExpired => {
                 self.lease = None;
-                Err(StoreError::NotDone("the lease is over".to_owned()))
+                Err(StoreError::NotApplied("the lease is over".to_owned()))
             }
         }
     }
