--- a/src/api/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -29,7 +29,7 @@
     },
     chains::{
         claim::{
-            BodyHash, ClaimKey, ClaimOutcome, ClaimRequest, ClaimVerdict,
+            RequestHash, ClaimKey, ClaimOutcome, ClaimRequest, ClaimVerdict,
         },
         claims::{Claims, GRANT_LIFETIME, verdict_label},
     },
@@ -113,7 +113,7 @@
     /// Runs a service call to its end.
     pub(crate) async fn run(mut self, target: ServiceTarget) -> Answer {
         let method = target.method.as_str();
-        let body = BodyHash::of(method, &target.path, &target.body);
+        let body = RequestHash::of(method, &target.path, &target.body);
         let key = self.state.key.clone();
         let repeatable = self.state.call.repeatable;
         if let Err(end) = self.core.claim(key, body, repeatable).await {
@@ -180,7 +180,7 @@
 impl Request<Planned> {
     /// Runs a chat request to its end, or until its stream has begun.
     pub(crate) async fn run(mut self, body: &[u8]) -> Answer {
-        let hash = BodyHash::of("POST", "/v1/chat/completions", body);
+        let hash = RequestHash::of("POST", "/v1/chat/completions", body);
         let key = self.state.admitted.key.clone();
         let repeatable = self.state.repeatable;
         if let Err(end) = self.core.claim(key, hash, repeatable).await {
@@ -494,7 +494,7 @@
     async fn claim(
         &mut self,
         key: Option<String>,
-        body: BodyHash,
+        body: RequestHash,
         repeatable: bool,
     ) -> Result<(), Box<Outcome>> {
         let Some(key) = key.filter(|_| !repeatable) else { return Ok(()) };
@@ -519,7 +519,7 @@
     async fn settle_key(
         &mut self,
         key: &str,
-        body: BodyHash,
+        body: RequestHash,
     ) -> Result<Option<Answer>, Error> {
         let Some(organisation) = &self.decision.organisation else {
             return Err(Error::new(ErrorKind::Internal));
--- a/src/chains/claim.rs
+++ b/src/chains/claim.rs
@@ -70,17 +70,17 @@
 /// A hash of what is asked, to notice a key used for something else.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct BodyHash(pub u64);
+pub struct RequestHash(pub u64);
 
-impl BodyHash {
+impl RequestHash {
     /// Hashes method, path and body.
-    pub fn of(method: &str, path: &str, body: &[u8]) -> BodyHash {
+    pub fn of(method: &str, path: &str, body: &[u8]) -> RequestHash {
         let mut hasher = blake3::Hasher::new();
         for part in [method.as_bytes(), path.as_bytes(), body] {
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
-        BodyHash(rendezvous::first_u64(&hasher.finalize()))
+        RequestHash(rendezvous::first_u64(&hasher.finalize()))
     }
 }
 
@@ -99,7 +99,7 @@
     /// The key.
     pub key: ClaimKey,
     /// What is asked under it.
-    pub body: BodyHash,
+    pub body: RequestHash,
     /// The request that wants to run.
     pub request: RequestId,
 }
@@ -218,7 +218,7 @@
 /// What is known of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Entry {
-    body: BodyHash,
+    body: RequestHash,
     request: RequestId,
     at_unix_ms: u64,
     outcome: Option<ClaimOutcome>,
@@ -403,7 +403,7 @@
     fn request(key: u8, sequence: u64) -> ClaimRequest {
         ClaimRequest {
             key: ClaimKey([key; 16]),
-            body: BodyHash(u64::from(key)),
+            body: RequestHash(u64::from(key)),
             request: RequestId {
                 vm: "vm-1".parse().unwrap(),
                 incarnation: Incarnation(1),
@@ -461,7 +461,7 @@
         let mut state = SlotState::default();
         state.apply(1, &[claimed(1, 1)]);
         let mut other = request(1, 2);
-        other.body = BodyHash(99);
+        other.body = RequestHash(99);
         let verdict = state.judge(&other, 1000, LIMIT);
         assert_eq!(verdict, Some(ClaimVerdict::Reused));
     }
--- a/src/chains/slot/tests.rs
+++ b/src/chains/slot/tests.rs
@@ -16,7 +16,7 @@
 use super::*;
 use crate::{
     chains::{
-        claim::{BodyHash, ClaimKey},
+        claim::{RequestHash, ClaimKey},
         memory_store::{Fault, MemoryStore},
         store::{Store, Stored, StoredEntry, Written},
     },
@@ -243,7 +243,7 @@
         self.next_sequence += 1;
         ClaimRequest {
             key: ClaimKey::new(&organisation, &key.to_string()),
-            body: BodyHash(key.into()),
+            body: RequestHash(key.into()),
             request: RequestId {
                 vm: "vm-0".parse().unwrap(),
                 incarnation: Incarnation(1),
