--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -340,7 +340,7 @@
         };
         let holding = self.vm.ledger.open(bill.clone());
         self.bill = Some(bill);
-        if !holding.second_holder().await {
+        if !holding.wait_for_replica().await {
             self.vm.metrics.bills_single_holder.inc();
         }
     }
--- a/src/chains/ledger.rs
+++ b/src/chains/ledger.rs
@@ -121,15 +121,15 @@
 }
 
 /// Tells when a second VM knows a bill.
-pub(crate) struct Holding {
+pub(crate) struct ReplicaWaiter {
     held: Receiver<()>,
 }
 
-impl Holding {
+impl ReplicaWaiter {
     /// Waits until a second VM knows the bill, but not for long.
     ///
     /// Returns whether one does.
-    pub(crate) async fn second_holder(&self) -> bool {
+    pub(crate) async fn wait_for_replica(&self) -> bool {
         let waiting = self.held.recv();
         let held = task::within(SECOND_HOLDER_LIMIT, waiting).await;
         matches!(held, Some(Ok(())))
@@ -150,14 +150,14 @@
     }
 
     /// Opens the bill of a request before it is dispatched.
-    pub(crate) fn open(&self, bill: Bill) -> Holding {
+    pub(crate) fn open(&self, bill: Bill) -> ReplicaWaiter {
         let (sender, held) = bounded(1);
         let own = Own::new(bill, Some(sender));
         let mut books = self.books.lock().expect("ledger lock");
         books.own.insert(own.bill.request.clone(), own);
         drop(books);
         let _ = self.news.try_send(());
-        Holding { held }
+        ReplicaWaiter { held }
     }
 
     /// Closes or voids a bill; it stays here until the store has it.
