--- a/src/api/operators.rs
+++ b/src/api/operators.rs
@@ -347,7 +347,7 @@
                 age(listed.map(|at| now.saturating_duration_since(at))),
             "in_flight": vm.in_flight(),
             "queued": vm.queue.waiting(),
-            "bills_waiting": vm.ledger.waiting(),
+            "bills_waiting": vm.ledger.uncommitted_count(),
             "steward_epoch": vm.steward.epoch(),
             "stopped_versions": stopped,
             "peers": self.peer_status(),
--- a/src/api/vm.rs
+++ b/src/api/vm.rs
@@ -340,7 +340,7 @@
         metrics.list_age_ms.set(as_ms(listed));
         metrics.in_flight.set(self.in_flight() as i64);
         metrics.queued.set(self.queue.waiting() as i64);
-        metrics.bills_waiting.set(self.ledger.waiting() as i64);
+        metrics.bills_waiting.set(self.ledger.uncommitted_count() as i64);
         let stopped = self.guard.stopped().len();
         metrics.versions_stopped.set(stopped as i64);
         self.update_peer_gauges();
--- a/src/chains/ledger.rs
+++ b/src/chains/ledger.rs
@@ -170,7 +170,7 @@
     }
 
     /// Bills that the store does not have yet, open ones left out.
-    pub(crate) fn waiting(&self) -> usize {
+    pub(crate) fn uncommitted_count(&self) -> usize {
         let books = self.books.lock().expect("ledger lock");
         let closed =
             books.own.values().filter(|o| o.bill.state != BillState::Open);
@@ -232,7 +232,7 @@
             let is_waiting = !done;
             if is_waiting != was_waiting {
                 was_waiting = is_waiting;
-                let waiting = vm.ledger.waiting();
+                let waiting = vm.ledger.uncommitted_count();
                 let event = match is_waiting {
                     true => Event::LedgerWaiting,
                     false => Event::LedgerDrained,
@@ -250,7 +250,7 @@
         loop {
             Ledger::send_some(vm).await;
             Ledger::commit_some(vm).await;
-            let left = vm.ledger.waiting();
+            let left = vm.ledger.uncommitted_count();
             if left == 0 || vm.clock.now() >= end {
                 return left;
             }
