--- a/src/api/vm.rs
+++ b/src/api/vm.rs
@@ -419,7 +419,7 @@
                 }
             }
             PeerRequest::Bills(bills) => {
-                self.ledger.hold(bills, self.clock.now())
+                self.ledger.receive_bills(bills, self.clock.now())
             }
             PeerRequest::Decision(id) => {
                 PeerReply::Decision(self.decisions.get(&id).map(Box::new))
--- a/src/chains/ledger.rs
+++ b/src/chains/ledger.rs
@@ -186,7 +186,7 @@
     }
 
     /// Takes in bills of another VM; says which of them the store has.
-    pub(crate) fn hold(
+    pub(crate) fn receive_bills(
         &self,
         bills: Vec<Bill>,
         now: BootInstant,
