--- a/src/api/vm.rs
+++ b/src/api/vm.rs
@@ -321,7 +321,7 @@
         if let Some(bill) = self.ledger.find(id) {
             return Some(bill);
         }
-        crate::chains::ledger::search(self, id).await.ok().flatten()
+        crate::chains::ledger::find_committed(self, id).await.ok().flatten()
     }
 
     /// Brings the gauges up to date.
--- a/src/chains/ledger.rs
+++ b/src/chains/ledger.rs
@@ -580,7 +580,7 @@
 }
 
 /// Looks for one bill in the latest hours of the ledger.
-pub(crate) async fn search(
+pub(crate) async fn find_committed(
     vm: &Vm,
     request: &RequestId,
 ) -> Result<Option<Bill>, Error> {
