--- a/src/api/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -29,7 +29,7 @@
     },
     chains::{
         claim::{
-            RequestHash, ClaimKey, ClaimOutcome, ClaimRequest, ClaimVerdict,
+            ClaimKey, ClaimOutcome, ClaimRequest, ClaimVerdict, RequestHash,
         },
         claims::{Claims, GRANT_LIFETIME, verdict_label},
     },
--- a/src/chains/slot/tests.rs
+++ b/src/chains/slot/tests.rs
@@ -16,7 +16,7 @@
 use super::*;
 use crate::{
     chains::{
-        claim::{RequestHash, ClaimKey},
+        claim::{ClaimKey, RequestHash},
         memory_store::{Fault, MemoryStore},
         store::{Store, Stored, StoredEntry, Written},
     },
