--- a/src/chains/chain.rs
+++ b/src/chains/chain.rs
@@ -38,11 +38,11 @@
 
 /// The outcome of an append.
 #[derive(Debug)]
-pub enum Appended<T> {
+pub enum AppendOutcome<T> {
     /// The batch stands at its index.
-    Mine,
+    Appended,
     /// Another writer's batch stands there instead.
-    Other(T),
+    Occupied(T),
 }
 
 /// The key of one batch.
@@ -70,7 +70,7 @@
     prefix: &str,
     index: u64,
     batch: &Batch<T>,
-) -> Result<Appended<T>, StoreError>
+) -> Result<AppendOutcome<T>, StoreError>
 where
     T: Serialize + DeserializeOwned + Sync,
 {
@@ -79,7 +79,7 @@
     let mut in_doubt = None;
     for _ in 0..TRIES {
         match store.put(&key, &value, Condition::Absent).await {
-            Ok(Written::Done(_)) => return Ok(Appended::Mine),
+            Ok(Written::Done(_)) => return Ok(AppendOutcome::Appended),
             Ok(Written::Conflict) => {}
             Err(StoreError::NotApplied(reason)) => {
                 // An earlier try of this call may still take effect.
@@ -139,11 +139,11 @@
     }
 }
 
-fn compare<T>(found: Batch<T>, mine: WriteId) -> Appended<T> {
+fn compare<T>(found: Batch<T>, mine: WriteId) -> AppendOutcome<T> {
     if found.write == mine {
-        Appended::Mine
+        AppendOutcome::Appended
     } else {
-        Appended::Other(found.content)
+        AppendOutcome::Occupied(found.content)
     }
 }
 
@@ -196,9 +196,9 @@
         let store = MemoryStore::default();
         block_on(async {
             let first = append(&store, "c", 1, &batch(1, 10)).await;
-            assert!(matches!(first, Ok(Appended::Mine)));
+            assert!(matches!(first, Ok(AppendOutcome::Appended)));
             let second = append(&store, "c", 1, &batch(2, 20)).await;
-            assert!(matches!(second, Ok(Appended::Other(10))));
+            assert!(matches!(second, Ok(AppendOutcome::Occupied(10))));
         });
     }
 
@@ -208,7 +208,7 @@
         store.plan([Fault::LostAnswer]);
         block_on(async {
             let done = append(&store, "c", 1, &batch(1, 10)).await;
-            assert!(matches!(done, Ok(Appended::Mine)));
+            assert!(matches!(done, Ok(AppendOutcome::Appended)));
             assert_eq!(store.count("c/"), 1);
         });
     }
@@ -223,7 +223,7 @@
     }
 
     proptest! {
-        /// Whatever is lost, `Mine` means it stands there, `NotDone` that it
+        /// Whatever is lost, `Appended` means it stands there, `NotApplied` that it
         /// does not, and a retry with the same identity never doubles it.
         #[test]
         fn verdicts_are_true(
@@ -234,15 +234,15 @@
             block_on(async {
                 if taken {
                     let other = append(&store, "c", 1, &batch(9, 90)).await;
-                    assert!(matches!(other, Ok(Appended::Mine)));
+                    assert!(matches!(other, Ok(AppendOutcome::Appended)));
                 }
                 store.plan(faults.iter().copied());
                 let verdict = append(&store, "c", 1, &batch(1, 10)).await;
                 let held = read_one::<u32>(&store, "c", 1).await.unwrap();
                 let mine = held.is_some_and(|b| b.write == WriteId(1));
                 match verdict {
-                    Ok(Appended::Mine) => assert!(mine),
-                    Ok(Appended::Other(_)) => assert!(taken && !mine),
+                    Ok(AppendOutcome::Appended) => assert!(mine),
+                    Ok(AppendOutcome::Occupied(_)) => assert!(taken && !mine),
                     Err(StoreError::NotApplied(_)) => assert!(!mine),
                     Err(StoreError::OutcomeUnknown(_)) => {}
                 }
--- a/src/chains/claim.rs
+++ b/src/chains/claim.rs
@@ -263,12 +263,12 @@
         assert_eq!(index, self.index + 1, "chains are read in order");
         self.index = index;
         for record in records {
-            self.take(record);
+            self.apply_record(record);
         }
     }
 
     /// Takes in one record, whether or not it stands in the chain yet.
-    pub fn take(&mut self, record: &ClaimRecord) {
+    pub fn apply_record(&mut self, record: &ClaimRecord) {
         match record {
             ClaimRecord::Owner { owner, deputy, gap_until_unix_ms } => {
                 self.ownership = Some(Ownership {
@@ -321,7 +321,7 @@
     ///
     /// A request that has not been settled `run_limit` after its claim may
     /// have run and will say no more.
-    pub fn judge(
+    pub fn verdict(
         &self,
         request: &ClaimRequest,
         now_unix_ms: u64,
@@ -350,7 +350,7 @@
 
     /// A part of the state that is enough to judge `requests` one after
     /// the other.
-    pub(crate) fn for_trial(&self, requests: &[ClaimRequest]) -> SlotState {
+    pub(crate) fn subset_for(&self, requests: &[ClaimRequest]) -> SlotState {
         let known = requests.iter().filter_map(|request| {
             let entry = self.entries.get(&request.key)?;
             Some((request.key, entry.clone()))
@@ -364,7 +364,7 @@
     }
 
     /// Forgets the kept answers, but not which keys were used.
-    pub(crate) fn drop_answers(&mut self) {
+    pub(crate) fn drop_response_bodies(&mut self) {
         for entry in self.entries.values_mut() {
             if let Some(ClaimOutcome::Ran { body, .. }) = &mut entry.outcome {
                 *body = None;
@@ -373,7 +373,7 @@
     }
 
     /// Whether a key is known.
-    pub fn knows(&self, key: ClaimKey) -> bool {
+    pub fn contains(&self, key: ClaimKey) -> bool {
         self.entries.contains_key(&key)
     }
 
@@ -439,19 +439,19 @@
     #[test]
     fn a_repeat_is_shown_what_became_of_the_first() {
         let mut state = SlotState::default();
-        assert_eq!(state.judge(&request(1, 1), 1000, LIMIT), None);
+        assert_eq!(state.verdict(&request(1, 1), 1000, LIMIT), None);
         state.apply(1, &[claimed(1, 1)]);
         let by = request(1, 1).request;
-        let repeat = state.judge(&request(1, 2), 1500, LIMIT);
+        let repeat = state.verdict(&request(1, 2), 1500, LIMIT);
         assert_eq!(repeat, Some(ClaimVerdict::InProgress { by: by.clone() }));
-        let late = state.judge(&request(1, 2), 61_000, LIMIT);
+        let late = state.verdict(&request(1, 2), 61_000, LIMIT);
         let outcome = ClaimOutcome::Unknown;
         assert_eq!(
             late,
             Some(ClaimVerdict::Settled { by: by.clone(), outcome })
         );
         state.apply(2, &[settled(1, 1, ran())]);
-        let repeat = state.judge(&request(1, 2), 1500, LIMIT);
+        let repeat = state.verdict(&request(1, 2), 1500, LIMIT);
         let outcome = ran();
         assert_eq!(repeat, Some(ClaimVerdict::Settled { by, outcome }));
     }
@@ -462,7 +462,7 @@
         state.apply(1, &[claimed(1, 1)]);
         let mut other = request(1, 2);
         other.body = RequestHash(99);
-        let verdict = state.judge(&other, 1000, LIMIT);
+        let verdict = state.verdict(&other, 1000, LIMIT);
         assert_eq!(verdict, Some(ClaimVerdict::Reused));
     }
 
@@ -484,9 +484,9 @@
                 },
             ],
         );
-        let verdict = state.judge(&request(2, 2), 4999, LIMIT);
+        let verdict = state.verdict(&request(2, 2), 4999, LIMIT);
         assert_eq!(verdict, Some(ClaimVerdict::Gap));
-        assert_eq!(state.judge(&request(2, 2), 5000, LIMIT), None);
+        assert_eq!(state.verdict(&request(2, 2), 5000, LIMIT), None);
     }
 
     fn record() -> impl Strategy<Value = ClaimRecord> {
@@ -514,7 +514,7 @@
             for (at, record) in records.iter().enumerate() {
                 let index = at as u64 + 1;
                 if let ClaimRecord::Claimed { claim, .. } = record {
-                    let known = state.knows(claim.key);
+                    let known = state.contains(claim.key);
                     if !known {
                         let freed = !holder.contains_key(&claim.key);
                         prop_assert!(freed);
@@ -527,10 +527,10 @@
                     if held && *outcome == ClaimOutcome::NotRun {
                         let before = state.clone();
                         state.apply(index, std::slice::from_ref(record));
-                        if !state.knows(*key) {
+                        if !state.contains(*key) {
                             holder.remove(key);
                         } else {
-                            prop_assert!(before.knows(*key));
+                            prop_assert!(before.contains(*key));
                         }
                         continue;
                     }
--- a/src/chains/claims.rs
+++ b/src/chains/claims.rs
@@ -18,7 +18,7 @@
     },
     chains::{
         claim::{ClaimOutcome, ClaimRequest, ClaimVerdict, VmIncarnation},
-        slot::{HoldRequest, Slot, SlotPeers, redirect},
+        slot::{HoldRequest, Slot, SlotPeers, redirect_target},
     },
     id::{DataHallId, VmId},
     message::{PeerReply, PeerRequest},
@@ -101,7 +101,7 @@
             asked.push(next.clone());
             match self.ask(vm, &next, slot, request).await {
                 Asked::Verdict(verdict) => {
-                    if let Some(owner) = redirect(&verdict) {
+                    if let Some(owner) = redirect_target(&verdict) {
                         ask.insert(0, owner.clone());
                         last = unavailable("the slot's owner is not found");
                         continue;
--- a/src/chains/configuration_sync.rs
+++ b/src/chains/configuration_sync.rs
@@ -9,7 +9,7 @@
 use crate::{
     api::{view::Peer, vm::Vm},
     chains::{
-        chain::{self, Appended, Batch, WriteId},
+        chain::{self, AppendOutcome, Batch, WriteId},
         configuration::{Change, Configuration, Edit, Expected},
         store::{Backoff, Condition, StoreError},
     },
@@ -259,14 +259,14 @@
         let appended =
             chain::append(&*vm.store, PREFIX, revision.0, &batch).await;
         match appended {
-            Ok(Appended::Mine) => {
+            Ok(AppendOutcome::Appended) => {
                 apply(vm, &[batch.content]);
                 Event::EditStored
                     .log(format_args!("revision {revision}: {reason}"));
                 snapshot_if_due(vm, revision);
                 return Ok(revision);
             }
-            Ok(Appended::Other(other)) => apply(vm, &[other]),
+            Ok(AppendOutcome::Occupied(other)) => apply(vm, &[other]),
             Err(error) => return Err(store_failed(&error)),
         }
     }
--- a/src/chains/ledger.rs
+++ b/src/chains/ledger.rs
@@ -20,7 +20,7 @@
     api::{membership::Liveness, unresponsive::UnresponsiveVms, vm::Vm},
     chains::{
         bill::{Bill, BillState, merge_all},
-        chain::{self, Appended, Batch, WriteId},
+        chain::{self, AppendOutcome, Batch, WriteId},
         store::{StoreError, list_all},
     },
     clock::BootInstant,
@@ -393,11 +393,11 @@
             chain::append(&*vm.store, &prefix, commit.index, &commit.batch)
                 .await;
         match appended {
-            Ok(Appended::Mine) => {
+            Ok(AppendOutcome::Appended) => {
                 vm.ledger.committed(&commit, vm.clock.now());
                 true
             }
-            Ok(Appended::Other(_)) => {
+            Ok(AppendOutcome::Occupied(_)) => {
                 // Nobody else writes to this chain, so this was a write of
                 // its own that the books have forgotten; go on after it.
                 vm.ledger.skip(&commit);
--- a/src/chains/slot.rs
+++ b/src/chains/slot.rs
@@ -1,25 +1,29 @@
-//! One claim slot at one VM: granting claims as owner, holding them as
-//! deputy, taking over, and going on while the store is out.
+//! The state machine of one claim slot at one VM: it grants claims as the
+//! owner, stores copies of claims as the deputy, takes over ownership, and
+//! keeps granting while the store is unavailable.
 //!
 //! Why a claim is never granted twice:
 //!
-//! * With the store, a claim stands when the slot's chain holds it, and the
-//!   chain has one order for all.
-//! * Without it, the owner named last in the chain goes on, only while its
-//!   deputy, named in the same record, holds every claim with it, and only
-//!   for `offline_max` after it last read the end of the chain.
-//! * The deputy takes over by an entry in the chain that carries the claims
-//!   it holds, and from the attempt on holds no more for the old owner.
-//! * Anybody else first announces the takeover in the chain and waits out
+//! * While the store is available, a claim is granted once it is in the slot's
+//!   chain, and all VMs see the chain in the same order.
+//! * While the store is unavailable, the owner named last in the chain goes on
+//!   granting, but only if its deputy, named in the same record, stores a copy
+//!   of every claim, and only for `offline_max` after the owner last read the
+//!   end of the chain.
+//! * The deputy takes over with a record in the chain that carries the claims
+//!   of which it has copies. From the attempt on it accepts no more copies
+//!   from the old owner.
+//! * Any other VM first announces the takeover in the chain and waits for
 //!   `offline_max`. An owner that reads the announcement objects by renewing
-//!   its record. After the wait, keys that the old owner may have granted
-//!   are unknown, so unknown keys are answered so for `gap_hold`.
+//!   its owner record. After the wait, the claims that the old owner may have
+//!   granted offline are unknown, so keys that are not in the chain are
+//!   answered with [`ClaimVerdict::Gap`] for `gap_hold`.
 
 use std::{future::Future, time::Duration};
 
 use crate::{
     chains::{
-        chain::{self, Appended, Batch, WriteId},
+        chain::{self, AppendOutcome, Batch, WriteId},
         claim::{
             ClaimOutcome, ClaimRecord, ClaimRequest, ClaimVerdict,
             OfflineClaim, Ownership, SlotState, VmIncarnation,
@@ -32,42 +36,46 @@
     settings::ClaimSettings,
 };
 
-/// Times that a batch is tried against batches of others.
-const TRIES: u32 = 4;
+/// Attempts to append a batch when other VMs append concurrently.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// Added to the wait before a takeover, for clocks that run at slightly
+/// Factor on the wait before a takeover, since clocks run at slightly
 /// different speeds.
-const CLOCK_MARGIN: f64 = 1.05;
+const CLOCK_DRIFT_FACTOR: f64 = 1.05;
 
-/// Batches after which the state of a slot is written as a base.
-const BASE_EVERY: u64 = 256;
+/// Number of batches after which the state of a slot is written as a snapshot.
+const SNAPSHOT_EVERY: u64 = 256;
 
-/// Age that a batch must have before it may be removed. An append that
-/// took longer than [`APPEND_LIMIT`] is not trusted, so that none can land
-/// on an index that was removed.
-const REMOVE_AGE: Duration = Duration::from_secs(3600);
+/// Minimum age of a batch that is removed from the chain. A VM doesn't trust
+/// an append of its own that took longer than [`MAX_APPEND_DELAY`], so no append
+/// can succeed unnoticed at an index that was removed.
+const MIN_REMOVE_AGE: Duration = Duration::from_secs(3600);
 
-/// Longest time from reading the end of a chain to an append after it.
-const APPEND_LIMIT: Duration = Duration::from_secs(600);
+/// Maximum time from reading the end of a chain to an append after it.
+const MAX_APPEND_DELAY: Duration = Duration::from_secs(600);
 
-/// Records in one batch at most.
-const BATCH_LIMIT: usize = 1000;
+/// Maximum number of records in one batch.
+const MAX_BATCH_RECORDS: usize = 1000;
 
-/// Bytes of a batch at most, below the store's limit on values.
-const BATCH_LIMIT_BYTES: usize = VALUE_LIMIT_BYTES / 2;
+/// Maximum estimated size of a batch in bytes; half of the store's limit on
+/// values.
+const MAX_BATCH_BYTES: usize = VALUE_LIMIT_BYTES / 2;
 
-/// What a slot needs of the other VMs.
+/// What a slot needs to know about other VMs, and its connection to the
+/// deputy.
 pub(crate) trait SlotPeers: Send + Sync {
-    /// Whether a life of a VM is believed to be over, or out of reach.
+    /// Whether an incarnation of a VM has ended or can't be reached, as far as
+    /// this VM knows.
     fn is_gone(
         &self,
-        life: &VmIncarnation,
+        incarnation: &VmIncarnation,
     ) -> impl Future<Output = bool> + Send;
 
-    /// A live VM of this hall to hold claims with.
+    /// Returns a live VM of this data hall to be the deputy, if there is one.
     fn pick_deputy(&self) -> Option<VmIncarnation>;
 
-    /// Asks a deputy to hold claims; true when it does.
+    /// Sends copies of claims to the deputy. Returns whether it has stored
+    /// them.
     fn hold(
         &self,
         deputy: &VmIncarnation,
@@ -75,70 +83,73 @@
     ) -> impl Future<Output = bool> + Send;
 }
 
-/// A request to hold claims for a slot's owner.
+/// A request from the owner of a slot to its deputy to store copies of claims
+/// that are granted while the store is unavailable.
 #[derive(Clone, Debug)]
 pub(crate) struct HoldRequest {
     pub(crate) slot: u32,
-    /// The index of the chain up to which the owner has read.
+    /// The index of the last batch that the owner has read.
     pub(crate) index: u64,
     pub(crate) owner: VmIncarnation,
-    /// The position of the first claim in all since the store went out.
+    /// The position of the first claim in the owner's log of claims since the
+    /// store became unavailable.
     pub(crate) first: usize,
     pub(crate) claims: Vec<OfflineClaim>,
 }
 
-/// Claims held as deputy for an owner that goes on without the store.
+/// Copies of claims that this VM stores as the deputy of an owner without
+/// access to the store.
 #[derive(Debug, Default)]
-struct Held {
+struct DeputyCopies {
     owner: Option<VmIncarnation>,
     claims: Vec<OfflineClaim>,
 }
 
-/// What this VM is to a slot.
+/// The role of this VM for a slot, by its chain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Role {
     Owner,
     Deputy(Ownership),
-    Outsider(Ownership),
+    Other(Ownership),
     Unowned,
 }
 
-/// How writing to the chain ended.
+/// The outcome of writing all pending records to the chain.
 enum Flush {
-    /// All of it stands in the chain.
-    Stands,
-    /// Another VM wrote first; what it wrote has been read.
-    Overtaken,
-    /// The store does not answer.
-    StoreOut,
+    /// All records are in the chain.
+    Committed,
+    /// Another VM appended first; its batch has been read.
+    Conflict,
+    /// The store did not answer, or did not apply the write.
+    StoreUnavailable,
 }
 
-/// How one append ended.
+/// The outcome of one append.
 enum Append {
-    Stands,
-    Overtaken,
-    NotDone,
+    Committed,
+    Conflict,
+    NotApplied,
     InDoubt,
 }
 
-/// A batch that may stand, or may yet come to stand, at its index, and at
-/// no other.
+/// A batch whose append has an unknown outcome. It may be, or may yet be,
+/// written at this index, and at no other.
 #[derive(Clone, Debug)]
-struct Doubt {
+struct InDoubtBatch {
     index: u64,
     batch: Batch<Vec<ClaimRecord>>,
 }
 
-/// What was granted since the store went out, and how much of it the
-/// deputy holds.
+/// The claims granted and settled since the store became unavailable, and how
+/// many of them the deputy has.
 #[derive(Debug, Default)]
 struct OfflineLog {
     claims: Vec<OfflineClaim>,
     deputy: Option<VmIncarnation>,
-    held: usize,
+    sent: usize,
 }
 
-/// One claim slot at one VM.
+/// One claim slot as seen by one VM.
 pub(crate) struct Slot<P> {
     number: u32,
     me: VmIncarnation,
@@ -148,18 +159,21 @@
     clock: SharedClock,
     peers: P,
     state: SlotState,
-    base_index: u64,
-    /// When the end of the chain was last read, or the store answered an
-    /// append; taken before the call was sent.
+    snapshot_index: u64,
+    /// When the end of the chain was last read, or when the store last
+    /// confirmed an append. The time is taken before the call is sent.
     end_read_at: Option<BootInstant>,
-    /// A batch whose append stayed open; it is the next to be tried.
-    in_doubt: Option<Doubt>,
-    /// Records that are in force here and not yet in the chain.
+    /// The batch whose append has an unknown outcome. It is retried before
+    /// anything else is appended.
+    in_doubt: Option<InDoubtBatch>,
+    /// Records that this VM has applied to its state but that are not yet in
+    /// the chain.
     backlog: Vec<ClaimRecord>,
-    held: Held,
+    deputy_copies: DeputyCopies,
     offline_log: OfflineLog,
-    /// Set from the attempt to take over as deputy.
-    has_turned: bool,
+    /// Whether this VM, as the deputy, has tried to take over. It then accepts
+    /// no copies from the old owner.
+    has_tried_takeover: bool,
     announced_at: Option<BootInstant>,
     is_offline: bool,
 }
@@ -183,68 +197,73 @@
             clock,
             peers,
             state: SlotState::default(),
-            base_index: 0,
+            snapshot_index: 0,
             end_read_at: None,
             in_doubt: None,
             backlog: Vec::new(),
-            held: Held::default(),
+            deputy_copies: DeputyCopies::default(),
             offline_log: OfflineLog::default(),
-            has_turned: false,
+            has_tried_takeover: false,
             announced_at: None,
             is_offline: false,
         }
     }
 
-    /// Whether this VM owns the slot, as far as it knows.
+    /// Whether this VM owns the slot, by the part of the chain that it has
+    /// read.
     pub(crate) fn is_owner(&self) -> bool {
         self.role() == Role::Owner
     }
 
-    /// Whether claims are being granted without the store.
+    /// Whether this VM grants claims while the store is unavailable.
     pub(crate) fn is_offline(&self) -> bool {
         self.is_offline
     }
 
-    /// Whether records wait for the store.
+    /// Whether records are still to be written to the chain.
     pub(crate) fn has_backlog(&self) -> bool {
         !self.backlog.is_empty() || self.in_doubt.is_some()
     }
 
-    /// The index of the chain read so far.
+    /// The index of the last batch that was read from the chain.
     pub(crate) fn index(&self) -> u64 {
         self.state.index()
     }
 
-    /// Settles requests for claims, all in one batch.
+    /// Returns a verdict for each request. New claims are written to the chain
+    /// in one batch.
     pub(crate) async fn claim(
         &mut self,
         requests: &[ClaimRequest],
     ) -> Vec<ClaimVerdict> {
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             match self.prepare().await {
                 Ok(()) => {}
                 Err(verdict) => return vec![verdict; requests.len()],
             }
-            let (verdicts, news) = self.judge_all(requests);
-            if news.is_empty() {
+            let (verdicts, new_records) = self.evaluate_all(requests);
+            if new_records.is_empty() {
                 return verdicts;
             }
-            match self.flush(&news).await {
-                Flush::Stands => {
+            match self.flush(&new_records).await {
+                Flush::Committed => {
                     self.set_offline(false);
                     return verdicts;
                 }
-                Flush::Overtaken => {}
-                Flush::StoreOut => {
-                    return self.claim_offline(verdicts, news).await;
+                Flush::Conflict => {}
+                Flush::StoreUnavailable => {
+                    return self.claim_offline(verdicts, new_records).await;
                 }
             }
         }
-        vec![unavailable("other VMs write to the slot"); requests.len()]
+        vec![
+            unavailable("other VMs append to the slot concurrently");
+            requests.len()
+        ]
     }
 
-    /// Records what became of a claim; it reaches the chain with the next
-    /// batch.
+    /// Records the outcome of a claim. It is written to the chain with the
+    /// next batch.
     pub(crate) fn settle(
         &mut self,
         request: &ClaimRequest,
@@ -255,10 +274,10 @@
             request: request.request.clone(),
             outcome: outcome.clone(),
         };
-        self.state.take(&record);
+        self.state.apply_record(&record);
         self.backlog.push(record);
         if self.is_offline {
-            // The deputy learns of it with the next claim or tick.
+            // Sent to the deputy with the next claim or tick.
             self.offline_log.claims.push(OfflineClaim {
                 claim: request.clone(),
                 at_unix_ms: self.clock.unix_ms(),
@@ -267,26 +286,32 @@
         }
     }
 
-    /// Holds claims for the slot's owner, if this VM is its deputy.
+    /// Stores copies of claims for the slot's owner. Returns false if this VM
+    /// is not the owner's deputy, or if it lacks the claims before `first`;
+    /// the owner then sends all of them.
     pub(crate) async fn hold(&mut self, request: HoldRequest) -> bool {
-        if self.contradicts(&request).await {
+        if self.rejects_copies(&request).await {
             return false;
         }
-        let same = self.held.owner.as_ref() == Some(&request.owner);
-        if request.first == 0 || !same {
-            self.held =
-                Held { owner: Some(request.owner), claims: Vec::new() };
+        let is_same_owner =
+            self.deputy_copies.owner.as_ref() == Some(&request.owner);
+        if request.first == 0 || !is_same_owner {
+            self.deputy_copies = DeputyCopies {
+                owner: Some(request.owner),
+                claims: Vec::new(),
+            };
         }
-        if self.held.claims.len() != request.first {
+        if self.deputy_copies.claims.len() != request.first {
             return false;
         }
-        self.held.claims.extend(request.claims);
+        self.deputy_copies.claims.extend(request.claims);
         true
     }
 
-    /// Brings backlog and chain together, and renews what must be renewed.
+    /// Writes the backlog to the chain, reads what other VMs appended, objects
+    /// to takeovers and writes snapshots.
     ///
-    /// To be called regularly by its task.
+    /// The slot's task calls it regularly.
     pub(crate) async fn tick(&mut self) {
         if self.end_read_at.is_none() {
             return;
@@ -295,49 +320,49 @@
         if self.has_backlog() || self.is_offline {
             let flushed = self.flush(&[]).await;
             match flushed {
-                Flush::Stands => self.set_offline(false),
-                Flush::Overtaken => {}
-                Flush::StoreOut => self.tell_deputy().await,
+                Flush::Committed => self.set_offline(false),
+                Flush::Conflict => {}
+                Flush::StoreUnavailable => self.sync_deputy().await,
             }
         } else if was_owner
             && self.is_read_due()
-            && self.read_end().await.is_ok()
+            && self.read_to_end().await.is_ok()
         {
             self.object_to_takeover().await;
         }
-        self.note_change_of_owner(was_owner);
-        self.write_base_if_due().await;
+        self.log_ownership_change(was_owner);
+        self.write_snapshot_if_due().await;
     }
 
-    /// Hands the slot over to its deputy, with everything in the chain.
+    /// Writes all pending records to the chain and makes the deputy the owner.
     pub(crate) async fn hand_over(&mut self) {
         if !self.is_owner() {
             self.flush_all().await;
             return;
         }
         let ownership = self.state.ownership().cloned();
-        let heir = ownership
+        let successor = ownership
             .and_then(|o| o.deputy)
             .or_else(|| self.peers.pick_deputy());
-        let records = heir.map(|owner| ClaimRecord::Owner {
+        let records = successor.map(|owner| ClaimRecord::Owner {
             owner,
             deputy: None,
             gap_until_unix_ms: self.gap_until(),
         });
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             match self.flush(records.as_slice()).await {
-                Flush::Stands | Flush::StoreOut => return,
-                Flush::Overtaken => {}
+                Flush::Committed | Flush::StoreUnavailable => return,
+                Flush::Conflict => {}
             }
         }
     }
 
     async fn flush_all(&mut self) {
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             if !self.has_backlog() {
                 return;
             }
-            if matches!(self.flush(&[]).await, Flush::StoreOut) {
+            if matches!(self.flush(&[]).await, Flush::StoreUnavailable) {
                 return;
             }
         }
@@ -352,56 +377,58 @@
         } else if ownership.deputy.as_ref() == Some(&self.me) {
             Role::Deputy(ownership.clone())
         } else {
-            Role::Outsider(ownership.clone())
+            Role::Other(ownership.clone())
         }
     }
 
-    /// Makes this VM the owner, or says why it may not grant claims.
+    /// Makes this VM the owner if it may take over, or returns the verdict for
+    /// callers if it may not grant claims.
     async fn prepare(&mut self) -> Result<(), ClaimVerdict> {
-        if self.end_read_at.is_none() && self.read_end().await.is_err() {
-            return Err(unavailable("the slot cannot be read"));
+        if self.end_read_at.is_none() && self.read_to_end().await.is_err() {
+            return Err(unavailable("the slot's chain cannot be read"));
         }
         if self.role() == Role::Owner {
             return Ok(());
         }
-        // The record may be old; who owns the slot is read again.
-        if self.read_end().await.is_err() {
-            return Err(self.ask_elsewhere());
+        // The ownership read earlier may be outdated.
+        if self.read_to_end().await.is_err() {
+            return Err(self.redirect_verdict());
         }
         let was_owner = self.is_owner();
         match self.role() {
             Role::Owner => {}
-            Role::Unowned => self.take(None, Vec::new()).await?,
+            Role::Unowned => self.write_ownership(None, Vec::new()).await?,
             Role::Deputy(ownership) => {
-                self.take_as_deputy(&ownership).await?;
+                self.take_over_as_deputy(&ownership).await?;
             }
-            Role::Outsider(ownership) => {
-                self.take_as_outsider(&ownership).await?;
+            Role::Other(ownership) => {
+                self.take_over_as_other(&ownership).await?;
             }
         }
-        self.note_change_of_owner(was_owner);
+        self.log_ownership_change(was_owner);
         Ok(())
     }
 
-    async fn take_as_deputy(
+    async fn take_over_as_deputy(
         &mut self,
         ownership: &Ownership,
     ) -> Result<(), ClaimVerdict> {
         if !self.peers.is_gone(&ownership.owner).await {
             return Err(not_owner(&ownership.owner));
         }
-        self.has_turned = true;
-        let ours = self.held.owner.as_ref() == Some(&ownership.owner);
-        let records = match ours {
-            true => records_of(&self.held.claims),
+        self.has_tried_takeover = true;
+        let is_from_owner =
+            self.deputy_copies.owner.as_ref() == Some(&ownership.owner);
+        let records = match is_from_owner {
+            true => to_records(&self.deputy_copies.claims),
             false => Vec::new(),
         };
-        self.take(ownership.gap_until_unix_ms, records).await?;
-        self.held = Held::default();
+        self.write_ownership(ownership.gap_until_unix_ms, records).await?;
+        self.deputy_copies = DeputyCopies::default();
         Ok(())
     }
 
-    async fn take_as_outsider(
+    async fn take_over_as_other(
         &mut self,
         ownership: &Ownership,
     ) -> Result<(), ClaimVerdict> {
@@ -414,19 +441,19 @@
             return Err(not_owner(deputy));
         }
         if self.state.takeover() != Some(&self.me) {
-            self.announce().await;
-            return Err(unavailable("the owner of the slot is lost"));
+            self.announce_takeover().await;
+            return Err(unavailable("the owner of the slot is unreachable"));
         }
-        let wait = self.settings.offline_max.mul_f64(CLOCK_MARGIN);
+        let wait = self.settings.offline_max.mul_f64(CLOCK_DRIFT_FACTOR);
         let waited = self.announced_at.is_some_and(|at| {
             self.clock.now().saturating_duration_since(at) >= wait
         });
         if !waited {
-            return Err(unavailable("the owner of the slot is lost"));
+            return Err(unavailable("the owner of the slot is unreachable"));
         }
         let hold_ms = self.settings.gap_hold.as_millis() as u64;
         let gap_until = self.clock.unix_ms() + hold_ms;
-        self.take(Some(gap_until), Vec::new()).await?;
+        self.write_ownership(Some(gap_until), Vec::new()).await?;
         Event::SlotGap.log(format_args!(
             "slot {} after {}",
             self.number, ownership.owner.vm
@@ -434,15 +461,15 @@
         Ok(())
     }
 
-    async fn announce(&mut self) {
+    async fn announce_takeover(&mut self) {
         let record = ClaimRecord::Takeover { by: self.me.clone() };
-        if matches!(self.flush(&[record]).await, Flush::Stands) {
+        if matches!(self.flush(&[record]).await, Flush::Committed) {
             self.announced_at = Some(self.clock.now());
         }
     }
 
-    /// Puts this VM's ownership into the chain.
-    async fn take(
+    /// Appends an owner record for this VM, followed by `claims`.
+    async fn write_ownership(
         &mut self,
         gap_until_unix_ms: Option<u64>,
         claims: Vec<ClaimRecord>,
@@ -454,29 +481,31 @@
         }];
         records.extend(claims);
         match self.flush(&records).await {
-            Flush::Stands => {
-                // As owner again, it may one day be a deputy again.
-                self.has_turned = false;
+            Flush::Committed => {
+                // A new owner record starts a new term, so this VM may become
+                // a deputy again later.
+                self.has_tried_takeover = false;
                 Ok(())
             }
-            Flush::Overtaken => Err(self.ask_elsewhere()),
-            Flush::StoreOut => {
+            Flush::Conflict => Err(self.redirect_verdict()),
+            Flush::StoreUnavailable => {
                 Err(unavailable("the slot cannot be taken over"))
             }
         }
     }
 
-    /// Verdicts on all requests, and the records of those that are new.
-    fn judge_all(
+    /// Returns the verdicts on all requests, and a record for each new claim.
+    fn evaluate_all(
         &self,
         requests: &[ClaimRequest],
     ) -> (Vec<ClaimVerdict>, Vec<ClaimRecord>) {
         let now_unix_ms = self.clock.unix_ms();
-        let mut trial = self.state.for_trial(requests);
+        let mut trial_state = self.state.subset_for(requests);
         let mut verdicts = Vec::new();
-        let mut news = Vec::new();
+        let mut new_records = Vec::new();
         for request in requests {
-            let known = trial.judge(request, now_unix_ms, self.run_limit);
+            let known =
+                trial_state.verdict(request, now_unix_ms, self.run_limit);
             if let Some(verdict) = known {
                 verdicts.push(verdict);
                 continue;
@@ -485,77 +514,82 @@
                 claim: request.clone(),
                 at_unix_ms: now_unix_ms,
             };
-            trial.take(&record);
-            news.push(record);
+            trial_state.apply_record(&record);
+            new_records.push(record);
             verdicts.push(ClaimVerdict::Granted);
         }
-        (verdicts, news)
+        (verdicts, new_records)
     }
 
-    /// Grants new claims with the deputy alone, while the store is out.
+    /// Grants new claims while the store is unavailable, if the deputy stores
+    /// copies of them. Rejects them otherwise.
     async fn claim_offline(
         &mut self,
         verdicts: Vec<ClaimVerdict>,
-        news: Vec<ClaimRecord>,
+        new_records: Vec<ClaimRecord>,
     ) -> Vec<ClaimVerdict> {
-        let granted = self.hold_with_deputy(&news).await;
+        let granted = self.copy_to_deputy(&new_records).await;
         if granted && self.may_go_offline() {
             self.set_offline(true);
-            for record in &news {
-                self.state.take(record);
+            for record in &new_records {
+                self.state.apply_record(record);
             }
-            self.add_to_backlog(news);
+            self.add_to_backlog(new_records);
             return verdicts;
         }
-        self.forget_unless_in_doubt(&news);
-        let refused = unavailable("the store is out and no deputy holds");
+        self.void_rejected_in_doubt(&new_records);
+        let rejected = unavailable(
+            "the store is unavailable and no deputy stores copies",
+        );
         let is_new =
             |verdict: &ClaimVerdict| *verdict == ClaimVerdict::Granted;
         verdicts
             .into_iter()
-            .map(|v| if is_new(&v) { refused.clone() } else { v })
+            .map(|v| if is_new(&v) { rejected.clone() } else { v })
             .collect()
     }
 
-    async fn hold_with_deputy(&mut self, news: &[ClaimRecord]) -> bool {
+    async fn copy_to_deputy(&mut self, new_records: &[ClaimRecord]) -> bool {
         let deputy = self.state.ownership().and_then(|o| o.deputy.clone());
         let Some(deputy) = deputy else { return false };
         if !self.is_owner() || !self.may_go_offline() {
             return false;
         }
-        // While it is open whether another deputy was named, that one could
-        // take over without the claims that this one holds.
+        // An owner record with an unknown outcome may have named another
+        // deputy, which could take over without the claims copied to this one.
         if self.in_doubt.iter().any(|d| names_owner(&d.batch.content)) {
             return false;
         }
         let granted = self.offline_log.claims.len();
-        self.offline_log.claims.extend(offline_claims(news));
-        let held = self.send_log(&deputy).await;
-        if !held {
+        self.offline_log.claims.extend(offline_claims(new_records));
+        let is_stored = self.send_log_to(&deputy).await;
+        if !is_stored {
             self.offline_log.claims.truncate(granted);
-            self.offline_log.held = 0;
+            self.offline_log.sent = 0;
         }
-        held
+        is_stored
     }
 
-    /// Lets the deputy know outcomes that came since the last claim.
-    async fn tell_deputy(&mut self) {
+    /// Sends the deputy outcomes that were recorded since the last claim.
+    async fn sync_deputy(&mut self) {
         let log = &self.offline_log;
-        let is_behind = self.is_offline && log.held < log.claims.len();
+        let is_behind = self.is_offline && log.sent < log.claims.len();
         if let Some(deputy) = log.deputy.clone().filter(|_| is_behind) {
-            // Without the outcome a repeat is answered `outcome_unknown`.
-            self.send_log(&deputy).await;
+            // A failure is harmless: without the outcome, a deputy that takes
+            // over answers a repeated request with `outcome_unknown`.
+            self.send_log_to(&deputy).await;
         }
     }
 
-    /// Sends the deputy what it does not hold yet, or all of it anew.
-    async fn send_log(&mut self, deputy: &VmIncarnation) -> bool {
+    /// Sends the deputy the part of the log that it lacks. If it rejects that,
+    /// sends the whole log.
+    async fn send_log_to(&mut self, deputy: &VmIncarnation) -> bool {
         let log = &mut self.offline_log;
         if log.deputy.as_ref() != Some(deputy) {
             log.deputy = Some(deputy.clone());
-            log.held = 0;
+            log.sent = 0;
         }
-        for first in [log.held, 0] {
+        for first in [log.sent, 0] {
             let request = HoldRequest {
                 slot: self.number,
                 index: self.state.index(),
@@ -564,7 +598,7 @@
                 claims: log.claims[first..].to_vec(),
             };
             if self.peers.hold(deputy, request).await {
-                log.held = log.claims.len();
+                log.sent = log.claims.len();
                 return true;
             }
             if first == 0 {
@@ -581,11 +615,12 @@
         })
     }
 
-    /// Claims that were not granted must not stand as if they were: those
-    /// that an open append may bring into the chain are settled as not run.
-    fn forget_unless_in_doubt(&mut self, news: &[ClaimRecord]) {
+    /// Settles claims that were rejected but are part of an append with an
+    /// unknown outcome as not run, since the append may still bring them into
+    /// the chain.
+    fn void_rejected_in_doubt(&mut self, new_records: &[ClaimRecord]) {
         let Some(doubt) = &self.in_doubt else { return };
-        let settled: Vec<ClaimRecord> = news
+        let settled: Vec<ClaimRecord> = new_records
             .iter()
             .filter(|record| doubt.batch.content.contains(record))
             .filter_map(|record| match record {
@@ -602,74 +637,82 @@
         self.backlog.extend(settled);
     }
 
-    fn add_to_backlog(&mut self, news: Vec<ClaimRecord>) {
+    fn add_to_backlog(&mut self, new_records: Vec<ClaimRecord>) {
         let in_doubt = self.in_doubt.as_ref();
-        let fresh = news.into_iter().filter(|record| {
+        let fresh = new_records.into_iter().filter(|record| {
             !in_doubt.is_some_and(|d| d.batch.content.contains(record))
         });
         self.backlog.extend(fresh);
     }
 
-    /// Appends the batch in doubt, the backlog and `news`, in this order.
-    async fn flush(&mut self, news: &[ClaimRecord]) -> Flush {
+    /// Appends the in-doubt batch, the backlog and `new_records`, in this
+    /// order.
+    async fn flush(&mut self, new_records: &[ClaimRecord]) -> Flush {
         if let Some(doubt) = self.in_doubt.clone() {
             match self.append(&doubt.batch).await {
-                Append::Stands => self.in_doubt = None,
-                // Whether an earlier try of it will land is still open.
-                Append::NotDone | Append::InDoubt => return Flush::StoreOut,
-                Append::Overtaken => return Flush::Overtaken,
+                Append::Committed => self.in_doubt = None,
+                // An earlier attempt may still take effect.
+                Append::NotApplied | Append::InDoubt => {
+                    return Flush::StoreUnavailable;
+                }
+                Append::Conflict => return Flush::Conflict,
             }
         }
         loop {
-            let part = self.next_part();
-            let is_last = part.len() == self.backlog.len();
-            let mut records = part.clone();
+            let chunk = self.next_chunk();
+            let is_last = chunk.len() == self.backlog.len();
+            let mut records = chunk.clone();
             if is_last {
-                records.extend(self.owner_renewal(news));
-                records.extend_from_slice(news);
+                records.extend(self.owner_renewal(new_records));
+                records.extend_from_slice(new_records);
             }
             if records.is_empty() {
-                return Flush::Stands;
+                return Flush::Committed;
             }
             let batch = Batch { write: WriteId::random(), content: records };
             match self.append(&batch).await {
-                Append::Stands => {
-                    self.backlog.drain(..part.len());
+                Append::Committed => {
+                    self.backlog.drain(..chunk.len());
                 }
-                Append::Overtaken => return Flush::Overtaken,
-                Append::NotDone => return Flush::StoreOut,
+                Append::Conflict => return Flush::Conflict,
+                Append::NotApplied => return Flush::StoreUnavailable,
                 Append::InDoubt => {
-                    self.backlog.drain(..part.len());
+                    self.backlog.drain(..chunk.len());
                     let index = self.state.index() + 1;
-                    self.in_doubt = Some(Doubt { index, batch });
-                    return Flush::StoreOut;
+                    self.in_doubt = Some(InDoubtBatch { index, batch });
+                    return Flush::StoreUnavailable;
                 }
             }
             if is_last {
-                return Flush::Stands;
+                return Flush::Committed;
             }
         }
     }
 
-    /// The first records of the backlog that fit one batch.
-    fn next_part(&self) -> Vec<ClaimRecord> {
+    /// Returns the first records of the backlog that fit into one batch.
+    fn next_chunk(&self) -> Vec<ClaimRecord> {
         let mut bytes = 0;
         let fits = |record: &&ClaimRecord| {
-            bytes += record_bytes(record);
-            bytes <= BATCH_LIMIT_BYTES
+            bytes += estimate_bytes(record);
+            bytes <= MAX_BATCH_BYTES
         };
         self.backlog
             .iter()
-            .take(BATCH_LIMIT)
+            .take(MAX_BATCH_RECORDS)
             .take_while(fits)
             .cloned()
             .collect()
     }
 
-    /// A new owner record, if the deputy is gone or somebody objects.
-    fn owner_renewal(&self, news: &[ClaimRecord]) -> Option<ClaimRecord> {
-        let takes = |r: &ClaimRecord| matches!(r, ClaimRecord::Owner { .. });
-        if !self.is_owner() || news.iter().any(takes) {
+    /// Returns a new owner record if the deputy must change or if another VM
+    /// has announced a takeover.
+    fn owner_renewal(
+        &self,
+        new_records: &[ClaimRecord],
+    ) -> Option<ClaimRecord> {
+        let is_owner_record =
+            |r: &ClaimRecord| matches!(r, ClaimRecord::Owner { .. });
+        if !self.is_owner() || new_records.iter().any(is_owner_record) {
             return None;
         }
         let deputy = self.state.ownership().and_then(|o| o.deputy.as_ref());
@@ -687,8 +730,8 @@
 
     async fn append(&mut self, batch: &Batch<Vec<ClaimRecord>>) -> Append {
         let now = self.clock.now();
-        if !self.is_end_fresh(now) && self.read_end().await.is_err() {
-            return Append::NotDone;
+        if !self.is_end_fresh(now) && self.read_to_end().await.is_err() {
+            return Append::NotApplied;
         }
         let index = self.state.index() + 1;
         let prefix = self.prefix();
@@ -697,46 +740,49 @@
         let appended = chain::append(&*store, &prefix, index, batch).await;
         let took = self.clock.now().saturating_duration_since(sent_at);
         match appended {
-            Ok(Appended::Mine) if took < APPEND_LIMIT => {
+            Ok(AppendOutcome::Appended) if took < MAX_APPEND_DELAY => {
                 self.state.apply(index, &batch.content);
                 self.end_read_at = Some(sent_at);
-                Append::Stands
+                Append::Committed
             }
-            Ok(Appended::Mine) => {
-                // Paused for so long that the chain must be read anew; what
-                // the batch holds is then found there or written again.
+            Ok(AppendOutcome::Appended) => {
+                // The append took so long that its index may have been removed
+                // since. After the reset the chain is read again; the records
+                // are found there or are written again.
                 self.reset();
-                Append::Overtaken
+                Append::Conflict
             }
-            Ok(Appended::Other(records)) => {
-                self.end_doubt(index, None);
+            Ok(AppendOutcome::Occupied(records)) => {
+                self.resolve_in_doubt(index, None);
                 self.state.apply(index, &records);
-                // More may follow. If it cannot be read, the next append
-                // finds out.
-                let _ = self.read_end().await;
-                Append::Overtaken
+                // More batches may follow. If this read fails, the next append
+                // finds them.
+                let _ = self.read_to_end().await;
+                Append::Conflict
             }
-            Err(StoreError::NotApplied(_)) => Append::NotDone,
+            Err(StoreError::NotApplied(_)) => Append::NotApplied,
             Err(StoreError::OutcomeUnknown(_)) => Append::InDoubt,
         }
     }
 
     fn is_end_fresh(&self, now: BootInstant) -> bool {
-        self.end_read_at
-            .is_some_and(|at| now.saturating_duration_since(at) < APPEND_LIMIT)
+        self.end_read_at.is_some_and(|at| {
+            now.saturating_duration_since(at) < MAX_APPEND_DELAY
+        })
     }
 
     fn reset(&mut self) {
         self.state = SlotState::default();
-        self.base_index = 0;
+        self.snapshot_index = 0;
         self.end_read_at = None;
     }
 
-    /// Reads what others appended, up to the end of the chain.
-    async fn read_end(&mut self) -> Result<(), StoreError> {
+    /// Applies the batches that other VMs appended, up to the end of the
+    /// chain.
+    async fn read_to_end(&mut self) -> Result<(), StoreError> {
         let sent_at = self.clock.now();
         if self.end_read_at.is_none() {
-            self.read_base().await?;
+            self.read_snapshot().await?;
         }
         let prefix = self.prefix();
         let after = self.state.index();
@@ -744,53 +790,55 @@
             chain::read_after(&*self.store, &prefix, after).await?;
         for (index, batch) in batches {
             if index != self.state.index() + 1 {
-                // The chain was shortened after the base was read.
+                // Batches were removed from the chain after the snapshot was
+                // read.
                 self.reset();
-                let gap = "the chain was shortened meanwhile".to_owned();
+                let gap = "batches were removed meanwhile".to_owned();
                 return Err(StoreError::NotApplied(gap));
             }
-            self.end_doubt(index, Some(batch.write));
+            self.resolve_in_doubt(index, Some(batch.write));
             self.state.apply(index, &batch.content);
         }
         self.end_read_at = Some(sent_at);
-        self.reapply_backlog();
+        self.reapply_pending();
         Ok(())
     }
 
-    /// Ends the doubt about a batch, now that its index has been read.
+    /// Resolves the in-doubt batch once its index has been read.
     ///
-    /// If another batch stands there, this one never will, and what it says
-    /// about keys goes back to the backlog. What it says about the owner is
-    /// void: it was decided on an older state.
-    fn end_doubt(&mut self, index: u64, found: Option<WriteId>) {
+    /// If another batch is at its index, it can never be written any more, and
+    /// its records about keys go back to the backlog. Its records about the
+    /// owner are dropped, since they were decided on an outdated state.
+    fn resolve_in_doubt(&mut self, index: u64, found: Option<WriteId>) {
         let Some(doubt) = self.in_doubt.take_if(|d| d.index <= index) else {
             return;
         };
         if doubt.index < index || found != Some(doubt.batch.write) {
-            let claims = claims_only(&doubt.batch.content);
+            let claims = key_records(&doubt.batch.content);
             self.backlog.splice(0..0, claims);
         }
     }
 
-    /// What waits here is in force here, also after reading the chain.
-    fn reapply_backlog(&mut self) {
+    /// Applies pending records again after reading the chain, since they are
+    /// in force at this VM before they are in the chain.
+    fn reapply_pending(&mut self) {
         let in_doubt = self.in_doubt.iter();
-        let open: Vec<ClaimRecord> = in_doubt
-            .flat_map(|doubt| claims_only(&doubt.batch.content))
+        let pending: Vec<ClaimRecord> = in_doubt
+            .flat_map(|doubt| key_records(&doubt.batch.content))
             .chain(self.backlog.iter().cloned())
             .collect();
-        for record in &open {
-            self.state.take(record);
+        for record in &pending {
+            self.state.apply_record(record);
         }
     }
 
-    async fn read_base(&mut self) -> Result<(), StoreError> {
-        let Some(stored) = self.store.get(&self.base_key()).await? else {
+    async fn read_snapshot(&mut self) -> Result<(), StoreError> {
+        let Some(stored) = self.store.get(&self.snapshot_key()).await? else {
             return Ok(());
         };
         let state: SlotState = chain::decode(&stored.value)?;
         if state.index() > self.state.index() {
-            self.base_index = state.index();
+            self.snapshot_index = state.index();
             self.state = state;
         }
         Ok(())
@@ -806,86 +854,89 @@
     async fn object_to_takeover(&mut self) {
         let other = self.state.takeover().is_some_and(|by| *by != self.me);
         if self.is_owner() && other {
-            // The renewal of the owner record is the objection.
+            // Flushing renews the owner record, which cancels the takeover.
             let _ = self.flush(&[]).await;
         }
     }
 
-    async fn write_base_if_due(&mut self) {
+    async fn write_snapshot_if_due(&mut self) {
         let index = self.state.index();
-        let due = index >= self.base_index + BASE_EVERY;
+        let due = index >= self.snapshot_index + SNAPSHOT_EVERY;
         if !due || !self.is_owner() || self.has_backlog() {
             return;
         }
         let now_unix_ms = self.clock.unix_ms();
         self.state.expire(now_unix_ms, self.settings.retention);
-        let Some(value) = self.base_value() else { return };
-        let key = self.base_key();
+        let Some(value) = self.snapshot_value() else { return };
+        let key = self.snapshot_key();
         let condition = match self.store.get(&key).await {
             Ok(Some(stored)) => Condition::Is(stored.version),
             Ok(None) => Condition::Absent,
             Err(_) => return,
         };
         if self.store.put(&key, &value, condition).await.is_ok() {
-            self.base_index = index;
-            self.shorten(index).await;
+            self.snapshot_index = index;
+            self.compact(index).await;
         }
     }
 
-    fn base_value(&mut self) -> Option<String> {
+    fn snapshot_value(&mut self) -> Option<String> {
         let value = chain::encode(&self.state).ok()?;
         if value.len() <= VALUE_LIMIT_BYTES {
             return Some(value);
         }
-        // Knowing which keys were used matters more than their answers.
-        self.state.drop_answers();
+        // Keeping the keys prevents duplicate runs, so the stored responses
+        // are dropped first.
+        self.state.drop_response_bodies();
         let value = chain::encode(&self.state).ok()?;
         (value.len() <= VALUE_LIMIT_BYTES).then_some(value)
     }
 
-    /// Removes batches that the base holds and that are old enough.
+    /// Removes batches that are covered by the snapshot and older than
+    /// [`MIN_REMOVE_AGE`].
     ///
-    /// Batches that are too young are left for a later base; they cost only
-    /// space.
-    async fn shorten(&self, base: u64) {
+    /// Younger batches are left until a later snapshot; they cost only space.
+    async fn compact(&self, snapshot_index: u64) {
         let oldest_kept = self.clock.unix_ms()
-            - (REMOVE_AGE.as_millis() as u64).min(self.clock.unix_ms());
+            - (MIN_REMOVE_AGE.as_millis() as u64).min(self.clock.unix_ms());
         let prefix = self.prefix();
         let first_page = self.store.list(&format!("{prefix}/"), "").await;
         for entry in first_page.unwrap_or_default() {
             let removable = chain::index(&entry.key)
-                .is_some_and(|index| index < base)
-                && last_at(&entry.value).is_some_and(|at| at < oldest_kept);
+                .is_some_and(|index| index < snapshot_index)
+                && last_claim_unix_ms(&entry.value)
+                    .is_some_and(|at| at < oldest_kept);
             if !removable || self.store.delete(&entry.key).await.is_err() {
                 return;
             }
         }
     }
 
-    /// Whether what this VM knows says that the asker is not the owner that
-    /// has this VM as its deputy.
-    async fn contradicts(&mut self, request: &HoldRequest) -> bool {
+    /// Whether to reject copies of claims, because the sender is not an owner
+    /// with this VM as its deputy, or because this VM has tried to take over.
+    async fn rejects_copies(&mut self, request: &HoldRequest) -> bool {
         let must_read = self.end_read_at.is_none()
             || self.state.index() < request.index
-            || self.has_turned;
-        let is_read = must_read && self.read_end().await.is_ok();
+            || self.has_tried_takeover;
+        let is_read = must_read && self.read_to_end().await.is_ok();
         if self.state.index() < request.index {
-            // The store is out here too. The owner has read further than
-            // this VM, so its word holds, unless this VM has turned.
-            return self.has_turned;
+            // The store is unavailable to this VM too. The owner has read
+            // further in the chain, so its claim to ownership is accepted,
+            // unless this VM has tried to take over.
+            return self.has_tried_takeover;
         }
         let agrees = self.state.ownership().is_some_and(|ownership| {
             ownership.owner == request.owner
                 && ownership.deputy.as_ref() == Some(&self.me)
         });
         if agrees && self.in_doubt.is_none() && is_read {
-            // The attempt to take over came to nothing and never will.
-            self.has_turned = false;
+            // The takeover attempt has failed and can't take effect any more.
+            self.has_tried_takeover = false;
         }
-        !agrees || self.has_turned
+        !agrees || self.has_tried_takeover
     }
 
-    fn note_change_of_owner(&self, was_owner: bool) {
+    fn log_ownership_change(&self, was_owner: bool) {
         let event = match (was_owner, self.is_owner()) {
             (false, true) => Event::SlotTaken,
             (true, false) => Event::SlotLost,
@@ -906,12 +957,12 @@
         }
     }
 
-    fn ask_elsewhere(&self) -> ClaimVerdict {
+    fn redirect_verdict(&self) -> ClaimVerdict {
         match self.state.ownership() {
             Some(ownership) if ownership.owner != self.me => {
                 not_owner(&ownership.owner)
             }
-            _ => unavailable("the slot changes hands"),
+            _ => unavailable("the owner of the slot is changing"),
         }
     }
 
@@ -923,12 +974,13 @@
         format!("claims/{:04}", self.number)
     }
 
-    fn base_key(&self) -> String {
+    fn snapshot_key(&self) -> String {
         format!("claimbase/{:04}", self.number)
     }
 }
 
-/// The new claims among records, as the deputy is to hold them.
+/// Returns the new claims among `records` in the form in which they are sent
+/// to the deputy.
 fn offline_claims(records: &[ClaimRecord]) -> Vec<OfflineClaim> {
     let claims = records.iter().filter_map(|record| match record {
         ClaimRecord::Claimed { claim, at_unix_ms } => Some(OfflineClaim {
@@ -945,8 +997,8 @@
     records.iter().any(|r| matches!(r, ClaimRecord::Owner { .. }))
 }
 
-/// The records that say something about keys, not about the slot.
-fn claims_only(records: &[ClaimRecord]) -> Vec<ClaimRecord> {
+/// Returns the records about keys, without those about the slot's ownership.
+fn key_records(records: &[ClaimRecord]) -> Vec<ClaimRecord> {
     let about_keys = |record: &&ClaimRecord| {
         matches!(
             record,
@@ -956,7 +1008,7 @@
     records.iter().filter(about_keys).cloned().collect()
 }
 
-fn records_of(claims: &[OfflineClaim]) -> Vec<ClaimRecord> {
+fn to_records(claims: &[OfflineClaim]) -> Vec<ClaimRecord> {
     let mut records = Vec::new();
     for held in claims {
         records.push(ClaimRecord::Claimed {
@@ -974,19 +1026,20 @@
     records
 }
 
-fn record_bytes(record: &ClaimRecord) -> usize {
-    const USUAL_BYTES: usize = 256;
+fn estimate_bytes(record: &ClaimRecord) -> usize {
+    const RECORD_BYTES: usize = 256;
     match record {
         ClaimRecord::Settled {
             outcome: ClaimOutcome::Ran { body: Some(body), .. },
             ..
-        } => USUAL_BYTES + body.len() * 2,
-        _ => USUAL_BYTES,
+        } => RECORD_BYTES + body.len() * 2,
+        _ => RECORD_BYTES,
     }
 }
 
-/// The time of the last claim in a batch as it stands in the store.
-fn last_at(value: &str) -> Option<u64> {
+/// Returns the time of the last claim in a stored batch, 0 if it has no
+/// claims, or `None` if it can't be parsed. Unix milliseconds.
+fn last_claim_unix_ms(value: &str) -> Option<u64> {
     let batch: Batch<Vec<ClaimRecord>> = chain::decode(value).ok()?;
     batch
         .content
@@ -1003,12 +1056,13 @@
     ClaimVerdict::Unavailable { reason: reason.to_owned() }
 }
 
-fn not_owner(life: &VmIncarnation) -> ClaimVerdict {
-    ClaimVerdict::NotOwner { ask: life.vm.clone() }
+fn not_owner(incarnation: &VmIncarnation) -> ClaimVerdict {
+    ClaimVerdict::NotOwner { ask: incarnation.vm.clone() }
 }
 
-/// The name of the VM that a verdict points to.
-pub(crate) fn redirect(verdict: &ClaimVerdict) -> Option<&VmId> {
+/// Returns the VM that the caller should ask instead, if the verdict names
+/// one.
+pub(crate) fn redirect_target(verdict: &ClaimVerdict) -> Option<&VmId> {
     match verdict {
         ClaimVerdict::NotOwner { ask } => Some(ask),
         _ => None,
