--- a/src/chains/chain.rs
+++ b/src/chains/chain.rs
@@ -1,70 +1,74 @@
-//! Chains: append-only logs in the store, the one way in which VMs agree.
+//! Chains: append-only logs in the store, through which VMs agree on an order.
 //!
-//! A chain is a row of keys `prefix/0000000000000001`, `…2`, and so on. A
+//! A chain is a sequence of keys `prefix/0000000000000001`, `…2`, and so on. A
 //! batch is appended by creating the next key, which succeeds for one writer
-//! only. Whoever appends has therefore read all that stands before, and what
-//! stands in a chain is never changed. Configuration, claims and bills are
-//! kept as chains, so a lost answer is handled in one place, [`append`].
+//! only. A writer has therefore read every earlier batch when its append
+//! succeeds, and a batch is never changed once written. Configuration, claims
+//! and bills are stored as chains, so lost responses of the store are handled
+//! in one place, [`append`].
 
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
 use crate::chains::store::{
-    Condition, Store, StoreError, StoredEntry, Written, list_all,
+    Condition, PutOutcome, Store, StoreEntry, StoreError, list_all,
 };
 
-/// Times that a write is sent or read back before its fate stays open.
-const TRIES: u32 = 3;
+/// Attempts to write a batch before its outcome is reported as unknown.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// The identity of one write, by which its writer knows it again.
+/// A random identifier by which a writer recognizes its own batch when it
+/// reads it back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct WriteId(pub u64);
 
 impl WriteId {
-    /// Draws a new identity.
+    /// Returns a new random identifier.
     pub fn random() -> WriteId {
         WriteId(rand::random())
     }
 }
 
-/// A batch as it stands in the store.
+/// A batch as stored under one key of a chain.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Batch<T> {
-    /// The identity of the write that put it there.
+    /// The identifier of the write that created it.
     pub write: WriteId,
-    /// What was written.
+    /// The content.
     pub content: T,
 }
 
 /// The outcome of an append.
 #[derive(Debug)]
 pub enum AppendOutcome<T> {
-    /// The batch stands at its index.
+    /// The batch is stored at its index.
     Appended,
-    /// Another writer's batch stands there instead.
+    /// Another writer's batch, given here, is stored there instead.
     Occupied(T),
 }
 
-/// The key of one batch.
+/// Returns the key of the batch at `index`.
 pub(crate) fn key(prefix: &str, index: u64) -> String {
     format!("{prefix}/{index:016}")
 }
 
-/// The index in a key that [`key`] has made.
+/// Returns the index in a key made by [`key`].
 pub(crate) fn index(key: &str) -> Option<u64> {
     key.rsplit('/').next()?.parse().ok()
 }
 
-/// Appends a batch at `index`, which must follow all that the caller read.
+/// Appends a batch at `index`, which must follow the last batch that the
+/// caller has read.
 ///
-/// After a lost answer the key is read back; if it is empty, the same write
-/// is sent again, which is harmless since it carries the same identity.
+/// After a lost response the key is read back. If it doesn't exist, the same
+/// write is sent again, which is safe since it carries the same [`WriteId`].
 ///
 /// # Errors
 ///
-/// [`StoreError::NotApplied`] when the batch does not and will not stand there;
-/// [`StoreError::OutcomeUnknown`] when that stays open. The caller must then use
-/// the same batch, or none, the next time it appends at this index.
+/// [`StoreError::NotApplied`] if the batch is not and will not be stored;
+/// [`StoreError::OutcomeUnknown`] if it may be. The next append of the caller
+/// at this index must then use the same batch, or the caller must not append
+/// there.
 pub async fn append<T>(
     store: &dyn Store,
     prefix: &str,
@@ -77,12 +81,12 @@
     let key = key(prefix, index);
     let value = encode(batch)?;
     let mut in_doubt = None;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         match store.put(&key, &value, Condition::Absent).await {
-            Ok(Written::Done(_)) => return Ok(AppendOutcome::Appended),
-            Ok(Written::Conflict) => {}
+            Ok(PutOutcome::Written(_)) => return Ok(AppendOutcome::Appended),
+            Ok(PutOutcome::Conflict) => {}
             Err(StoreError::NotApplied(reason)) => {
-                // An earlier try of this call may still take effect.
+                // An earlier attempt of this call may still take effect.
                 return Err(in_doubt.unwrap_or(StoreError::NotApplied(reason)));
             }
             Err(error) => in_doubt = Some(error),
@@ -90,19 +94,23 @@
         match store.get(&key).await {
             Ok(Some(stored)) => {
                 let found: Batch<T> = decode(&stored.value)?;
-                return Ok(compare(found, batch.write));
+                return Ok(compare_writes(found, batch.write));
             }
             Ok(None) => {}
             Err(error) => {
-                in_doubt.get_or_insert(maybe(error));
+                in_doubt.get_or_insert(to_outcome_unknown(error));
             }
         }
     }
-    let open = || StoreError::OutcomeUnknown("the write stayed open".into());
-    Err(in_doubt.unwrap_or_else(open))
+    let unknown = || {
+        StoreError::OutcomeUnknown(
+            "the outcome of the write is unknown".into(),
+        )
+    };
+    Err(in_doubt.unwrap_or_else(unknown))
 }
 
-/// Reads the batches of a chain that follow `after`, in order.
+/// Reads the batches of a chain after the index `after`, in order.
 ///
 /// # Errors
 ///
@@ -120,7 +128,7 @@
     entries.iter().map(decode_entry).collect()
 }
 
-/// Reads one batch, or `None` when the chain does not reach so far.
+/// Reads the batch at `index`. Returns `None` if the chain ends before it.
 ///
 /// # Errors
 ///
@@ -139,7 +147,7 @@
     }
 }
 
-fn compare<T>(found: Batch<T>, mine: WriteId) -> AppendOutcome<T> {
+fn compare_writes<T>(found: Batch<T>, mine: WriteId) -> AppendOutcome<T> {
     if found.write == mine {
         AppendOutcome::Appended
     } else {
@@ -147,7 +155,7 @@
     }
 }
 
-fn maybe(error: StoreError) -> StoreError {
+fn to_outcome_unknown(error: StoreError) -> StoreError {
     match error {
         StoreError::NotApplied(reason)
         | StoreError::OutcomeUnknown(reason) => {
@@ -156,12 +164,15 @@
     }
 }
 
-fn decode_entry<T>(entry: &StoredEntry) -> Result<(u64, Batch<T>), StoreError>
+fn decode_entry<T>(entry: &StoreEntry) -> Result<(u64, Batch<T>), StoreError>
 where
     T: DeserializeOwned,
 {
     let index = index(&entry.key).ok_or_else(|| {
-        StoreError::OutcomeUnknown(format!("`{}` is no chain key", entry.key))
+        StoreError::OutcomeUnknown(format!(
+            "`{}` is not a key of a chain",
+            entry.key
+        ))
     })?;
     Ok((index, decode(&entry.value)?))
 }
@@ -192,7 +203,7 @@
     }
 
     #[test]
-    fn the_second_writer_is_shown_the_first() {
+    fn a_second_writer_gets_the_batch_of_the_first() {
         let store = MemoryStore::default();
         block_on(async {
             let first = append(&store, "c", 1, &batch(1, 10)).await;
@@ -203,12 +214,12 @@
     }
 
     #[test]
-    fn a_lost_answer_is_read_back() {
+    fn a_lost_response_is_read_back() {
         let store = MemoryStore::default();
-        store.plan([Fault::LostAnswer]);
+        store.inject([Fault::LostResponse]);
         block_on(async {
-            let done = append(&store, "c", 1, &batch(1, 10)).await;
-            assert!(matches!(done, Ok(AppendOutcome::Appended)));
+            let outcome = append(&store, "c", 1, &batch(1, 10)).await;
+            assert!(matches!(outcome, Ok(AppendOutcome::Appended)));
             assert_eq!(store.count("c/"), 1);
         });
     }
@@ -216,37 +227,38 @@
     fn fault() -> impl Strategy<Value = Fault> {
         prop_oneof![
             Just(Fault::None),
-            Just(Fault::NotDone),
-            Just(Fault::LostCall),
-            Just(Fault::LostAnswer),
+            Just(Fault::NotApplied),
+            Just(Fault::LostRequest),
+            Just(Fault::LostResponse),
         ]
     }
 
     proptest! {
-        /// Whatever is lost, `Appended` means it stands there, `NotApplied` that it
-        /// does not, and a retry with the same identity never doubles it.
+        /// Whichever requests or responses are lost: `Appended` means that the
+        /// batch is stored, `NotApplied` that it is not, and a retry with the
+        /// same identifier never stores it twice.
         #[test]
-        fn verdicts_are_true(
+        fn outcomes_match_the_store(
             faults in prop::collection::vec(fault(), 0..6),
-            taken in any::<bool>(),
+            occupied in any::<bool>(),
         ) {
             let store = MemoryStore::default();
             block_on(async {
-                if taken {
+                if occupied {
                     let other = append(&store, "c", 1, &batch(9, 90)).await;
                     assert!(matches!(other, Ok(AppendOutcome::Appended)));
                 }
-                store.plan(faults.iter().copied());
-                let verdict = append(&store, "c", 1, &batch(1, 10)).await;
-                let held = read_one::<u32>(&store, "c", 1).await.unwrap();
-                let mine = held.is_some_and(|b| b.write == WriteId(1));
-                match verdict {
-                    Ok(AppendOutcome::Appended) => assert!(mine),
-                    Ok(AppendOutcome::Occupied(_)) => assert!(taken && !mine),
-                    Err(StoreError::NotApplied(_)) => assert!(!mine),
+                store.inject(faults.iter().copied());
+                let outcome = append(&store, "c", 1, &batch(1, 10)).await;
+                let stored = read_one::<u32>(&store, "c", 1).await.unwrap();
+                let is_mine = stored.is_some_and(|b| b.write == WriteId(1));
+                match outcome {
+                    Ok(AppendOutcome::Appended) => assert!(is_mine),
+                    Ok(AppendOutcome::Occupied(_)) => assert!(occupied && !is_mine),
+                    Err(StoreError::NotApplied(_)) => assert!(!is_mine),
                     Err(StoreError::OutcomeUnknown(_)) => {}
                 }
-                store.plan([]);
+                store.inject([]);
                 assert!(store.count("c/") <= 1);
             });
         }
--- a/src/chains/configuration_sync.rs
+++ b/src/chains/configuration_sync.rs
@@ -305,7 +305,7 @@
             if !older {
                 return Ok(());
             }
-            Condition::Is(stored.version)
+            Condition::VersionIs(stored.version)
         }
     };
     let value = chain::encode(&*current)?;
--- a/src/chains/lease.rs
+++ b/src/chains/lease.rs
@@ -1,8 +1,9 @@
-//! A lease with epochs, judged by each side's own monotonic clock.
+//! A lease with epochs, for which each VM uses only its own monotonic clock.
 //!
-//! The holder counts its time from before it sent the call that gave or
-//! renewed the lease, and stops early; a successor counts from after it saw
-//! the record unchanged, and waits longer. No two clocks are compared.
+//! The holder measures the lease from before it sent the call that took or
+//! renewed it, and stops early. A successor measures from after it first saw
+//! the record unchanged, and waits longer. Clocks of different VMs are never
+//! compared.
 
 use std::time::Duration;
 
@@ -12,17 +13,20 @@
 
 use crate::chains::{
     claim::VmIncarnation,
-    store::{Condition, Store, StoreError, StoreVersion, Stored, Written},
+    store::{
+        Condition, PutOutcome, Store, StoreError, StoreVersion, VersionedValue,
+    },
 };
 
-/// Share of the lease after which its holder renews it.
-const RENEW_SHARE: f64 = 1.0 / 3.0;
+/// Fraction of the TTL after which the holder renews the lease.
+const RENEW_FRACTION: f64 = 1.0 / 3.0;
 
-/// Share of the lease that its holder uses; the rest is for clocks that run
-/// at slightly different speeds.
-const USE_SHARE: f64 = 0.9;
+/// Fraction of the TTL during which the holder may act. The rest allows for
+/// clocks that run at slightly different speeds.
+const USABLE_FRACTION: f64 = 0.9;
 
-/// A count of holders; orders carry it.
+/// The number of a lease's holder, which grows with each new holder. Orders
+/// carry it as a fencing token.
 #[derive(
     Clone,
     Copy,
@@ -41,39 +45,39 @@
 /// The record of a lease in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// The holder, or `None` after it gave the lease back.
+    /// The holder, or `None` after it released the lease.
     pub holder: Option<VmIncarnation>,
     /// The epoch of the holder.
     pub epoch: Epoch,
-    /// The number of the renewal, so that each writes something new.
+    /// The count of writes, so that each renewal changes the record.
     pub renewal: u64,
 }
 
-/// What this VM knows about the record.
+/// The record as this VM last read or wrote it.
 #[derive(Clone, Debug)]
-struct Seen {
+struct ObservedRecord {
     version: StoreVersion,
     record: LeaseRecord,
-    /// Since when the record is known to stand unchanged.
-    since: BootInstant,
+    /// The time since which the record is known not to have changed.
+    unchanged_since: BootInstant,
 }
 
-/// One VM's side of a lease.
+/// A VM's view of a lease that it may hold.
 #[derive(Debug)]
 pub struct Lease {
     key: String,
     me: VmIncarnation,
     ttl: Duration,
     takeover_wait: Duration,
-    seen: Option<Seen>,
-    held_from: Option<BootInstant>,
-    looked_at: Option<BootInstant>,
+    observed: Option<ObservedRecord>,
+    held_since: Option<BootInstant>,
+    checked_at: Option<BootInstant>,
 }
 
-/// What a step of the lease changed.
+/// How a step changed whether this VM holds the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseChange {
-    /// Nothing.
+    /// No change.
     None,
     /// This VM took the lease.
     Taken(Epoch),
@@ -82,10 +86,10 @@
 }
 
 impl Lease {
-    /// Creates this VM's side of the lease under `key`.
+    /// Creates this VM's view of the lease stored under `key`.
     ///
-    /// A successor waits out `ttl` and `longest_send`, the longest time for
-    /// which an order of the old holder may still be on its way.
+    /// A successor waits for `ttl` and `longest_send`, the maximum time for
+    /// which an order of the old holder may still be in transit.
     pub fn new(
         key: String,
         me: VmIncarnation,
@@ -97,44 +101,44 @@
             me,
             ttl,
             takeover_wait: ttl + longest_send,
-            seen: None,
-            held_from: None,
-            looked_at: None,
+            observed: None,
+            held_since: None,
+            checked_at: None,
         }
     }
 
-    /// The epoch, if this VM may act as the holder at `now`.
+    /// Returns the epoch if this VM may act as the holder at `now`.
     ///
-    /// To be asked at the last moment before each act.
+    /// Callers must check it immediately before each action.
     pub fn epoch(&self, now: BootInstant) -> Option<Epoch> {
-        let held_from = self.held_from?;
-        let held = now.saturating_duration_since(held_from);
-        if held >= self.ttl.mul_f64(USE_SHARE) {
+        let held_since = self.held_since?;
+        let held_for = now.saturating_duration_since(held_since);
+        if held_for >= self.ttl.mul_f64(USABLE_FRACTION) {
             return None;
         }
-        self.seen.as_ref().map(|seen| seen.record.epoch)
+        self.observed.as_ref().map(|observed| observed.record.epoch)
     }
 
-    /// Takes, renews or watches the lease; to be called regularly.
+    /// Takes, renews or watches the lease. Must be called regularly.
     ///
-    /// `now` is called before each call to the store and after it.
+    /// `now` is called before and after each call to the store.
     ///
     /// # Errors
     ///
-    /// A [`StoreError`]; the holder then goes on only until its time is up.
+    /// A [`StoreError`]; a holder then keeps the lease only until it expires.
     pub async fn step(
         &mut self,
         store: &dyn Store,
         now: &(dyn Fn() -> BootInstant + Sync),
         wanted: bool,
     ) -> Result<LeaseChange, StoreError> {
-        let was_held = self.held_from.is_some();
+        let was_held = self.held_since.is_some();
         if was_held && self.epoch(now()).is_none() {
-            self.held_from = None;
+            self.held_since = None;
         }
         if self.is_due(now(), wanted) {
-            self.looked_at = Some(now());
-            self.look(store, now).await?;
+            self.checked_at = Some(now());
+            self.refresh(store, now).await?;
             self.write(store, now, wanted).await?;
         }
         Ok(match (was_held, self.epoch(now())) {
@@ -144,76 +148,82 @@
         })
     }
 
-    /// Whether the store must be asked: to renew, to see whether the holder
-    /// still renews, or to take what is free.
+    /// Whether to call the store: to renew the lease, to see whether its
+    /// holder still renews it, or to take it if it is free.
     ///
-    /// A VM that does not want the lease asks nothing, since each call
-    /// counts in the budget of the whole fleet.
+    /// A VM that doesn't want the lease makes no calls, since each call counts
+    /// towards the fleet's budget of store calls.
     fn is_due(&self, now: BootInstant, wanted: bool) -> bool {
-        let pause = self.ttl.mul_f64(RENEW_SHARE);
-        let has_passed =
-            |from: BootInstant| now.saturating_duration_since(from) >= pause;
-        match self.held_from {
+        let interval = self.ttl.mul_f64(RENEW_FRACTION);
+        let has_passed = |from: BootInstant| {
+            now.saturating_duration_since(from) >= interval
+        };
+        match self.held_since {
             Some(from) => has_passed(from),
             None if !wanted => false,
             None => {
-                self.looked_at.is_none_or(has_passed)
+                self.checked_at.is_none_or(has_passed)
                     || self.next_record(now, wanted).is_some()
             }
         }
     }
 
-    /// Gives the lease back, so that a successor need not wait.
+    /// Releases the lease, so that a successor need not wait for it to expire.
     ///
     /// # Errors
     ///
-    /// A [`StoreError`]; the lease then runs out.
+    /// A [`StoreError`]; the lease then expires.
     pub async fn release(
         &mut self,
         store: &dyn Store,
     ) -> Result<(), StoreError> {
-        let held = self.held_from.take().is_some();
-        let Some(seen) = self.seen.take().filter(|_| held) else {
+        let was_held = self.held_since.take().is_some();
+        let Some(observed) = self.observed.take().filter(|_| was_held) else {
             return Ok(());
         };
         let record = LeaseRecord {
             holder: None,
-            epoch: seen.record.epoch,
-            renewal: seen.record.renewal + 1,
+            epoch: observed.record.epoch,
+            renewal: observed.record.renewal + 1,
         };
-        self.put(store, &record, Condition::Is(seen.version)).await?;
+        self.put(store, &record, Condition::VersionIs(observed.version))
+            .await?;
         Ok(())
     }
 
-    async fn look(
+    async fn refresh(
         &mut self,
         store: &dyn Store,
         now: &(dyn Fn() -> BootInstant + Sync),
     ) -> Result<(), StoreError> {
         let Some(stored) = store.get(&self.key).await? else {
-            self.seen = None;
+            self.observed = None;
             return Ok(());
         };
-        let unchanged = self
-            .seen
+        let is_unchanged = self
+            .observed
             .as_ref()
-            .is_some_and(|seen| seen.version == stored.version);
-        if !unchanged {
-            self.see(&stored, now())?;
+            .is_some_and(|observed| observed.version == stored.version);
+        if !is_unchanged {
+            self.observe(&stored, now())?;
         }
         Ok(())
     }
 
-    fn see(
+    fn observe(
         &mut self,
-        stored: &Stored,
-        since: BootInstant,
+        stored: &VersionedValue,
+        unchanged_since: BootInstant,
     ) -> Result<(), StoreError> {
         let record: LeaseRecord = crate::chains::chain::decode(&stored.value)?;
         if record.holder.as_ref() != Some(&self.me) {
-            self.held_from = None;
+            self.held_since = None;
         }
-        self.seen = Some(Seen { version: stored.version, record, since });
+        self.observed = Some(ObservedRecord {
+            version: stored.version,
+            record,
+            unchanged_since,
+        });
         Ok(())
     }
 
@@ -228,11 +238,12 @@
         };
         let sent_at = now();
         match self.put(store, &record, condition).await? {
-            Written::Conflict => {}
-            Written::Done(version) => {
-                let since = now();
-                self.seen = Some(Seen { version, record, since });
-                self.held_from = Some(sent_at);
+            PutOutcome::Conflict => {}
+            PutOutcome::Written(version) => {
+                let unchanged_since = now();
+                self.observed =
+                    Some(ObservedRecord { version, record, unchanged_since });
+                self.held_since = Some(sent_at);
             }
         }
         Ok(())
@@ -243,21 +254,22 @@
         now: BootInstant,
         wanted: bool,
     ) -> Option<(LeaseRecord, Condition)> {
-        let Some(seen) = &self.seen else {
+        let Some(observed) = &self.observed else {
             let first = self.record(Epoch(1), 0);
             return wanted.then_some((first, Condition::Absent));
         };
-        let condition = Condition::Is(seen.version);
-        let renewal = seen.record.renewal + 1;
-        if self.held_from.is_some() {
-            let record = self.record(seen.record.epoch, renewal);
+        let condition = Condition::VersionIs(observed.version);
+        let renewal = observed.record.renewal + 1;
+        if self.held_since.is_some() {
+            let record = self.record(observed.record.epoch, renewal);
             return Some((record, condition));
         }
-        let unchanged = now.saturating_duration_since(seen.since);
-        let free =
-            seen.record.holder.is_none() || unchanged >= self.takeover_wait;
-        let next = Epoch(seen.record.epoch.0 + 1);
-        (wanted && free).then(|| (self.record(next, renewal), condition))
+        let unchanged_for =
+            now.saturating_duration_since(observed.unchanged_since);
+        let is_free = observed.record.holder.is_none()
+            || unchanged_for >= self.takeover_wait;
+        let next = Epoch(observed.record.epoch.0 + 1);
+        (wanted && is_free).then(|| (self.record(next, renewal), condition))
     }
 
     fn record(&self, epoch: Epoch, renewal: u64) -> LeaseRecord {
@@ -269,7 +281,7 @@
         store: &dyn Store,
         record: &LeaseRecord,
         condition: Condition,
-    ) -> Result<Written, StoreError> {
+    ) -> Result<PutOutcome, StoreError> {
         let value = crate::chains::chain::encode(record)?;
         store.put(&self.key, &value, condition).await
     }
@@ -300,7 +312,7 @@
     }
 
     #[test]
-    fn a_successor_waits_and_gets_a_higher_epoch() {
+    fn a_successor_waits_for_expiry_and_gets_the_next_epoch() {
         let store = MemoryStore::default();
         let start = BootInstant::now();
         let at = |s: u64| move || start + Duration::from_secs(s);
@@ -320,7 +332,7 @@
     }
 
     #[test]
-    fn a_lease_given_back_is_free_at_once() {
+    fn a_released_lease_can_be_taken_at_once() {
         let store = MemoryStore::default();
         let start = BootInstant::now();
         let now = || start;
@@ -337,17 +349,18 @@
     fn fault() -> impl Strategy<Value = Fault> {
         prop_oneof![
             4 => Just(Fault::None),
-            1 => Just(Fault::NotDone),
-            1 => Just(Fault::LostCall),
-            1 => Just(Fault::LostAnswer),
+            1 => Just(Fault::NotApplied),
+            1 => Just(Fault::LostRequest),
+            1 => Just(Fault::LostResponse),
         ]
     }
 
     proptest! {
-        /// Under any order of steps, waits and lost answers two VMs never
-        /// hold the lease at once, and epochs of holders never repeat.
+        /// Under any order of steps, waits and lost responses, two VMs never
+        /// hold the lease at the same time, and two holders never have the
+        /// same epoch.
         #[test]
-        fn there_is_one_holder_at_a_time(
+        fn at_most_one_vm_holds_the_lease(
             steps in prop::collection::vec(
                 (0..3_usize, 0..4000_u64, fault()), 1..80),
         ) {
@@ -359,7 +372,7 @@
             let mut last_holder = None;
             for (who, wait_ms, fault) in steps {
                 clock.set(clock.get() + Duration::from_millis(wait_ms));
-                store.plan([fault]);
+                store.inject([fault]);
                 let moment = clock.get();
                 let now = || moment;
                 let _ = block_on(all[who].step(&store, &now, true));
--- a/src/chains/memory_store.rs
+++ b/src/chains/memory_store.rs
@@ -1,4 +1,4 @@
-//! A store in memory, with faults on demand, for tests of pure rules.
+//! An in-memory store with injected faults, for tests.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -10,43 +10,46 @@
 use async_trait::async_trait;
 
 use crate::chains::store::{
-    Condition, Store, StoreError, StoreVersion, Stored, StoredEntry, Written,
+    Condition, PutOutcome, Store, StoreEntry, StoreError, StoreVersion,
+    VersionedValue,
 };
 
-/// What goes wrong with one call.
+/// A fault injected into one write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// The call is lost before it takes effect, and the caller knows.
-    NotDone,
-    /// The call is lost before it takes effect; the caller cannot know.
-    LostCall,
-    /// The call takes effect and its answer is lost.
-    LostAnswer,
+    /// The request is lost before it takes effect, and the caller knows it.
+    NotApplied,
+    /// The request is lost before it takes effect; the caller gets
+    /// [`StoreError::OutcomeUnknown`].
+    LostRequest,
+    /// The write takes effect, but its response is lost; the caller gets
+    /// [`StoreError::OutcomeUnknown`].
+    LostResponse,
 }
 
 #[derive(Default)]
 struct Content {
-    entries: BTreeMap<String, Stored>,
+    entries: BTreeMap<String, VersionedValue>,
     last_version: u64,
     faults: VecDeque<Fault>,
 }
 
-/// A store in memory.
+/// A [`Store`] whose entries live in memory.
 #[derive(Default)]
 pub(crate) struct MemoryStore {
     content: Mutex<Content>,
 }
 
 impl MemoryStore {
-    /// Sets what will go wrong with the next writes, one fault each.
-    pub(crate) fn plan(&self, faults: impl IntoIterator<Item = Fault>) {
+    /// Queues faults for the next writes, one each.
+    pub(crate) fn inject(&self, faults: impl IntoIterator<Item = Fault>) {
         let mut content = self.content.lock().unwrap();
         content.faults.extend(faults);
     }
 
-    /// The number of entries under a prefix.
+    /// Returns the number of entries under a prefix.
     pub(crate) fn count(&self, prefix: &str) -> usize {
         let content = self.content.lock().unwrap();
         content.entries.keys().filter(|k| k.starts_with(prefix)).count()
@@ -59,26 +62,29 @@
         key: &str,
         value: &str,
         condition: Condition,
-    ) -> Written {
-        let held = self.entries.get(key).map(|stored| stored.version);
+    ) -> PutOutcome {
+        let current = self.entries.get(key).map(|stored| stored.version);
         let holds = match condition {
-            Condition::Absent => held.is_none(),
-            Condition::Is(version) => held == Some(version),
+            Condition::Absent => current.is_none(),
+            Condition::VersionIs(version) => current == Some(version),
         };
         if !holds {
-            return Written::Conflict;
+            return PutOutcome::Conflict;
         }
         self.last_version += 1;
         let version = StoreVersion(self.last_version);
-        let stored = Stored { version, value: value.to_owned() };
+        let stored = VersionedValue { version, value: value.to_owned() };
         self.entries.insert(key.to_owned(), stored);
-        Written::Done(version)
+        PutOutcome::Written(version)
     }
 }
 
 #[async_trait]
 impl Store for MemoryStore {
-    async fn get(&self, key: &str) -> Result<Option<Stored>, StoreError> {
+    async fn get(
+        &self,
+        key: &str,
+    ) -> Result<Option<VersionedValue>, StoreError> {
         Ok(self.content.lock().unwrap().entries.get(key).cloned())
     }
 
@@ -86,7 +92,7 @@
         &self,
         key: &str,
         _limit: Duration,
-    ) -> Result<Option<Stored>, StoreError> {
+    ) -> Result<Option<VersionedValue>, StoreError> {
         self.get(key).await
     }
 
@@ -94,7 +100,7 @@
         &self,
         prefix: &str,
         after: &str,
-    ) -> Result<Vec<StoredEntry>, StoreError> {
+    ) -> Result<Vec<StoreEntry>, StoreError> {
         let content = self.content.lock().unwrap();
         let from = after.max(prefix).to_owned();
         let range = (Bound::Included(from), Bound::Unbounded);
@@ -103,7 +109,7 @@
             .range(range)
             .filter(|(key, _)| key.as_str() > after)
             .take_while(|(key, _)| key.starts_with(prefix))
-            .map(|(key, stored)| StoredEntry {
+            .map(|(key, stored)| StoreEntry {
                 key: key.clone(),
                 version: stored.version,
                 value: stored.value.clone(),
@@ -116,14 +122,16 @@
         key: &str,
         value: &str,
         condition: Condition,
-    ) -> Result<Written, StoreError> {
+    ) -> Result<PutOutcome, StoreError> {
         let mut content = self.content.lock().unwrap();
-        let lost = || Err(StoreError::OutcomeUnknown("planned".into()));
+        let lost = || Err(StoreError::OutcomeUnknown("injected fault".into()));
         match content.faults.pop_front().unwrap_or(Fault::None) {
             Fault::None => Ok(content.put(key, value, condition)),
-            Fault::NotDone => Err(StoreError::NotApplied("planned".into())),
-            Fault::LostCall => lost(),
-            Fault::LostAnswer => {
+            Fault::NotApplied => {
+                Err(StoreError::NotApplied("injected fault".into()))
+            }
+            Fault::LostRequest => lost(),
+            Fault::LostResponse => {
                 content.put(key, value, condition);
                 lost()
             }
--- a/src/chains/slot.rs
+++ b/src/chains/slot.rs
@@ -870,7 +870,7 @@
         let Some(value) = self.snapshot_value() else { return };
         let key = self.snapshot_key();
         let condition = match self.store.get(&key).await {
-            Ok(Some(stored)) => Condition::Is(stored.version),
+            Ok(Some(stored)) => Condition::VersionIs(stored.version),
             Ok(None) => Condition::Absent,
             Err(_) => return,
         };
--- a/src/chains/slot/tests.rs
+++ b/src/chains/slot/tests.rs
@@ -18,7 +18,7 @@
     chains::{
         claim::{ClaimKey, RequestHash},
         memory_store::{Fault, MemoryStore},
-        store::{Store, Stored, StoredEntry, Written},
+        store::{PutOutcome, Store, StoreEntry, VersionedValue},
     },
     clock::Clock,
     id::{Incarnation, OrganisationId, RequestId},
@@ -68,7 +68,10 @@
 
 #[async_trait]
 impl Store for Door {
-    async fn get(&self, key: &str) -> Result<Option<Stored>, StoreError> {
+    async fn get(
+        &self,
+        key: &str,
+    ) -> Result<Option<VersionedValue>, StoreError> {
         self.pass()?;
         self.store.get(key).await
     }
@@ -77,7 +80,7 @@
         &self,
         key: &str,
         limit: Duration,
-    ) -> Result<Option<Stored>, StoreError> {
+    ) -> Result<Option<VersionedValue>, StoreError> {
         self.pass()?;
         self.store.wait(key, limit).await
     }
@@ -86,7 +89,7 @@
         &self,
         prefix: &str,
         after: &str,
-    ) -> Result<Vec<StoredEntry>, StoreError> {
+    ) -> Result<Vec<StoreEntry>, StoreError> {
         self.pass()?;
         self.store.list(prefix, after).await
     }
@@ -96,7 +99,7 @@
         key: &str,
         value: &str,
         condition: Condition,
-    ) -> Result<Written, StoreError> {
+    ) -> Result<PutOutcome, StoreError> {
         self.pass()?;
         self.store.put(key, value, condition).await
     }
@@ -413,9 +416,9 @@
 
 fn action() -> impl Strategy<Value = Action> {
     let fault = prop_oneof![
-        Just(Fault::NotDone),
-        Just(Fault::LostCall),
-        Just(Fault::LostAnswer),
+        Just(Fault::NotApplied),
+        Just(Fault::LostRequest),
+        Just(Fault::LostResponse),
     ];
     prop_oneof![
         12 => (0..VMS, 0..4_u8)
@@ -469,7 +472,7 @@
         Action::Cut { vm, is_cut } => {
             world.links.cut.lock().unwrap()[*vm] = *is_cut;
         }
-        Action::Fault(fault) => world.store.plan([*fault]),
+        Action::Fault(fault) => world.store.inject([*fault]),
         Action::HandOver { vm } => {
             let slot = world.slots[*vm].clone();
             block_on(async { slot.lock().await.hand_over().await });
--- a/src/chains/store.rs
+++ b/src/chains/store.rs
@@ -1,8 +1,8 @@
-//! The platform's key-value service, behind one trait.
+//! The client of the platform's key-value service, behind the trait [`Store`].
 //!
-//! What VMs must agree on or keep goes through here and nowhere else. The
-//! error type separates calls that did not happen from calls that may have
-//! happened; after the latter the caller reads back before it decides.
+//! Everything that VMs must agree on or persist goes through it. Its error
+//! type separates calls that had no effect from calls whose outcome is
+//! unknown; after the latter the caller reads back before it decides.
 //!
 //! Values are JSON text, so that an operator can read them with `curl`. The
 //! HTTP protocol is described in `docs/PLATFORM.md`.
@@ -29,23 +29,25 @@
     token_bucket::TokenBucket,
 };
 
-/// The largest value that the service takes, in bytes.
+/// Maximum size of a value that the service accepts, in bytes.
 pub const VALUE_LIMIT_BYTES: usize = 1 << 20;
 
-/// Largest answer read from the service; a listing holds several values.
+/// Maximum size of a response that is read from the service, in bytes; a
+/// listing holds several values.
 const ANSWER_LIMIT_BYTES: u64 = 64 << 20;
 
-/// Entries asked for in one listing.
-const LIST_LIMIT: usize = 256;
+/// Maximum number of entries in one page of a listing.
+const PAGE_LIMIT: usize = 256;
 
-/// Added to a watch's own time before it counts as lost.
+/// Time added to the limit of a watch before its response counts as lost.
 const WATCH_GRACE: Duration = Duration::from_secs(2);
 
-/// How long a call waits for this VM's own rate limit, as a share of its
-/// deadline; waiting longer would hide an overload of the budget.
-const LIMIT_PATIENCE: u32 = 4;
+/// Maximum time that a call waits for this VM's own rate limit, as a multiple
+/// of the call deadline. Waiting longer would hide that the call budget is
+/// exceeded.
+const MAX_WAIT_IN_DEADLINES: u32 = 4;
 
-/// The version that the service gives a value; it grows with each write.
+/// The version that the service assigns to a value. It grows with each write.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Deserialize,
 )]
@@ -60,7 +62,7 @@
 
 /// A value and its version.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Stored {
+pub struct VersionedValue {
     /// The version of the value.
     pub version: StoreVersion,
     /// The value, JSON text.
@@ -69,7 +71,7 @@
 
 /// One entry of a listing.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
-pub struct StoredEntry {
+pub struct StoreEntry {
     /// The key.
     pub key: String,
     /// The version of the value.
@@ -78,39 +80,41 @@
     pub value: String,
 }
 
-/// The answer to a conditional write.
+/// The outcome of a conditional write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Written {
-    /// The write took effect.
-    Done(StoreVersion),
-    /// The condition did not hold; nothing was written.
+pub enum PutOutcome {
+    /// The value was written and has this version.
+    Written(StoreVersion),
+    /// The condition did not hold, and nothing was written.
     Conflict,
 }
 
-/// What a write demands of the key.
+/// The condition on which a write takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
     /// The key must not exist.
     Absent,
-    /// The key must hold this version.
-    Is(StoreVersion),
+    /// The value of the key must have this version.
+    VersionIs(StoreVersion),
 }
 
-/// Why a call brought no answer.
+/// Why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreError {
     /// The call had no effect and will have none.
     NotApplied(String),
-    /// The call may have had, or may yet have, its effect.
+    /// The call may have taken effect or may still do so.
     OutcomeUnknown(String),
 }
 
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            StoreError::NotApplied(reason) => write!(f, "not done: {reason}"),
+            StoreError::NotApplied(reason) => {
+                write!(f, "not applied: {reason}")
+            }
             StoreError::OutcomeUnknown(reason) => {
-                write!(f, "may be done: {reason}")
+                write!(f, "outcome unknown: {reason}")
             }
         }
     }
@@ -121,14 +125,18 @@
 /// The operations of the key-value service.
 #[async_trait]
 pub trait Store: Send + Sync {
-    /// Reads a value.
+    /// Reads the value of a key. Returns `None` if the key doesn't exist.
     ///
     /// # Errors
     ///
-    /// A [`StoreError`]; for reads both kinds mean the same.
-    async fn get(&self, key: &str) -> Result<Option<Stored>, StoreError>;
+    /// A [`StoreError`]; for reads, both kinds mean the same.
+    async fn get(
+        &self,
+        key: &str,
+    ) -> Result<Option<VersionedValue>, StoreError>;
 
-    /// Waits until the key exists or `limit` has passed.
+    /// Waits until the key exists, and reads its value. Returns `None` if it
+    /// doesn't exist after `limit`.
     ///
     /// # Errors
     ///
@@ -137,9 +145,10 @@
         &self,
         key: &str,
         limit: Duration,
-    ) -> Result<Option<Stored>, StoreError>;
+    ) -> Result<Option<VersionedValue>, StoreError>;
 
-    /// Lists a page of entries under `prefix`, after the key `after`.
+    /// Lists one page of entries under `prefix` after the key `after`, sorted
+    /// by key.
     ///
     /// # Errors
     ///
@@ -148,45 +157,45 @@
         &self,
         prefix: &str,
         after: &str,
-    ) -> Result<Vec<StoredEntry>, StoreError>;
+    ) -> Result<Vec<StoreEntry>, StoreError>;
 
     /// Writes a value if `condition` holds.
     ///
     /// # Errors
     ///
     /// A [`StoreError`]; after [`StoreError::OutcomeUnknown`] the caller must
-    /// read back.
+    /// read the key back.
     async fn put(
         &self,
         key: &str,
         value: &str,
         condition: Condition,
-    ) -> Result<Written, StoreError>;
+    ) -> Result<PutOutcome, StoreError>;
 
     /// Removes a key, whether or not it exists.
     ///
     /// # Errors
     ///
-    /// A [`StoreError`]; removing again is harmless.
+    /// A [`StoreError`]; the removal can be repeated safely.
     async fn delete(&self, key: &str) -> Result<(), StoreError>;
 }
 
 /// A store that is shared between tasks.
 pub type SharedStore = Arc<dyn Store>;
 
-/// Reads every entry under `prefix` after the key `after`, page by page.
+/// Reads all entries under `prefix` after the key `after`, page by page.
 pub(crate) async fn list_all(
     store: &dyn Store,
     prefix: &str,
     after: &str,
-) -> Result<Vec<StoredEntry>, StoreError> {
+) -> Result<Vec<StoreEntry>, StoreError> {
     let mut entries = Vec::new();
     let mut after = after.to_owned();
     loop {
         let page = store.list(prefix, &after).await?;
         let Some(last) = page.last() else { return Ok(entries) };
         after = last.key.clone();
-        let full = page.len() >= LIST_LIMIT;
+        let full = page.len() >= PAGE_LIMIT;
         entries.extend(page);
         if !full {
             return Ok(entries);
@@ -194,20 +203,20 @@
     }
 }
 
-/// Counts of calls made, for the store budget of the fleet.
+/// Counts of the calls of this VM, for the budget of store calls of the fleet.
 #[derive(Debug, Default)]
 pub struct StoreCounts {
     /// Writes and removals sent.
     pub writes: AtomicU64,
     /// Reads, listings and watches sent.
     pub reads: AtomicU64,
-    /// Calls that brought no answer.
+    /// Calls that failed.
     pub failures: AtomicU64,
-    /// Calls that were refused by this VM's own rate limit.
+    /// Calls that were not sent because of this VM's own rate limit.
     pub limited: AtomicU64,
 }
 
-/// The key-value service over HTTP.
+/// A [`Store`] that calls the key-value service over HTTP.
 pub struct HttpStore {
     client: HttpClient,
     address: SocketAddr,
@@ -224,7 +233,7 @@
     ///
     /// # Panics
     ///
-    /// When `url` has not that form; the settings reader has checked it.
+    /// If `url` has another form; the settings are validated before.
     pub fn new(
         url: &str,
         settings: StoreSettings,
@@ -245,17 +254,17 @@
         }
     }
 
-    /// The counts of calls, shared with the metrics.
+    /// Returns the call counts, which are shared with the metrics.
     pub fn counts(&self) -> Arc<StoreCounts> {
         self.counts.clone()
     }
 
-    async fn admit(
+    async fn wait_for_rate_limit(
         &self,
         bucket: &Mutex<TokenBucket>,
     ) -> Result<(), StoreError> {
-        let patience = self.settings.deadline * LIMIT_PATIENCE;
-        let give_up_at = self.clock.now() + patience;
+        let max_wait = self.settings.deadline * MAX_WAIT_IN_DEADLINES;
+        let give_up_at = self.clock.now() + max_wait;
         loop {
             let now = self.clock.now();
             let taken = bucket.lock().expect("bucket lock").take(1.0, now);
@@ -266,7 +275,9 @@
             }
         }
         self.counts.limited.fetch_add(1, Ordering::Relaxed);
-        Err(StoreError::NotApplied("over this VM's call rate".into()))
+        Err(StoreError::NotApplied(
+            "this VM's rate limit for store calls is exceeded".into(),
+        ))
     }
 
     async fn call(
@@ -280,9 +291,9 @@
                 Err(StoreError::NotApplied(reason))
             }
             Err(error) => Err(StoreError::OutcomeUnknown(error.to_string())),
-            Ok(answer) if answer.status == 429 => {
-                Err(StoreError::NotApplied("over the service's rate".into()))
-            }
+            Ok(answer) if answer.status == 429 => Err(StoreError::NotApplied(
+                "the service's rate limit is exceeded".into(),
+            )),
             Ok(answer) if answer.status >= 500 => {
                 Err(StoreError::OutcomeUnknown(format!(
                     "the service answered {}",
@@ -302,13 +313,13 @@
         path: String,
         limit: Duration,
     ) -> Result<WholeAnswer, StoreError> {
-        self.admit(&self.reads).await?;
+        self.wait_for_rate_limit(&self.reads).await?;
         self.counts.reads.fetch_add(1, Ordering::Relaxed);
         self.call(Call::new(self.address, Method::GET, path), limit).await
     }
 
     async fn write(&self, call: Call) -> Result<WholeAnswer, StoreError> {
-        self.admit(&self.writes).await?;
+        self.wait_for_rate_limit(&self.writes).await?;
         self.counts.writes.fetch_add(1, Ordering::Relaxed);
         self.call(call, self.settings.deadline).await
     }
@@ -320,33 +331,36 @@
 
 #[async_trait]
 impl Store for HttpStore {
-    async fn get(&self, key: &str) -> Result<Option<Stored>, StoreError> {
+    async fn get(
+        &self,
+        key: &str,
+    ) -> Result<Option<VersionedValue>, StoreError> {
         let path = self.key_path(key);
-        stored(self.read(path, self.settings.deadline).await?)
+        parse_value(self.read(path, self.settings.deadline).await?)
     }
 
     async fn wait(
         &self,
         key: &str,
         limit: Duration,
-    ) -> Result<Option<Stored>, StoreError> {
+    ) -> Result<Option<VersionedValue>, StoreError> {
         let wait_ms = limit.as_millis();
         let path = format!("{}?wait_ms={wait_ms}", self.key_path(key));
-        stored(self.read(path, limit + WATCH_GRACE).await?)
+        parse_value(self.read(path, limit + WATCH_GRACE).await?)
     }
 
     async fn list(
         &self,
         prefix: &str,
         after: &str,
-    ) -> Result<Vec<StoredEntry>, StoreError> {
+    ) -> Result<Vec<StoreEntry>, StoreError> {
         let base = &self.base_path;
         let path = format!(
-            "{base}/kv?prefix={prefix}&after={after}&limit={LIST_LIMIT}"
+            "{base}/kv?prefix={prefix}&after={after}&limit={PAGE_LIMIT}"
         );
         let answer = self.read(path, self.settings.deadline).await?;
         if answer.status != 200 {
-            return Err(unexpected(answer.status));
+            return Err(unexpected_status(answer.status));
         }
         serde_json::from_slice(&answer.body)
             .map_err(|e| StoreError::OutcomeUnknown(e.to_string()))
@@ -357,24 +371,26 @@
         key: &str,
         value: &str,
         condition: Condition,
-    ) -> Result<Written, StoreError> {
+    ) -> Result<PutOutcome, StoreError> {
         if value.len() > VALUE_LIMIT_BYTES {
-            return Err(StoreError::NotApplied("value too large".into()));
+            return Err(StoreError::NotApplied(
+                "the value is too large".into(),
+            ));
         }
         let path = self.key_path(key);
         let call = Call::new(self.address, Method::PUT, path)
             .body(value.as_bytes().to_vec());
         let call = match condition {
             Condition::Absent => call.header("if-none-match", "*"),
-            Condition::Is(version) => {
+            Condition::VersionIs(version) => {
                 call.header("if-match", &format!("\"{version}\""))
             }
         };
         let answer = self.write(call).await?;
         match answer.status {
-            200 | 201 => Ok(Written::Done(etag(&answer)?)),
-            412 => Ok(Written::Conflict),
-            status => Err(unexpected(status)),
+            200 | 201 => Ok(PutOutcome::Written(parse_etag(&answer)?)),
+            412 => Ok(PutOutcome::Conflict),
+            status => Err(unexpected_status(status)),
         }
     }
 
@@ -384,16 +400,17 @@
         let answer = self.write(call).await?;
         match answer.status {
             200 | 204 | 404 => Ok(()),
-            status => Err(unexpected(status)),
+            status => Err(unexpected_status(status)),
         }
     }
 }
 
-/// Splits `http://IP:PORT/path` into its address and path.
+/// Splits `http://IP:PORT/path` into its address and path, without a trailing
+/// slash.
 ///
 /// # Panics
 ///
-/// When the URL has not that form; settings are checked before.
+/// If the URL has another form; the settings are validated before.
 pub(crate) fn split_url(url: &str) -> (SocketAddr, String) {
     let rest = url.strip_prefix("http://").expect("checked URL");
     let (host, path) = rest.split_once('/').unwrap_or((rest, ""));
@@ -404,54 +421,56 @@
     (address, path)
 }
 
-fn unexpected(status: u16) -> StoreError {
+fn unexpected_status(status: u16) -> StoreError {
     StoreError::OutcomeUnknown(format!("unexpected status {status}"))
 }
 
-fn etag(answer: &WholeAnswer) -> Result<StoreVersion, StoreError> {
+fn parse_etag(answer: &WholeAnswer) -> Result<StoreVersion, StoreError> {
     let text = answer.header("etag").map(|tag| tag.trim_matches('"'));
-    text.and_then(|text| text.parse().ok())
-        .map(StoreVersion)
-        .ok_or_else(|| StoreError::OutcomeUnknown("no version given".into()))
+    text.and_then(|text| text.parse().ok()).map(StoreVersion).ok_or_else(
+        || StoreError::OutcomeUnknown("the response has no valid ETag".into()),
+    )
 }
 
-fn stored(answer: WholeAnswer) -> Result<Option<Stored>, StoreError> {
+fn parse_value(
+    answer: WholeAnswer,
+) -> Result<Option<VersionedValue>, StoreError> {
     match answer.status {
         200 => {
-            let version = etag(&answer)?;
+            let version = parse_etag(&answer)?;
             let value = String::from_utf8(answer.body.to_vec())
                 .map_err(|e| StoreError::OutcomeUnknown(e.to_string()))?;
-            Ok(Some(Stored { version, value }))
+            Ok(Some(VersionedValue { version, value }))
         }
         404 => Ok(None),
-        status => Err(unexpected(status)),
+        status => Err(unexpected_status(status)),
     }
 }
 
-/// A growing, jittered wait between tries.
+/// Exponential backoff with jitter between attempts.
 #[derive(Clone, Debug)]
 pub(crate) struct Backoff {
     next: Duration,
-    least: Duration,
-    most: Duration,
+    min: Duration,
+    max: Duration,
 }
 
 impl Backoff {
-    /// Creates a back-off from `least` that doubles up to `most`.
-    pub(crate) fn new(least: Duration, most: Duration) -> Backoff {
-        Backoff { next: least, least, most }
+    /// Creates a backoff that starts at `min` and doubles up to `max`.
+    pub(crate) fn new(min: Duration, max: Duration) -> Backoff {
+        Backoff { next: min, min, max }
     }
 
-    /// The next wait: half fixed, half random.
+    /// Returns the next wait, of which half is fixed and half is random.
     pub(crate) fn wait(&mut self) -> Duration {
         let half = self.next / 2;
-        self.next = (self.next * 2).min(self.most);
+        self.next = (self.next * 2).min(self.max);
         half + half.mul_f64(rand::random::<f64>())
     }
 
-    /// Starts again from the least wait.
+    /// Restarts at the minimum wait.
     pub(crate) fn reset(&mut self) {
-        self.next = self.least;
+        self.next = self.min;
     }
 }
 
@@ -468,7 +487,7 @@
     }
 
     #[test]
-    fn waits_grow_to_their_bound() {
+    fn waits_stay_within_the_bounds() {
         let second = Duration::from_secs(1);
         let mut backoff = Backoff::new(second / 4, second);
         for _ in 0..5 {
