--- a/src/chains/claim.rs
+++ b/src/chains/claim.rs
@@ -1,9 +1,11 @@
-//! Claims: who may run a request that must not run twice.
+//! Claims: which request may run, of those that carry the same
+//! `Idempotency-Key`.
 //!
-//! A claim is settled before the request is sent to an upstream. Keys are
-//! spread over slots; each slot is a chain in the store, and a claim stands
-//! when the chain holds it. [`SlotState`] is the state after a chain was
-//! read: the same for every VM, whatever it believes about the others.
+//! A claim is decided before the request is sent to an upstream. Keys are
+//! hashed to slots, and each slot has a chain in the store; a claim is granted
+//! once it is in that chain. [`SlotState`] is the state of a slot after
+//! reading its chain. It is the same at every VM, whatever that VM believes
+//! about the health of others.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -14,7 +16,7 @@
     rendezvous,
 };
 
-/// The identity of an organisation's `Idempotency-Key`.
+/// A hash of an organisation and its `Idempotency-Key`, 16 bytes.
 #[derive(
     Clone,
     Copy,
@@ -31,7 +33,7 @@
 pub struct ClaimKey([u8; 16]);
 
 impl ClaimKey {
-    /// Derives the identity from the key that the caller gave.
+    /// Hashes the key that the caller sent.
     pub fn new(organisation: &OrganisationId, key: &str) -> ClaimKey {
         let mut hasher = blake3::Hasher::new();
         hasher.update(organisation.as_str().as_bytes());
@@ -41,7 +43,7 @@
         ClaimKey(hash.as_bytes()[..16].try_into().expect("16 bytes"))
     }
 
-    /// The slot of the key, of `slots`.
+    /// Returns the slot of the key; `slots` is the number of slots.
     pub fn slot(self, slots: u32) -> u32 {
         let first = self.0[..4].try_into().expect("four bytes");
         u32::from_le_bytes(first) % slots
@@ -67,7 +69,8 @@
     }
 }
 
-/// A hash of what is asked, to notice a key used for something else.
+/// A hash of the content of a request, by which reuse of a key for another
+/// request is detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestHash(pub u64);
@@ -84,86 +87,89 @@
     }
 }
 
-/// One life of one VM.
+/// One incarnation of a VM.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VmIncarnation {
     /// The VM.
     pub vm: VmId,
-    /// The life.
+    /// Which start of the VM; a restart increases it.
     pub incarnation: Incarnation,
 }
 
-/// A request for a claim.
+/// An attempt to claim a key for a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
     /// The key.
     pub key: ClaimKey,
-    /// What is asked under it.
+    /// The hash of the request's method, path and body.
     pub body: RequestHash,
-    /// The request that wants to run.
+    /// The request that is to run.
     pub request: RequestId,
 }
 
-/// What became of a request that held a claim.
+/// The outcome of a request whose claim was granted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimOutcome {
-    /// It did not run; the key is free again.
+    /// It did not run; the key can be claimed again.
     NotRun,
     /// It may have run.
     Unknown,
-    /// It ran and was answered.
+    /// It ran, and its response is known.
     Ran {
         /// The HTTP status.
         status: u16,
         /// The content type.
         content_type: String,
-        /// The body, or `None` when it was too large to keep.
+        /// The body, or `None` if it was too large to store.
         body: Option<String>,
     },
 }
 
-/// The verdict on a request for a claim.
+/// The verdict on a claim request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimVerdict {
     /// The request may run.
     Granted,
-    /// The key was settled by an earlier request.
+    /// An earlier request with the key has an outcome.
     Settled {
-        /// That request.
+        /// The earlier request.
         by: RequestId,
-        /// What became of it.
+        /// Its outcome.
         outcome: ClaimOutcome,
     },
-    /// An earlier request with the key still runs.
+    /// An earlier request with the key is still running.
     InProgress {
-        /// That request.
+        /// The earlier request.
         by: RequestId,
     },
-    /// The key was used for something else.
+    /// The key was used for a request with another method, path or body.
     Reused,
     /// Another VM owns the slot.
     NotOwner {
         /// The VM to ask instead.
         ask: VmId,
     },
-    /// Unknown keys of this slot may have run before a takeover.
+    /// The key is unknown, but may have been used with an owner of the slot
+    /// that was lost before a takeover.
     Gap,
-    /// No verdict is possible now; nothing was claimed.
+    /// No verdict is possible now. The claim may still be granted, so the
+    /// caller settles it as not run.
     Unavailable {
         /// Why.
         reason: String,
     },
 }
 
-/// A claim granted while the store was out, as owner and deputy hold it.
+/// A claim granted while the store was unavailable, of which the owner and its
+/// deputy have a copy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OfflineClaim {
     /// The claim.
     pub claim: ClaimRequest,
-    /// When, in milliseconds since the Unix epoch.
+    /// When the key was claimed, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
-    /// What became of it, once it is known.
+    /// Its outcome, once it is known.
     pub outcome: Option<ClaimOutcome>,
 }
 
@@ -171,17 +177,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimRecord {
-    /// A VM owns the slot from here on.
+    /// A VM owns the slot from this record on.
     Owner {
         /// The owner.
         owner: VmIncarnation,
-        /// The VM that holds claims with it while the store is out.
+        /// The VM that stores copies of claims while the store is unavailable.
         deputy: Option<VmIncarnation>,
-        /// Until when unknown keys are suspect, if the owner before was
-        /// lost without a handover; milliseconds since the Unix epoch.
+        /// If the previous owner was lost without a handover: the end of the
+        /// time for which unknown keys are answered with
+        /// [`ClaimVerdict::Gap`], in milliseconds since the Unix epoch.
         gap_until_unix_ms: Option<u64>,
     },
-    /// A VM of another data hall, or no deputy, wants to take over.
+    /// A VM that is not the deputy announces a takeover.
     Takeover {
         /// The VM.
         by: VmIncarnation,
@@ -190,32 +197,33 @@
     Claimed {
         /// The claim.
         claim: ClaimRequest,
-        /// When, in milliseconds since the Unix epoch.
+        /// When the key was claimed, in milliseconds since the Unix epoch.
         at_unix_ms: u64,
     },
-    /// A claim's outcome is known.
+    /// The outcome of a claim.
     Settled {
         /// The key.
         key: ClaimKey,
-        /// The request that held the claim.
+        /// The request that had the claim.
         request: RequestId,
-        /// What became of it.
+        /// Its outcome.
         outcome: ClaimOutcome,
     },
 }
 
-/// The owner of a slot, by its chain.
+/// The ownership of a slot by the last owner record in its chain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ownership {
     /// The owner.
     pub owner: VmIncarnation,
     /// Its deputy.
     pub deputy: Option<VmIncarnation>,
-    /// Until when unknown keys are suspect.
+    /// The end of the time for which unknown keys are answered with
+    /// [`ClaimVerdict::Gap`], in milliseconds since the Unix epoch.
     pub gap_until_unix_ms: Option<u64>,
 }
 
-/// What is known of a key.
+/// The first claim of a key, and its outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Entry {
     body: RequestHash,
@@ -224,7 +232,7 @@
     outcome: Option<ClaimOutcome>,
 }
 
-/// The state of a slot after its chain was read up to an index.
+/// The state of a slot after reading its chain up to an index.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SlotState {
     index: u64,
@@ -234,22 +242,23 @@
 }
 
 impl SlotState {
-    /// The index of the last batch applied.
+    /// Returns the index of the last batch applied; 0 if there was none.
     pub fn index(&self) -> u64 {
         self.index
     }
 
-    /// Who owns the slot.
+    /// Returns the ownership, or `None` if the slot never had an owner.
     pub fn ownership(&self) -> Option<&Ownership> {
         self.ownership.as_ref()
     }
 
-    /// Who wants to take the slot over, if nobody objected yet.
+    /// Returns the VM that has announced a takeover, unless an owner record
+    /// follows the announcement.
     pub fn takeover(&self) -> Option<&VmIncarnation> {
         self.takeover.as_ref()
     }
 
-    /// The number of keys known.
+    /// Returns the number of known keys.
     pub fn key_count(&self) -> usize {
         self.entries.len()
     }
@@ -258,7 +267,7 @@
     ///
     /// # Panics
     ///
-    /// When the batch is not the next one; chains are read in order.
+    /// If the batch is not the next one; chains are read in order.
     pub fn apply(&mut self, index: u64, records: &[ClaimRecord]) {
         assert_eq!(index, self.index + 1, "chains are read in order");
         self.index = index;
@@ -267,7 +276,7 @@
         }
     }
 
-    /// Takes in one record, whether or not it stands in the chain yet.
+    /// Applies one record, which need not be in the chain yet.
     pub fn apply_record(&mut self, record: &ClaimRecord) {
         match record {
             ClaimRecord::Owner { owner, deputy, gap_until_unix_ms } => {
@@ -282,7 +291,7 @@
                 self.takeover = Some(by.clone());
             }
             ClaimRecord::Claimed { claim, at_unix_ms } => {
-                // The first claim of a key stands.
+                // The first claim of a key wins.
                 self.entries.entry(claim.key).or_insert(Entry {
                     body: claim.body,
                     request: claim.request.clone(),
@@ -306,10 +315,10 @@
         if entry.request != *request {
             return;
         }
-        let ran = matches!(entry.outcome, Some(ClaimOutcome::Ran { .. }));
+        let has_run = matches!(entry.outcome, Some(ClaimOutcome::Ran { .. }));
         match outcome {
-            // What ran cannot be undone by a late word to the contrary.
-            _ if ran => {}
+            // A late report must not free a key whose request has run.
+            _ if has_run => {}
             ClaimOutcome::NotRun => {
                 self.entries.remove(&key);
             }
@@ -317,10 +326,11 @@
         }
     }
 
-    /// The verdict on a key that is known; `None` for one that is not.
+    /// Returns the verdict on a claim request, or `None` if its key can be
+    /// claimed.
     ///
-    /// A request that has not been settled `run_limit` after its claim may
-    /// have run and will say no more.
+    /// If a request has no outcome after `run_limit`, it may have run and no
+    /// outcome is expected any more.
     pub fn verdict(
         &self,
         request: &ClaimRequest,
@@ -348,8 +358,8 @@
         })
     }
 
-    /// A part of the state that is enough to judge `requests` one after
-    /// the other.
+    /// Returns the part of the state that is needed for verdicts on
+    /// `requests`, one after the other.
     pub(crate) fn subset_for(&self, requests: &[ClaimRequest]) -> SlotState {
         let known = requests.iter().filter_map(|request| {
             let entry = self.entries.get(&request.key)?;
@@ -363,7 +373,7 @@
         }
     }
 
-    /// Forgets the kept answers, but not which keys were used.
+    /// Drops the stored response bodies, but keeps the keys.
     pub(crate) fn drop_response_bodies(&mut self) {
         for entry in self.entries.values_mut() {
             if let Some(ClaimOutcome::Ran { body, .. }) = &mut entry.outcome {
@@ -377,7 +387,7 @@
         self.entries.contains_key(&key)
     }
 
-    /// Forgets what is older than `retention`.
+    /// Removes the claims that are older than `retention`.
     pub fn expire(&mut self, now_unix_ms: u64, retention: Duration) {
         let oldest = now_unix_ms.saturating_sub(retention.as_millis() as u64);
         self.entries.retain(|_, entry| entry.at_unix_ms >= oldest);
@@ -437,7 +447,7 @@
     }
 
     #[test]
-    fn a_repeat_is_shown_what_became_of_the_first() {
+    fn a_repeated_request_gets_the_outcome_of_the_first() {
         let mut state = SlotState::default();
         assert_eq!(state.verdict(&request(1, 1), 1000, LIMIT), None);
         state.apply(1, &[claimed(1, 1)]);
@@ -457,7 +467,7 @@
     }
 
     #[test]
-    fn a_key_used_for_something_else_is_refused() {
+    fn a_key_reused_for_another_request_is_rejected() {
         let mut state = SlotState::default();
         state.apply(1, &[claimed(1, 1)]);
         let mut other = request(1, 2);
@@ -467,7 +477,7 @@
     }
 
     #[test]
-    fn a_gap_makes_unknown_keys_suspect() {
+    fn unknown_keys_are_answered_with_gap_after_a_lost_owner() {
         let mut state = SlotState::default();
         let owner = VmIncarnation {
             vm: "vm-2".parse().unwrap(),
@@ -503,10 +513,10 @@
     }
 
     proptest! {
-        /// Between two grants of one key to different requests there is
-        /// always the word that the first did not run.
+        /// After one request has claimed a key, another can claim it only once
+        /// the first has been settled as not run.
         #[test]
-        fn a_key_has_one_holder_at_a_time(
+        fn a_key_has_one_claim_at_a_time(
             records in prop::collection::vec(record(), 0..40),
         ) {
             let mut state = SlotState::default();
@@ -516,15 +526,15 @@
                 if let ClaimRecord::Claimed { claim, .. } = record {
                     let known = state.contains(claim.key);
                     if !known {
-                        let freed = !holder.contains_key(&claim.key);
-                        prop_assert!(freed);
+                        let is_free = !holder.contains_key(&claim.key);
+                        prop_assert!(is_free);
                         holder.insert(claim.key, claim.request.clone());
                     }
                 }
                 if let ClaimRecord::Settled { key, request, outcome } = record
                 {
-                    let held = holder.get(key) == Some(request);
-                    if held && *outcome == ClaimOutcome::NotRun {
+                    let is_holder = holder.get(key) == Some(request);
+                    if is_holder && *outcome == ClaimOutcome::NotRun {
                         let before = state.clone();
                         state.apply(index, std::slice::from_ref(record));
                         if !state.contains(*key) {
--- a/src/chains/claims.rs
+++ b/src/chains/claims.rs
@@ -1,7 +1,8 @@
-//! Claims across VMs: finding a slot's owner, and the slots of this VM.
+//! Claims across VMs: finds the owner of a slot, and runs the slots of this
+//! VM.
 //!
-//! A slot has a home data hall. The VMs of that hall come into question in
-//! rendezvous order; who is asked and does not own the slot says who does.
+//! Each slot has a home data hall. The VMs of that hall are asked in
+//! rendezvous order; a VM that doesn't own the slot names the owner.
 
 use std::{
     collections::HashMap,
@@ -27,29 +28,29 @@
     task::{self, within},
 };
 
-/// Longest time that one VM is asked for a verdict.
-const ASK_LIMIT: Duration = Duration::from_millis(2500);
+/// Timeout of a call to another VM for a verdict or to settle a claim.
+const CALL_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Longest time that a deputy is asked to hold claims.
-const HOLD_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout of a call to a deputy to store copies of claims.
+const HOLD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Longest time to find out whether a VM of another hall can be reached.
-const REACH_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout of the call that checks whether a VM can be reached.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// VMs asked for one claim at most, redirects included.
-const ASKS: usize = 5;
+/// Maximum number of VMs asked for one claim, redirects included.
+const MAX_VMS_ASKED: usize = 5;
 
-/// A grant older than this is not used; the claim is given back.
+/// A grant older than this is not used; the claim is settled as not run.
 pub(crate) const GRANT_LIFETIME: Duration = Duration::from_secs(5);
 
-/// Tries to report an outcome, at growing intervals, before giving up.
-const SETTLE_TRIES: u32 = 40;
+/// Attempts to report an outcome, with exponential backoff, before giving up.
+const SETTLE_ATTEMPTS: u32 = 40;
 
-/// Longest time between two such tries.
-const SETTLE_PAUSE_MOST: Duration = Duration::from_secs(15);
+/// Maximum time between two such attempts.
+const MAX_SETTLE_PAUSE: Duration = Duration::from_secs(15);
 
-/// A slot's task also looks after its chain this often.
-const TICK: Duration = Duration::from_millis(250);
+/// Interval at which the task of an idle slot maintains its chain.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
 enum SlotMessage {
     Claim { request: ClaimRequest, reply: Sender<ClaimVerdict> },
@@ -58,7 +59,7 @@
     HandOver { reply: Sender<()> },
 }
 
-/// What a slot's task last said about itself.
+/// The status that a slot's task last published.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct SlotReport {
     pub(crate) is_owner: bool,
@@ -73,7 +74,7 @@
     report: Arc<Mutex<SlotReport>>,
 }
 
-/// The claim slots of this VM, and the way to those of others.
+/// The claim slots of this VM, and the known owners of all slots.
 #[derive(Default)]
 pub(crate) struct Claims {
     slots: Mutex<HashMap<u32, SlotHandle>>,
@@ -83,10 +84,11 @@
 }
 
 impl Claims {
-    /// Settles a claim wherever its slot is owned.
+    /// Claims a key at the owner of its slot.
     ///
-    /// After [`ClaimVerdict::Unavailable`] the claim may stand all the same;
-    /// the caller must then give it back with [`Claims::settle`].
+    /// After [`ClaimVerdict::Unavailable`] the claim may still have been
+    /// granted; the caller must then settle it as not run with
+    /// [`Claims::settle`].
     pub(crate) async fn claim(
         &self,
         vm: &Arc<Vm>,
@@ -95,31 +97,33 @@
         let slot = request.key.slot(vm.settings.claims.slots);
         let mut ask = self.candidates(vm, slot);
         let mut asked = Vec::new();
-        let mut last = unavailable("no VM of the slot's data hall answers");
-        for _ in 0..ASKS {
+        let mut last = unavailable("no VM of the slot's data hall responds");
+        for _ in 0..MAX_VMS_ASKED {
             let Some(next) = next_to_ask(&mut ask, &asked) else { break };
             asked.push(next.clone());
             match self.ask(vm, &next, slot, request).await {
-                Asked::Verdict(verdict) => {
+                AskOutcome::Verdict(verdict) => {
                     if let Some(owner) = redirect_target(&verdict) {
                         ask.insert(0, owner.clone());
-                        last = unavailable("the slot's owner is not found");
+                        last = unavailable("the slot's owner was not found");
                         continue;
                     }
-                    self.remember(slot, &next);
+                    self.cache_owner(slot, &next);
                     return verdict;
                 }
-                Asked::Unreached => {}
-                // It may have claimed; asking another would be a guess.
-                Asked::Broken => {
-                    return unavailable("the slot's owner does not answer");
+                AskOutcome::NotReached => {}
+                // The VM may have granted the claim, so a verdict of another
+                // VM could be wrong.
+                AskOutcome::Unknown => {
+                    return unavailable("the slot's owner did not respond");
                 }
             }
         }
         last
     }
 
-    /// Reports what became of a claim, trying on in the background.
+    /// Reports the outcome of a claim to the owner of its slot. Retries in the
+    /// background.
     pub(crate) fn settle(
         vm: &Arc<Vm>,
         claim: ClaimRequest,
@@ -129,19 +133,20 @@
         vm.pending_outcomes.begin();
         task::spawn(async move {
             let mut pause = Duration::from_millis(100);
-            for _ in 0..SETTLE_TRIES {
+            for _ in 0..SETTLE_ATTEMPTS {
                 if vm.claims.try_settle(&vm, &claim, &outcome).await {
                     break;
                 }
                 task::sleep(pause).await;
-                pause = (pause * 2).min(SETTLE_PAUSE_MOST);
+                pause = (pause * 2).min(MAX_SETTLE_PAUSE);
             }
             vm.pending_outcomes.end();
         })
         .detach();
     }
 
-    /// Settles a claim as asked by another VM, or this one.
+    /// Returns the verdict of the slot at this VM, for a request of this VM or
+    /// another one.
     pub(crate) async fn claim_here(
         &self,
         vm: &Arc<Vm>,
@@ -158,7 +163,7 @@
         verdict.recv().await.unwrap_or_else(|_| stopped())
     }
 
-    /// Records an outcome, if this VM owns the slot.
+    /// Records an outcome if this VM owns the slot. Returns whether it does.
     pub(crate) async fn settle_here(
         &self,
         vm: &Arc<Vm>,
@@ -175,22 +180,23 @@
         handle.mailbox.send(message).await.is_ok()
     }
 
-    /// Holds claims for the owner of a slot, as its deputy.
+    /// Stores copies of claims for the owner of a slot, as its deputy. Returns
+    /// whether they are stored.
     pub(crate) async fn hold_here(
         &self,
         vm: &Arc<Vm>,
         request: HoldRequest,
     ) -> bool {
         let handle = self.handle(vm, request.slot);
-        let (reply, held) = bounded(1);
+        let (reply, stored) = bounded(1);
         let message = SlotMessage::Hold { request, reply };
         if handle.mailbox.send(message).await.is_err() {
             return false;
         }
-        held.recv().await.unwrap_or(false)
+        stored.recv().await.unwrap_or(false)
     }
 
-    /// Hands over every slot of this VM, for a planned stop.
+    /// Hands over all slots of this VM, for a graceful shutdown.
     pub(crate) async fn hand_over_all(&self) {
         let handles: Vec<SlotHandle> = {
             let slots = self.slots.lock().expect("slots lock");
@@ -205,7 +211,8 @@
         }
     }
 
-    /// What the slots of this VM last said about themselves.
+    /// Returns the last published status of each slot of this VM, sorted by
+    /// slot number.
     pub(crate) fn reports(&self) -> Vec<(u32, SlotReport)> {
         let slots = self.slots.lock().expect("slots lock");
         let mut reports: Vec<(u32, SlotReport)> = slots
@@ -227,21 +234,22 @@
         let slot = claim.key.slot(vm.settings.claims.slots);
         for candidate in self.candidates(vm, slot) {
             let (claim, outcome) = (claim.clone(), outcome.clone());
-            let done = if candidate == *vm.view.vm() {
+            let is_settled = if candidate == *vm.view.vm() {
                 self.settle_here(vm, claim, outcome).await
             } else {
                 let request = PeerRequest::Settle { claim, outcome };
-                let reply = vm.call_peer(&candidate, request, ASK_LIMIT).await;
+                let reply =
+                    vm.call_peer(&candidate, request, CALL_TIMEOUT).await;
                 matches!(reply, Ok(PeerReply::Done))
             };
-            if done {
+            if is_settled {
                 return true;
             }
         }
         false
     }
 
-    /// The VMs to ask about a slot, best first.
+    /// Returns the VMs to ask about a slot, best first.
     fn candidates(&self, vm: &Arc<Vm>, slot: u32) -> Vec<VmId> {
         let home = home_hall(vm, slot);
         let subject = slot.to_le_bytes();
@@ -249,23 +257,24 @@
         let ranked =
             rendezvous::rank(&subject, names.iter().map(VmId::as_str));
         let mut candidates: Vec<VmId> = Vec::new();
-        let remembered = {
+        let cached_owner = {
             let owners = self.owners.lock().expect("owners lock");
             owners.get(&slot).cloned()
         };
-        candidates.extend(remembered);
+        candidates.extend(cached_owner);
         let ranked = ranked.into_iter().filter_map(|name| name.parse().ok());
         candidates.extend(ranked);
         if home != *vm.view.data_hall() {
-            // When the home hall is lost, this hall may have to take over.
+            // If the home hall is unreachable, this hall may have to take
+            // over.
             candidates
                 .extend(vm.view.ranked_hall_vms(&subject).first().cloned());
         }
         let mut seen = Vec::new();
         candidates.retain(|vm| {
-            let new = !seen.contains(vm);
+            let is_new = !seen.contains(vm);
             seen.push(vm.clone());
-            new
+            is_new
         });
         self.unresponsive.deprioritize(&mut candidates, vm.clock.now());
         candidates
@@ -277,35 +286,35 @@
         candidate: &VmId,
         slot: u32,
         request: &ClaimRequest,
-    ) -> Asked {
+    ) -> AskOutcome {
         if candidate == vm.view.vm() {
             let work = self.claim_here(vm, request.clone());
-            return match within(ASK_LIMIT, work).await {
-                Some(verdict) => Asked::Verdict(verdict),
-                None => Asked::Broken,
+            return match within(CALL_TIMEOUT, work).await {
+                Some(verdict) => AskOutcome::Verdict(verdict),
+                None => AskOutcome::Unknown,
             };
         }
         let message = PeerRequest::Claim(request.clone());
-        match vm.call_peer(candidate, message, ASK_LIMIT).await {
-            Ok(PeerReply::Verdict(verdict)) => Asked::Verdict(verdict),
+        match vm.call_peer(candidate, message, CALL_TIMEOUT).await {
+            Ok(PeerReply::Verdict(verdict)) => AskOutcome::Verdict(verdict),
             Ok(_) | Err(PeerError::NotSent(_)) => {
-                self.forget(slot, candidate);
-                Asked::Unreached
+                self.uncache_owner(slot, candidate);
+                AskOutcome::NotReached
             }
             Err(PeerError::OutcomeUnknown(_)) => {
-                self.forget(slot, candidate);
+                self.uncache_owner(slot, candidate);
                 self.unresponsive.mark(candidate, vm.clock.now());
-                Asked::Broken
+                AskOutcome::Unknown
             }
         }
     }
 
-    fn remember(&self, slot: u32, vm: &VmId) {
+    fn cache_owner(&self, slot: u32, vm: &VmId) {
         let mut owners = self.owners.lock().expect("owners lock");
         owners.insert(slot, vm.clone());
     }
 
-    fn forget(&self, slot: u32, vm: &VmId) {
+    fn uncache_owner(&self, slot: u32, vm: &VmId) {
         let mut owners = self.owners.lock().expect("owners lock");
         if owners.get(&slot) == Some(vm) {
             owners.remove(&slot);
@@ -318,10 +327,10 @@
     }
 }
 
-enum Asked {
+enum AskOutcome {
     Verdict(ClaimVerdict),
-    Unreached,
-    Broken,
+    NotReached,
+    Unknown,
 }
 
 fn next_to_ask(ask: &mut Vec<VmId>, asked: &[VmId]) -> Option<VmId> {
@@ -334,7 +343,7 @@
     None
 }
 
-/// The data hall in which a slot is at home.
+/// Returns the home data hall of a slot.
 fn home_hall(vm: &Vm, slot: u32) -> DataHallId {
     let halls = vm.view.data_halls();
     let names = halls.iter().map(DataHallId::as_str);
@@ -347,7 +356,8 @@
         .clone()
 }
 
-/// The VMs of a hall that come into question, as far as is known here.
+/// Returns the VMs of a data hall that may own a slot, as far as this VM
+/// knows.
 fn hall_vms(vm: &Vm, hall: &DataHallId) -> Vec<VmId> {
     if hall == vm.view.data_hall() {
         return vm.view.live_hall_vms();
@@ -379,7 +389,7 @@
     SlotHandle { mailbox, report }
 }
 
-/// The task that owns a slot's state and takes its messages in turn.
+/// The task that owns a slot's state and handles its messages in order.
 struct SlotTask {
     slot: Slot<VmPeers>,
     messages: Receiver<SlotMessage>,
@@ -390,21 +400,21 @@
 impl SlotTask {
     async fn run(mut self) {
         loop {
-            match within(TICK, self.messages.recv()).await {
+            match within(TICK_INTERVAL, self.messages.recv()).await {
                 Some(Ok(first)) => {
-                    self.take_all(first).await;
-                    self.tell();
-                    // Later messages gather for the next batch meanwhile.
+                    self.handle_messages(first).await;
+                    self.publish_report();
+                    // Messages that arrive meanwhile go into the next batch.
                     task::sleep(self.commit).await;
                 }
                 Some(Err(_)) => return,
                 None => self.slot.tick().await,
             }
-            self.tell();
+            self.publish_report();
         }
     }
 
-    async fn take_all(&mut self, first: SlotMessage) {
+    async fn handle_messages(&mut self, first: SlotMessage) {
         let mut claims = Vec::new();
         let mut next = Some(first);
         while let Some(message) = next {
@@ -416,8 +426,8 @@
                     self.slot.settle(&claim, outcome);
                 }
                 SlotMessage::Hold { request, reply } => {
-                    let held = self.slot.hold(request).await;
-                    let _ = reply.try_send(held);
+                    let is_stored = self.slot.hold(request).await;
+                    let _ = reply.try_send(is_stored);
                 }
                 SlotMessage::HandOver { reply } => {
                     self.slot.hand_over().await;
@@ -440,14 +450,14 @@
         let requests: Vec<ClaimRequest> =
             claims.iter().map(|(request, _)| request.clone()).collect();
         let verdicts = self.slot.claim(&requests).await;
-        self.tell();
+        self.publish_report();
         for ((_, reply), verdict) in claims.into_iter().zip(verdicts) {
-            // An asker that gave up gives the claim back by itself.
+            // A caller that timed out settles the claim as not run by itself.
             let _ = reply.try_send(verdict);
         }
     }
 
-    fn tell(&self) {
+    fn publish_report(&self) {
         let report = SlotReport {
             is_owner: self.slot.is_owner(),
             is_offline: self.slot.is_offline(),
@@ -458,25 +468,25 @@
     }
 }
 
-/// The other VMs, as a slot sees them.
+/// The connection of a slot to the other VMs.
 struct VmPeers(Weak<Vm>);
 
 impl SlotPeers for VmPeers {
-    async fn is_gone(&self, life: &VmIncarnation) -> bool {
+    async fn is_gone(&self, other: &VmIncarnation) -> bool {
         let Some(vm) = self.0.upgrade() else { return false };
-        if *life == vm.identity() {
+        if *other == vm.identity() {
             return false;
         }
-        if life.vm == *vm.view.vm() {
-            // An earlier life of this VM.
+        if other.vm == *vm.view.vm() {
+            // An earlier incarnation of this VM.
             return true;
         }
-        match vm.view.liveness(&life.vm) {
-            Some((incarnation, _)) if incarnation > life.incarnation => true,
+        match vm.view.liveness(&other.vm) {
+            Some((incarnation, _)) if incarnation > other.incarnation => true,
             Some((_, Liveness::Dead | Liveness::Leaving)) => true,
             Some((_, Liveness::Alive)) => false,
             Some((_, Liveness::Suspected)) | None => {
-                !is_reached(&vm, &life.vm).await
+                !is_reachable(&vm, &other.vm).await
             }
         }
     }
@@ -485,7 +495,8 @@
         let vm = self.0.upgrade()?;
         let mut peers: Vec<Peer> = vm.view.live_hall_peers();
         peers.sort_by(|a, b| a.vm.cmp(&b.vm));
-        // The next in name order, so that deputies spread over the hall.
+        // The next VM in name order, so that deputies are spread over the
+        // hall.
         let me = vm.view.vm().clone();
         let after = peers.iter().position(|peer| peer.vm > me).unwrap_or(0);
         let deputy = peers.get(after)?;
@@ -507,22 +518,22 @@
             first: request.first as u64,
             claims: request.claims,
         };
-        let reply = vm.call_peer(&deputy.vm, message, HOLD_LIMIT).await;
+        let reply = vm.call_peer(&deputy.vm, message, HOLD_TIMEOUT).await;
         matches!(reply, Ok(PeerReply::Done))
     }
 }
 
-async fn is_reached(vm: &Arc<Vm>, other: &VmId) -> bool {
+async fn is_reachable(vm: &Arc<Vm>, other: &VmId) -> bool {
     let revision = vm.configuration.current().revision();
-    let question = PeerRequest::Changes { after: revision };
-    vm.call_peer(other, question, REACH_LIMIT).await.is_ok()
+    let probe = PeerRequest::Changes { after: revision };
+    vm.call_peer(other, probe, PROBE_TIMEOUT).await.is_ok()
 }
 
 fn unavailable(reason: &str) -> ClaimVerdict {
     ClaimVerdict::Unavailable { reason: reason.to_owned() }
 }
 
-/// The word for a verdict, used as a metric label.
+/// Returns the metric label of a verdict.
 pub(crate) fn verdict_label(verdict: &ClaimVerdict) -> &'static str {
     match verdict {
         ClaimVerdict::Granted => "granted",
--- a/src/chains/ledger.rs
+++ b/src/chains/ledger.rs
@@ -1,9 +1,10 @@
-//! The ledger: bills of this VM, bills held for others, and their commit.
+//! The ledger: the bills of this VM, copies of the bills of other VMs, and
+//! their commit to the store.
 //!
-//! Before a request runs, its open bill is sent to a writer of the hall, so
-//! that two VMs know of the run whichever of them dies. Closed bills stay
-//! here until a writer says that the store has them. Writers commit in groups
-//! to a chain of their own, so they never conflict.
+//! Before a request runs, its open bill is sent to a writer of the data hall,
+//! so that two VMs know of the request if one of them dies. Closed bills stay
+//! at this VM until a writer reports that the store has them. Each writer
+//! commits groups of bills to a chain of its own, so writers never conflict.
 
 use std::{
     collections::HashMap,
@@ -32,74 +33,76 @@
     unit::MicroCost,
 };
 
-/// Bills sent to a writer at once.
-const SEND_LIMIT: usize = 500;
+/// Maximum number of bills in one call to a writer.
+const MAX_BILLS_SENT: usize = 500;
 
-/// Bills in one commit.
-const COMMIT_LIMIT: usize = 1500;
+/// Maximum number of bills in one commit.
+const MAX_BILLS_COMMITTED: usize = 1500;
 
-/// Longest time that a VM is asked to hold bills.
-const HOLD_LIMIT: Duration = Duration::from_millis(250);
+/// Timeout of a call that sends bills to another VM.
+const SEND_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// VMs asked to hold the same bills before this VM goes on alone.
-const HOLDERS_ASKED: usize = 3;
+/// Maximum number of VMs to which the same bills are sent before this VM goes
+/// on without a copy.
+const MAX_VMS_ASKED: usize = 3;
 
-/// Time between two words on bills that are not committed yet.
-const RESEND: Duration = Duration::from_secs(1);
+/// Interval at which bills that are not committed yet are sent again.
+const RESEND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time for which a writer remembers what it has committed.
-const REMEMBER: Duration = Duration::from_secs(120);
+/// Time for which a writer remembers which bills it has committed.
+const COMMITTED_RETENTION: Duration = Duration::from_secs(120);
 
-/// Longest time that a request waits for a second VM to know its bill: as
-/// long as asking all of them may take.
-const SECOND_HOLDER_LIMIT: Duration = Duration::from_millis(800);
+/// Maximum time that a request waits for a copy of its bill at a second VM:
+/// long enough to call all [`MAX_VMS_ASKED`] VMs.
+const REPLICA_TIMEOUT: Duration = Duration::from_millis(800);
 
 const MS_PER_HOUR: u64 = 3_600_000;
 
-/// Hours that are searched for one decision.
+/// Number of hours before the current one that are searched for one bill.
 const SEARCH_HOURS: u64 = 2;
 
 /// A bill of this VM that the store does not have yet.
-struct Own {
+struct OwnBill {
     bill: Bill,
     sent_at: Option<BootInstant>,
-    /// Whether a second VM is known to have it.
-    is_held: bool,
-    /// Told when a second VM has it; dropped when none can be reached.
+    /// Whether a second VM is known to have a copy.
+    is_copied: bool,
+    /// Notified when a second VM has a copy; dropped when none can be reached.
     waiter: Option<Sender<()>>,
 }
 
-impl Own {
-    fn new(bill: Bill, waiter: Option<Sender<()>>) -> Own {
-        Own { bill, sent_at: None, is_held: false, waiter }
+impl OwnBill {
+    fn new(bill: Bill, waiter: Option<Sender<()>>) -> OwnBill {
+        OwnBill { bill, sent_at: None, is_copied: false, waiter }
     }
 
-    /// Whether it is to be sent, for the first time or again.
+    /// Whether to send the bill, for the first time or again.
     ///
-    /// An open bill is sent until a second VM has it, a closed one until the
-    /// store does.
+    /// An open bill is sent until a second VM has a copy, a closed one until
+    /// the store has it.
     fn is_due(&self, now: BootInstant) -> bool {
         let Some(sent_at) = self.sent_at else { return true };
-        let is_settled = self.bill.state == BillState::Open && self.is_held;
-        !is_settled && now.saturating_duration_since(sent_at) >= RESEND
+        let is_settled = self.bill.state == BillState::Open && self.is_copied;
+        !is_settled
+            && now.saturating_duration_since(sent_at) >= RESEND_INTERVAL
     }
 }
 
-/// A bill held for another VM, or to be committed by this one.
-struct Held {
+/// A copy of an open bill of another VM.
+struct BillCopy {
     bill: Bill,
     since: BootInstant,
 }
 
 #[derive(Default)]
-struct Books {
-    own: HashMap<RequestId, Own>,
-    held: HashMap<RequestId, Held>,
+struct LedgerState {
+    own: HashMap<RequestId, OwnBill>,
+    copies: HashMap<RequestId, BillCopy>,
     to_commit: HashMap<RequestId, Bill>,
     committed: HashMap<RequestId, BootInstant>,
-    /// A commit whose fate is open; it is tried again as it is.
+    /// A commit whose outcome is unknown. It is retried unchanged.
     in_doubt: Option<Commit>,
-    /// The last index used in each hour's chain.
+    /// The last index used in the chain of each hour.
     index: HashMap<u64, u64>,
 }
 
@@ -112,124 +115,128 @@
 
 /// The bills at this VM.
 pub(crate) struct Ledger {
-    books: Mutex<Books>,
+    state: Mutex<LedgerState>,
     unresponsive: UnresponsiveVms,
-    /// Whether no second VM could be reached when one was last asked.
-    is_alone: AtomicBool,
-    news: Sender<()>,
-    has_news: Receiver<()>,
+    /// Whether no second VM could be reached at the last attempt.
+    is_isolated: AtomicBool,
+    wake_sender: Sender<()>,
+    wake_receiver: Receiver<()>,
 }
 
-/// Tells when a second VM knows a bill.
+/// Waits for a copy of a bill at a second VM.
 pub(crate) struct ReplicaWaiter {
-    held: Receiver<()>,
+    copied: Receiver<()>,
 }
 
 impl ReplicaWaiter {
-    /// Waits until a second VM knows the bill, but not for long.
+    /// Waits until a second VM has a copy of the bill, for at most
+    /// [`REPLICA_TIMEOUT`].
     ///
-    /// Returns whether one does.
+    /// Returns whether one has.
     pub(crate) async fn wait_for_replica(&self) -> bool {
-        let waiting = self.held.recv();
-        let held = task::within(SECOND_HOLDER_LIMIT, waiting).await;
-        matches!(held, Some(Ok(())))
+        let waiting = self.copied.recv();
+        let copied = task::within(REPLICA_TIMEOUT, waiting).await;
+        matches!(copied, Some(Ok(())))
     }
 }
 
 impl Ledger {
     pub(crate) fn new() -> Ledger {
-        let (news, has_news) = bounded(1);
-        let books = Mutex::default();
+        let (wake_sender, wake_receiver) = bounded(1);
+        let state = Mutex::default();
         Ledger {
-            books,
+            state,
             unresponsive: UnresponsiveVms::default(),
-            is_alone: AtomicBool::new(false),
-            news,
-            has_news,
+            is_isolated: AtomicBool::new(false),
+            wake_sender,
+            wake_receiver,
         }
     }
 
-    /// Opens the bill of a request before it is dispatched.
+    /// Opens the bill of a request before it is dispatched, and starts to send
+    /// it to a second VM.
     pub(crate) fn open(&self, bill: Bill) -> ReplicaWaiter {
-        let (sender, held) = bounded(1);
-        let own = Own::new(bill, Some(sender));
-        let mut books = self.books.lock().expect("ledger lock");
-        books.own.insert(own.bill.request.clone(), own);
-        drop(books);
-        let _ = self.news.try_send(());
-        ReplicaWaiter { held }
+        let (sender, copied) = bounded(1);
+        let own = OwnBill::new(bill, Some(sender));
+        let mut state = self.state.lock().expect("ledger lock");
+        state.own.insert(own.bill.request.clone(), own);
+        drop(state);
+        let _ = self.wake_sender.try_send(());
+        ReplicaWaiter { copied }
     }
 
-    /// Closes or voids a bill; it stays here until the store has it.
+    /// Closes or voids a bill. It stays at this VM until the store has it.
     pub(crate) fn close(&self, bill: Bill) {
-        let mut books = self.books.lock().expect("ledger lock");
+        let mut state = self.state.lock().expect("ledger lock");
         let request = bill.request.clone();
-        books.own.insert(request, Own::new(bill, None));
-        drop(books);
-        let _ = self.news.try_send(());
+        state.own.insert(request, OwnBill::new(bill, None));
+        drop(state);
+        let _ = self.wake_sender.try_send(());
     }
 
-    /// Bills that the store does not have yet, open ones left out.
+    /// Returns the number of bills that the store does not have yet, open ones
+    /// excluded.
     pub(crate) fn uncommitted_count(&self) -> usize {
-        let books = self.books.lock().expect("ledger lock");
+        let state = self.state.lock().expect("ledger lock");
         let closed =
-            books.own.values().filter(|o| o.bill.state != BillState::Open);
-        closed.count() + books.to_commit.len()
+            state.own.values().filter(|o| o.bill.state != BillState::Open);
+        closed.count() + state.to_commit.len()
     }
 
-    /// What is known here of a request's bill.
+    /// Returns the bill of a request, if this VM has it.
     pub(crate) fn find(&self, request: &RequestId) -> Option<Bill> {
-        let books = self.books.lock().expect("ledger lock");
-        let own = books.own.get(request).map(|own| &own.bill);
-        let held = books.held.get(request).map(|held| &held.bill);
-        own.or(held).or(books.to_commit.get(request)).cloned()
+        let state = self.state.lock().expect("ledger lock");
+        let own = state.own.get(request).map(|own| &own.bill);
+        let copy = state.copies.get(request).map(|copy| &copy.bill);
+        own.or(copy).or(state.to_commit.get(request)).cloned()
     }
 
-    /// Takes in bills of another VM; says which of them the store has.
+    /// Receives bills from another VM. The reply names those that are
+    /// committed, or void, so that the sender can drop them.
     pub(crate) fn receive_bills(
         &self,
         bills: Vec<Bill>,
         now: BootInstant,
     ) -> PeerReply {
-        let mut books = self.books.lock().expect("ledger lock");
+        let mut state = self.state.lock().expect("ledger lock");
         let mut committed = Vec::new();
         for bill in bills {
-            if books.committed.contains_key(&bill.request) {
+            if state.committed.contains_key(&bill.request) {
                 committed.push(bill.request);
                 continue;
             }
             match bill.state {
-                BillState::Open => books.hold(bill, now),
+                BillState::Open => state.store_copy(bill, now),
                 BillState::Void => {
-                    books.held.remove(&bill.request);
+                    state.copies.remove(&bill.request);
                     committed.push(bill.request);
                 }
                 BillState::Closed | BillState::Orphaned => {
-                    books.held.remove(&bill.request);
-                    books.queue(bill);
+                    state.copies.remove(&bill.request);
+                    state.queue_commit(bill);
                 }
             }
         }
         PeerReply::BillsHeld { committed }
     }
 
-    /// Sends bills to the hall's writer as they come, for as long as polled.
+    /// Sends new bills to a writer of the hall; runs until it is dropped.
     pub(crate) async fn send_loop(vm: Arc<Vm>) {
         loop {
-            let wait = vm.ledger.has_news.recv();
-            let _ = task::within(RESEND / 4, wait).await;
+            let wait = vm.ledger.wake_receiver.recv();
+            let _ = task::within(RESEND_INTERVAL / 4, wait).await;
             while Ledger::send_some(&vm).await {}
         }
     }
 
-    /// Commits closed bills in groups, for as long as polled.
+    /// Commits closed bills in groups; runs until it is dropped.
     pub(crate) async fn commit_loop(vm: Arc<Vm>) {
         let mut was_waiting = false;
         loop {
             task::sleep(vm.settings.ledger.commit).await;
             vm.ledger.settle_orphans(&vm);
-            let done = Ledger::commit_some(&vm).await;
-            let is_waiting = !done;
+            let is_stored = Ledger::commit_some(&vm).await;
+            let is_waiting = !is_stored;
             if is_waiting != was_waiting {
                 was_waiting = is_waiting;
                 let waiting = vm.ledger.uncommitted_count();
@@ -242,9 +249,9 @@
         }
     }
 
-    /// Brings all closed bills into the store, or to another VM.
+    /// Commits all closed bills, or sends them to another VM.
     ///
-    /// Returns how many are known to neither.
+    /// Returns how many neither the store nor another VM has after `limit`.
     pub(crate) async fn drain(vm: &Arc<Vm>, limit: Duration) -> usize {
         let end = vm.clock.now() + limit;
         loop {
@@ -258,149 +265,155 @@
         }
     }
 
-    /// Sends what is due; returns whether there may be more.
+    /// Sends the bills that are due. Returns whether more may be due.
     async fn send_some(vm: &Arc<Vm>) -> bool {
         let now = vm.clock.now();
-        let due = vm.ledger.due(now);
+        let due = vm.ledger.take_due(now);
         if due.is_empty() {
             return false;
         }
         let requests: Vec<RequestId> =
             due.iter().map(|bill| bill.request.clone()).collect();
-        let full = due.len() >= SEND_LIMIT;
-        let mut asked = Vec::new();
-        for holder in holders(vm).into_iter().take(HOLDERS_ASKED) {
+        let is_full = due.len() >= MAX_BILLS_SENT;
+        let mut failures = Vec::new();
+        for peer in copy_targets(vm).into_iter().take(MAX_VMS_ASKED) {
             let message = PeerRequest::Bills(due.clone());
-            let reply = vm.call_peer(&holder, message, HOLD_LIMIT).await;
-            let why = match reply {
+            let reply = vm.call_peer(&peer, message, SEND_TIMEOUT).await;
+            let reason = match reply {
                 Ok(PeerReply::BillsHeld { committed }) => {
-                    vm.ledger.note_alone(None);
-                    vm.ledger.mark_held(&requests, &committed);
-                    return full;
+                    vm.ledger.record_reachability(None);
+                    vm.ledger.mark_copied(&requests, &committed);
+                    return is_full;
                 }
-                Ok(_) => "another reply".to_owned(),
+                Ok(_) => "unexpected reply".to_owned(),
                 Err(error) => error.to_string(),
             };
-            vm.ledger.unresponsive.mark(&holder, vm.clock.now());
-            asked.push(format!("{holder}: {why}"));
+            vm.ledger.unresponsive.mark(&peer, vm.clock.now());
+            failures.push(format!("{peer}: {reason}"));
         }
-        vm.ledger.note_alone(Some(&asked));
-        vm.ledger.keep_alone(due);
+        vm.ledger.record_reachability(Some(&failures));
+        vm.ledger.queue_own_commits(due);
         false
     }
 
-    /// Notes whether a second VM could be reached, and logs when that
-    /// changes; `asked` says who could not be, and why.
-    fn note_alone(&self, asked: Option<&[String]>) {
-        let was_alone = self.is_alone.swap(asked.is_some(), Ordering::Relaxed);
-        match asked {
-            Some(asked) if !was_alone => {
-                let asked = asked.join("; ");
-                Event::BillsAlone.log(format_args!("asked: {asked}"));
+    /// Records whether a second VM could be reached, and logs a change.
+    /// `failures` lists the VMs that could not be reached, and why; `None`
+    /// means success.
+    fn record_reachability(&self, failures: Option<&[String]>) {
+        let was_isolated =
+            self.is_isolated.swap(failures.is_some(), Ordering::Relaxed);
+        match failures {
+            Some(failures) if !was_isolated => {
+                let failures = failures.join("; ");
+                Event::BillsAlone.log(format_args!("asked: {failures}"));
             }
-            None if was_alone => Event::BillsShared.log(""),
+            None if was_isolated => Event::BillsShared.log(""),
             _ => {}
         }
     }
 
-    fn due(&self, now: BootInstant) -> Vec<Bill> {
-        let mut books = self.books.lock().expect("ledger lock");
-        let due = books.own.values_mut().filter(|own| own.is_due(now));
+    fn take_due(&self, now: BootInstant) -> Vec<Bill> {
+        let mut state = self.state.lock().expect("ledger lock");
+        let due = state.own.values_mut().filter(|own| own.is_due(now));
         let mut bills = Vec::new();
-        for own in due.take(SEND_LIMIT) {
+        for own in due.take(MAX_BILLS_SENT) {
             own.sent_at = Some(now);
             bills.push(own.bill.clone());
         }
         bills
     }
 
-    fn mark_held(&self, requests: &[RequestId], committed: &[RequestId]) {
-        let mut books = self.books.lock().expect("ledger lock");
+    fn mark_copied(&self, requests: &[RequestId], committed: &[RequestId]) {
+        let mut state = self.state.lock().expect("ledger lock");
         for request in requests {
-            let Some(own) = books.own.get_mut(request) else { continue };
-            own.is_held = true;
+            let Some(own) = state.own.get_mut(request) else { continue };
+            own.is_copied = true;
             if let Some(waiter) = own.waiter.take() {
-                // A request that waits no longer needs no word.
+                // Fails if the request has stopped waiting, which is harmless.
                 let _ = waiter.try_send(());
             }
         }
         for request in committed {
-            let closed = books
+            let closed = state
                 .own
                 .get(request)
                 .is_some_and(|own| own.bill.state != BillState::Open);
             if closed {
-                books.own.remove(request);
+                state.own.remove(request);
             }
         }
     }
 
-    /// With no writer to be reached, this VM commits its bills itself.
+    /// Queues closed bills for commit by this VM, since no writer can be
+    /// reached.
     ///
-    /// A writer that got them after all commits them too; they merge.
-    fn keep_alone(&self, bills: Vec<Bill>) {
-        let mut books = self.books.lock().expect("ledger lock");
+    /// A writer that got them after all commits them too, and they are merged
+    /// when they are read.
+    fn queue_own_commits(&self, bills: Vec<Bill>) {
+        let mut state = self.state.lock().expect("ledger lock");
         for bill in bills {
             match bill.state {
                 BillState::Open => {
-                    if let Some(own) = books.own.get_mut(&bill.request) {
-                        // Nobody can be reached now; the request goes on,
-                        // and the bill is offered again after a while.
+                    if let Some(own) = state.own.get_mut(&bill.request) {
+                        // No VM can be reached now. The request goes on, and
+                        // the bill is sent again later.
                         own.waiter = None;
                     }
                 }
                 BillState::Void => {
-                    books.own.remove(&bill.request);
+                    state.own.remove(&bill.request);
                 }
                 BillState::Closed | BillState::Orphaned => {
-                    books.queue(bill);
+                    state.queue_commit(bill);
                 }
             }
         }
     }
 
-    /// Settles the open bills of VMs that died some time ago.
+    /// Marks the open bills of VMs that died some time ago as orphaned, and
+    /// queues them for commit.
     fn settle_orphans(&self, vm: &Vm) {
         let now = vm.clock.now();
         let wait = vm.settings.ledger.orphan_after;
-        let mut books = self.books.lock().expect("ledger lock");
-        books.committed.retain(|_, at| now - *at < REMEMBER);
-        let orphans: Vec<RequestId> = books
-            .held
+        let mut state = self.state.lock().expect("ledger lock");
+        state.committed.retain(|_, at| now - *at < COMMITTED_RETENTION);
+        let orphans: Vec<RequestId> = state
+            .copies
             .iter()
-            .filter(|(_, held)| now - held.since >= wait)
-            .filter(|(request, _)| is_dead(vm, request))
+            .filter(|(_, copy)| now - copy.since >= wait)
+            .filter(|(request, _)| is_incarnation_over(vm, request))
             .map(|(request, _)| request.clone())
             .collect();
         if orphans.is_empty() {
             return;
         }
         for request in &orphans {
-            if let Some(held) = books.held.remove(request) {
-                let state = BillState::Orphaned;
-                books.queue(Bill { state, ..held.bill });
+            if let Some(copy) = state.copies.remove(request) {
+                let orphaned = BillState::Orphaned;
+                state.queue_commit(Bill { state: orphaned, ..copy.bill });
             }
         }
         Event::OrphansSettled.log(format_args!("{} bills", orphans.len()));
     }
 
-    /// Commits one group; returns whether the store took it.
+    /// Commits one group of bills. Returns whether it was stored.
     async fn commit_some(vm: &Arc<Vm>) -> bool {
         let hour = vm.clock.unix_ms() / MS_PER_HOUR;
         let Some(commit) = vm.ledger.next_commit(hour) else { return true };
-        let prefix = own_prefix(vm, commit.hour);
+        let prefix = writer_prefix(vm, commit.hour);
         let appended =
             chain::append(&*vm.store, &prefix, commit.index, &commit.batch)
                 .await;
         match appended {
             Ok(AppendOutcome::Appended) => {
-                vm.ledger.committed(&commit, vm.clock.now());
+                vm.ledger.mark_committed(&commit, vm.clock.now());
                 true
             }
             Ok(AppendOutcome::Occupied(_)) => {
-                // Nobody else writes to this chain, so this was a write of
-                // its own that the books have forgotten; go on after it.
-                vm.ledger.skip(&commit);
+                // No other VM writes to this chain, so the batch is an earlier
+                // write of this VM that is no longer in its state. The commit
+                // is retried at the next index.
+                vm.ledger.skip_index(&commit);
                 true
             }
             Err(StoreError::NotApplied(_) | StoreError::OutcomeUnknown(_)) => {
@@ -410,70 +423,75 @@
     }
 
     fn next_commit(&self, hour: u64) -> Option<Commit> {
-        let mut books = self.books.lock().expect("ledger lock");
-        if let Some(commit) = &books.in_doubt {
+        let mut state = self.state.lock().expect("ledger lock");
+        if let Some(commit) = &state.in_doubt {
             return Some(commit.clone());
         }
-        if books.to_commit.is_empty() {
+        if state.to_commit.is_empty() {
             return None;
         }
-        let chosen: Vec<Bill> =
-            books.to_commit.values().take(COMMIT_LIMIT).cloned().collect();
-        let index = books.index.get(&hour).copied().unwrap_or(0) + 1;
+        let chosen: Vec<Bill> = state
+            .to_commit
+            .values()
+            .take(MAX_BILLS_COMMITTED)
+            .cloned()
+            .collect();
+        let index = state.index.get(&hour).copied().unwrap_or(0) + 1;
         let batch = Batch { write: WriteId::random(), content: chosen };
         let commit = Commit { hour, index, batch };
-        // Until the store has said yes, the same commit is tried again.
-        books.in_doubt = Some(commit.clone());
+        // The same commit is retried until the store confirms it.
+        state.in_doubt = Some(commit.clone());
         Some(commit)
     }
 
-    fn committed(&self, commit: &Commit, now: BootInstant) {
-        let mut books = self.books.lock().expect("ledger lock");
-        books.in_doubt = None;
-        books.index.retain(|hour, _| *hour + 1 >= commit.hour);
-        books.index.insert(commit.hour, commit.index);
+    fn mark_committed(&self, commit: &Commit, now: BootInstant) {
+        let mut state = self.state.lock().expect("ledger lock");
+        state.in_doubt = None;
+        state.index.retain(|hour, _| *hour + 1 >= commit.hour);
+        state.index.insert(commit.hour, commit.index);
         for bill in &commit.batch.content {
             let request = &bill.request;
-            books.committed.insert(request.clone(), now);
-            let same =
-                |held: Option<&Bill>| held.is_some_and(|held| held == bill);
-            if same(books.to_commit.get(request)) {
-                books.to_commit.remove(request);
+            state.committed.insert(request.clone(), now);
+            let is_same = |other: Option<&Bill>| {
+                other.is_some_and(|other| other == bill)
+            };
+            if is_same(state.to_commit.get(request)) {
+                state.to_commit.remove(request);
             }
-            if same(books.own.get(request).map(|own| &own.bill)) {
-                books.own.remove(request);
+            if is_same(state.own.get(request).map(|own| &own.bill)) {
+                state.own.remove(request);
             }
         }
     }
 
-    fn skip(&self, commit: &Commit) {
-        let mut books = self.books.lock().expect("ledger lock");
-        books.in_doubt = None;
-        books.index.insert(commit.hour, commit.index);
+    fn skip_index(&self, commit: &Commit) {
+        let mut state = self.state.lock().expect("ledger lock");
+        state.in_doubt = None;
+        state.index.insert(commit.hour, commit.index);
     }
 }
 
-impl Books {
-    fn hold(&mut self, bill: Bill, now: BootInstant) {
+impl LedgerState {
+    fn store_copy(&mut self, bill: Bill, now: BootInstant) {
         let closed = self.to_commit.contains_key(&bill.request);
         if !closed {
             let request = bill.request.clone();
-            self.held.insert(request, Held { bill, since: now });
+            self.copies.insert(request, BillCopy { bill, since: now });
         }
     }
 
-    fn queue(&mut self, bill: Bill) {
+    fn queue_commit(&mut self, bill: Bill) {
         let merged = match self.to_commit.remove(&bill.request) {
-            Some(held) => held.merge(bill),
+            Some(queued) => queued.merge(bill),
             None => bill,
         };
         self.to_commit.insert(merged.request.clone(), merged);
     }
 }
 
-/// The VMs that may hold this VM's bills, best first: the writers of the
-/// hall, then its other VMs, then those of other halls.
-fn holders(vm: &Vm) -> Vec<VmId> {
+/// Returns the VMs to which this VM may send its bills, best first: the
+/// writers of the hall, its other VMs, then those of other halls.
+fn copy_targets(vm: &Vm) -> Vec<VmId> {
     let me = vm.view.vm();
     let live = vm.view.live_hall_vms();
     let hall = vm.view.data_hall();
@@ -484,49 +502,52 @@
     let count = vm.settings.ledger.writers_per_hall.min(others.len());
     let (writers, rest) = others.split_at(count);
     let peers = vm.view.peers();
-    let away: Vec<&str> = peers
+    let remote: Vec<&str> = peers
         .iter()
         .filter(|peer| peer.data_hall != *hall && !peer.leaving)
         .map(|peer| peer.vm.as_str())
         .collect();
-    // A VM that is new here has not heard of the others' lives yet.
-    let unheard: Vec<&str> = peers
+    // A VM that has just started has not received the heartbeats of the other
+    // VMs yet.
+    let unknown: Vec<&str> = peers
         .iter()
         .filter(|peer| peer.data_hall == *hall && !peer.leaving)
         .filter(|peer| vm.view.liveness(&peer.vm).is_none())
         .map(|peer| peer.vm.as_str())
         .collect();
-    // VMs spread over the writers, each staying with its own.
-    let mine = me.as_str().as_bytes();
+    // Rendezvous hashing spreads the VMs over the writers, and each VM keeps
+    // its writer.
+    let own_name = me.as_str().as_bytes();
     let spread = |names: &[&str]| -> Vec<VmId> {
-        let ranked = rendezvous::rank(mine, names.iter().copied());
+        let ranked = rendezvous::rank(own_name, names.iter().copied());
         ranked.into_iter().filter_map(|name| name.parse().ok()).collect()
     };
-    let mut holders = spread(writers);
-    holders.extend(spread(rest));
-    holders.extend(spread(&unheard));
-    holders.extend(spread(&away));
-    vm.ledger.unresponsive.deprioritize(&mut holders, vm.clock.now());
-    holders
+    let mut targets = spread(writers);
+    targets.extend(spread(rest));
+    targets.extend(spread(&unknown));
+    targets.extend(spread(&remote));
+    vm.ledger.unresponsive.deprioritize(&mut targets, vm.clock.now());
+    targets
 }
 
-/// Whether the life of the VM that admitted a request is over.
-fn is_dead(vm: &Vm, request: &RequestId) -> bool {
+/// Whether the incarnation of the VM that admitted a request is over.
+fn is_incarnation_over(vm: &Vm, request: &RequestId) -> bool {
     match vm.view.liveness(&request.vm) {
-        Some((incarnation, life)) => {
+        Some((incarnation, liveness)) => {
             incarnation > request.incarnation
                 || (incarnation == request.incarnation
-                    && life == Liveness::Dead)
+                    && liveness == Liveness::Dead)
         }
-        // Long forgotten, or of another hall, which holds its own bills.
+        // The VM was removed from the membership long ago, or is in another
+        // hall, which has copies of its own bills.
         None => true,
     }
 }
 
-fn own_prefix(vm: &Vm, hour: u64) -> String {
+fn writer_prefix(vm: &Vm, hour: u64) -> String {
     let hall = vm.view.data_hall();
-    let life = vm.identity();
-    let writer = format!("{}-{}", life.vm, life.incarnation);
+    let identity = vm.identity();
+    let writer = format!("{}-{}", identity.vm, identity.incarnation);
     format!("{}/{hall}/{writer}", hour_prefix(hour))
 }
 
@@ -534,52 +555,54 @@
     format!("ledger/{hour:08}")
 }
 
-/// What bills are asked for.
+/// A query for bills.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BillQuery {
-    /// Of one organisation only.
+    /// Only bills of this organisation, if set.
     pub(crate) organisation: Option<OrganisationId>,
-    /// From this time on, in milliseconds since the Unix epoch.
+    /// Start of the time range (inclusive), in milliseconds since the Unix
+    /// epoch.
     pub(crate) from_unix_ms: u64,
-    /// Before this time.
+    /// End of the time range (exclusive), in milliseconds since the Unix
+    /// epoch.
     pub(crate) to_unix_ms: u64,
 }
 
-/// Hours that one query may span.
-const QUERY_HOURS: u64 = 24 * 32;
+/// Maximum number of hours that one query may span.
+const MAX_QUERY_HOURS: u64 = 24 * 32;
 
 /// Reads bills from the store, merged by request.
 ///
 /// # Errors
 ///
-/// [`ErrorKind::StoreUnavailable`], or [`ErrorKind::InvalidInput`] for a
-/// span that is too long.
+/// [`ErrorKind::StoreUnavailable`], or [`ErrorKind::InvalidInput`] if the time
+/// range is too long.
 pub(crate) async fn read_bills(
     vm: &Vm,
     query: &BillQuery,
 ) -> Result<Vec<Bill>, Error> {
     let first = query.from_unix_ms / MS_PER_HOUR;
-    // A bill is committed some time after its request came.
+    // Bills are committed some time after their request has arrived.
     let now = vm.clock.unix_ms() / MS_PER_HOUR;
     let last = (query.to_unix_ms / MS_PER_HOUR + 24).min(now);
-    if last.saturating_sub(first) > QUERY_HOURS {
+    if last.saturating_sub(first) > MAX_QUERY_HOURS {
         return Err(Error::new(ErrorKind::InvalidInput)
-            .context("bills can be asked for 31 days at once"));
+            .context("a bill query may span at most 31 days"));
     }
     let mut found = Vec::new();
     for hour in first..=last {
         found.extend(read_hour(vm, hour).await?);
     }
     let wanted = merge_all(found).into_iter().filter(|bill| {
-        let mine = query.organisation.as_ref();
-        mine.is_none_or(|organisation| bill.organisation == *organisation)
+        let selected = query.organisation.as_ref();
+        selected.is_none_or(|organisation| bill.organisation == *organisation)
             && (query.from_unix_ms..query.to_unix_ms)
                 .contains(&bill.at_unix_ms)
     });
     Ok(wanted.collect())
 }
 
-/// Looks for one bill in the latest hours of the ledger.
+/// Returns the bill of a request, if it was committed in the last hours.
 pub(crate) async fn find_committed(
     vm: &Vm,
     request: &RequestId,
@@ -612,7 +635,7 @@
     Ok(bills)
 }
 
-/// The sum of bills.
+/// Returns the sum of the costs of bills.
 pub(crate) fn total(bills: &[Bill]) -> MicroCost {
     bills.iter().fold(MicroCost::default(), |sum, b| sum + b.cost_micro)
 }
