--- a/src/chains/bill.rs
+++ b/src/chains/bill.rs
@@ -1,8 +1,8 @@
-//! Bills: one for each request that ran, whatever happened on the way.
+//! Bills: one for each request that ran, whatever its outcome.
 //!
-//! A bill is keyed by its request. Several words about one request merge to
-//! the strongest, in any order and however often they arrive, so a repeated
-//! or lost answer of the store does no harm.
+//! A bill is keyed by its request. Several reports about one request merge to
+//! the strongest one, in any order and however often they arrive, so repeated
+//! writes and lost responses of the store are harmless.
 
 use std::collections::HashMap;
 
@@ -15,26 +15,27 @@
     unit::MicroCost,
 };
 
-/// How much is known about a bill; a later one is stronger.
+/// How much is known about a bill. Later variants are stronger and replace
+/// earlier ones in a merge.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum BillState {
-    /// The request runs; the cost is an estimate.
+    /// The request is running; the cost is an estimate.
     Open,
-    /// The VM died while the request ran; the estimate is charged.
+    /// The VM died while the request was running; the estimate is charged.
     Orphaned,
     /// The request did not run; nothing is charged.
     Void,
-    /// The request ended; the cost is what was used.
+    /// The request has ended; the cost is that of the actual usage.
     Closed,
 }
 
-/// What one attempt used.
+/// The usage and cost of one attempt at an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BillPart {
-    /// The upstream.
+    /// The upstream that served the attempt.
     pub upstream: UpstreamId,
     /// The model, for model requests.
     pub model: Option<ModelId>,
@@ -42,11 +43,11 @@
     pub version: Option<VersionId>,
     /// The service, for service calls.
     pub service: Option<ServiceId>,
-    /// Tokens read.
+    /// Input tokens.
     pub input_tokens: u64,
-    /// Tokens written.
+    /// Output tokens.
     pub output_tokens: u64,
-    /// The cost.
+    /// The cost of the attempt.
     pub cost_micro: MicroCost,
 }
 
@@ -55,22 +56,22 @@
 pub struct Bill {
     /// The request.
     pub request: RequestId,
-    /// Who pays.
+    /// The organisation that is charged.
     pub organisation: OrganisationId,
-    /// When the request came, in milliseconds since the Unix epoch.
+    /// When the request arrived, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
-    /// How much is known.
+    /// How much is known about the request.
     pub state: BillState,
-    /// The whole cost.
+    /// The total cost.
     pub cost_micro: MicroCost,
-    /// The attempts that used something.
+    /// The attempts with any usage.
     pub parts: Vec<BillPart>,
-    /// How it ended, as an answer code; `answered` when it was answered.
+    /// The error code of the response, or `answered` if the request succeeded.
     pub ended: String,
 }
 
 impl Bill {
-    /// The stronger of two words about one request.
+    /// Returns the stronger of two reports about the same request.
     ///
     /// The order of the two does not matter.
     #[must_use]
@@ -81,12 +82,12 @@
     }
 }
 
-/// Merges bills by request.
+/// Merges bills by request, and sorts them by request.
 pub fn merge_all(bills: impl IntoIterator<Item = Bill>) -> Vec<Bill> {
     let mut merged: HashMap<RequestId, Bill> = HashMap::new();
     for bill in bills {
         let merged_bill = match merged.remove(&bill.request) {
-            Some(held) => held.merge(bill),
+            Some(earlier) => earlier.merge(bill),
             None => bill,
         };
         merged.insert(merged_bill.request.clone(), merged_bill);
@@ -130,7 +131,7 @@
     }
 
     #[test]
-    fn the_word_of_the_vm_beats_the_settlement_of_an_orphan() {
+    fn a_closed_bill_replaces_an_orphaned_one() {
         let closed = bill(1, BillState::Closed, 5);
         let orphan = bill(1, BillState::Orphaned, 50);
         let merged = merge_all([orphan, closed.clone()]);
@@ -138,19 +139,19 @@
     }
 
     proptest! {
-        /// Order and repetition of words do not change the bills.
+        /// The order and repetition of reports do not change the merged bills.
         #[test]
-        fn merging_is_order_free(
+        fn merging_is_commutative_and_idempotent(
             bills in prop::collection::vec(any_bill(), 0..20),
             rotation in 0..20_usize,
         ) {
-            let mut turned = bills.clone();
-            turned.extend(bills.iter().cloned());
-            if !turned.is_empty() {
-                let by = rotation % turned.len();
-                turned.rotate_left(by);
+            let mut rotated = bills.clone();
+            rotated.extend(bills.iter().cloned());
+            if !rotated.is_empty() {
+                let by = rotation % rotated.len();
+                rotated.rotate_left(by);
             }
-            prop_assert_eq!(merge_all(bills), merge_all(turned));
+            prop_assert_eq!(merge_all(bills), merge_all(rotated));
         }
     }
 }
--- a/src/chains/chain.rs
+++ b/src/chains/chain.rs
@@ -240,22 +240,22 @@
         #[test]
         fn outcomes_match_the_store(
             faults in prop::collection::vec(fault(), 0..6),
-            occupied in any::<bool>(),
+            taken in any::<bool>(),
         ) {
             let store = MemoryStore::default();
             block_on(async {
-                if occupied {
+                if taken {
                     let other = append(&store, "c", 1, &batch(9, 90)).await;
                     assert!(matches!(other, Ok(AppendOutcome::Appended)));
                 }
                 store.inject(faults.iter().copied());
                 let outcome = append(&store, "c", 1, &batch(1, 10)).await;
                 let stored = read_one::<u32>(&store, "c", 1).await.unwrap();
-                let is_mine = stored.is_some_and(|b| b.write == WriteId(1));
+                let mine = stored.is_some_and(|b| b.write == WriteId(1));
                 match outcome {
-                    Ok(AppendOutcome::Appended) => assert!(is_mine),
-                    Ok(AppendOutcome::Occupied(_)) => assert!(occupied && !is_mine),
-                    Err(StoreError::NotApplied(_)) => assert!(!is_mine),
+                    Ok(AppendOutcome::Appended) => assert!(mine),
+                    Ok(AppendOutcome::Occupied(_)) => assert!(taken && !mine),
+                    Err(StoreError::NotApplied(_)) => assert!(!mine),
                     Err(StoreError::OutcomeUnknown(_)) => {}
                 }
                 store.inject([]);
--- a/src/chains/configuration.rs
+++ b/src/chains/configuration.rs
@@ -1,8 +1,8 @@
-//! The configuration: templates and versions as one chain of changes.
+//! The configuration: templates and versions, as a chain of changes.
 //!
-//! [`Configuration`] is the pure state after some change; applying the next
-//! change is the only way to get another. [`ConfigurationCell`] holds the
-//! one that is in force at this VM and never goes to a lower revision.
+//! A [`Configuration`] is the immutable state at one revision; the next state
+//! results only from applying the next change. [`ConfigurationCell`] contains
+//! the configuration in force at this VM, whose revision never decreases.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -20,7 +20,7 @@
     secret::KeyHash,
 };
 
-/// What one change does.
+/// What a change does.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Edit {
@@ -32,18 +32,18 @@
     PutVersion(VersionEntry),
 }
 
-/// One change as it stands in the chain.
+/// A change as stored in the chain.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// The revision that it leads to.
+    /// The revision that results from the change.
     pub revision: Revision,
-    /// The VM through which it came.
+    /// The VM that stored the change.
     pub vm: VmId,
-    /// When, in milliseconds since the Unix epoch.
+    /// When it was stored, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
-    /// Why, in the words of who made it.
+    /// The reason that the operator gave.
     pub reason: String,
-    /// What it does.
+    /// The edit.
     pub edit: Edit,
 }
 
@@ -52,22 +52,22 @@
 pub struct Versioned<T> {
     /// The revision that last changed it.
     pub revision: Revision,
-    /// The part.
+    /// The template or version.
     pub value: T,
 }
 
-/// What a writer demands of the part that it edits.
+/// The condition on which an edit is accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expected {
-    /// Nothing.
+    /// No condition.
     Any,
-    /// The part does not exist.
+    /// The template or version does not exist.
     Absent,
-    /// The part was last changed by this revision.
+    /// The template or version was last changed at this revision.
     At(Revision),
 }
 
-/// The state after a change.
+/// All templates and versions at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
     revision: Revision,
@@ -78,11 +78,11 @@
 }
 
 impl Configuration {
-    /// Reads a configuration from JSON.
+    /// Parses a configuration from JSON.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::InvalidInput`] when it is unreadable.
+    /// [`ErrorKind::InvalidInput`] if it can't be parsed.
     pub fn from_json(text: &str) -> Result<Configuration, Error> {
         let mut configuration: Configuration = serde_json::from_str(text)
             .map_err(|error| {
@@ -94,19 +94,19 @@
         Ok(configuration)
     }
 
-    /// The revision.
+    /// Returns the revision; 0 if no change was applied.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// All templates.
+    /// Returns the templates of all organisations.
     pub fn templates(
         &self,
     ) -> impl Iterator<Item = &Versioned<Arc<Template>>> {
         self.templates.values()
     }
 
-    /// The template of an organisation.
+    /// Returns the template of an organisation.
     pub fn template(
         &self,
         organisation: &OrganisationId,
@@ -114,20 +114,20 @@
         self.templates.get(organisation)
     }
 
-    /// The template of the organisation that holds a bearer key.
+    /// Returns the template of the organisation that a bearer key belongs to.
     pub fn template_by_key(&self, hash: &KeyHash) -> Option<&Arc<Template>> {
         let organisation = self.organisations_by_key.get(hash)?;
         self.templates.get(organisation).map(|part| &part.value)
     }
 
-    /// All versions of all models.
+    /// Returns all versions of all models.
     pub fn all_versions(
         &self,
     ) -> impl Iterator<Item = &Versioned<VersionEntry>> {
         self.versions.values().flat_map(BTreeMap::values)
     }
 
-    /// The versions of a model.
+    /// Returns the versions of a model; none if the model is unknown.
     pub fn versions(
         &self,
         model: &ModelId,
@@ -136,7 +136,7 @@
         versions.into_iter().flatten().map(|(_, part)| &part.value)
     }
 
-    /// One version.
+    /// Returns a version of a model.
     pub fn version(
         &self,
         model: &ModelId,
@@ -145,7 +145,7 @@
         self.versions.get(model)?.get(version)
     }
 
-    /// Whether a model is known at all.
+    /// Whether a model has any version.
     pub fn has_model(&self, model: &ModelId) -> bool {
         self.versions.contains_key(model)
     }
@@ -154,15 +154,15 @@
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::EditConflict`] when `expected` does not hold, with both
+    /// [`ErrorKind::EditConflict`] if `expected` does not hold, with both
     /// revisions in the message, and [`ErrorKind::InvalidInput`] or
-    /// [`ErrorKind::NotFound`] when the edit makes no sense.
+    /// [`ErrorKind::NotFound`] if the edit is invalid.
     pub fn check(&self, edit: &Edit, expected: Expected) -> Result<(), Error> {
-        let held = self.part_revision(edit);
-        check_expected(held, expected)?;
+        let current = self.part_revision(edit);
+        check_expected(current, expected)?;
         match edit {
             Edit::PutTemplate(template) => self.check_keys(template),
-            Edit::RemoveTemplate(organisation) if held.is_none() => {
+            Edit::RemoveTemplate(organisation) if current.is_none() => {
                 Err(Error::new(ErrorKind::NotFound)
                     .context(format!("no template of `{organisation}`")))
             }
@@ -170,11 +170,11 @@
         }
     }
 
-    /// The state after the next change.
+    /// Returns the state after the next change.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Internal`] when the change is not the next one.
+    /// [`ErrorKind::Internal`] if the change is not the next one.
     pub fn apply(&self, change: &Change) -> Result<Configuration, Error> {
         if change.revision != self.revision.next() {
             return Err(Error::new(ErrorKind::Internal).context(format!(
@@ -250,36 +250,37 @@
 }
 
 fn check_expected(
-    held: Option<Revision>,
+    current: Option<Revision>,
     expected: Expected,
 ) -> Result<(), Error> {
     let holds = match expected {
         Expected::Any => true,
-        Expected::Absent => held.is_none(),
-        Expected::At(revision) => held == Some(revision),
+        Expected::Absent => current.is_none(),
+        Expected::At(revision) => current == Some(revision),
     };
     if holds {
         return Ok(());
     }
-    let current =
-        held.map_or("none".to_owned(), |revision| revision.to_string());
-    let yours = match expected {
+    let latest =
+        current.map_or("none".to_owned(), |revision| revision.to_string());
+    let given = match expected {
         Expected::At(revision) => revision.to_string(),
         Expected::Any | Expected::Absent => "none".to_owned(),
     };
     Err(Error::new(ErrorKind::EditConflict).context(format!(
-        "your edit is of revision {yours}, the current revision is {current}"
+        "your edit is of revision {given}, the current revision is {latest}"
     )))
 }
 
-/// The configuration in force at this VM, and the proof of its age.
+/// The configuration in force at this VM, and when it was last proven to be
+/// current.
 pub struct ConfigurationCell {
     current: RwLock<Arc<Configuration>>,
     proven_at: Mutex<Option<BootInstant>>,
 }
 
 impl ConfigurationCell {
-    /// Creates a cell that holds the empty configuration, proven by nobody.
+    /// Creates a cell with the empty configuration and no proof of freshness.
     pub fn new() -> ConfigurationCell {
         ConfigurationCell {
             current: RwLock::default(),
@@ -287,12 +288,13 @@
         }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn current(&self) -> Arc<Configuration> {
         self.current.read().expect("configuration lock").clone()
     }
 
-    /// Puts a configuration in force unless one as new is in force already.
+    /// Puts a configuration in force if its revision is higher than the
+    /// current one.
     ///
     /// Returns whether it did.
     pub fn install(&self, next: Configuration) -> bool {
@@ -304,11 +306,12 @@
         true
     }
 
-    /// Applies the changes that follow the configuration in force.
+    /// Applies the changes that follow the configuration in force. Returns
+    /// whether the revision has increased.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Internal`] when there is a gap before one of them.
+    /// [`ErrorKind::Internal`] if there is a gap before one of them.
     pub fn apply_all(&self, changes: &[Change]) -> Result<bool, Error> {
         let mut next = Configuration::clone(&self.current());
         for change in changes {
@@ -319,13 +322,15 @@
         Ok(self.install(next))
     }
 
-    /// Records that the configuration in force was current at `when`.
+    /// Records a proof of freshness: the configuration in force was current at
+    /// `when`.
     pub fn prove(&self, when: BootInstant) {
         let mut proven_at = self.proven_at.lock().expect("proof lock");
         *proven_at = (*proven_at).max(Some(when));
     }
 
-    /// The age of the last proof, or `None` when there was none.
+    /// Returns the age of the last proof of freshness, or `None` if there was
+    /// none.
     pub fn proof_age(&self, now: BootInstant) -> Option<Duration> {
         let proven_at = *self.proven_at.lock().expect("proof lock");
         proven_at.map(|at| now.saturating_duration_since(at))
@@ -377,7 +382,7 @@
     }
 
     #[test]
-    fn the_loser_of_two_edits_is_told_both_revisions() {
+    fn an_edit_conflict_names_both_revisions() {
         let first = change(1, template("desk", "k"));
         let state = Configuration::default().apply(&first).unwrap();
         let edit = template("desk", "k2");
@@ -400,10 +405,10 @@
     }
 
     proptest! {
-        /// In whatever order and however often batches of changes arrive,
-        /// the revision in force never falls.
+        /// The revision in force never decreases, in whichever order and
+        /// however often batches of changes arrive.
         #[test]
-        fn revisions_never_fall(
+        fn revisions_never_decrease(
             batches in prop::collection::vec((0..12_u64, 1..12_u64), 1..30),
         ) {
             let chain: Vec<Change> = (1..=12)
--- a/src/chains/configuration_sync.rs
+++ b/src/chains/configuration_sync.rs
@@ -1,8 +1,10 @@
-//! Keeps the configuration of this VM current, and takes edits to the store.
+//! Keeps the configuration of this VM up to date, and writes edits to the
+//! store.
 //!
-//! One watch waits for the next change of the chain. News also comes with
-//! gossip, and its content from the VM that had it. A new VM starts from the
-//! store or, when that is out, from another VM.
+//! A watch on the store waits for the next change of the chain. Gossip also
+//! announces new revisions; their changes are fetched from the VM that
+//! announced them. A VM starts from the store or, if that is unavailable, from
+//! another VM.
 
 use std::{sync::Arc, time::Duration};
 
@@ -23,48 +25,51 @@
 const PREFIX: &str = "config";
 const SNAPSHOT_KEY: &str = "configsnapshot";
 
-/// A snapshot is written after this many changes.
+/// Number of changes after which a snapshot is written.
 const SNAPSHOT_EVERY: u64 = 64;
 
-/// Changes kept in the chain, more than a day's worth at the design size.
-const CHANGES_KEPT: u64 = 8192;
+/// Number of changes kept in the chain: more than a day's worth at the rate
+/// that the system is designed for.
+const MAX_CHAIN_CHANGES: u64 = 8192;
 
-/// Changes that a VM keeps to hand on to others.
+/// Maximum number of recent changes that a VM keeps to send to others.
 pub(crate) const RECENT_LIMIT: usize = 512;
 
-/// Longest time to ask another VM for changes.
-const ASK_LIMIT: Duration = Duration::from_secs(2);
+/// Timeout of a request to another VM for changes.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Tries of one edit against other operators' edits.
-const EDIT_TRIES: u32 = 8;
+/// Attempts to append an edit when other operators edit concurrently.
+const MAX_EDIT_ATTEMPTS: u32 = 8;
 
-/// Age of the last proof beyond which an edit first reads the chain.
-const EDIT_PROOF_AGE: Duration = Duration::from_secs(1);
+/// Maximum age of the last proof of freshness with which an edit is checked
+/// without reading the chain first.
+const MAX_EDIT_PROOF_AGE: Duration = Duration::from_secs(1);
 
-/// Follows the chain, for as long as polled.
+/// Follows the chain and applies its changes; runs until it is dropped.
 pub(crate) async fn follow_loop(vm: Arc<Vm>) {
     let mut backoff =
         Backoff::new(Duration::from_millis(100), Duration::from_secs(3));
     let mut must_catch_up = true;
-    let mut is_lost = false;
+    let mut is_store_lost = false;
     loop {
-        let followed = match must_catch_up {
+        let outcome = match must_catch_up {
             true => catch_up(&vm).await,
             false => watch(&vm).await,
         };
-        match followed {
+        match outcome {
             Ok(()) => {
                 must_catch_up = false;
                 backoff.reset();
-                if is_lost {
-                    is_lost = false;
-                    Event::StoreBack.log("the configuration is followed");
+                if is_store_lost {
+                    is_store_lost = false;
+                    Event::StoreBack
+                        .log("the configuration chain can be read again");
                 }
             }
             Err(error) => {
                 must_catch_up = true;
-                if !is_lost {
-                    is_lost = true;
+                if !is_store_lost {
+                    is_store_lost = true;
                     Event::StoreLost.log(&error);
                 }
                 if vm.configuration.proof_age(vm.clock.now()).is_none() {
@@ -76,7 +81,8 @@
     }
 }
 
-/// Fetches changes from VMs that have told of a newer revision.
+/// Fetches changes from VMs that have announced a newer revision; ends when
+/// the channel is closed.
 pub(crate) async fn fetch_loop(vm: Arc<Vm>) {
     while let Ok(from) = vm.configuration_sources.1.recv().await {
         if let Some(peer) = vm.view.peer(&from) {
@@ -85,7 +91,8 @@
     }
 }
 
-/// Waits for the next change, and applies it and what follows.
+/// Waits for the next change and applies it. Records a proof of freshness
+/// either way.
 async fn watch(vm: &Arc<Vm>) -> Result<(), StoreError> {
     let revision = vm.configuration.current().revision();
     let key = chain::key(PREFIX, revision.next().0);
@@ -98,22 +105,24 @@
             apply(vm, &[batch.content]);
             vm.configuration.prove(sent_at);
         }
-        // The service looked for the key until the limit had passed.
+        // The service has confirmed that the key did not exist until the limit
+        // passed.
         None => vm.configuration.prove(sent_at + limit),
     }
     Ok(())
 }
 
-/// Reads the snapshot, if it is newer, and all changes after it.
+/// Reads all changes after the current revision; reads the snapshot first if
+/// there are none or if they don't follow the current revision.
 async fn catch_up(vm: &Arc<Vm>) -> Result<(), StoreError> {
     let sent_at = vm.clock.now();
     let before = vm.configuration.current().revision();
     let mut changes = read_changes(vm, before).await?;
     let has_gap = changes.first().is_some_and(|c| c.revision != before.next());
     if has_gap || changes.is_empty() {
-        take_snapshot(vm).await?;
-        let now_at = vm.configuration.current().revision();
-        changes = read_changes(vm, now_at).await?;
+        load_snapshot(vm).await?;
+        let snapshot_revision = vm.configuration.current().revision();
+        changes = read_changes(vm, snapshot_revision).await?;
     }
     apply(vm, &changes);
     vm.configuration.prove(sent_at);
@@ -130,7 +139,7 @@
     Ok(batches.into_iter().map(|(_, batch)| batch.content).collect())
 }
 
-async fn take_snapshot(vm: &Arc<Vm>) -> Result<(), StoreError> {
+async fn load_snapshot(vm: &Arc<Vm>) -> Result<(), StoreError> {
     let Some(stored) = vm.store.get(SNAPSHOT_KEY).await? else {
         return Ok(());
     };
@@ -144,7 +153,7 @@
 fn install(vm: &Arc<Vm>, configuration: Configuration) {
     let revision = configuration.revision();
     if vm.configuration.install(configuration) {
-        in_force(vm, revision);
+        on_installed(vm, revision);
     }
 }
 
@@ -152,45 +161,49 @@
     match vm.configuration.apply_all(changes) {
         Ok(true) => {
             vm.remember_changes(changes);
-            in_force(vm, vm.configuration.current().revision());
+            on_installed(vm, vm.configuration.current().revision());
         }
         Ok(false) => {}
         Err(error) => Event::ConfigurationBroken.log(error),
     }
 }
 
-fn in_force(vm: &Arc<Vm>, revision: Revision) {
+fn on_installed(vm: &Arc<Vm>, revision: Revision) {
     Event::ConfigurationInForce.log(format_args!("revision {revision}"));
-    // Whichever way it came, there is a configuration to work by.
+    // However the configuration was obtained, this VM can now serve requests.
     vm.mark_ready();
     vm.guard.clear_withdrawn(&vm.configuration.current());
     let vm = vm.clone();
-    // The rest of the hall should not wait for its watch or a round.
+    // The other VMs of the hall need not wait for their watch or the next
+    // gossip round.
     task::spawn(async move {
         crate::api::gossip::Gossiper::gossip_to_hall(&vm).await;
     })
     .detach();
 }
 
-/// Starts from another VM when the store is out.
+/// Fetches the configuration from another VM while the store is unavailable;
+/// VMs of this hall first.
 async fn start_from_peer(vm: &Arc<Vm>) {
     let peers = vm.view.peers();
     let hall = vm.view.data_hall();
-    let (near, far): (Vec<&Peer>, Vec<&Peer>) =
+    let (local, remote): (Vec<&Peer>, Vec<&Peer>) =
         peers.iter().partition(|peer| peer.data_hall == *hall);
-    for peer in near.into_iter().chain(far) {
+    for peer in local.into_iter().chain(remote) {
         if fetch_from(vm, peer).await {
             return;
         }
     }
 }
 
-/// Fetches what a VM has beyond this one; true when it answered.
+/// Fetches from a VM what follows this VM's revision. Returns whether the VM
+/// answered and this VM now has a configuration.
 async fn fetch_from(vm: &Arc<Vm>, peer: &Peer) -> bool {
     let after = vm.configuration.current().revision();
     let request = PeerRequest::Changes { after };
-    let asked = vm.peer_client.call(peer.address, request, ASK_LIMIT).await;
-    match asked {
+    let reply =
+        vm.peer_client.call(peer.address, request, FETCH_TIMEOUT).await;
+    match reply {
         Ok(PeerReply::Changes(changes)) => apply(vm, &changes),
         Ok(PeerReply::Snapshot(text)) => {
             match Configuration::from_json(&text) {
@@ -203,17 +216,18 @@
     vm.configuration.current().revision() > Revision(0)
 }
 
-/// Answers a VM that asks for what follows its revision.
+/// Returns the changes after a revision, or a snapshot if this VM no longer
+/// has all of them.
 pub(crate) fn changes_after(vm: &Vm, after: Revision) -> PeerReply {
     let recent = vm.recent_changes.lock().expect("changes lock");
-    let newer: Vec<Change> =
+    let changes: Vec<Change> =
         recent.iter().filter(|c| c.revision > after).cloned().collect();
     drop(recent);
     let current = vm.configuration.current();
-    let is_whole = current.revision() <= after
-        || newer.first().is_some_and(|c| c.revision == after.next());
-    if is_whole {
-        return PeerReply::Changes(newer);
+    let is_complete = current.revision() <= after
+        || changes.first().is_some_and(|c| c.revision == after.next());
+    if is_complete {
+        return PeerReply::Changes(changes);
     }
     match serde_json::to_string(&*current) {
         Ok(text) => PeerReply::Snapshot(text),
@@ -221,13 +235,13 @@
     }
 }
 
-/// Puts an edit into the chain and in force here.
+/// Appends an edit to the chain and applies it at this VM. Returns the new
+/// revision.
 ///
 /// # Errors
 ///
-/// The kinds of [`Configuration::check`], and
-/// [`ErrorKind::StoreUnavailable`] or [`ErrorKind::StoreUncertain`] when the
-/// store does not answer.
+/// The kinds of [`Configuration::check`], and [`ErrorKind::StoreUnavailable`]
+/// or [`ErrorKind::StoreUncertain`] if the store does not answer.
 pub(crate) async fn edit(
     vm: &Arc<Vm>,
     edit: Edit,
@@ -236,11 +250,11 @@
 ) -> Result<Revision, Error> {
     let now = vm.clock.now();
     let age = vm.configuration.proof_age(now);
-    if age.is_none_or(|age| age > EDIT_PROOF_AGE) {
+    if age.is_none_or(|age| age > MAX_EDIT_PROOF_AGE) {
         let read = catch_up(vm).await;
-        read.map_err(|error| store_failed(&error))?;
+        read.map_err(|error| store_error(&error))?;
     }
-    for _ in 0..EDIT_TRIES {
+    for _ in 0..MAX_EDIT_ATTEMPTS {
         let current = vm.configuration.current();
         current.check(&edit, expected).inspect_err(|error| {
             if error.kind() == ErrorKind::EditConflict {
@@ -267,14 +281,14 @@
                 return Ok(revision);
             }
             Ok(AppendOutcome::Occupied(other)) => apply(vm, &[other]),
-            Err(error) => return Err(store_failed(&error)),
+            Err(error) => return Err(store_error(&error)),
         }
     }
     Err(Error::new(ErrorKind::EditConflict)
-        .context("other edits came first each time"))
+        .context("other edits were stored first at each attempt"))
 }
 
-fn store_failed(error: &StoreError) -> Error {
+fn store_error(error: &StoreError) -> Error {
     let kind = match error {
         StoreError::NotApplied(_) => ErrorKind::StoreUnavailable,
         StoreError::OutcomeUnknown(_) => ErrorKind::StoreUncertain,
@@ -288,7 +302,8 @@
     }
     let vm = vm.clone();
     task::spawn(async move {
-        // Without a snapshot the chain is only longer to read.
+        // A failure is harmless: without a snapshot, only more of the chain
+        // has to be read.
         let _ = write_snapshot(&vm).await;
     })
     .detach();
@@ -296,13 +311,13 @@
 
 async fn write_snapshot(vm: &Arc<Vm>) -> Result<(), StoreError> {
     let current = vm.configuration.current();
-    let held = vm.store.get(SNAPSHOT_KEY).await?;
-    let condition = match &held {
+    let stored = vm.store.get(SNAPSHOT_KEY).await?;
+    let condition = match &stored {
         None => Condition::Absent,
         Some(stored) => {
-            let older = Configuration::from_json(&stored.value)
-                .is_ok_and(|held| held.revision() < current.revision());
-            if !older {
+            let is_older = Configuration::from_json(&stored.value)
+                .is_ok_and(|other| other.revision() < current.revision());
+            if !is_older {
                 return Ok(());
             }
             Condition::VersionIs(stored.version)
@@ -310,7 +325,7 @@
     };
     let value = chain::encode(&*current)?;
     vm.store.put(SNAPSHOT_KEY, &value, condition).await?;
-    let last = current.revision().0.saturating_sub(CHANGES_KEPT);
+    let last = current.revision().0.saturating_sub(MAX_CHAIN_CHANGES);
     let first = last.saturating_sub(SNAPSHOT_EVERY - 1).max(1);
     for index in first..=last {
         vm.store.delete(&chain::key(PREFIX, index)).await?;
@@ -318,12 +333,13 @@
     Ok(())
 }
 
-/// Watches the age of the proof and says when it passes the bound.
+/// Logs when the configuration becomes stale or fresh again, by the age of its
+/// proof of freshness.
 pub(crate) async fn staleness_loop(vm: Arc<Vm>) {
-    const LOOK: Duration = Duration::from_secs(1);
+    const CHECK_INTERVAL: Duration = Duration::from_secs(1);
     let mut was_fresh = true;
     loop {
-        task::sleep(LOOK).await;
+        task::sleep(CHECK_INTERVAL).await;
         let is_fresh = vm.is_configuration_fresh();
         if is_fresh != was_fresh {
             was_fresh = is_fresh;
@@ -337,7 +353,8 @@
     }
 }
 
-/// Waits until this VM has a configuration, but not beyond `limit`.
+/// Waits at most `limit` until this VM has a configuration. Returns whether it
+/// has one.
 pub(crate) async fn wait_ready(vm: &Arc<Vm>, limit: Duration) -> bool {
     let wait = async {
         while !vm.is_ready() {
--- a/src/chains/mod.rs
+++ b/src/chains/mod.rs
@@ -1,9 +1,14 @@
-//! The way of an agreement: chains of keys in a key-value store.
+//! Agreement between VMs and durable state, built on chains of keys in a
+//! key-value store.
 //!
-//! * [`store`], [`memory_store`]: the service, and one in memory for tests.
-//! * [`chain`], [`lease`]: the two mechanisms built on it.
-//! * [`configuration`], [`configuration_sync`]: templates and versions.
-//! * [`claim`], [`claims`], [`slot`]: running a keyed request at most once.
+//! * [`store`], [`memory_store`]: the client of the store, and an in-memory
+//!   store for tests.
+//! * [`chain`], [`lease`]: append-only logs and leases, on which the other
+//!   modules are built.
+//! * [`configuration`], [`configuration_sync`]: templates and versions, and
+//!   how VMs keep them up to date.
+//! * [`claim`], [`claims`], [`slot`]: running a request with an
+//!   `Idempotency-Key` at most once.
 //! * [`bill`], [`ledger`]: billing each request once.
 
 pub mod bill;
--- a/src/chains/slot.rs
+++ b/src/chains/slot.rs
@@ -47,8 +47,8 @@
 const SNAPSHOT_EVERY: u64 = 256;
 
 /// Minimum age of a batch that is removed from the chain. A VM doesn't trust
-/// an append of its own that took longer than [`MAX_APPEND_DELAY`], so no append
-/// can succeed unnoticed at an index that was removed.
+/// an append of its own that took longer than [`MAX_APPEND_DELAY`], so no
+/// append can succeed unnoticed at an index that was removed.
 const MIN_REMOVE_AGE: Duration = Duration::from_secs(3600);
 
 /// Maximum time from reading the end of a chain to an append after it.
--- a/src/chains/slot/tests.rs
+++ b/src/chains/slot/tests.rs
@@ -1,4 +1,5 @@
-//! Three VMs and one slot, through whatever can go wrong.
+//! Tests one slot at three VMs, with store faults, partitions and wrong
+//! beliefs about which VMs are alive.
 
 use std::{
     collections::HashMap,
@@ -28,51 +29,51 @@
 const OFFLINE_MAX: Duration = Duration::from_secs(60);
 const GAP_HOLD: Duration = Duration::from_secs(100);
 
-/// A clock that is set.
-struct SetClock {
+/// A clock that advances only when a test tells it to.
+struct ManualClock {
     start: BootInstant,
-    passed: StdMutex<Duration>,
+    elapsed: StdMutex<Duration>,
 }
 
-impl Clock for SetClock {
+impl Clock for ManualClock {
     fn now(&self) -> BootInstant {
-        self.start + *self.passed.lock().unwrap()
+        self.start + *self.elapsed.lock().unwrap()
     }
 
     fn system_time(&self) -> SystemTime {
         SystemTime::UNIX_EPOCH
             + Duration::from_secs(1_000_000)
-            + *self.passed.lock().unwrap()
+            + *self.elapsed.lock().unwrap()
     }
 }
 
-/// One VM's way to the store, which can be cut.
-struct Door {
+/// One VM's connection to the store, which can be cut.
+struct StoreLink {
     store: Arc<MemoryStore>,
-    is_shut: AtomicBool,
-    /// Calls after which it shuts by itself, if not negative.
-    shuts_after: AtomicI32,
+    is_cut: AtomicBool,
+    /// Number of calls after which the connection is cut, if not negative.
+    cut_after: AtomicI32,
 }
 
-impl Door {
-    fn pass(&self) -> Result<(), StoreError> {
-        if self.shuts_after.fetch_sub(1, Ordering::Relaxed) == 0 {
-            self.is_shut.store(true, Ordering::Relaxed);
+impl StoreLink {
+    fn check(&self) -> Result<(), StoreError> {
+        if self.cut_after.fetch_sub(1, Ordering::Relaxed) == 0 {
+            self.is_cut.store(true, Ordering::Relaxed);
         }
-        match self.is_shut.load(Ordering::Relaxed) {
-            true => Err(StoreError::NotApplied("shut".to_owned())),
+        match self.is_cut.load(Ordering::Relaxed) {
+            true => Err(StoreError::NotApplied("connection cut".to_owned())),
             false => Ok(()),
         }
     }
 }
 
 #[async_trait]
-impl Store for Door {
+impl Store for StoreLink {
     async fn get(
         &self,
         key: &str,
     ) -> Result<Option<VersionedValue>, StoreError> {
-        self.pass()?;
+        self.check()?;
         self.store.get(key).await
     }
 
@@ -81,7 +82,7 @@
         key: &str,
         limit: Duration,
     ) -> Result<Option<VersionedValue>, StoreError> {
-        self.pass()?;
+        self.check()?;
         self.store.wait(key, limit).await
     }
 
@@ -90,7 +91,7 @@
         prefix: &str,
         after: &str,
     ) -> Result<Vec<StoreEntry>, StoreError> {
-        self.pass()?;
+        self.check()?;
         self.store.list(prefix, after).await
     }
 
@@ -100,54 +101,55 @@
         value: &str,
         condition: Condition,
     ) -> Result<PutOutcome, StoreError> {
-        self.pass()?;
+        self.check()?;
         self.store.put(key, value, condition).await
     }
 
     async fn delete(&self, key: &str) -> Result<(), StoreError> {
-        self.pass()?;
+        self.check()?;
         self.store.delete(key).await
     }
 }
 
 type SharedSlot = Arc<Mutex<Slot<FakePeers>>>;
 
-/// Whom one VM believes to be gone, and who can be reached.
-struct Links {
+/// Which VMs the others believe to be gone, and which are partitioned.
+struct Network {
     slots: StdMutex<Vec<SharedSlot>>,
     gone: StdMutex<[bool; VMS]>,
-    cut: StdMutex<[bool; VMS]>,
+    partitioned: StdMutex<[bool; VMS]>,
 }
 
 #[derive(Clone)]
 struct FakePeers {
     me: usize,
-    links: Arc<Links>,
+    network: Arc<Network>,
 }
 
-fn life(number: usize) -> VmIncarnation {
+fn incarnation(number: usize) -> VmIncarnation {
     VmIncarnation {
         vm: format!("vm-{number}").parse().unwrap(),
         incarnation: Incarnation(1),
     }
 }
 
-fn number(life: &VmIncarnation) -> usize {
-    life.vm.as_str()[3..].parse().unwrap()
+fn number(incarnation: &VmIncarnation) -> usize {
+    incarnation.vm.as_str()[3..].parse().unwrap()
 }
 
 impl SlotPeers for FakePeers {
-    async fn is_gone(&self, life: &VmIncarnation) -> bool {
-        let other = number(life);
-        let gone = self.links.gone.lock().unwrap();
-        let cut = self.links.cut.lock().unwrap();
-        other != self.me && (gone[other] || cut[other] || cut[self.me])
+    async fn is_gone(&self, incarnation: &VmIncarnation) -> bool {
+        let other = number(incarnation);
+        let gone = self.network.gone.lock().unwrap();
+        let partitioned = self.network.partitioned.lock().unwrap();
+        other != self.me
+            && (gone[other] || partitioned[other] || partitioned[self.me])
     }
 
     fn pick_deputy(&self) -> Option<VmIncarnation> {
-        let gone = self.links.gone.lock().unwrap();
+        let gone = self.network.gone.lock().unwrap();
         let next = (self.me + 1..self.me + VMS).map(|n| n % VMS);
-        next.into_iter().find(|n| !gone[*n]).map(life)
+        next.into_iter().find(|n| !gone[*n]).map(incarnation)
     }
 
     async fn hold(
@@ -156,88 +158,88 @@
         request: HoldRequest,
     ) -> bool {
         let other = number(deputy);
-        let is_cut = {
-            let cut = self.links.cut.lock().unwrap();
-            cut[other] || cut[self.me]
+        let is_partitioned = {
+            let partitioned = self.network.partitioned.lock().unwrap();
+            partitioned[other] || partitioned[self.me]
         };
-        if is_cut {
+        if is_partitioned {
             return false;
         }
-        let slot = self.links.slots.lock().unwrap()[other].clone();
+        let slot = self.network.slots.lock().unwrap()[other].clone();
         slot.lock().await.hold(request).await
     }
 }
 
 struct World {
-    clock: Arc<SetClock>,
+    clock: Arc<ManualClock>,
     store: Arc<MemoryStore>,
-    doors: Vec<Arc<Door>>,
-    links: Arc<Links>,
+    store_links: Vec<Arc<StoreLink>>,
+    network: Arc<Network>,
     slots: Vec<SharedSlot>,
     next_sequence: u64,
-    /// Requests that were granted and not given back, by key, with the
+    /// Requests that were granted and not settled as not run, by key, with the
     /// time of the grant.
-    holders: HashMap<u8, Vec<(ClaimRequest, Duration)>>,
+    granted: HashMap<u8, Vec<(ClaimRequest, Duration)>>,
 }
 
 impl World {
     fn new() -> World {
-        let clock = Arc::new(SetClock {
+        let clock = Arc::new(ManualClock {
             start: BootInstant::now(),
-            passed: StdMutex::default(),
+            elapsed: StdMutex::default(),
         });
         let store = Arc::new(MemoryStore::default());
-        let links = Arc::new(Links {
+        let network = Arc::new(Network {
             slots: StdMutex::default(),
             gone: StdMutex::default(),
-            cut: StdMutex::default(),
+            partitioned: StdMutex::default(),
         });
         let mut world = World {
             clock,
             store,
-            doors: Vec::new(),
-            links,
+            store_links: Vec::new(),
+            network,
             slots: Vec::new(),
             next_sequence: 1,
-            holders: HashMap::new(),
+            granted: HashMap::new(),
         };
         for me in 0..VMS {
             world.add_vm(me);
         }
-        *world.links.slots.lock().unwrap() = world.slots.clone();
+        *world.network.slots.lock().unwrap() = world.slots.clone();
         world
     }
 
     fn add_vm(&mut self, me: usize) {
-        let door = Arc::new(Door {
+        let link = Arc::new(StoreLink {
             store: self.store.clone(),
-            is_shut: AtomicBool::new(false),
-            shuts_after: AtomicI32::new(-1),
+            is_cut: AtomicBool::new(false),
+            cut_after: AtomicI32::new(-1),
         });
         let slot = Slot::new(
             0,
-            life(me),
+            incarnation(me),
             settings(),
             Duration::from_secs(1_000_000),
-            door.clone(),
+            link.clone(),
             self.clock.clone(),
-            FakePeers { me, links: self.links.clone() },
+            FakePeers { me, network: self.network.clone() },
         );
-        self.doors.push(door);
+        self.store_links.push(link);
         self.slots.push(Arc::new(Mutex::new(slot)));
     }
 
     fn wait(&self, seconds: u64) {
-        let mut passed = self.clock.passed.lock().unwrap();
-        *passed += Duration::from_secs(seconds);
+        let mut elapsed = self.clock.elapsed.lock().unwrap();
+        *elapsed += Duration::from_secs(seconds);
     }
 
-    fn shut(&self, vm: usize, is_shut: bool) {
-        self.doors[vm].is_shut.store(is_shut, Ordering::Relaxed);
+    fn cut_store(&self, vm: usize, is_cut: bool) {
+        self.store_links[vm].is_cut.store(is_cut, Ordering::Relaxed);
     }
 
     fn set_gone(&self, vm: usize, is_gone: bool) {
-        self.links.gone.lock().unwrap()[vm] = is_gone;
+        self.network.gone.lock().unwrap()[vm] = is_gone;
     }
 
     fn request(&mut self, key: u8) -> ClaimRequest {
@@ -255,7 +257,7 @@
         }
     }
 
-    /// Asks a VM for a claim as a router would; true when granted.
+    /// Claims a key at a VM as a router would. Returns whether it was granted.
     fn claim(&mut self, vm: usize, key: u8) -> bool {
         let request = self.request(key);
         let slot = self.slots[vm].clone();
@@ -264,13 +266,13 @@
         });
         match &verdicts[0] {
             ClaimVerdict::Granted => {
-                let at = *self.clock.passed.lock().unwrap();
-                let holders = self.holders.entry(key).or_default();
-                holders.push((request, at));
+                let at = *self.clock.elapsed.lock().unwrap();
+                let granted = self.granted.entry(key).or_default();
+                granted.push((request, at));
                 true
             }
             ClaimVerdict::Unavailable { .. } => {
-                // The router gives such a claim back.
+                // The router settles such a claim as not run.
                 self.settle(vm, &request, ClaimOutcome::NotRun);
                 false
             }
@@ -298,14 +300,14 @@
         block_on(async { slot.lock().await.tick().await });
     }
 
-    /// No key was granted twice within the time for which a caller may
-    /// repeat it, which is what `gap_hold` promises.
-    fn assert_single(&self) {
-        for (key, holders) in &self.holders {
-            let doubled = holders
+    /// Asserts that no key was granted twice within `gap_hold`, the time for
+    /// which callers may repeat a request.
+    fn assert_no_duplicate_grants(&self) {
+        for (key, granted) in &self.granted {
+            let duplicate = granted
                 .windows(2)
                 .find(|pair| pair[1].1 - pair[0].1 < GAP_HOLD);
-            assert!(doubled.is_none(), "key {key}: {doubled:?}");
+            assert!(duplicate.is_none(), "key {key}: {duplicate:?}");
         }
     }
 }
@@ -322,75 +324,75 @@
 }
 
 #[test]
-fn an_owner_goes_on_without_the_store_if_its_deputy_holds() {
+fn an_owner_grants_offline_while_its_deputy_stores_copies() {
     let mut world = World::new();
     assert!(world.claim(0, 1));
     for vm in 0..VMS {
-        world.shut(vm, true);
+        world.cut_store(vm, true);
     }
     assert!(world.claim(0, 2));
-    assert!(!world.claim(0, 2), "a repeat is not granted");
-    assert!(!world.claim(1, 3), "nobody else grants");
-    world.links.cut.lock().unwrap()[1] = true;
-    assert!(!world.claim(0, 4), "not without the deputy");
-    world.links.cut.lock().unwrap()[1] = false;
+    assert!(!world.claim(0, 2), "a repeated request is not granted");
+    assert!(!world.claim(1, 3), "no other VM grants claims");
+    world.network.partitioned.lock().unwrap()[1] = true;
+    assert!(!world.claim(0, 4), "no grants without the deputy");
+    world.network.partitioned.lock().unwrap()[1] = false;
     assert!(world.claim(0, 5));
     world.wait(OFFLINE_MAX.as_secs());
-    assert!(!world.claim(0, 6), "not for ever");
+    assert!(!world.claim(0, 6), "no grants after offline_max");
 }
 
 #[test]
-fn a_deputy_takes_over_what_it_held() {
+fn a_deputy_takes_over_with_its_copies_of_claims() {
     let mut world = World::new();
     assert!(world.claim(0, 1));
-    world.shut(0, true);
+    world.cut_store(0, true);
     assert!(world.claim(0, 2));
     world.set_gone(0, true);
-    assert!(!world.claim(1, 2), "the deputy knows the key");
+    assert!(!world.claim(1, 2), "the deputy has a copy of the claim");
     assert!(world.claim(1, 3));
-    assert!(!world.claim(0, 4), "the deputy holds no more");
-    world.shut(0, false);
+    assert!(!world.claim(0, 4), "the deputy accepts no more copies");
+    world.cut_store(0, false);
     world.set_gone(0, false);
     assert!(!world.claim(0, 3));
-    world.assert_single();
+    world.assert_no_duplicate_grants();
 }
 
 #[test]
-fn a_hall_that_is_lost_is_taken_over_after_the_wait() {
+fn a_third_vm_takes_over_after_offline_max() {
     let mut world = World::new();
     assert!(world.claim(0, 1));
     world.set_gone(0, true);
     world.set_gone(1, true);
-    assert!(!world.claim(2, 2), "only announced");
+    assert!(!world.claim(2, 2), "the takeover is only announced");
     world.wait(OFFLINE_MAX.as_secs() / 2);
-    assert!(!world.claim(2, 2), "too early");
+    assert!(!world.claim(2, 2), "offline_max has not elapsed");
     world.wait(OFFLINE_MAX.as_secs());
-    assert!(!world.claim(2, 2), "unknown keys may have run");
+    assert!(!world.claim(2, 2), "unknown keys are answered with Gap");
     world.wait(GAP_HOLD.as_secs());
     assert!(world.claim(2, 2));
     assert!(!world.claim(2, 1), "known keys stay known");
 }
 
 #[test]
-fn an_owner_that_lives_objects_to_a_takeover() {
+fn a_live_owner_objects_to_a_takeover() {
     let mut world = World::new();
     assert!(world.claim(0, 1));
     world.set_gone(0, true);
     world.set_gone(1, true);
     assert!(!world.claim(2, 2));
     world.wait(OFFLINE_MAX.as_secs() / 2);
-    // Else it would be named the deputy, which may take over at once.
+    // Otherwise VM 2 would be named the deputy, which may take over at once.
     world.set_gone(2, true);
     world.tick(0);
     world.set_gone(2, false);
     world.wait(OFFLINE_MAX.as_secs());
-    assert!(!world.claim(2, 2), "it must announce anew");
+    assert!(!world.claim(2, 2), "the takeover must be announced again");
     assert!(world.claim(0, 2));
-    world.assert_single();
+    world.assert_no_duplicate_grants();
 }
 
 #[test]
-fn a_planned_stop_hands_over_at_once() {
+fn a_handover_makes_the_deputy_the_owner_at_once() {
     let mut world = World::new();
     assert!(world.claim(0, 1));
     let slot = world.slots[0].clone();
@@ -403,13 +405,13 @@
 #[derive(Clone, Debug)]
 enum Action {
     Claim { vm: usize, key: u8 },
-    GiveBack { key: u8 },
+    SettleNotRun { key: u8 },
     Tick { vm: usize },
     Wait { seconds: u64 },
-    Shut { vm: usize, is_shut: bool },
-    ShutsAfter { vm: usize, calls: i32 },
+    CutStore { vm: usize, is_cut: bool },
+    CutStoreAfter { vm: usize, calls: i32 },
     Gone { vm: usize, is_gone: bool },
-    Cut { vm: usize, is_cut: bool },
+    Partition { vm: usize, is_on: bool },
     Fault(Fault),
     HandOver { vm: usize },
 }
@@ -423,17 +425,17 @@
     prop_oneof![
         12 => (0..VMS, 0..4_u8)
             .prop_map(|(vm, key)| Action::Claim { vm, key }),
-        2 => (0..4_u8).prop_map(|key| Action::GiveBack { key }),
+        2 => (0..4_u8).prop_map(|key| Action::SettleNotRun { key }),
         4 => (0..VMS).prop_map(|vm| Action::Tick { vm }),
         2 => (1..80_u64).prop_map(|seconds| Action::Wait { seconds }),
         4 => (0..VMS, any::<bool>())
-            .prop_map(|(vm, is_shut)| Action::Shut { vm, is_shut }),
+            .prop_map(|(vm, is_cut)| Action::CutStore { vm, is_cut }),
         3 => (0..VMS, 0..4_i32)
-            .prop_map(|(vm, calls)| Action::ShutsAfter { vm, calls }),
+            .prop_map(|(vm, calls)| Action::CutStoreAfter { vm, calls }),
         3 => (0..VMS, any::<bool>())
             .prop_map(|(vm, is_gone)| Action::Gone { vm, is_gone }),
         2 => (0..VMS, any::<bool>())
-            .prop_map(|(vm, is_cut)| Action::Cut { vm, is_cut }),
+            .prop_map(|(vm, is_on)| Action::Partition { vm, is_on }),
         3 => fault.prop_map(Action::Fault),
         1 => (0..VMS).prop_map(|vm| Action::HandOver { vm }),
     ]
@@ -444,17 +446,18 @@
         Action::Claim { vm, key } => {
             world.claim(*vm, *key);
         }
-        Action::GiveBack { key } => {
-            let held = world.holders.get_mut(key).and_then(Vec::pop);
-            let Some((request, at)) = held else { return };
-            // Only an owner takes it; else the key stays held.
-            let taken = (0..VMS).any(|vm| {
+        Action::SettleNotRun { key } => {
+            let last = world.granted.get_mut(key).and_then(Vec::pop);
+            let Some((request, at)) = last else { return };
+            // Only an owner accepts the outcome; without one, the key stays
+            // claimed.
+            let has_owner = (0..VMS).any(|vm| {
                 let slot = world.slots[vm].clone();
                 block_on(async { slot.lock().await.is_owner() })
             });
-            if !taken {
-                let holders = world.holders.entry(*key).or_default();
-                holders.push((request, at));
+            if !has_owner {
+                let granted = world.granted.entry(*key).or_default();
+                granted.push((request, at));
                 return;
             }
             for vm in 0..VMS {
@@ -463,14 +466,14 @@
         }
         Action::Tick { vm } => world.tick(*vm),
         Action::Wait { seconds } => world.wait(*seconds),
-        Action::Shut { vm, is_shut } => world.shut(*vm, *is_shut),
-        Action::ShutsAfter { vm, calls } => {
-            let door = &world.doors[*vm];
-            door.shuts_after.store(*calls, Ordering::Relaxed);
+        Action::CutStore { vm, is_cut } => world.cut_store(*vm, *is_cut),
+        Action::CutStoreAfter { vm, calls } => {
+            let link = &world.store_links[*vm];
+            link.cut_after.store(*calls, Ordering::Relaxed);
         }
         Action::Gone { vm, is_gone } => world.set_gone(*vm, *is_gone),
-        Action::Cut { vm, is_cut } => {
-            world.links.cut.lock().unwrap()[*vm] = *is_cut;
+        Action::Partition { vm, is_on } => {
+            world.network.partitioned.lock().unwrap()[*vm] = *is_on;
         }
         Action::Fault(fault) => world.store.inject([*fault]),
         Action::HandOver { vm } => {
@@ -486,8 +489,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever is cut, lost, believed or waited for, no key is granted
-    /// to a second request while a first holds it.
+    /// Under any order of partitions, lost calls, wrong beliefs about other
+    /// VMs and waits, no key is granted to a second request while a first one
+    /// has it.
     #[test]
     fn no_key_is_granted_twice(
         actions in prop::collection::vec(action(), 1..120),
@@ -495,7 +499,7 @@
         let mut world = World::new();
         for action in &actions {
             act(&mut world, action);
-            world.assert_single();
+            world.assert_no_duplicate_grants();
         }
     }
 }
