--- a/src/chains/claim.rs
+++ b/src/chains/claim.rs
@@ -90,7 +90,7 @@
 /// One incarnation of a VM.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VmIncarnation {
-    /// The VM.
+    /// The name of the VM.
     pub vm: VmId,
     /// Which start of the VM; a restart increases it.
     pub incarnation: Incarnation,
@@ -99,7 +99,7 @@
 /// An attempt to claim a key for a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
-    /// The key.
+    /// The hashed idempotency key.
     pub key: ClaimKey,
     /// The hash of the request's method, path and body.
     pub body: RequestHash,
@@ -129,7 +129,7 @@
 /// The verdict on a claim request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimVerdict {
-    /// The request may run.
+    /// The claim is granted: the request may run.
     Granted,
     /// An earlier request with the key has an outcome.
     Settled {
@@ -147,7 +147,7 @@
     Reused,
     /// Another VM owns the slot.
     NotOwner {
-        /// The VM to ask instead.
+        /// The VM that the caller should ask instead.
         ask: VmId,
     },
     /// The key is unknown, but may have been used with an owner of the slot
@@ -156,7 +156,7 @@
     /// No verdict is possible now. The claim may still be granted, so the
     /// caller settles it as not run.
     Unavailable {
-        /// Why.
+        /// The reason, as text.
         reason: String,
     },
 }
@@ -190,7 +190,7 @@
     },
     /// A VM that is not the deputy announces a takeover.
     Takeover {
-        /// The VM.
+        /// The VM that announces it.
         by: VmIncarnation,
     },
     /// A request claimed its key.
@@ -202,7 +202,7 @@
     },
     /// The outcome of a claim.
     Settled {
-        /// The key.
+        /// The hashed idempotency key.
         key: ClaimKey,
         /// The request that had the claim.
         request: RequestId,
--- a/src/chains/lease.rs
+++ b/src/chains/lease.rs
@@ -1,9 +1,9 @@
 //! A lease with epochs, for which each VM uses only its own monotonic clock.
 //!
 //! The holder measures the lease from before it sent the call that took or
-//! renewed it, and stops early. A successor measures from after it first saw
-//! the record unchanged, and waits longer. Clocks of different VMs are never
-//! compared.
+//! renewed it, and stops early. A successor measures from after it first read
+//! the current version of the record, and waits longer. Clocks of different
+//! VMs are never compared.
 
 use std::time::Duration;
 
--- a/src/chains/store.rs
+++ b/src/chains/store.rs
@@ -65,18 +65,18 @@
 pub struct VersionedValue {
     /// The version of the value.
     pub version: StoreVersion,
-    /// The value, JSON text.
+    /// The value as JSON text.
     pub value: String,
 }
 
 /// One entry of a listing.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct StoreEntry {
-    /// The key.
+    /// The whole key, prefix included.
     pub key: String,
     /// The version of the value.
     pub version: StoreVersion,
-    /// The value, JSON text.
+    /// The value as JSON text.
     pub value: String,
 }
 
