--- a/src/chains/store.rs
+++ b/src/chains/store.rs
@@ -37,7 +37,7 @@
 const ANSWER_LIMIT_BYTES: u64 = 64 << 20;
 
 /// Maximum number of entries in one page of a listing.
-const PAGE_LIMIT: usize = 256;
+const LIST_LIMIT: usize = 256;
 
 /// Time added to the limit of a watch before its response counts as lost.
 const WATCH_GRACE: Duration = Duration::from_secs(2);
@@ -195,7 +195,7 @@
         let page = store.list(prefix, &after).await?;
         let Some(last) = page.last() else { return Ok(entries) };
         after = last.key.clone();
-        let full = page.len() >= PAGE_LIMIT;
+        let full = page.len() >= LIST_LIMIT;
         entries.extend(page);
         if !full {
             return Ok(entries);
@@ -356,7 +356,7 @@
     ) -> Result<Vec<StoreEntry>, StoreError> {
         let base = &self.base_path;
         let path = format!(
-            "{base}/kv?prefix={prefix}&after={after}&limit={PAGE_LIMIT}"
+            "{base}/kv?prefix={prefix}&after={after}&limit={LIST_LIMIT}"
         );
         let answer = self.read(path, self.settings.deadline).await?;
         if answer.status != 200 {
