--- a/src/api/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -29,7 +29,7 @@
     },
     chains::{
         claim::{
-            BodyHash, ClaimKey, ClaimOutcome, ClaimRequest, ClaimVerdict,
+            ClaimKey, ClaimOutcome, ClaimRequest, ClaimVerdict, RequestHash,
         },
         claims::{Claims, GRANT_LIFETIME, verdict_label},
     },
@@ -121,7 +121,7 @@
     /// Dispatches a service call and settles it.
     pub(crate) async fn run(mut self, target: ServiceTarget) -> Answer {
         let method = target.method.as_str();
-        let body = BodyHash::of(method, &target.path, &target.body);
+        let body = RequestHash::of(method, &target.path, &target.body);
         let key = self.state.key.clone();
         let repeatable = self.state.call.repeatable;
         if let Err(end) = self.context.claim(key, body, repeatable).await {
@@ -198,7 +198,7 @@
     /// Dispatches a chat request and settles it, or returns when its stream
     /// has started.
     pub(crate) async fn run(mut self, body: &[u8]) -> Answer {
-        let hash = BodyHash::of("POST", "/v1/chat/completions", body);
+        let hash = RequestHash::of("POST", "/v1/chat/completions", body);
         let key = self.state.admitted.key.clone();
         let repeatable = self.state.repeatable;
         if let Err(end) = self.context.claim(key, hash, repeatable).await {
@@ -536,7 +536,7 @@
     async fn claim(
         &mut self,
         key: Option<String>,
-        body: BodyHash,
+        body: RequestHash,
         repeatable: bool,
     ) -> Result<(), Box<Outcome>> {
         let Some(key) = key.filter(|_| !repeatable) else { return Ok(()) };
@@ -562,7 +562,7 @@
     async fn claim_key(
         &mut self,
         key: &str,
-        body: BodyHash,
+        body: RequestHash,
     ) -> Result<Option<Answer>, Error> {
         let Some(organisation) = &self.decision.organisation else {
             return Err(Error::new(ErrorKind::Internal));
--- a/src/api/steward.rs
+++ b/src/api/steward.rs
@@ -18,7 +18,7 @@
 use crate::{
     api::{estimate::version_hash, template::VersionState, vm::Vm},
     chains::{
-        claim::VmLife,
+        claim::VmIncarnation,
         lease::{Epoch, Lease, LeaseChange},
     },
     clock::BootInstant,
@@ -54,7 +54,7 @@
     /// an epoch lower than the highest that it has seen.
     pub epoch: Epoch,
     /// The VM that sends the order.
-    pub steward: VmLife,
+    pub steward: VmIncarnation,
     /// What to do with the version.
     pub action: OrderAction,
     /// The version, as `model@version`.
@@ -70,7 +70,7 @@
 
 impl Steward {
     pub(crate) fn new(
-        identity: VmLife,
+        identity: VmIncarnation,
         hall: &str,
         settings: &crate::settings::StewardSettings,
     ) -> Steward {
--- a/src/api/vm.rs
+++ b/src/api/vm.rs
@@ -28,7 +28,7 @@
     },
     chains::{
         bill::Bill,
-        claim::VmLife,
+        claim::VmIncarnation,
         claims::{self, Claims},
         configuration::{Change, ConfigurationCell},
         configuration_sync::{RECENT_LIMIT, changes_after},
@@ -124,7 +124,7 @@
         let since_epoch = started_at.duration_since(std::time::UNIX_EPOCH);
         let incarnation =
             Incarnation(since_epoch.unwrap_or_default().as_micros() as u64);
-        let identity = VmLife { vm: settings.vm.clone(), incarnation };
+        let identity = VmIncarnation { vm: settings.vm.clone(), incarnation };
         let hall = settings.data_hall.clone();
         let metrics = Arc::new(Metrics::new());
         let codec = FrameCodec::new(&settings.cluster_key);
@@ -178,8 +178,11 @@
     }
 
     /// Returns this VM's name and incarnation.
-    pub(crate) fn identity(&self) -> VmLife {
-        VmLife { vm: self.settings.vm.clone(), incarnation: self.incarnation }
+    pub(crate) fn identity(&self) -> VmIncarnation {
+        VmIncarnation {
+            vm: self.settings.vm.clone(),
+            incarnation: self.incarnation,
+        }
     }
 
     /// Returns whether the VM accepts requests: it has a configuration, has
@@ -329,7 +332,7 @@
         if let Some(bill) = self.ledger.find(id) {
             return Some(bill);
         }
-        crate::chains::ledger::search(self, id).await.ok().flatten()
+        crate::chains::ledger::find_committed(self, id).await.ok().flatten()
     }
 
     /// Updates the gauges; called before the metrics are rendered.
@@ -348,7 +351,7 @@
         metrics.list_age_ms.set(millis_or_unknown(list_age));
         metrics.in_flight.set(self.in_flight() as i64);
         metrics.queued.set(self.dispatch_queue.waiting() as i64);
-        metrics.bills_waiting.set(self.ledger.waiting() as i64);
+        metrics.bills_waiting.set(self.ledger.uncommitted_count() as i64);
         let stopped = self.rollout_guard.stopped().len();
         metrics.versions_stopped.set(stopped as i64);
         self.update_peer_gauges();
@@ -417,7 +420,7 @@
                 first,
                 claims,
             } => {
-                let owner = VmLife { vm: owner, incarnation };
+                let owner = VmIncarnation { vm: owner, incarnation };
                 let first = first as usize;
                 let request =
                     HoldRequest { slot, index, owner, first, claims };
@@ -427,7 +430,7 @@
                 }
             }
             PeerRequest::Bills(bills) => {
-                self.ledger.hold(bills, self.clock.now())
+                self.ledger.receive_bills(bills, self.clock.now())
             }
             PeerRequest::Decision(id) => {
                 PeerReply::Decision(self.decisions.get(&id).map(Box::new))
