--- a/standins/src/soak/evidence.rs
+++ b/standins/src/soak/evidence.rs
@@ -7,7 +7,7 @@
 
 use super::{
     deadly,
-    own_words::Said,
+    own_words::UpstreamSignal,
     rate_limits::{LimitSaid, NamedLimit},
 };
 
@@ -174,7 +174,7 @@
     /// Requests that upstreams declined.
     pub declined: Vec<Run>,
     /// What upstreams have said of themselves.
-    pub said: Vec<Said>,
+    pub said: Vec<UpstreamSignal>,
     /// Rate limits that upstreams had.
     pub limits: Vec<NamedLimit>,
     /// Answers that named one.
--- a/standins/src/soak/own_words.rs
+++ b/standins/src/soak/own_words.rs
@@ -19,7 +19,7 @@
 
 /// What an upstream has said of itself in an answer.
 #[derive(Clone, Debug)]
-pub struct Said {
+pub struct UpstreamSignal {
     /// The id of the call that it answered.
     pub id: String,
     /// The upstream.
@@ -88,7 +88,11 @@
     }
 
     /// The arrivals that came after `said` on its way, up to `to`.
-    fn after(&self, said: &'a Said, to: Duration) -> Vec<(&Call, &Run)> {
+    fn after(
+        &self,
+        said: &'a UpstreamSignal,
+        to: Duration,
+    ) -> Vec<(&Call, &Run)> {
         let Some(call) = self.calls.get(said.id.as_str()) else {
             return Vec::new();
         };
@@ -104,13 +108,13 @@
             .collect()
     }
 
-    fn in_rest(&self, said: &'a Said, rest: Duration) -> usize {
+    fn in_rest(&self, said: &'a UpstreamSignal, rest: Duration) -> usize {
         let came = self.after(said, said.at + rest);
         let from = said.at + ON_THE_WAY;
         came.iter().filter(|(_, run)| run.at > from).count()
     }
 
-    fn after_leaving(&self, said: &'a Said) -> usize {
+    fn after_leaving(&self, said: &'a UpstreamSignal) -> usize {
         let Some(told) = self.calls.get(said.id.as_str()) else { return 0 };
         let is_passed_on = told.status == 200 && told.is_whole && told.is_own;
         if !is_passed_on {
--- a/standins/src/soak/upstreams.rs
+++ b/standins/src/soak/upstreams.rs
@@ -12,7 +12,8 @@
 use serde_json::json;
 
 use super::{
-    deadly::is_deadly, evidence::Run, own_words::Said, rate_limits::LimitSaid,
+    deadly::is_deadly, evidence::Run, own_words::UpstreamSignal,
+    rate_limits::LimitSaid,
 };
 use crate::{
     gateway_site::{MODELS, PLAIN, upstream_record},
@@ -110,7 +111,7 @@
     /// Requests that were declined.
     pub declined: Vec<Run>,
     /// What was said in answers.
-    pub said: Vec<Said>,
+    pub said: Vec<UpstreamSignal>,
     /// Answers that named a rate limit.
     pub limits_said: Vec<LimitSaid>,
 }
@@ -325,7 +326,7 @@
 
     /// Notes what it says of itself in its answer.
     fn say(&self, request: &RawRequest, rest: Option<Duration>) {
-        let said = Said {
+        let said = UpstreamSignal {
             id: request.header("lupinseam-attempt-id").to_owned(),
             upstream: self.id.clone(),
             life: self.born.load(Ordering::Relaxed),
--- a/standins/tests/soak.rs
+++ b/standins/tests/soak.rs
@@ -9,7 +9,7 @@
         Soak,
         check::{Promise, check},
         evidence::{Call, Change, Evidence, Kind, Order, Run, Scope, Trouble},
-        own_words::{Said, summary},
+        own_words::{UpstreamSignal, summary},
         rate_limits::{LimitSaid, NamedLimit, sent_past_limit},
         upstreams::UNREADABLE,
     },
@@ -398,7 +398,7 @@
     let came_s = came_s.to_vec();
     move |evidence| {
         let told = evidence.runs[0].clone();
-        evidence.said.push(Said {
+        evidence.said.push(UpstreamSignal {
             id: told.id,
             upstream: told.upstream,
             life: told.life,
