--- a/standins/src/soak/evidence.rs
+++ b/standins/src/soak/evidence.rs
@@ -8,7 +8,7 @@
 use super::{
     deadly,
     own_words::UpstreamSignal,
-    rate_limits::{LimitSaid, NamedLimit},
+    rate_limits::{NamedLimit, RateLimitSignal},
 };
 
 /// Trouble at a VM or the store excuses it for this long afterwards; the
@@ -178,7 +178,7 @@
     /// Rate limits that upstreams had.
     pub limits: Vec<NamedLimit>,
     /// Answers that named one.
-    pub limits_said: Vec<LimitSaid>,
+    pub limits_said: Vec<RateLimitSignal>,
     /// Changes, with when they were in the store.
     pub changes: Vec<(Duration, Change)>,
     /// Troubles.
--- a/standins/src/soak/rate_limits.rs
+++ b/standins/src/soak/rate_limits.rs
@@ -50,7 +50,7 @@
 
 /// An answer that named a limit.
 #[derive(Clone, Debug)]
-pub struct LimitSaid {
+pub struct RateLimitSignal {
     /// The id of the call that it answered.
     pub id: String,
     /// The upstream.
@@ -115,7 +115,7 @@
 
 fn past(seen: &Seen<'_>, limit: &NamedLimit) -> usize {
     let in_time = |at: Duration| (limit.from..=limit.to).contains(&at);
-    let said: Vec<&LimitSaid> = seen
+    let said: Vec<&RateLimitSignal> = seen
         .evidence
         .limits_said
         .iter()
--- a/standins/src/soak/upstreams.rs
+++ b/standins/src/soak/upstreams.rs
@@ -13,7 +13,7 @@
 
 use super::{
     deadly::is_deadly, evidence::Run, own_words::UpstreamSignal,
-    rate_limits::LimitSaid,
+    rate_limits::RateLimitSignal,
 };
 use crate::{
     gateway_site::{MODELS, PLAIN, upstream_record},
@@ -113,7 +113,7 @@
     /// What was said in answers.
     pub said: Vec<UpstreamSignal>,
     /// Answers that named a rate limit.
-    pub limits_said: Vec<LimitSaid>,
+    pub limits_said: Vec<RateLimitSignal>,
 }
 
 /// Shared by all upstreams.
@@ -338,7 +338,7 @@
 
     /// Notes that its answer names its rate limit.
     fn say_limit(&self, request: &RawRequest) {
-        let said = LimitSaid {
+        let said = RateLimitSignal {
             id: request.header("lupinseam-attempt-id").to_owned(),
             upstream: self.id.clone(),
             life: self.born.load(Ordering::Relaxed),
--- a/standins/tests/soak.rs
+++ b/standins/tests/soak.rs
@@ -10,7 +10,7 @@
         check::{Promise, check},
         evidence::{Call, Change, Evidence, Kind, Order, Run, Scope, Trouble},
         own_words::{UpstreamSignal, summary},
-        rate_limits::{LimitSaid, NamedLimit, sent_past_limit},
+        rate_limits::{NamedLimit, RateLimitSignal, sent_past_limit},
         upstreams::UNREADABLE,
     },
 };
@@ -476,7 +476,7 @@
             from: seconds(9.0),
             to: seconds(20.0),
         });
-        evidence.limits_said.push(LimitSaid {
+        evidence.limits_said.push(RateLimitSignal {
             id: told.id,
             upstream: told.upstream,
             life: told.life,
