--- a/standins/src/soak/evidence.rs
+++ b/standins/src/soak/evidence.rs
@@ -8,7 +8,7 @@
 use super::{
     deadly,
     own_words::UpstreamSignal,
-    rate_limits::{NamedLimit, RateLimitSignal},
+    rate_limits::{RateLimitPeriod, RateLimitSignal},
 };
 
 /// Trouble at a VM or the store excuses it for this long afterwards; the
@@ -176,7 +176,7 @@
     /// What upstreams have said of themselves.
     pub said: Vec<UpstreamSignal>,
     /// Rate limits that upstreams had.
-    pub limits: Vec<NamedLimit>,
+    pub limits: Vec<RateLimitPeriod>,
     /// Answers that named one.
     pub limits_said: Vec<RateLimitSignal>,
     /// Changes, with when they were in the store.
--- a/standins/src/soak/rate_limits.rs
+++ b/standins/src/soak/rate_limits.rs
@@ -37,7 +37,7 @@
 
 /// A time in which an upstream names a limit.
 #[derive(Clone, Debug)]
-pub struct NamedLimit {
+pub struct RateLimitPeriod {
     /// The upstream.
     pub upstream: String,
     /// Requests a second.
@@ -113,7 +113,7 @@
     past.max().unwrap_or(0)
 }
 
-fn past(seen: &Seen<'_>, limit: &NamedLimit) -> usize {
+fn past(seen: &Seen<'_>, limit: &RateLimitPeriod) -> usize {
     let in_time = |at: Duration| (limit.from..=limit.to).contains(&at);
     let said: Vec<&RateLimitSignal> = seen
         .evidence
--- a/standins/src/soak/world.rs
+++ b/standins/src/soak/world.rs
@@ -19,7 +19,7 @@
     evidence::{Change, Evidence, Kind, Scope},
     faults::{Fault, Target},
     own_words,
-    rate_limits::{self, NamedLimit, Schedule},
+    rate_limits::{self, RateLimitPeriod, Schedule},
     upstreams::{Runs, SERVICES, UNREADABLE, Worker},
 };
 use crate::{
@@ -254,7 +254,7 @@
             let upstream = worker.upstream.id.clone();
             let end = Later::EndLimit(upstream.clone());
             self.later.push((begun.ends_at, end));
-            self.evidence.limits.push(NamedLimit {
+            self.evidence.limits.push(RateLimitPeriod {
                 upstream,
                 per_s: begun.per_s,
                 from: now,
--- a/standins/tests/soak.rs
+++ b/standins/tests/soak.rs
@@ -10,7 +10,7 @@
         check::{Promise, check},
         evidence::{Call, Change, Evidence, Kind, Order, Run, Scope, Trouble},
         own_words::{UpstreamSignal, summary},
-        rate_limits::{NamedLimit, RateLimitSignal, sent_past_limit},
+        rate_limits::{RateLimitPeriod, RateLimitSignal, sent_past_limit},
         upstreams::UNREADABLE,
     },
 };
@@ -470,7 +470,7 @@
 fn limited_and_came(calls: usize) -> impl Fn(&mut Evidence) {
     move |evidence| {
         let told = evidence.runs[0].clone();
-        evidence.limits.push(NamedLimit {
+        evidence.limits.push(RateLimitPeriod {
             upstream: told.upstream.clone(),
             per_s: 1.0,
             from: seconds(9.0),
