--- a/standins/src/soak/mod.rs
+++ b/standins/src/soak/mod.rs
@@ -33,7 +33,7 @@
 mod world;
 
 use check::Violation;
-use own_words::Unheeded;
+use own_words::IgnoredSignals;
 use world::World;
 
 /// Soak the router before the platform; the last line is JSON, and the exit
@@ -116,7 +116,7 @@
     /// The most upstreams that ended under one of those.
     pub most_ended_by_one: usize,
     /// What was sent against upstreams' own words.
-    pub unheeded: Unheeded,
+    pub ignored_signals: IgnoredSignals,
     /// Rate limits that upstreams have named.
     pub limits_named: usize,
     /// The most that came at one upstream beyond what its limit allows.
@@ -135,8 +135,8 @@
             "served": self.served,
             "crashing_requests": self.crashing_requests,
             "most_ended_by_one": self.most_ended_by_one,
-            "sent_into_rest": self.unheeded.sent_into_rest,
-            "sent_after_leaving": self.unheeded.sent_after_leaving,
+            "sent_into_rest": self.ignored_signals.sent_into_rest,
+            "sent_after_leaving": self.ignored_signals.sent_after_leaving,
             "limits_named": self.limits_named,
             "sent_past_limit": self.sent_past_limit,
             "violations": violations.collect::<Vec<_>>(),
--- a/standins/src/soak/own_words.rs
+++ b/standins/src/soak/own_words.rs
@@ -34,7 +34,7 @@
 
 /// What was sent to upstreams although they had said that they want none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Unheeded {
+pub struct IgnoredSignals {
     /// The most that one VM sent to one upstream in a rest.
     pub sent_into_rest: usize,
     /// Requests that one VM sent to one upstream after it had said that it
@@ -131,9 +131,9 @@
 }
 
 /// The most that was sent somewhere against an upstream's word.
-pub fn summary(evidence: &Evidence) -> Unheeded {
+pub fn summary(evidence: &Evidence) -> IgnoredSignals {
     let seen = Seen::new(evidence);
-    let mut most = Unheeded::default();
+    let mut most = IgnoredSignals::default();
     for said in &evidence.said {
         match said.rest {
             Some(rest) => {
@@ -152,7 +152,8 @@
 /// Requests go nowhere where an upstream has said to the VM that it wants
 /// none.
 pub(super) fn heeded(evidence: &Evidence) -> Vec<Violation> {
-    let Unheeded { sent_into_rest, sent_after_leaving } = summary(evidence);
+    let IgnoredSignals { sent_into_rest, sent_after_leaving } =
+        summary(evidence);
     let mut found = Vec::new();
     if sent_into_rest > MOST_IN_REST {
         let what = format!("{sent_into_rest} came in one rest from one VM");
--- a/standins/src/soak/world.rs
+++ b/standins/src/soak/world.rs
@@ -468,7 +468,7 @@
             most_ended_by_one,
             limits_named: self.evidence.limits.len(),
             sent_past_limit: rate_limits::sent_past_limit(&self.evidence),
-            unheeded: own_words::summary(&self.evidence),
+            ignored_signals: own_words::summary(&self.evidence),
             violations: check(&self.evidence),
         }
     }
