--- a/standins/src/soak/check.rs
+++ b/standins/src/soak/check.rs
@@ -255,7 +255,7 @@
             call.kind == Kind::Probe(*number)
                 && call.status == 404
                 && call.sent_at > due_at
-                && evidence.is_in_touch(call.vm, *added_at, call.sent_at)
+                && evidence.is_undisturbed(call.vm, *added_at, call.sent_at)
         });
         found.extend(late.map(|call| {
             let age = call.sent_at - *added_at;
@@ -334,7 +334,7 @@
             if goes_on
                 && old.software != run.software
                 && orders.iter().any(is_wrong)
-                && evidence.is_in_touch(call.vm, before.sent_at, run.at)
+                && evidence.is_undisturbed(call.vm, before.sent_at, run.at)
             {
                 changed.push(format!("{} after {}", call.id, before.id));
             }
@@ -372,9 +372,9 @@
 
 fn exposure(evidence: &Evidence) -> Vec<Violation> {
     let calls = evidence.calls_by_id();
-    let is_in_touch = |run: &Run| {
+    let is_undisturbed = |run: &Run| {
         let call = calls.get(run.id.as_str());
-        call.is_some_and(|c| evidence.is_in_touch(c.vm, c.sent_at, run.at))
+        call.is_some_and(|c| evidence.is_undisturbed(c.vm, c.sent_at, run.at))
     };
     let mut found = Vec::new();
     for (at, order) in orders(evidence) {
@@ -385,10 +385,9 @@
                     .is_some_and(|c| c.kind.is_stream())
         };
         let all = evidence.runs.iter().filter(meanwhile).count();
-        let new =
-            evidence.runs.iter().filter(meanwhile).filter(|run| {
-                run.software == order.software && is_in_touch(run)
-            });
+        let new = evidence.runs.iter().filter(meanwhile).filter(|run| {
+            run.software == order.software && is_undisturbed(run)
+        });
         let new = new.count();
         let most = all as f64 * BAD_SHARE + BAD_REQUESTS;
         if order.is_bad && new as f64 > most {
@@ -472,7 +471,9 @@
     let calls = evidence.calls_by_id();
     let was_in_touch = |since: Duration, run: &Run| {
         let call = calls.get(run.id.as_str());
-        call.is_some_and(|call| evidence.is_in_touch(call.vm, since, run.at))
+        call.is_some_and(|call| {
+            evidence.is_undisturbed(call.vm, since, run.at)
+        })
     };
     let mut found = Vec::new();
     for (at, change) in &evidence.changes {
--- a/standins/src/soak/deadly.rs
+++ b/standins/src/soak/deadly.rs
@@ -124,7 +124,7 @@
             let call = calls.get(run.id.as_str());
             run.at > from
                 && call.is_some_and(|call| {
-                    evidence.is_in_touch(call.vm, call.sent_at, run.at)
+                    evidence.is_undisturbed(call.vm, call.sent_at, run.at)
                 })
         });
         let later: Vec<&str> = later.map(|run| run.id.as_str()).collect();
--- a/standins/src/soak/evidence.rs
+++ b/standins/src/soak/evidence.rs
@@ -205,7 +205,7 @@
 
     /// Whether a VM has had no trouble, nor the store, from `CONTACT_TIME`
     /// before `from` up to `to`.
-    pub fn is_in_touch(
+    pub fn is_undisturbed(
         &self,
         vm: usize,
         from: Duration,
