--- a/standins/src/soak/evidence.rs
+++ b/standins/src/soak/evidence.rs
@@ -178,7 +178,7 @@
     /// Rate limits that upstreams had.
     pub limits: Vec<RateLimitPeriod>,
     /// Answers that named one.
-    pub limits_said: Vec<RateLimitSignal>,
+    pub rate_limit_signals: Vec<RateLimitSignal>,
     /// Changes, with when they were in the store.
     pub changes: Vec<(Duration, Change)>,
     /// Troubles.
--- a/standins/src/soak/rate_limits.rs
+++ b/standins/src/soak/rate_limits.rs
@@ -117,7 +117,7 @@
     let in_time = |at: Duration| (limit.from..=limit.to).contains(&at);
     let said: Vec<&RateLimitSignal> = seen
         .evidence
-        .limits_said
+        .rate_limit_signals
         .iter()
         .filter(|said| said.upstream == limit.upstream && in_time(said.at))
         .collect();
--- a/standins/src/soak/upstreams.rs
+++ b/standins/src/soak/upstreams.rs
@@ -113,7 +113,7 @@
     /// What was said in answers.
     pub said: Vec<UpstreamSignal>,
     /// Answers that named a rate limit.
-    pub limits_said: Vec<RateLimitSignal>,
+    pub rate_limit_signals: Vec<RateLimitSignal>,
 }
 
 /// Shared by all upstreams.
@@ -344,7 +344,7 @@
             life: self.born.load(Ordering::Relaxed),
             at: self.started_at.elapsed(),
         };
-        self.runs.lock().unwrap().limits_said.push(said);
+        self.runs.lock().unwrap().rate_limit_signals.push(said);
     }
 
     fn serves_streams(&self, request: &RawRequest) -> bool {
--- a/standins/src/soak/world.rs
+++ b/standins/src/soak/world.rs
@@ -454,7 +454,7 @@
         self.evidence.runs = received.runs;
         self.evidence.declined = received.declined;
         self.evidence.said = received.said;
-        self.evidence.limits_said = received.limits_said;
+        self.evidence.rate_limit_signals = received.rate_limit_signals;
         let (crashing_requests, most_ended_by_one) =
             deadly::summary(&self.evidence);
         let calls = &self.evidence.calls;
--- a/standins/tests/soak.rs
+++ b/standins/tests/soak.rs
@@ -476,7 +476,7 @@
             from: seconds(9.0),
             to: seconds(20.0),
         });
-        evidence.limits_said.push(RateLimitSignal {
+        evidence.rate_limit_signals.push(RateLimitSignal {
             id: told.id,
             upstream: told.upstream,
             life: told.life,
@@ -502,10 +502,10 @@
     assert_eq!(sent_past_limit(&evidence), 1);
     let other_told = |evidence: &mut Evidence| {
         limited_and_came(6)(evidence);
-        let mut said = evidence.limits_said[0].clone();
+        let mut said = evidence.rate_limit_signals[0].clone();
         said.id = "c-1".to_owned();
         evidence.calls[1].vm = 1;
-        evidence.limits_said.push(said);
+        evidence.rate_limit_signals.push(said);
     };
     assert_eq!(broken_by(other_told), [Promise::LimitKept], "both together");
     let restarted = |evidence: &mut Evidence| {
