--- a/standins/src/soak/evidence.rs
+++ b/standins/src/soak/evidence.rs
@@ -174,7 +174,7 @@
     /// Requests that upstreams declined.
     pub declined: Vec<Run>,
     /// What upstreams have said of themselves.
-    pub said: Vec<UpstreamSignal>,
+    pub signals: Vec<UpstreamSignal>,
     /// Rate limits that upstreams had.
     pub limits: Vec<RateLimitPeriod>,
     /// Answers that named one.
--- a/standins/src/soak/own_words.rs
+++ b/standins/src/soak/own_words.rs
@@ -134,7 +134,7 @@
 pub fn summary(evidence: &Evidence) -> IgnoredSignals {
     let seen = Seen::new(evidence);
     let mut most = IgnoredSignals::default();
-    for said in &evidence.said {
+    for said in &evidence.signals {
         match said.rest {
             Some(rest) => {
                 let sent = seen.in_rest(said, rest);
--- a/standins/src/soak/upstreams.rs
+++ b/standins/src/soak/upstreams.rs
@@ -111,7 +111,7 @@
     /// Requests that were declined.
     pub declined: Vec<Run>,
     /// What was said in answers.
-    pub said: Vec<UpstreamSignal>,
+    pub signals: Vec<UpstreamSignal>,
     /// Answers that named a rate limit.
     pub rate_limit_signals: Vec<RateLimitSignal>,
 }
@@ -333,7 +333,7 @@
             at: self.started_at.elapsed(),
             rest,
         };
-        self.runs.lock().unwrap().said.push(said);
+        self.runs.lock().unwrap().signals.push(said);
     }
 
     /// Notes that its answer names its rate limit.
--- a/standins/src/soak/world.rs
+++ b/standins/src/soak/world.rs
@@ -453,7 +453,7 @@
         let received = std::mem::take(&mut *self.runs.lock().unwrap());
         self.evidence.runs = received.runs;
         self.evidence.declined = received.declined;
-        self.evidence.said = received.said;
+        self.evidence.signals = received.signals;
         self.evidence.rate_limit_signals = received.rate_limit_signals;
         let (crashing_requests, most_ended_by_one) =
             deadly::summary(&self.evidence);
@@ -493,7 +493,7 @@
         std::fs::write(folder.join("calls"), lines(calls.collect()))?;
         let runs = evidence.runs.iter().map(|run| format!("{run:?}"));
         std::fs::write(folder.join("runs"), lines(runs.collect()))?;
-        let said = evidence.said.iter().map(|said| format!("{said:?}"));
+        let said = evidence.signals.iter().map(|said| format!("{said:?}"));
         std::fs::write(folder.join("said"), lines(said.collect()))?;
         let limits = evidence.limits.iter().map(|limit| format!("{limit:?}"));
         std::fs::write(folder.join("limits"), lines(limits.collect()))?;
--- a/standins/tests/soak.rs
+++ b/standins/tests/soak.rs
@@ -398,7 +398,7 @@
     let came_s = came_s.to_vec();
     move |evidence| {
         let told = evidence.runs[0].clone();
-        evidence.said.push(UpstreamSignal {
+        evidence.signals.push(UpstreamSignal {
             id: told.id,
             upstream: told.upstream,
             life: told.life,
