--- a/standins/src/soak/evidence.rs
+++ b/standins/src/soak/evidence.rs
@@ -176,7 +176,7 @@
     /// What upstreams have said of themselves.
     pub signals: Vec<UpstreamSignal>,
     /// Rate limits that upstreams had.
-    pub limits: Vec<RateLimitPeriod>,
+    pub rate_limits: Vec<RateLimitPeriod>,
     /// Answers that named one.
     pub rate_limit_signals: Vec<RateLimitSignal>,
     /// Changes, with when they were in the store.
--- a/standins/src/soak/rate_limits.rs
+++ b/standins/src/soak/rate_limits.rs
@@ -109,7 +109,7 @@
 /// allows.
 pub fn sent_past_limit(evidence: &Evidence) -> usize {
     let seen = Seen::new(evidence);
-    let past = evidence.limits.iter().map(|limit| past(&seen, limit));
+    let past = evidence.rate_limits.iter().map(|limit| past(&seen, limit));
     past.max().unwrap_or(0)
 }
 
--- a/standins/src/soak/world.rs
+++ b/standins/src/soak/world.rs
@@ -254,7 +254,7 @@
             let upstream = worker.upstream.id.clone();
             let end = Later::EndLimit(upstream.clone());
             self.later.push((begun.ends_at, end));
-            self.evidence.limits.push(RateLimitPeriod {
+            self.evidence.rate_limits.push(RateLimitPeriod {
                 upstream,
                 per_s: begun.per_s,
                 from: now,
@@ -270,7 +270,7 @@
         for worker in workers.filter(|worker| worker.upstream.id == id) {
             worker.name_limit(None);
         }
-        let limits = self.evidence.limits.iter_mut();
+        let limits = self.evidence.rate_limits.iter_mut();
         for limit in limits.filter(|limit| limit.upstream == id) {
             limit.to = limit.to.min(now);
         }
@@ -417,7 +417,7 @@
         for worker in self.workers.iter().chain(&self.left) {
             worker.set_way(Mode::Pass);
         }
-        let limits = self.evidence.limits.iter();
+        let limits = self.evidence.rate_limits.iter();
         let ids: Vec<String> =
             limits.map(|limit| limit.upstream.clone()).collect();
         for id in ids {
@@ -466,7 +466,7 @@
             served: served.count(),
             crashing_requests,
             most_ended_by_one,
-            limits_named: self.evidence.limits.len(),
+            limits_named: self.evidence.rate_limits.len(),
             sent_past_limit: rate_limits::sent_past_limit(&self.evidence),
             ignored_signals: own_words::summary(&self.evidence),
             violations: check(&self.evidence),
@@ -495,7 +495,8 @@
         std::fs::write(folder.join("runs"), lines(runs.collect()))?;
         let said = evidence.signals.iter().map(|said| format!("{said:?}"));
         std::fs::write(folder.join("said"), lines(said.collect()))?;
-        let limits = evidence.limits.iter().map(|limit| format!("{limit:?}"));
+        let limits =
+            evidence.rate_limits.iter().map(|limit| format!("{limit:?}"));
         std::fs::write(folder.join("limits"), lines(limits.collect()))?;
         let changes = evidence.changes.iter().map(|c| format!("{c:?}"));
         std::fs::write(folder.join("changes"), lines(changes.collect()))?;
--- a/standins/tests/soak.rs
+++ b/standins/tests/soak.rs
@@ -470,7 +470,7 @@
 fn limited_and_came(calls: usize) -> impl Fn(&mut Evidence) {
     move |evidence| {
         let told = evidence.runs[0].clone();
-        evidence.limits.push(RateLimitPeriod {
+        evidence.rate_limits.push(RateLimitPeriod {
             upstream: told.upstream.clone(),
             per_s: 1.0,
             from: seconds(9.0),
