--- a/standins/src/soak/check.rs
+++ b/standins/src/soak/check.rs
@@ -1,4 +1,4 @@
-//! Whether what a soak has seen keeps every promise.
+//! Invariant checks over the evidence that a soak run has collected.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -13,100 +13,108 @@
     upstreams::UNREADABLE,
 };
 
-/// Time within which a key that was taken away is refused everywhere.
+/// Time within which every VM rejects a key that was removed.
 pub const REVOKE_TIME: Duration = Duration::from_secs(5);
 
-/// Time within which a configuration is in force at VMs in touch.
+/// Time within which undisturbed VMs apply a new configuration.
 const CONFIGURATION_TIME: Duration = Duration::from_secs(2);
 
-/// Time within which an upstream that is leaving gets nothing new.
+/// Time after which a leaving upstream receives no new requests.
 const LEAVE_TIME: Duration = Duration::from_secs(2);
 
-/// Time within which a version that was reverted gets nothing new.
+/// Time after which a reverted version receives no new requests.
 const REVERT_TIME: Duration = Duration::from_secs(2);
 
-/// Time after the end of a call in which the next one belongs to its session.
-const SESSION_TIME: Duration = Duration::from_secs(5);
+/// Longest gap between the end of a call and the start of the next one for
+/// both to count as the same session.
+const SESSION_GAP: Duration = Duration::from_secs(5);
 
-/// Calls of a session that may go to another version than the one before.
-const SESSION_CHANGES: usize = 3;
+/// Calls, over all sessions, that may go to another version than the call
+/// before them in their session.
+const MAX_SESSION_CHANGES: usize = 3;
 
-/// Share of a service's requests that a bad version may get, and requests
-/// besides.
-const BAD_SHARE: f64 = 0.15;
-const BAD_REQUESTS: f64 = 30.0;
+/// Share of the model requests that a bad version may receive during its
+/// rollout, and a number of requests that is allowed on top of that share.
+const MAX_BAD_SHARE: f64 = 0.15;
+const EXTRA_BAD_REQUESTS: f64 = 30.0;
 
-/// Attempts beyond the first, as a share of a service's requests within a
-/// window; the VMs' settings say the same.
+/// Retry budget: retries as a share of a service's requests within a window.
+/// The VMs are configured with the same value.
 pub const RETRY_SHARE: f64 = 0.3;
 
-/// Attempts beyond the first besides.
+/// Retry budget: retries that are allowed on top of that share. The VMs are
+/// configured with the same value.
 pub const RETRY_EXTRA: u32 = 20;
 
-/// The window over which both are counted, as in the VMs' settings.
+/// Window over which retries and requests are counted, as in the VMs'
+/// settings.
 const RETRY_WINDOW: Duration = Duration::from_secs(10);
 
-/// Added to bounds in time: what a call takes within the soak itself.
+/// Tolerance added to time bounds for the delay of a call in the soak itself.
 pub(super) const SLACK: Duration = Duration::from_millis(300);
 
-/// The organisation of every key.
+/// Organisation that owns every key of the site.
 const ORGANISATION: &str = "village";
 
-/// Share of the calls after all troubles that must be answered well.
-const RECOVERED_SHARE: f64 = 0.9;
+/// Share of the recovery calls that must get status 200.
+const MIN_RECOVERED_SHARE: f64 = 0.9;
 
-/// A promise of the router.
+/// An invariant of the router that a soak checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Promise {
-    /// What may not be repeated runs at most once.
+    /// A request that is not idempotent runs at most once.
     AtMostOnce,
-    /// A refusal that says "not run" is true.
+    /// A request whose response status says that it was not run did not run.
     TrueRefusal,
-    /// A caller gets the whole answer to its own request.
+    /// A complete 2xx response belongs to the caller's own request.
     OwnAnswer,
-    /// An upstream gets what a caller sent, for the organisation of its key.
+    /// An upstream receives the path that the caller sent and the organisation
+    /// that owns the caller's key.
     AsSent,
-    /// A key that was taken away opens nothing.
+    /// A removed key gives no access.
     RevokedKey,
-    /// What every configuration allows is not denied.
+    /// A request that every configuration allows is not denied.
     NotDenied,
-    /// A configuration is in force soon and is never taken back.
+    /// A VM applies a new configuration in time and never goes back to an
+    /// older one.
     Configuration,
-    /// An upstream that is leaving gets nothing new.
+    /// An upstream whose record says that it is leaving receives no new
+    /// requests.
     LeftAlone,
-    /// A version that was reverted gets nothing new.
+    /// A reverted version receives no new requests.
     Withdrawn,
-    /// A session keeps its version in the first half of a roll-out, and the
-    /// new one if that is good.
+    /// A session does not move to the new version in the first half of a
+    /// rollout, nor back from a good new version.
     SessionVersion,
-    /// A bad version gets a small share of the requests.
+    /// A bad version receives only a small share of the requests.
     Exposure,
-    /// Attempts beyond the first stay within their budget.
+    /// Retries stay within the retry budget.
     RetryBudget,
-    /// An entry that cannot be read names no upstream.
+    /// A malformed upstream record is never used to route a request.
     Unreadable,
-    /// A request that crashes what runs it is sent no more.
+    /// A request that crashes upstreams is quarantined.
     Deadly,
-    /// An upstream that asks a VM for rest is left alone by it.
+    /// A VM sends nothing to an upstream during the backoff that it requests_at for.
     RestKept,
-    /// An upstream that says in an answer that it leaves gets nothing new.
+    /// An upstream that signals in a response that it is leaving receives no
+    /// new requests.
     LeavingHeard,
-    /// An upstream that names a rate gets no more from all VMs together.
+    /// All VMs together stay within the rate limit that an upstream states.
     LimitKept,
-    /// No request is held back for what another did.
+    /// A request that crashes nothing is not quarantined.
     OthersTaken,
-    /// A planned stop cuts no request.
+    /// A graceful shutdown cuts off no request.
     PlannedStop,
-    /// When all troubles are over, requests are served.
+    /// Requests are served retries once all faults have ended.
     Recovery,
 }
 
-/// A promise that was broken.
+/// A broken promise.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which.
+    /// The promise that was broken.
     pub promise: Promise,
-    /// By what.
+    /// What broke it, for a human reader.
     pub what: String,
 }
 
@@ -116,29 +124,29 @@
     }
 }
 
-/// Everything that was violated.
+/// Runs every check and returns all violations.
 pub fn check(evidence: &Evidence) -> Vec<Violation> {
     let checks = [
         at_most_once,
-        true_refusals,
-        own_answers,
-        as_sent,
-        revoked_keys,
-        not_denied,
-        configuration_in_force,
-        configuration_kept,
-        left_alone,
-        withdrawn,
-        session_versions,
-        exposure,
-        retry_budget,
-        unreadable,
+        rejected_requests_did_not_run,
+        responses_match_requests,
+        requests_arrive_unchanged,
+        removed_keys_give_no_access,
+        allowed_requests_are_not_denied,
+        configuration_is_applied_in_time,
+        configuration_never_regresses,
+        leaving_upstreams_get_nothing_new,
+        reverted_versions_get_nothing_new,
+        sessions_keep_their_version,
+        bad_versions_get_a_small_share,
+        retries_stay_within_budget,
+        malformed_records_are_not_used,
         deadly::stopped,
         deadly::others_taken,
         own_words::heeded,
         rate_limits::kept,
-        planned_stops,
-        recovery,
+        shutdowns_cut_off_no_request,
+        site_recovers,
     ];
     checks.iter().flat_map(|check| check(evidence)).collect()
 }
@@ -161,7 +169,7 @@
     .collect()
 }
 
-fn true_refusals(evidence: &Evidence) -> Vec<Violation> {
+fn rejected_requests_did_not_run(evidence: &Evidence) -> Vec<Violation> {
     let runs = evidence.runs_by_id();
     let refused = evidence
         .calls
@@ -170,24 +178,27 @@
     refused
         .filter(|call| runs.contains_key(call.id.as_str()))
         .map(|call| {
-            let what = format!("{} got {} and ran", call.id, call.status);
+            let what = format!("{} got {} but ran", call.id, call.status);
             violation(Promise::TrueRefusal, what)
         })
         .collect()
 }
 
-fn own_answers(evidence: &Evidence) -> Vec<Violation> {
+fn responses_match_requests(evidence: &Evidence) -> Vec<Violation> {
     let whole = evidence.calls.iter().filter(|call| call.is_whole);
     whole
         .filter(|call| (200..300).contains(&call.status) && !call.is_own)
         .map(|call| {
-            let what = format!("{} got {}, not its own", call.id, call.status);
+            let what = format!(
+                "{} got {} with a response that is not its own",
+                call.id, call.status
+            );
             violation(Promise::OwnAnswer, what)
         })
         .collect()
 }
 
-fn as_sent(evidence: &Evidence) -> Vec<Violation> {
+fn requests_arrive_unchanged(evidence: &Evidence) -> Vec<Violation> {
     let calls = evidence.calls_by_id();
     let is_as_sent = |run: &&Run| {
         calls.get(run.id.as_str()).is_some_and(|call| {
@@ -203,7 +214,7 @@
     changed.map(|run| violation(Promise::AsSent, format!("{run:?}"))).collect()
 }
 
-fn revoked_keys(evidence: &Evidence) -> Vec<Violation> {
+fn removed_keys_give_no_access(evidence: &Evidence) -> Vec<Violation> {
     let removed: HashMap<&str, Duration> = evidence
         .changes
         .iter()
@@ -224,7 +235,7 @@
             let removed_at = *removed.get(call.key.as_str())?;
             let late = call.sent_at.checked_sub(removed_at)?;
             let what = format!(
-                "{} ran under a key removed {late:?} before, by VM {}",
+                "{} ran with a key removed {late:?} earlier, via VM {}",
                 run.id, call.vm
             );
             (late > REVOKE_TIME).then(|| violation(Promise::RevokedKey, what))
@@ -232,7 +243,7 @@
         .collect()
 }
 
-fn not_denied(evidence: &Evidence) -> Vec<Violation> {
+fn allowed_requests_are_not_denied(evidence: &Evidence) -> Vec<Violation> {
     let stable = evidence.calls.iter().filter(|call| {
         !matches!(call.kind, Kind::Probe(_))
             && call.key == crate::gateway_site::KEY
@@ -246,7 +257,7 @@
         .collect()
 }
 
-fn configuration_in_force(evidence: &Evidence) -> Vec<Violation> {
+fn configuration_is_applied_in_time(evidence: &Evidence) -> Vec<Violation> {
     let mut found = Vec::new();
     for (added_at, change) in &evidence.changes {
         let Change::RouteAdded(number) = change else { continue };
@@ -260,14 +271,14 @@
         found.extend(late.map(|call| {
             let age = call.sent_at - *added_at;
             let what =
-                format!("VM {} has no route {number} {age:?} on", call.vm);
+                format!("VM {} lacks route {number} after {age:?}", call.vm);
             violation(Promise::Configuration, what)
         }));
     }
     found
 }
 
-fn configuration_kept(evidence: &Evidence) -> Vec<Violation> {
+fn configuration_never_regresses(evidence: &Evidence) -> Vec<Violation> {
     let mut known: HashMap<(usize, u32, u64), Duration> = HashMap::new();
     let mut found = Vec::new();
     for call in &evidence.calls {
@@ -287,23 +298,23 @@
     found
 }
 
-fn left_alone(evidence: &Evidence) -> Vec<Violation> {
+fn leaving_upstreams_get_nothing_new(evidence: &Evidence) -> Vec<Violation> {
     let is_at = |change: &Change, run: &Run| match change {
         Change::Leaving(upstream) => run.upstream == *upstream,
         _ => false,
     };
-    run_too_late(evidence, Promise::LeftAlone, LEAVE_TIME, is_at)
+    runs_after_change(evidence, Promise::LeftAlone, LEAVE_TIME, is_at)
 }
 
-fn withdrawn(evidence: &Evidence) -> Vec<Violation> {
+fn reverted_versions_get_nothing_new(evidence: &Evidence) -> Vec<Violation> {
     let is_of = |change: &Change, run: &Run| match change {
         Change::Reverted(software) => run.software == *software,
         _ => false,
     };
-    run_too_late(evidence, Promise::Withdrawn, REVERT_TIME, is_of)
+    runs_after_change(evidence, Promise::Withdrawn, REVERT_TIME, is_of)
 }
 
-fn orders(evidence: &Evidence) -> Vec<(Duration, &Order)> {
+fn rollout_orders(evidence: &Evidence) -> Vec<(Duration, &Order)> {
     let ordered = evidence.changes.iter().filter_map(|(at, change)| {
         let Change::Ordered(order) = change else { return None };
         Some((*at, order))
@@ -311,7 +322,7 @@
     ordered.collect()
 }
 
-fn session_versions(evidence: &Evidence) -> Vec<Violation> {
+fn sessions_keep_their_version(evidence: &Evidence) -> Vec<Violation> {
     let runs = evidence.runs_by_id();
     let mut sessions: HashMap<&str, Vec<(&Call, &Run)>> = HashMap::new();
     for call in &evidence.calls {
@@ -320,40 +331,43 @@
             sessions.entry(session).or_default().push((call, run));
         }
     }
-    let orders = orders(evidence);
+    let rollout_orders = rollout_orders(evidence);
     let mut changed = Vec::new();
     for runs in sessions.values_mut() {
         runs.sort_by_key(|(_, run)| run.at);
         for pair in runs.windows(2) {
             let ((before, old), (call, run)) = (pair[0], pair[1]);
-            let goes_on = call.sent_at < before.ended_at + SESSION_TIME;
+            let is_same_session = call.sent_at < before.ended_at + SESSION_GAP;
             let is_wrong = |(at, order): &(Duration, &Order)| {
-                is_early(*at, order, run)
-                    || is_back(evidence, *at, order, old, run)
+                is_in_first_half(*at, order, run)
+                    || is_moved_back(evidence, *at, order, old, run)
             };
-            if goes_on
+            if is_same_session
                 && old.software != run.software
-                && orders.iter().any(is_wrong)
+                && rollout_orders.iter().any(is_wrong)
                 && evidence.is_undisturbed(call.vm, before.sent_at, run.at)
             {
                 changed.push(format!("{} after {}", call.id, before.id));
             }
         }
     }
-    let is_broken = changed.len() > SESSION_CHANGES;
-    let what = format!("sessions that changed version: {changed:?}");
+    let is_broken = changed.len() > MAX_SESSION_CHANGES;
+    let what =
+        format!("calls that changed their session's version: {changed:?}");
     let found = violation(Promise::SessionVersion, what);
     is_broken.then_some(found).into_iter().collect()
 }
 
-/// Whether a run is at a new version in the first half of its roll-out.
-fn is_early(ordered_at: Duration, order: &Order, run: &Run) -> bool {
+/// Returns whether a run is at the new version in the first half of its
+/// rollout.
+fn is_in_first_half(ordered_at: Duration, order: &Order, run: &Run) -> bool {
     let half = ordered_at + order.allowed / 2;
     run.software == order.software && run.at < half
 }
 
-/// Whether a run is no longer at a new version that is good and stays.
-fn is_back(
+/// Returns whether a session went back from a new version that is good and
+/// was not reverted. A move to the version of a later order does not count.
+fn is_moved_back(
     evidence: &Evidence,
     ordered_at: Duration,
     order: &Order,
@@ -363,21 +377,22 @@
     let reverted = Change::Reverted(order.software.clone());
     let stays =
         !evidence.changes.iter().any(|(_, change)| *change == reverted);
-    let is_meant = before.software == order.software && run.at > ordered_at;
-    let is_next = orders(evidence)
+    let was_at_new_version =
+        before.software == order.software && run.at > ordered_at;
+    let is_later_order = rollout_orders(evidence)
         .iter()
         .any(|(at, next)| *at > ordered_at && next.software == run.software);
-    is_meant && stays && !order.is_bad && !is_next
+    was_at_new_version && stays && !order.is_bad && !is_later_order
 }
 
-fn exposure(evidence: &Evidence) -> Vec<Violation> {
+fn bad_versions_get_a_small_share(evidence: &Evidence) -> Vec<Violation> {
     let calls = evidence.calls_by_id();
     let is_undisturbed = |run: &Run| {
         let call = calls.get(run.id.as_str());
         call.is_some_and(|c| evidence.is_undisturbed(c.vm, c.sent_at, run.at))
     };
     let mut found = Vec::new();
-    for (at, order) in orders(evidence) {
+    for (at, order) in rollout_orders(evidence) {
         let meanwhile = |run: &&Run| {
             (at..at + order.allowed).contains(&run.at)
                 && calls
@@ -389,16 +404,17 @@
             run.software == order.software && is_undisturbed(run)
         });
         let new = new.count();
-        let most = all as f64 * BAD_SHARE + BAD_REQUESTS;
+        let most = all as f64 * MAX_BAD_SHARE + EXTRA_BAD_REQUESTS;
         if order.is_bad && new as f64 > most {
-            let what = format!("{} got {new} of {all}", order.software);
+            let what =
+                format!("{} got {new} of {all} requests", order.software);
             found.push(violation(Promise::Exposure, what));
         }
     }
     found
 }
 
-fn retry_budget(evidence: &Evidence) -> Vec<Violation> {
+fn retries_stay_within_budget(evidence: &Evidence) -> Vec<Violation> {
     let calls = evidence.calls_by_id();
     let mut found = Vec::new();
     for is_stream in [true, false] {
@@ -414,17 +430,17 @@
             .collect();
         arrivals.sort();
         let mut seen = HashSet::new();
-        let again = arrivals.iter().filter(|(_, id)| !seen.insert(*id));
-        let again: Vec<Duration> = again.map(|(at, _)| *at).collect();
-        let mut asked: Vec<Duration> = evidence
+        let retries = arrivals.iter().filter(|(_, id)| !seen.insert(*id));
+        let retries: Vec<Duration> = retries.map(|(at, _)| *at).collect();
+        let mut requests_at: Vec<Duration> = evidence
             .calls
             .iter()
             .filter(|call| call.kind.is_stream() == is_stream)
             .map(|call| call.sent_at)
             .collect();
-        asked.sort();
-        found.extend(again.iter().filter_map(|from| {
-            over_budget(*from, &again, &asked)
+        requests_at.sort();
+        found.extend(retries.iter().filter_map(|from| {
+            budget_excess(*from, &retries, &requests_at)
                 .map(|what| violation(Promise::RetryBudget, what))
         }));
         found.truncate(1);
@@ -432,62 +448,65 @@
     found
 }
 
-/// What is over the budget of the window from `from`, if anything is.
-fn over_budget(
+/// Returns a description if the retries within the window that starts at
+/// `from` exceed the retry budget.
+///
+/// The budget is computed from the largest number of requests in this window
+/// and in the windows that start half a window and a whole window earlier.
+fn budget_excess(
     from: Duration,
-    again: &[Duration],
-    asked: &[Duration],
+    retries: &[Duration],
+    requests_at: &[Duration],
 ) -> Option<String> {
     let count = |times: &[Duration], from: Duration| {
         let to = from + RETRY_WINDOW;
         times.iter().filter(|at| (from..to).contains(*at)).count()
     };
-    let extra = count(again, from);
+    let extra = count(retries, from);
     let windows = [
         from,
         from.saturating_sub(RETRY_WINDOW / 2),
         from.saturating_sub(RETRY_WINDOW),
     ];
-    let requests = windows.map(|from| count(asked, from)).into_iter().max();
+    let requests =
+        windows.map(|from| count(requests_at, from)).into_iter().max();
     let requests = requests.unwrap_or(0);
     let most = requests as f64 * RETRY_SHARE + f64::from(RETRY_EXTRA);
-    let what = format!("{extra} further attempts for {requests} requests");
+    let what = format!("{extra} retries for {requests} requests");
     (extra as f64 > most).then_some(what)
 }
 
-fn unreadable(evidence: &Evidence) -> Vec<Violation> {
+fn malformed_records_are_not_used(evidence: &Evidence) -> Vec<Violation> {
     let at = evidence.runs.iter().filter(|run| run.upstream == UNREADABLE);
     at.map(|run| violation(Promise::Unreadable, format!("{run:?}"))).collect()
 }
 
-/// Runs that a change forbids, later than `allowed` after it, by VMs that have
-/// been in touch since.
-fn run_too_late(
+/// Returns a violation for each run that a change forbids, that began more
+/// than `allowed` after it, and whose VM was undisturbed since the change.
+fn runs_after_change(
     evidence: &Evidence,
     promise: Promise,
     allowed: Duration,
     forbids: impl Fn(&Change, &Run) -> bool,
 ) -> Vec<Violation> {
     let calls = evidence.calls_by_id();
-    let was_in_touch = |since: Duration, run: &Run| {
+    let was_undisturbed = |since: Duration, run: &Run| {
         let call = calls.get(run.id.as_str());
-        call.is_some_and(|call| {
-            evidence.is_undisturbed(call.vm, since, run.at)
-        })
+        call.is_some_and(|c| evidence.is_undisturbed(c.vm, since, run.at))
     };
     let mut found = Vec::new();
     for (at, change) in &evidence.changes {
         let late = evidence.runs.iter().filter(|run| {
             run.at > *at + allowed + SLACK
                 && forbids(change, run)
-                && was_in_touch(*at, run)
+                && was_undisturbed(*at, run)
         });
         found.extend(late.map(|run| violation(promise, format!("{run:?}"))));
     }
     found
 }
 
-fn planned_stops(evidence: &Evidence) -> Vec<Violation> {
+fn shutdowns_cut_off_no_request(evidence: &Evidence) -> Vec<Violation> {
     let mut found = Vec::new();
     for stop in &evidence.troubles {
         let Scope::PlannedStop(vm) = stop.scope else { continue };
@@ -501,16 +520,17 @@
                 })
         });
         found.extend(cut.map(|call| {
-            let what = format!("{} was cut by a stop of VM {vm}", call.id);
+            let what =
+                format!("{} was cut off by the shutdown of VM {vm}", call.id);
             violation(Promise::PlannedStop, what)
         }));
     }
     found
 }
 
-fn recovery(evidence: &Evidence) -> Vec<Violation> {
+fn site_recovers(evidence: &Evidence) -> Vec<Violation> {
     let (made, served) = evidence.recovery;
-    let is_short = (served as f64) < made as f64 * RECOVERED_SHARE;
-    let what = format!("{served} of {made} calls were served at the end");
+    let is_short = (served as f64) < made as f64 * MIN_RECOVERED_SHARE;
+    let what = format!("{served} of {made} recovery calls were served");
     is_short.then(|| violation(Promise::Recovery, what)).into_iter().collect()
 }
--- a/standins/src/soak/evidence.rs
+++ b/standins/src/soak/evidence.rs
@@ -1,7 +1,7 @@
-//! What a soak has seen: calls of its callers, runs at its upstreams, changes
-//! that the operator made, and troubles that were under way.
+//! Evidence that a soak run collects: calls made by clients, runs at upstreams,
+//! changes made by operators and upstreams, and periods of injected trouble.
 //!
-//! All times are counted from the start of the soak.
+//! All times are relative to the start of the run.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -11,34 +11,38 @@
     rate_limits::{RateLimitPeriod, RateLimitSignal},
 };
 
-/// Trouble at a VM or the store excuses it for this long afterwards; the
-/// platform's `contact_ms`.
+/// Time for which a trouble at a VM or the store still counts after its end;
+/// equal to the platform's `contact_ms`.
 pub const CONTACT_TIME: Duration = Duration::from_millis(3000);
 
-/// A kind of request.
+/// The kind of a request; decides its route, method and whether it may be
+/// repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Kind {
-    /// May be repeated.
+    /// An idempotent plain request.
     Read,
-    /// Must not run twice.
+    /// A plain request that must not run twice.
     Once,
-    /// A stream that may be resumed.
+    /// A model request whose streamed response may be resumed.
     Write,
-    /// A stream that may not.
+    /// A model request whose streamed response may not be resumed; its route
+    /// needs no key.
     Tell,
-    /// A question on a route that was added; the number names the route.
+    /// A request to the added route with this number; checks whether a VM
+    /// knows the route.
     Probe(u64),
-    /// Crashes each upstream that runs it; the number names it.
+    /// The crashing request with this number: it crashes each upstream that
+    /// runs it.
     Deadly(u64),
 }
 
 impl Kind {
-    /// Whether it goes to a model.
+    /// Returns whether it goes to a model, which streams its response.
     pub fn is_stream(self) -> bool {
         matches!(self, Kind::Write | Kind::Tell)
     }
 
-    /// Whether it may run more than once.
+    /// Returns whether it may run more than once.
     pub fn may_repeat(self) -> bool {
         matches!(
             self,
@@ -46,12 +50,12 @@
         )
     }
 
-    /// Whether its route is open to keyholders only.
+    /// Returns whether its route requires an API key.
     pub fn needs_key(self) -> bool {
         self != Kind::Tell
     }
 
-    /// The path of a request of this kind.
+    /// Returns the path of a request of this kind with this call ID.
     pub fn path(self, id: &str) -> String {
         match self {
             Kind::Read => format!("/read/{id}"),
@@ -64,137 +68,138 @@
     }
 }
 
-/// A call as its caller saw it.
+/// A request and its response, as the client saw them.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Its id, which no other call has.
+    /// Its ID, unique within the run; sent as the attempt ID.
     pub id: String,
-    /// Its kind.
+    /// What kind of request it was.
     pub kind: Kind,
-    /// The VM that it was sent to.
+    /// Index of the VM that it was sent to.
     pub vm: usize,
-    /// Which process of that VM, counted from 1.
+    /// The incarnation of that VM's process, counted from 1.
     pub life: u32,
-    /// The key that it carried.
+    /// The API key that it carried.
     pub key: String,
-    /// The session that it belongs to.
+    /// The session that it belongs to; only model requests have one.
     pub session: Option<String>,
     /// When it was sent.
     pub sent_at: Duration,
-    /// When its answer ended.
+    /// When its response ended.
     pub ended_at: Duration,
-    /// The status; 0 when no answer came.
+    /// The HTTP status; 0 when there was no response.
     pub status: u16,
-    /// Whether the answer seems whole.
+    /// Whether the response was complete as HTTP framing tells it.
     pub is_whole: bool,
-    /// Whether the answer is all of what an upstream made for this call.
+    /// Whether the body is exactly what an upstream generates for this call.
     pub is_own: bool,
-    /// Whether it was refused as one that crashes what runs it.
+    /// Whether it was rejected because it is quarantined.
     pub is_held_back: bool,
 }
 
-/// A run of a request at an upstream.
+/// An arrival of a request at an upstream.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// The id of the call.
+    /// The ID of the call.
     pub id: String,
-    /// The upstream.
+    /// The ID of the upstream.
     pub upstream: String,
-    /// Which life of the upstream, counted from 1.
+    /// The incarnation of the upstream, counted from 1.
     pub life: u64,
-    /// The version of its software.
+    /// The software version of the upstream.
     pub software: String,
-    /// When it began.
+    /// When the request arrived.
     pub at: Duration,
-    /// The path as it arrived.
+    /// The path as received.
     pub path: String,
-    /// The organisation that the router stated.
+    /// The organisation that the router put into the request.
     pub organisation: String,
 }
 
-/// Something that the operator or an upstream changed.
+/// A change made by an operator or an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A key was taken away.
+    /// This API key was removed.
     KeyRemoved(String),
-    /// A route was added.
+    /// The route with this number was added.
     RouteAdded(u64),
-    /// An upstream said that it leaves.
+    /// The record of this upstream says that it is leaving.
     Leaving(String),
-    /// A version was recorded as reverted.
+    /// The rollout of this version was seen as reverted.
     Reverted(String),
-    /// A version was ordered.
+    /// The operator ordered the rollout of a version.
     Ordered(Order),
 }
 
-/// An operator's order of a version.
+/// An operator's order to roll out a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// The version.
+    /// The version to roll out.
     pub software: String,
-    /// The time allowed for it.
+    /// The time that the rollout may take.
     pub allowed: Duration,
-    /// Whether most of its answers are failures.
+    /// Whether most responses of this version are failures.
     pub is_bad: bool,
 }
 
-/// What a trouble strikes.
+/// What a trouble affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// One VM or its ways.
+    /// One VM, or the connections of its clients or to the store.
     Vm(usize),
-    /// A planned stop of one VM.
+    /// A VM in a graceful shutdown.
     PlannedStop(usize),
     /// The store, or the machine that the soak runs on.
     Everyone,
-    /// Upstreams.
+    /// Upstreams, or the connections to them.
     Upstreams,
 }
 
-/// A trouble, from when it began to when it was over.
+/// A period in which an injected fault, or a delay of the soak's own machine,
+/// affects the site.
 #[derive(Clone, Debug)]
 pub struct Trouble {
     /// When it began.
     pub from: Duration,
-    /// When it was over.
+    /// When it ended.
     pub to: Duration,
-    /// What it struck.
+    /// What it affected.
     pub scope: Scope,
-    /// What it was.
+    /// Its cause: the `Debug` text of a fault, or a fixed text.
     pub what: String,
 }
 
-/// Everything that a soak has seen.
+/// Everything that a soak run has collected for the checks.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    /// Calls, as they ended.
+    /// Calls, in the order in which they ended.
     pub calls: Vec<Call>,
-    /// Runs, as they began.
+    /// Requests that upstreams ran, in the order of arrival.
     pub runs: Vec<Run>,
-    /// Requests that upstreams declined.
+    /// Requests that upstreams declined without running them.
     pub declined: Vec<Run>,
-    /// What upstreams have said of themselves.
+    /// Backoff and leaving signals that upstreams sent in responses.
     pub signals: Vec<UpstreamSignal>,
-    /// Rate limits that upstreams had.
+    /// Periods in which upstreams had a rate limit.
     pub rate_limits: Vec<RateLimitPeriod>,
-    /// Answers that named one.
+    /// Responses that stated a rate limit.
     pub rate_limit_signals: Vec<RateLimitSignal>,
-    /// Changes, with when they were in the store.
+    /// Changes, with the time at which the soak recorded them.
     pub changes: Vec<(Duration, Change)>,
-    /// Troubles.
+    /// Periods of trouble.
     pub troubles: Vec<Trouble>,
-    /// Calls that were made after all troubles were over, and of those the
-    /// ones that were answered well.
+    /// The number of calls made after all faults had ended, and of those the
+    /// number that got status 200.
     pub recovery: (usize, usize),
 }
 
 impl Evidence {
-    /// The calls by id.
+    /// Returns the calls by ID.
     pub fn calls_by_id(&self) -> HashMap<&str, &Call> {
         self.calls.iter().map(|call| (call.id.as_str(), call)).collect()
     }
 
-    /// The runs by the id of their call.
+    /// Returns the runs by the ID of their call; a retried call has several.
     pub fn runs_by_id(&self) -> HashMap<&str, Vec<&Run>> {
         let mut runs: HashMap<&str, Vec<&Run>> = HashMap::new();
         for run in &self.runs {
@@ -203,8 +208,8 @@
         runs
     }
 
-    /// Whether a VM has had no trouble, nor the store, from `CONTACT_TIME`
-    /// before `from` up to `to`.
+    /// Returns whether neither the VM nor the store was in trouble between
+    /// `CONTACT_TIME` before `from` and `to`.
     pub fn is_undisturbed(
         &self,
         vm: usize,
@@ -218,8 +223,8 @@
         })
     }
 
-    /// Whether a trouble of such a scope was under way from `CONTACT_TIME`
-    /// before `from` up to `to`.
+    /// Returns whether there was a trouble whose scope `counts` accepts at any
+    /// time between `CONTACT_TIME` before `from` and `to`.
     pub fn any_trouble(
         &self,
         from: Duration,
