--- a/standins/src/soak/check.rs
+++ b/standins/src/soak/check.rs
@@ -94,7 +94,8 @@
     Unreadable,
     /// A request that crashes upstreams is quarantined.
     Deadly,
-    /// A VM sends nothing to an upstream during the backoff that it requests_at for.
+    /// A VM sends nothing to an upstream during the backoff that the upstream
+    /// asked for.
     RestKept,
     /// An upstream that signals in a response that it is leaving receives no
     /// new requests.
@@ -141,10 +142,10 @@
         bad_versions_get_a_small_share,
         retries_stay_within_budget,
         malformed_records_are_not_used,
-        deadly::stopped,
-        deadly::others_taken,
-        own_words::heeded,
-        rate_limits::kept,
+        deadly::crashing_requests_are_quarantined,
+        deadly::others_are_not_quarantined,
+        own_words::signals_are_respected,
+        rate_limits::limits_are_respected,
         shutdowns_cut_off_no_request,
         site_recovers,
     ];
--- a/standins/src/soak/deadly.rs
+++ b/standins/src/soak/deadly.rs
@@ -1,8 +1,8 @@
-//! Requests of a soak that crash each upstream that runs them, and whether
-//! they are stopped.
+//! Crashing requests, which crash each upstream that runs them, and the check
+//! that the VMs quarantine them.
 //!
-//! There are a few in a soak. Each comes again and again, at any VM, in series
-//! and several at once, always under another id.
+//! A run has a few different ones. Each is sent again and again to random VMs,
+//! one after the other and several at once, always with another attempt ID.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -21,48 +21,49 @@
 };
 use crate::gateway_site::KEY;
 
-/// The most that come in one soak.
-const MOST: u64 = 3;
+/// Largest number of different crashing requests in a run.
+const MAX_REQUESTS: u64 = 3;
 
-/// Longest pause between two sends of one of them, in milliseconds.
-const PAUSE_MOST_MS: u64 = 1500;
+/// Longest pause between two batches of the same request, in milliseconds.
+const MAX_PAUSE_MS: u64 = 1500;
 
-/// Sends of one of them at once, at most.
-const AT_ONCE_MOST: usize = 3;
+/// Largest number of concurrent sends of the same request.
+const MAX_CONCURRENT: usize = 3;
 
-/// Upstreams that may end under one before its time counts.
-const ENDS: usize = 3;
+/// Upstream crashes after which a request must be quarantined.
+const MAX_CRASHES: usize = 3;
 
-/// Further sends that are allowed once that time is over.
-const SENDS_MOST: usize = 3;
+/// Arrivals that are still allowed once the request must be quarantined.
+const MAX_LATE_ARRIVALS: usize = 3;
 
-/// The path of the deadly request with this number.
+/// Returns the path of the crashing request with this number.
 pub fn path(number: u64) -> String {
     format!("/read/deadly-{number}")
 }
 
-/// Whether a path is that of a deadly request.
-pub fn is_deadly(path: &str) -> bool {
+/// Returns whether a path is that of a crashing request.
+pub fn is_crashing(path: &str) -> bool {
     path.starts_with("/read/deadly-")
 }
 
-/// Sends deadly requests until the callers stop, each from its own thread.
+/// Starts a thread for each crashing request, which sends it until the clients
+/// stop.
 pub fn run(callers: &Arc<Callers>, seed: u64) -> Vec<thread::JoinHandle<()>> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ (u64::MAX << 48));
-    let count = rng.random_range(1..=MOST);
+    let count = rng.random_range(1..=MAX_REQUESTS);
     let sender = |number| {
         let callers = callers.clone();
         let rng = ChaCha8Rng::seed_from_u64(seed ^ (number << 52));
-        thread::spawn(move || send_on(&callers, number, rng))
+        thread::spawn(move || send_repeatedly(&callers, number, rng))
     };
     (1..=count).map(sender).collect()
 }
 
-fn send_on(callers: &Arc<Callers>, number: u64, mut rng: ChaCha8Rng) {
+fn send_repeatedly(callers: &Arc<Callers>, number: u64, mut rng: ChaCha8Rng) {
     while !callers.is_over() {
-        let pause_ms = rng.random_range(0..PAUSE_MOST_MS);
+        let pause_ms = rng.random_range(0..MAX_PAUSE_MS);
         thread::sleep(Duration::from_millis(pause_ms));
-        let count = rng.random_range(1..=AT_ONCE_MOST);
+        let count = rng.random_range(1..=MAX_CONCURRENT);
         let sends = (0..count).map(|_| {
             let vm = rng.random_range(0..callers.doors.len());
             let callers = callers.clone();
@@ -72,14 +73,14 @@
             })
         });
         for send in sends.collect::<Vec<_>>() {
-            // One that panicked has printed why.
+            // A panicking thread has printed its message already.
             let _ = send.join();
         }
     }
 }
 
-/// How many deadly requests were sent, and the most upstreams that ended
-/// under one of them.
+/// Returns the number of different crashing requests that were sent, and the
+/// largest number of upstream crashes that one of them caused.
 pub fn summary(evidence: &Evidence) -> (usize, usize) {
     let by_path = runs_by_path(evidence);
     let sent: HashSet<Kind> = evidence
@@ -88,13 +89,13 @@
         .filter(|call| matches!(call.kind, Kind::Deadly(_)))
         .map(|call| call.kind)
         .collect();
-    let ended = by_path.values().map(|runs| ends(runs).len()).max();
-    (sent.len(), ended.unwrap_or(0))
+    let crashes = by_path.values().map(|runs| crash_times(runs).len()).max();
+    (sent.len(), crashes.unwrap_or(0))
 }
 
 fn runs_by_path(evidence: &Evidence) -> BTreeMap<&str, Vec<&Run>> {
     let mut by_path: BTreeMap<&str, Vec<&Run>> = BTreeMap::new();
-    for run in evidence.runs.iter().filter(|run| is_deadly(&run.path)) {
+    for run in evidence.runs.iter().filter(|run| is_crashing(&run.path)) {
         by_path.entry(&run.path).or_default().push(run);
     }
     for runs in by_path.values_mut() {
@@ -103,22 +104,28 @@
     by_path
 }
 
-/// When the upstreams of these runs ended; two runs in one life end it once.
-fn ends(runs: &[&Run]) -> Vec<Duration> {
-    let mut lives = HashSet::new();
+/// Returns when the upstreams of these runs crashed, in the order of the runs.
+/// Several runs in one incarnation of an upstream count as one crash.
+fn crash_times(runs: &[&Run]) -> Vec<Duration> {
+    let mut incarnations = HashSet::new();
     let first = runs
         .iter()
-        .filter(|run| lives.insert((run.upstream.as_str(), run.life)));
+        .filter(|run| incarnations.insert((run.upstream.as_str(), run.life)));
     first.map(|run| run.at).collect()
 }
 
-/// A request is sent no more once three upstreams have ended under it, by VMs
-/// that have been in touch.
-pub(super) fn stopped(evidence: &Evidence) -> Vec<Violation> {
+/// Checks that undisturbed VMs stop sending a request once it has crashed
+/// three upstreams.
+pub(super) fn crashing_requests_are_quarantined(
+    evidence: &Evidence,
+) -> Vec<Violation> {
     let calls = evidence.calls_by_id();
     let mut found = Vec::new();
     for (path, runs) in runs_by_path(evidence) {
-        let Some(third) = ends(&runs).get(ENDS - 1).copied() else { continue };
+        let Some(third) = crash_times(&runs).get(MAX_CRASHES - 1).copied()
+        else {
+            continue;
+        };
         let from = third + CONTACT_TIME + SLACK;
         let later = runs.iter().filter(|run| {
             let call = calls.get(run.id.as_str());
@@ -128,22 +135,26 @@
                 })
         });
         let later: Vec<&str> = later.map(|run| run.id.as_str()).collect();
-        if later.len() > SENDS_MOST {
-            let what = format!("{path} ended three by {third:?}: {later:?}");
+        if later.len() > MAX_LATE_ARRIVALS {
+            let what = format!(
+                "{path} crashed three by {third:?}, then ran as {later:?}"
+            );
             found.push(violation(Promise::Deadly, what));
         }
     }
     found
 }
 
-/// No other request is refused for what one of them did.
-pub(super) fn others_taken(evidence: &Evidence) -> Vec<Violation> {
+/// Checks that no other request is quarantined.
+pub(super) fn others_are_not_quarantined(
+    evidence: &Evidence,
+) -> Vec<Violation> {
     let others = evidence.calls.iter().filter(|call| {
         call.is_held_back && !matches!(call.kind, Kind::Deadly(_))
     });
-    let broken = |id: &str| {
-        let what = format!("{id} is held back and ends nothing");
+    let quarantined = |id: &str| {
+        let what = format!("{id} is quarantined but crashes nothing");
         violation(Promise::OthersTaken, what)
     };
-    others.map(|call| broken(&call.id)).collect()
+    others.map(|call| quarantined(&call.id)).collect()
 }
--- a/standins/src/soak/evidence.rs
+++ b/standins/src/soak/evidence.rs
@@ -1,5 +1,5 @@
-//! Evidence that a soak run collects: calls made by clients, runs at upstreams,
-//! changes made by operators and upstreams, and periods of injected trouble.
+//! Evidence that a soak run collects: calls of the clients, runs at the
+//! upstreams, changes by operators and upstreams, and periods of trouble.
 //!
 //! All times are relative to the start of the run.
 
@@ -149,7 +149,7 @@
     Vm(usize),
     /// A VM in a graceful shutdown.
     PlannedStop(usize),
-    /// The store, or the machine that the soak runs on.
+    /// All VMs, the store, or the machine that the soak runs on.
     Everyone,
     /// Upstreams, or the connections to them.
     Upstreams,
--- a/standins/src/soak/mod.rs
+++ b/standins/src/soak/mod.rs
@@ -135,7 +135,7 @@
             "served": self.served,
             "crashing_requests": self.crashing_requests,
             "most_ended_by_one": self.most_ended_by_one,
-            "sent_into_rest": self.ignored_signals.sent_into_rest,
+            "sent_into_rest": self.ignored_signals.sent_during_backoff,
             "sent_after_leaving": self.ignored_signals.sent_after_leaving,
             "limits_named": self.limits_named,
             "sent_past_limit": self.sent_past_limit,
--- a/standins/src/soak/own_words.rs
+++ b/standins/src/soak/own_words.rs
@@ -1,5 +1,5 @@
-//! What upstreams of a soak say of themselves in answers, and whether the VMs
-//! that were told heed it.
+//! Backoff and leaving signals that upstreams send in responses, and the check
+//! that the VMs that received them respect them.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -8,71 +8,74 @@
     evidence::{Call, Evidence, Run},
 };
 
-/// Time after an answer that was passed on in which requests may still go to
-/// an upstream that has said in it that it leaves.
+/// Time after a VM has forwarded a response with a leaving signal in which new
+/// calls at this VM may still go to the upstream.
 const LEAVE_TIME: Duration = Duration::from_secs(2);
 
-/// Part of a rest in which requests that were on their way may still come,
-/// and requests that may come in the rest of it.
-const ON_THE_WAY: Duration = Duration::from_millis(500);
-const MOST_IN_REST: usize = 2;
+/// First part of a backoff, in which requests in flight may still arrive, and
+/// the number of requests that may arrive in the remainder of the backoff.
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
+const MAX_IN_BACKOFF: usize = 2;
 
-/// What an upstream has said of itself in an answer.
+/// A backoff or leaving signal that an upstream sent in a response.
 #[derive(Clone, Debug)]
 pub struct UpstreamSignal {
-    /// The id of the call that it answered.
+    /// The ID of the call that the response belongs to.
     pub id: String,
-    /// The upstream.
+    /// The ID of the upstream.
     pub upstream: String,
-    /// Which life of it.
+    /// The incarnation of the upstream.
     pub life: u64,
-    /// When it answered.
+    /// When the upstream sent it.
     pub at: Duration,
-    /// The rest that it asked for; without one it said that it leaves.
+    /// The backoff that it asked for; `None` if it signalled that it is
+    /// leaving.
     pub rest: Option<Duration>,
 }
 
-/// What was sent to upstreams although they had said that they want none.
+/// Requests that VMs sent in spite of a signal, in the worst case.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct IgnoredSignals {
-    /// The most that one VM sent to one upstream in a rest.
-    pub sent_into_rest: usize,
-    /// Requests that one VM sent to one upstream after it had said that it
-    /// leaves.
+    /// The most requests that one VM sent to one upstream in one backoff.
+    pub sent_during_backoff: usize,
+    /// The most requests that one VM sent to one upstream after the upstream
+    /// had signalled that it is leaving.
     pub sent_after_leaving: usize,
 }
 
-/// One VM's process and one life of an upstream.
+/// One incarnation of a VM and one incarnation of an upstream.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-struct Way<'a> {
+struct Link<'a> {
     vm: usize,
     process: u32,
     upstream: &'a str,
     life: u64,
 }
 
-pub(super) struct Seen<'a> {
+/// The evidence, indexed by call ID and by link.
+pub(super) struct IndexedEvidence<'a> {
     pub(super) evidence: &'a Evidence,
     pub(super) calls: HashMap<&'a str, &'a Call>,
-    /// Arrivals by their way, with the calls that they belong to.
-    arrivals: HashMap<Way<'a>, Vec<(&'a Call, &'a Run)>>,
+    /// Arrivals at upstreams by link, with the calls that they belong to;
+    /// declined requests count too.
+    arrivals: HashMap<Link<'a>, Vec<(&'a Call, &'a Run)>>,
 }
 
-impl<'a> Seen<'a> {
-    pub(super) fn new(evidence: &'a Evidence) -> Seen<'a> {
+impl<'a> IndexedEvidence<'a> {
+    pub(super) fn new(evidence: &'a Evidence) -> IndexedEvidence<'a> {
         let calls = evidence.calls_by_id();
         let mut arrivals: HashMap<_, Vec<_>> = HashMap::new();
         for run in evidence.runs.iter().chain(&evidence.declined) {
             if let Some(call) = calls.get(run.id.as_str()) {
-                let way = way(call, &run.upstream, run.life);
-                arrivals.entry(way).or_default().push((*call, run));
+                let link = link(call, &run.upstream, run.life);
+                arrivals.entry(link).or_default().push((*call, run));
             }
         }
-        Seen { evidence, calls, arrivals }
+        IndexedEvidence { evidence, calls, arrivals }
     }
 
-    /// Whether a VM may not have heard something, or is excused for that time:
-    /// it was frozen, or the ways to upstreams were struck.
+    /// Returns whether a VM is excused for a time: it was frozen, connections
+    /// to upstreams were faulty, or the soak's own machine was too slow.
     pub(super) fn is_excused(
         &self,
         vm: usize,
@@ -80,68 +83,77 @@
         to: Duration,
     ) -> bool {
         self.evidence.troubles.iter().any(|trouble| {
-            let struck = trouble.what == format!("PauseVm({vm})")
+            let is_relevant = trouble.what == format!("PauseVm({vm})")
                 || trouble.what.starts_with("UpstreamWay")
                 || trouble.what == "late tick";
-            struck && trouble.from <= to && trouble.to + SLACK >= from
+            is_relevant && trouble.from <= to && trouble.to + SLACK >= from
         })
     }
 
-    /// The arrivals that came after `said` on its way, up to `to`.
-    fn after(
+    /// Returns the arrivals on the signal's link after the signal and up to
+    /// `to`, except those for which the VM is excused.
+    fn arrivals_after(
         &self,
-        said: &'a UpstreamSignal,
+        signal: &'a UpstreamSignal,
         to: Duration,
     ) -> Vec<(&Call, &Run)> {
-        let Some(call) = self.calls.get(said.id.as_str()) else {
+        let Some(call) = self.calls.get(signal.id.as_str()) else {
             return Vec::new();
         };
-        let way = way(call, &said.upstream, said.life);
-        let on_way = self.arrivals.get(&way).into_iter().flatten();
-        on_way
+        let link = link(call, &signal.upstream, signal.life);
+        let on_link = self.arrivals.get(&link).into_iter().flatten();
+        on_link
             .filter(|(_, run)| {
-                run.at > said.at
+                run.at > signal.at
                     && run.at <= to
-                    && !self.is_excused(call.vm, said.at, run.at)
+                    && !self.is_excused(call.vm, signal.at, run.at)
             })
             .copied()
             .collect()
     }
 
-    fn in_rest(&self, said: &'a UpstreamSignal, rest: Duration) -> usize {
-        let came = self.after(said, said.at + rest);
-        let from = said.at + ON_THE_WAY;
-        came.iter().filter(|(_, run)| run.at > from).count()
+    /// Counts the arrivals in a backoff, without those that may have been in
+    /// flight.
+    fn count_in_backoff(
+        &self,
+        signal: &'a UpstreamSignal,
+        rest: Duration,
+    ) -> usize {
+        let arrivals = self.arrivals_after(signal, signal.at + rest);
+        let from = signal.at + IN_FLIGHT_TIME;
+        arrivals.iter().filter(|(_, run)| run.at > from).count()
     }
 
-    fn after_leaving(&self, said: &'a UpstreamSignal) -> usize {
-        let Some(told) = self.calls.get(said.id.as_str()) else { return 0 };
-        let is_passed_on = told.status == 200 && told.is_whole && told.is_own;
-        if !is_passed_on {
+    /// Counts the arrivals of calls made too late after a leaving signal. The
+    /// bound starts when the VM had forwarded the whole response.
+    fn count_after_leaving(&self, signal: &'a UpstreamSignal) -> usize {
+        let Some(call) = self.calls.get(signal.id.as_str()) else { return 0 };
+        let is_forwarded = call.status == 200 && call.is_whole && call.is_own;
+        if !is_forwarded {
             return 0;
         }
-        let bound = told.ended_at + LEAVE_TIME;
-        let came = self.after(said, Duration::MAX);
-        came.iter().filter(|(call, _)| call.sent_at > bound).count()
+        let bound = call.ended_at + LEAVE_TIME;
+        let arrivals = self.arrivals_after(signal, Duration::MAX);
+        arrivals.iter().filter(|(call, _)| call.sent_at > bound).count()
     }
 }
 
-fn way<'a>(call: &Call, upstream: &'a str, life: u64) -> Way<'a> {
-    Way { vm: call.vm, process: call.life, upstream, life }
+fn link<'a>(call: &Call, upstream: &'a str, life: u64) -> Link<'a> {
+    Link { vm: call.vm, process: call.life, upstream, life }
 }
 
-/// The most that was sent somewhere against an upstream's word.
+/// Returns the worst disregard of each kind of signal.
 pub fn summary(evidence: &Evidence) -> IgnoredSignals {
-    let seen = Seen::new(evidence);
+    let seen = IndexedEvidence::new(evidence);
     let mut most = IgnoredSignals::default();
-    for said in &evidence.signals {
-        match said.rest {
+    for signal in &evidence.signals {
+        match signal.rest {
             Some(rest) => {
-                let sent = seen.in_rest(said, rest);
-                most.sent_into_rest = most.sent_into_rest.max(sent);
+                let sent = seen.count_in_backoff(signal, rest);
+                most.sent_during_backoff = most.sent_during_backoff.max(sent);
             }
             None => {
-                let sent = seen.after_leaving(said);
+                let sent = seen.count_after_leaving(signal);
                 most.sent_after_leaving = most.sent_after_leaving.max(sent);
             }
         }
@@ -149,18 +161,19 @@
     most
 }
 
-/// Requests go nowhere where an upstream has said to the VM that it wants
-/// none.
-pub(super) fn heeded(evidence: &Evidence) -> Vec<Violation> {
-    let IgnoredSignals { sent_into_rest, sent_after_leaving } =
+/// Checks that VMs respect the backoff and leaving signals of upstreams.
+pub(super) fn signals_are_respected(evidence: &Evidence) -> Vec<Violation> {
+    let IgnoredSignals { sent_during_backoff, sent_after_leaving } =
         summary(evidence);
     let mut found = Vec::new();
-    if sent_into_rest > MOST_IN_REST {
-        let what = format!("{sent_into_rest} came in one rest from one VM");
+    if sent_during_backoff > MAX_IN_BACKOFF {
+        let what =
+            format!("{sent_during_backoff} requests of one VM in one backoff");
         found.push(violation(Promise::RestKept, what));
     }
     if sent_after_leaving > 0 {
-        let what = format!("{sent_after_leaving} came after it was told");
+        let what =
+            format!("{sent_after_leaving} requests after a leaving signal");
         found.push(violation(Promise::LeavingHeard, what));
     }
     found
--- a/standins/src/soak/upstreams.rs
+++ b/standins/src/soak/upstreams.rs
@@ -12,7 +12,7 @@
 use serde_json::json;
 
 use super::{
-    deadly::is_deadly, evidence::Run, own_words::UpstreamSignal,
+    deadly::is_crashing, evidence::Run, own_words::UpstreamSignal,
     rate_limits::RateLimitSignal,
 };
 use crate::{
@@ -296,7 +296,7 @@
             return vec![Act::Send(answer(503, &head, ""))];
         }
         self.note(request, |received| &mut received.runs);
-        if is_deadly(&request.path) {
+        if is_crashing(&request.path) {
             self.is_hit.store(true, Ordering::Relaxed);
             return vec![Act::Wait(CRASH_TIME), Act::Close];
         }
