--- a/standins/src/soak/check.rs
+++ b/standins/src/soak/check.rs
@@ -106,7 +106,7 @@
     OthersTaken,
     /// A graceful shutdown cuts off no request.
     PlannedStop,
-    /// Requests are served retries once all faults have ended.
+    /// Requests are served again once all faults have ended.
     Recovery,
 }
 
--- a/standins/src/soak/deadly.rs
+++ b/standins/src/soak/deadly.rs
@@ -3,6 +3,7 @@
 //!
 //! A run has a few different ones. Each is sent again and again to random VMs,
 //! one after the other and several at once, always with another attempt ID.
+//! Names say "deadly" for such a request.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
--- a/standins/src/soak/faults.rs
+++ b/standins/src/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of a soak: what there are, and how one is drawn.
+//! The faults of a soak and how they are drawn at random.
 
 use std::time::Duration;
 
@@ -8,74 +8,76 @@
 use super::upstreams::Behaviour;
 use crate::{platform_store::Mood, proxy::Mode};
 
-/// Something that goes wrong, or is done by operators, from outside.
+/// A fault, or an operation, that the soak applies from outside the VMs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// A VM's process is frozen for a while.
+    /// A VM's process is frozen (SIGSTOP) until the fault ends.
     PauseVm(usize),
-    /// A VM's process is killed, and started again after a while.
+    /// A VM's process is killed, and started again when the fault ends.
     KillVm(usize),
-    /// Every VM's process is killed at once.
+    /// All VMs' processes are killed at once, and started again.
     KillAll,
-    /// A VM is stopped as planned, and started again when it has ended.
+    /// A VM is shut down gracefully (SIGTERM), and started again when it has
+    /// ended.
     StopVm(usize),
-    /// A VM is told that its settings have changed.
+    /// A VM is told to reload its settings (SIGHUP).
     ReloadVm(usize),
-    /// Something happens on the callers' way to a VM.
+    /// The proxy between the clients and a VM is put into this mode.
     CallersWay(usize, Mode),
-    /// Something happens on a VM's way to the store.
+    /// The proxy between a VM and the store is put into this mode.
     StoreWay(usize, Mode),
-    /// The store turns a VM away.
+    /// The store rejects all calls of a VM.
     StoreRefuses(usize),
-    /// The store treats all calls so.
+    /// The store treats all calls as this mood says.
     Store(Mood),
-    /// Something happens on the way to an upstream.
+    /// The proxy before an upstream is put into this mode.
     UpstreamWay(usize, Mode),
-    /// An upstream treats requests so.
+    /// An upstream treats requests as this behaviour says.
     Upstream(usize, Behaviour),
-    /// An upstream leaves, and another comes.
+    /// An upstream leaves, and another replaces it.
     Leave(usize),
-    /// An upstream leaves and says so in its answers; its record says it
-    /// later, and another comes.
+    /// An upstream signals in its responses that it is leaving, and only later
+    /// in its record; another replaces it.
     LeaveUnrecorded(usize),
-    /// An upstream crashes, and starts again under its name.
+    /// An upstream crashes, and starts again with the same ID and address.
     StartAgain(usize),
-    /// Another writer leaves an entry that cannot be read.
+    /// Another writer puts a malformed upstream record into the store; the
+    /// number selects what is wrong with it.
     Unreadable(u64),
     /// The operator adds a route.
     AddRoute,
-    /// The operator takes a key away and gives out another.
+    /// The operator removes an API key and adds another.
     ReplaceKey,
-    /// The operator orders a new version, which may be a bad one.
+    /// The operator orders the rollout of a new version.
     RollOut {
-        /// Whether most of its answers are failures.
+        /// Whether most responses of the version are failures.
         is_bad: bool,
     },
 }
 
-/// What a fault strikes; two that strike the same do not overlap.
+/// What a fault affects; faults with the same target do not overlap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
     /// A VM's process.
     Process(usize),
-    /// The callers' way to a VM.
+    /// The proxy between the clients and a VM.
     CallersWay(usize),
-    /// A VM's way to the store.
+    /// The proxy between a VM and the store.
     StoreWay(usize),
     /// The store.
     Store,
-    /// The way to an upstream.
+    /// The proxy before an upstream.
     UpstreamWay(usize),
     /// An upstream.
     Upstream(usize),
-    /// What the operator has written.
+    /// The operator's rollout order.
     Operator,
 }
 
-/// Shortest and longest time that a fault lasts, in milliseconds.
-const LASTS_MS: std::ops::Range<u64> = 200..4000;
+/// Range of a fault's duration, in milliseconds.
+const DURATION_MS: std::ops::Range<u64> = 200..4000;
 
-/// Moods of the store that are faults.
+/// Moods of the store that a soak injects as faults.
 const MOODS: [Mood; 5] = [
     Mood::Resetting,
     Mood::Busy,
@@ -85,7 +87,8 @@
 ];
 
 impl Fault {
-    /// What it strikes; nothing for what is over at once.
+    /// Returns what it affects; `None` for what is done at once, which may
+    /// overlap anything.
     pub fn target(self) -> Option<Target> {
         Some(match self {
             Fault::PauseVm(vm) => Target::Process(vm),
@@ -110,7 +113,8 @@
         })
     }
 
-    /// Draws a fault, and how long it lasts, for so many VMs and upstreams.
+    /// Draws a fault and its duration for a site with these numbers of VMs and
+    /// upstreams.
     pub fn draw(
         rng: &mut ChaCha8Rng,
         vms: usize,
@@ -118,18 +122,18 @@
     ) -> (Fault, Duration) {
         let vm = rng.random_range(0..vms);
         let upstream = rng.random_range(0..upstreams);
-        let way = draw_way(rng);
+        let mode = draw_mode(rng);
         let fault = match rng.random_range(0..38) {
             0..3 => Fault::PauseVm(vm),
             3..6 => Fault::KillVm(vm),
             6 => Fault::KillAll,
             7..10 => Fault::StopVm(vm),
             10 => Fault::ReloadVm(vm),
-            11..14 => Fault::CallersWay(vm, way),
-            14..17 => Fault::StoreWay(vm, way),
+            11..14 => Fault::CallersWay(vm, mode),
+            14..17 => Fault::StoreWay(vm, mode),
             17 => Fault::StoreRefuses(vm),
             18..21 => Fault::Store(*MOODS.choose(rng).expect("moods")),
-            21..23 => Fault::UpstreamWay(upstream, way),
+            21..23 => Fault::UpstreamWay(upstream, mode),
             23..26 => {
                 let behaviour = Behaviour::FAULTS.choose(rng);
                 Fault::Upstream(upstream, *behaviour.expect("behaviours"))
@@ -142,11 +146,11 @@
             36.. => Fault::LeaveUnrecorded(upstream),
             _ => Fault::RollOut { is_bad: rng.random() },
         };
-        (fault, Duration::from_millis(rng.random_range(LASTS_MS)))
+        (fault, Duration::from_millis(rng.random_range(DURATION_MS)))
     }
 }
 
-fn draw_way(rng: &mut ChaCha8Rng) -> Mode {
+fn draw_mode(rng: &mut ChaCha8Rng) -> Mode {
     match rng.random_range(0..6) {
         0 => Mode::Cut,
         1 => Mode::Stall,
--- a/standins/src/soak/inject.rs
+++ b/standins/src/soak/inject.rs
@@ -1,4 +1,4 @@
-//! Bringing faults about, and taking them back.
+//! Injects faults and ends them.
 
 use std::{sync::atomic::Ordering, time::Duration};
 
@@ -9,7 +9,7 @@
     evidence::{Change, Order, Scope, Trouble},
     faults::{Fault, Target},
     upstreams::Behaviour,
-    world::{Active, Later, World},
+    world::{Action, Active, World},
 };
 use crate::{
     gateway_site::{KEY, MODELS, PLAIN, configuration_with, route},
@@ -17,13 +17,15 @@
     proxy::Mode,
 };
 
-/// Time that a roll-out is allowed, in seconds.
-const ROLL_OUT_S: u64 = 8;
+/// Time that a rollout may take, in seconds.
+const ROLLOUT_S: u64 = 8;
 
-/// Time until the record of an upstream says what its answers say already.
-const RECORDED_AFTER: Duration = Duration::from_secs(5);
+/// Time until the record of an upstream says that it is leaving, as its
+/// responses do already.
+const RECORD_LEAVING_AFTER: Duration = Duration::from_secs(5);
 
 impl World {
+    /// Draws a fault and begins it, unless an active one has the same target.
     pub(super) fn inject(&mut self, now: Duration) {
         let vms = self.site.vms.len();
         let upstreams = self.workers.len();
@@ -40,7 +42,8 @@
         }
     }
 
-    pub(super) fn note_trouble(
+    /// Records a trouble in the evidence; returns its index.
+    pub(super) fn record_trouble(
         &mut self,
         from: Duration,
         to: Duration,
@@ -52,7 +55,8 @@
         self.evidence.troubles.len() - 1
     }
 
-    /// Begins a fault; returns its trouble, whose end may be set later.
+    /// Begins a fault; returns the index of its trouble if it causes one. The
+    /// end of the trouble is updated when the fault ends earlier or later.
     fn begin(
         &mut self,
         fault: Fault,
@@ -71,12 +75,12 @@
             | Fault::Upstream(..)
             | Fault::StartAgain(_) => Scope::Upstreams,
             _ => {
-                self.change(fault, now);
+                self.apply_change(fault, now);
                 return None;
             }
         };
         let what = format!("{fault:?}");
-        let trouble = self.note_trouble(now, now + lasts, scope, &what);
+        let trouble = self.record_trouble(now, now + lasts, scope, &what);
         match fault {
             Fault::PauseVm(vm) => self.site.vms[vm].signal(Signal::STOP),
             Fault::KillVm(vm) => self.kill(vm, now + lasts),
@@ -85,9 +89,9 @@
                     self.kill(vm, now + lasts / 4);
                 }
             }
-            Fault::StopVm(vm) => self.stop(vm, trouble),
-            Fault::CallersWay(vm, mode) => self.callers_ways[vm].set(mode),
-            Fault::StoreWay(vm, mode) => self.store_ways[vm].set(mode),
+            Fault::StopVm(vm) => self.begin_shutdown(vm, trouble),
+            Fault::CallersWay(vm, mode) => self.entry_proxies[vm].set(mode),
+            Fault::StoreWay(vm, mode) => self.store_proxies[vm].set(mode),
             Fault::StoreRefuses(vm) => self.site.vms[vm].store.refuse(true),
             Fault::Store(mood) => self.site.store.set_mood(mood),
             Fault::UpstreamWay(at, mode) => self.workers[at].set_way(mode),
@@ -98,25 +102,28 @@
         Some(trouble)
     }
 
+    /// Kills a VM's process and schedules its restart.
     fn kill(&mut self, vm: usize, restart_at: Duration) {
         if let Some(trouble) = self.stopping.remove(&vm) {
-            // From here on it is no planned stop any more.
+            // A kill ends the graceful shutdown: what it cuts off is excused.
             let now = self.now();
             self.evidence.troubles[trouble].to = now;
-            self.note_trouble(now, restart_at, Scope::Vm(vm), "killed");
+            self.record_trouble(now, restart_at, Scope::Vm(vm), "killed");
         }
         self.site.vms[vm].kill();
-        self.later.push((restart_at, Later::StartVm(vm)));
+        self.scheduled.push((restart_at, Action::StartVm(vm)));
     }
 
-    fn restart_upstream(&mut self, at: usize, back_at: Duration) {
+    /// Crashes an upstream and schedules its restart.
+    fn restart_upstream(&mut self, at: usize, restart_at: Duration) {
         let worker = &self.workers[at];
         worker.crash();
         let id = worker.upstream.id.clone();
-        self.later.push((back_at, Later::StartUpstream(id)));
+        self.scheduled.push((restart_at, Action::StartUpstream(id)));
     }
 
-    fn stop(&mut self, vm: usize, trouble: usize) {
+    /// Begins a graceful shutdown of a VM that runs.
+    fn begin_shutdown(&mut self, vm: usize, trouble: usize) {
         let is_running = self.site.vms[vm].is_started();
         if is_running && !self.stopping.contains_key(&vm) {
             self.site.vms[vm].signal(Signal::TERM);
@@ -124,38 +131,39 @@
         }
     }
 
-    /// Carries out what operators and upstreams do.
-    fn change(&mut self, fault: Fault, now: Duration) {
+    /// Makes a change that operators or upstreams make in normal operation,
+    /// which causes no trouble.
+    fn apply_change(&mut self, fault: Fault, now: Duration) {
         match fault {
             Fault::ReloadVm(vm) => self.site.vms[vm].signal(Signal::HUP),
             Fault::AddRoute => {
-                self.routes += 1;
-                self.configure();
-                let change = Change::RouteAdded(self.routes);
+                self.added_routes += 1;
+                self.write_configuration();
+                let change = Change::RouteAdded(self.added_routes);
                 self.evidence.changes.push((self.now(), change));
                 let last = &self.callers.last_route;
-                last.store(self.routes, Ordering::Relaxed);
+                last.store(self.added_routes, Ordering::Relaxed);
             }
             Fault::ReplaceKey => self.replace_key(),
             Fault::Leave(at) => {
-                let left = self.workers.remove(at);
+                let leaving = self.workers.remove(at);
                 let (service, software) =
-                    (left.service, left.software.clone());
-                self.let_go(left, now);
+                    (leaving.service, leaving.software.clone());
+                self.start_leaving(leaving, now);
                 self.add_worker(service, &software);
             }
             Fault::LeaveUnrecorded(at) => {
                 let leaving = self.workers.remove(at);
                 leaving.say_leaving();
-                let recorded_at = now + RECORDED_AFTER;
+                let recorded_at = now + RECORD_LEAVING_AFTER;
                 let id = leaving.upstream.id.clone();
-                self.later.push((recorded_at, Later::RecordLeaving(id)));
+                self.scheduled.push((recorded_at, Action::RecordLeaving(id)));
                 let (service, software) =
                     (leaving.service, leaving.software.clone());
-                self.left.push(leaving);
+                self.leaving.push(leaving);
                 self.add_worker(service, &software);
             }
-            Fault::RollOut { is_bad } => self.roll_out(is_bad),
+            Fault::RollOut { is_bad } => self.start_rollout(is_bad),
             Fault::Unreadable(kind) => {
                 let store = &self.site.store;
                 self.unreadable.record_unreadable(store, kind);
@@ -164,26 +172,32 @@
         }
     }
 
-    fn configure(&mut self) {
-        self.table += 1;
+    /// Writes a new version of the configuration with the present keys and
+    /// routes to the store.
+    fn write_configuration(&mut self) {
+        self.configuration_version += 1;
         let mut keys = vec![KEY];
         keys.extend(self.keys.iter().map(String::as_str));
-        let added = (1..=self.routes).map(|number| {
+        let added = (1..=self.added_routes).map(|number| {
             let name = format!("added-{number}");
             route(&name, "idempotent", PLAIN, 2, 1000)
         });
-        let configuration =
-            configuration_with(self.table, &keys, added.collect());
+        let configuration = configuration_with(
+            self.configuration_version,
+            &keys,
+            added.collect(),
+        );
         self.site.store.put("op/config", &configuration);
     }
 
+    /// Removes the keys other than the permanent one and adds a new one.
     fn replace_key(&mut self) {
         let removed = std::mem::take(&mut self.keys);
         self.keys = vec![format!("key-of-{}", self.next_key)];
         self.next_key += 1;
-        self.configure();
+        self.write_configuration();
         let now = self.now();
-        // Callers go on using what was taken away.
+        // Clients go on using the removed keys.
         let mut used = removed.clone();
         used.extend(self.keys.iter().cloned());
         *self.callers.keys.lock().unwrap() = used;
@@ -192,11 +206,13 @@
         }
     }
 
-    fn roll_out(&mut self, is_bad: bool) {
-        if self.rolling_out.is_some() {
+    /// Starts upstreams of a new version and orders its rollout, unless one is
+    /// in progress.
+    fn start_rollout(&mut self, is_bad: bool) {
+        if self.rollout_version.is_some() {
             return;
         }
-        let number = self.table + 100 + self.software;
+        let number = self.configuration_version + 100 + self.current_version;
         let software = format!("v{number}");
         for _ in 0..3 {
             self.add_worker(MODELS, &software);
@@ -208,24 +224,25 @@
         let order = json!({
             "service": MODELS,
             "target_version": software,
-            "duration_s": ROLL_OUT_S,
+            "duration_s": ROLLOUT_S,
         });
         self.site.store.put(&format!("op/rollout/{MODELS}"), &order);
-        let allowed = Duration::from_secs(ROLL_OUT_S);
+        let allowed = Duration::from_secs(ROLLOUT_S);
         let order = Order { software: software.clone(), allowed, is_bad };
         self.evidence.changes.push((self.now(), Change::Ordered(order)));
-        self.rolling_out = Some(software);
+        self.rollout_version = Some(software);
     }
 
+    /// Ends an active fault and its trouble.
     pub(super) fn end(&mut self, active: &Active) {
         match active.fault {
             Fault::PauseVm(vm) => self.site.vms[vm].signal(Signal::CONT),
-            Fault::CallersWay(vm, _) => self.callers_ways[vm].set(Mode::Pass),
-            Fault::StoreWay(vm, _) => self.store_ways[vm].set(Mode::Pass),
+            Fault::CallersWay(vm, _) => self.entry_proxies[vm].set(Mode::Pass),
+            Fault::StoreWay(vm, _) => self.store_proxies[vm].set(Mode::Pass),
             Fault::StoreRefuses(vm) => self.site.vms[vm].store.refuse(false),
             Fault::Store(_) => self.site.store.set_mood(Mood::Well),
             Fault::UpstreamWay(..) | Fault::Upstream(..) => {
-                self.heal_upstreams();
+                self.reset_upstreams();
             }
             _ => {}
         }
@@ -234,15 +251,19 @@
         }
     }
 
-    /// Takes all faults off the upstreams that no active fault strikes.
-    fn heal_upstreams(&mut self) {
-        let struck = |target| self.active.iter().any(|a| a.target == target);
-        let new = self.rolling_out.as_deref();
+    /// Ends all faults of upstreams that no other active fault affects; those
+    /// of the version that is being rolled out keep their behaviour.
+    fn reset_upstreams(&mut self) {
+        let is_affected =
+            |target| self.active.iter().any(|a| a.target == target);
+        let new = self.rollout_version.as_deref();
         for (at, worker) in self.workers.iter().enumerate() {
-            if !struck(Target::UpstreamWay(at)) {
+            if !is_affected(Target::UpstreamWay(at)) {
                 worker.set_way(Mode::Pass);
             }
-            if !struck(Target::Upstream(at)) && new != Some(&worker.software) {
+            if !is_affected(Target::Upstream(at))
+                && new != Some(&worker.software)
+            {
                 worker.behave(Behaviour::Well);
             }
         }
--- a/standins/src/soak/world.rs
+++ b/standins/src/soak/world.rs
@@ -1,4 +1,4 @@
-//! The site of a soak: its start, what is due in it, and how it ends.
+//! The site of a soak run: its start, its timed actions, and its end.
 
 use std::{
     collections::HashMap,
@@ -27,35 +27,36 @@
     proxy::{Mode, Proxy},
 };
 
-/// Data halls of a soak's site.
-const HALLS: [&str; 3] = ["hall-a", "hall-b", "hall-c"];
+/// Data halls of the site; the VMs are spread over them in turn.
+const DATA_HALLS: [&str; 3] = ["hall-a", "hall-b", "hall-c"];
 
-/// Time between two looks at what is due.
+/// Time between two passes of the main loop.
 const TICK: Duration = Duration::from_millis(20);
 
-/// Lateness of a look from which the machine itself counts as the trouble.
-const LATE_TICK: Duration = Duration::from_millis(400);
+/// Time between two passes above which the soak's own machine counts as in
+/// trouble.
+const MAX_TICK: Duration = Duration::from_millis(400);
 
 /// Shortest and longest time between two faults, in milliseconds.
 const BETWEEN_FAULTS_MS: std::ops::Range<u64> = 100..900;
 
-/// Time after the last fault for everything to come back.
+/// Time that the site gets to recover after all faults have ended.
 const RECOVERY_TIME: Duration = Duration::from_secs(8);
 
-/// Calls that are made at each VM afterwards.
+/// Calls that are then made at each VM.
 const RECOVERY_CALLS: usize = 10;
 
-/// Time between two questions of the balancer.
-const BALANCER_PERIOD: Duration = Duration::from_millis(150);
+/// Time between two readiness checks by the platform's load balancer.
+const READINESS_PERIOD: Duration = Duration::from_millis(150);
 
-/// Time that an upstream which leaves goes on after its record says so, and
-/// that its record stays.
+/// Time from when the record of an upstream says that it is leaving until the
+/// record is removed.
 const LEAVE_TIME: Duration = Duration::from_secs(3);
 
-/// Time until an upstream is back that a deadly request has ended.
-const BACK_AFTER: Duration = Duration::from_millis(1500);
+/// Time until an upstream that a crashing request has crashed starts again.
+const RESTART_AFTER: Duration = Duration::from_millis(1500);
 
-/// A fault that is under way.
+/// An active fault; `trouble` is its index in the evidence.
 pub(super) struct Active {
     pub(super) fault: Fault,
     pub(super) target: Target,
@@ -63,51 +64,63 @@
     pub(super) trouble: Option<usize>,
 }
 
-/// Something that is to be done at a later time.
-pub(super) enum Later {
+/// An action that is scheduled for a later time.
+pub(super) enum Action {
+    /// Starts a VM unless it runs.
     StartVm(usize),
+    /// Removes this key from the store.
     RemoveRecord(String),
+    /// Starts a crashed upstream again.
     StartUpstream(String),
+    /// Records that an upstream is leaving which signals it already.
     RecordLeaving(String),
     /// Ends the rate limit of an upstream.
-    EndLimit(String),
-    /// Removes the order of this version, unless another was given since.
-    EndRollOut(String),
+    EndRateLimit(String),
+    /// Removes the rollout order of this version unless a later order replaced
+    /// it.
+    RemoveRolloutOrder(String),
 }
 
-/// The site, its surroundings and what was seen.
+/// The site, the clients and upstreams around it, and the evidence.
 pub(super) struct World {
     pub(super) rng: ChaCha8Rng,
     pub(super) started_at: Instant,
     pub(super) site: Site,
-    pub(super) store_ways: Vec<Proxy>,
-    pub(super) callers_ways: Vec<Proxy>,
+    /// Proxies between each VM and the store.
+    pub(super) store_proxies: Vec<Proxy>,
+    /// Proxies between the clients and each VM.
+    pub(super) entry_proxies: Vec<Proxy>,
+    /// Upstreams that are not leaving; faults refer to them by index.
     pub(super) workers: Vec<Worker>,
-    /// Upstreams that have left, which go on for a while.
-    pub(super) left: Vec<Worker>,
-    /// An upstream of which only entries that cannot be read are written.
+    /// Upstreams that are leaving; they still serve requests.
+    pub(super) leaving: Vec<Worker>,
+    /// An upstream for which only malformed records are written.
     pub(super) unreadable: Worker,
     pub(super) runs: Runs,
     pub(super) callers: Arc<Callers>,
     pub(super) threads: Vec<thread::JoinHandle<()>>,
-    /// Those that send deadly requests.
+    /// Threads that send crashing requests.
     pub(super) deadly: Vec<thread::JoinHandle<()>>,
     pub(super) active: Vec<Active>,
-    pub(super) later: Vec<(Duration, Later)>,
-    /// Planned stops under way, with their troubles.
+    pub(super) scheduled: Vec<(Duration, Action)>,
+    /// VMs in a graceful shutdown, with the index of the trouble.
     pub(super) stopping: HashMap<usize, usize>,
     pub(super) evidence: Evidence,
     pub(super) faults: Vec<(Duration, Fault)>,
     limits: Schedule,
     pub(super) next_worker: usize,
-    pub(super) table: u64,
-    pub(super) routes: u64,
-    /// Keys that are in force besides the one that stays.
+    /// The version of the configuration in the store.
+    pub(super) configuration_version: u64,
+    /// The number of routes added so far.
+    pub(super) added_routes: u64,
+    /// Valid API keys besides the one that is never removed.
     pub(super) keys: Vec<String>,
     pub(super) next_key: u64,
-    /// The version that upstreams of the models run.
-    pub(super) software: u64,
-    pub(super) rolling_out: Option<String>,
+    /// The number of the version that the model upstreams run outside of a
+    /// rollout.
+    pub(super) current_version: u64,
+    /// The version of the rollout in progress.
+    pub(super) rollout_version: Option<String>,
 }
 
 impl World {
@@ -117,22 +130,23 @@
         let mut site = Site::new(program, &["vm"], revoke_ms);
         site.retry_share = RETRY_SHARE;
         site.retry_extra = RETRY_EXTRA;
-        let mut store_ways = Vec::new();
-        let mut callers_ways = Vec::new();
+        let mut store_proxies = Vec::new();
+        let mut entry_proxies = Vec::new();
         let mut doors = Vec::new();
         for number in 0..plan.vms {
             let door = site.store.another_door();
-            let store_way = Proxy::tcp(door.address).expect("a port");
-            let hall = HALLS[number % HALLS.len()];
-            let at = site.add_vm(hall, door, store_way.address);
-            let way = Proxy::tcp(site.vms[at].callers).expect("a port");
+            let store_proxy = Proxy::tcp(door.address).expect("a port");
+            let hall = DATA_HALLS[number % DATA_HALLS.len()];
+            let at = site.add_vm(hall, door, store_proxy.address);
+            let entry_proxy =
+                Proxy::tcp(site.vms[at].callers).expect("a port");
             doors.push(Door {
-                address: way.address,
+                address: entry_proxy.address,
                 is_open: false.into(),
                 life: 0.into(),
             });
-            store_ways.push(store_way);
-            callers_ways.push(way);
+            store_proxies.push(store_proxy);
+            entry_proxies.push(entry_proxy);
         }
         let callers = Callers::new(doors, started_at);
         let runs = Runs::default();
@@ -142,28 +156,28 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             started_at,
             site,
-            store_ways,
-            callers_ways,
+            store_proxies,
+            entry_proxies,
             workers: Vec::new(),
-            left: Vec::new(),
+            leaving: Vec::new(),
             unreadable,
             runs,
             callers,
             threads: Vec::new(),
             deadly: Vec::new(),
             active: Vec::new(),
-            later: Vec::new(),
+            scheduled: Vec::new(),
             stopping: HashMap::new(),
             evidence: Evidence::default(),
             faults: Vec::new(),
             limits: Schedule::new(seed),
             next_worker: 1,
-            table: 1,
-            routes: 0,
+            configuration_version: 1,
+            added_routes: 0,
             keys: Vec::new(),
             next_key: 1,
-            software: 1,
-            rolling_out: None,
+            current_version: 1,
+            rollout_version: None,
         };
         for (service, count) in SERVICES {
             for _ in 0..count {
@@ -176,7 +190,7 @@
         wait_until("all VMs are ready", || {
             world.site.vms.iter().all(|vm| vm.is_ready())
         });
-        world.balance();
+        world.check_readiness();
         world.threads = world.callers.run(plan.callers, seed);
         world.deadly = deadly::run(&world.callers, seed);
         world
@@ -210,36 +224,37 @@
         self.site.vms[vm].start();
     }
 
-    /// Injects faults for a while, then heals everything.
+    /// Injects faults for this long, then ends them all and lets the site
+    /// recover.
     pub(super) fn soak(&mut self, length: Duration) {
         let begun = self.now();
         let mut next_fault = begun;
-        let mut next_balance = begun;
+        let mut next_check = begun;
         let mut last = begun;
         while self.now() < begun + length {
             thread::sleep(TICK);
             let now = self.now();
-            if now - last > LATE_TICK {
-                self.note_trouble(last, now, Scope::Everyone, "late tick");
+            if now - last > MAX_TICK {
+                self.record_trouble(last, now, Scope::Everyone, "late tick");
             }
             last = now;
-            self.look(now);
-            if now >= next_balance {
-                next_balance = now + BALANCER_PERIOD;
-                self.balance();
+            self.run_due(now);
+            if now >= next_check {
+                next_check = now + READINESS_PERIOD;
+                self.check_readiness();
             }
             if now >= next_fault {
                 let pause_ms = self.rng.random_range(BETWEEN_FAULTS_MS);
                 next_fault = now + Duration::from_millis(pause_ms);
                 self.inject(now);
             }
-            self.begin_limits(now);
+            self.start_rate_limits(now);
         }
-        self.heal();
+        self.end_all_faults();
     }
 
-    /// Has upstreams name rate limits where that is due.
-    fn begin_limits(&mut self, now: Duration) {
+    /// Lets upstreams state a rate limit if one is due.
+    fn start_rate_limits(&mut self, now: Duration) {
         let Some(begun) = self.limits.next(self.workers.len(), now) else {
             return;
         };
@@ -252,8 +267,8 @@
         for worker in limited {
             worker.name_limit(Some(begun.per_s));
             let upstream = worker.upstream.id.clone();
-            let end = Later::EndLimit(upstream.clone());
-            self.later.push((begun.ends_at, end));
+            let end = Action::EndRateLimit(upstream.clone());
+            self.scheduled.push((begun.ends_at, end));
             self.evidence.rate_limits.push(RateLimitPeriod {
                 upstream,
                 per_s: begun.per_s,
@@ -263,10 +278,10 @@
         }
     }
 
-    /// Has an upstream name no rate limit any more.
-    fn end_limit(&mut self, id: &str) {
+    /// Ends the rate limit of an upstream.
+    fn end_rate_limit(&mut self, id: &str) {
         let now = self.now();
-        let workers = self.workers.iter().chain(&self.left);
+        let workers = self.workers.iter().chain(&self.leaving);
         for worker in workers.filter(|worker| worker.upstream.id == id) {
             worker.name_limit(None);
         }
@@ -276,8 +291,9 @@
         }
     }
 
-    /// Does what is due.
-    fn look(&mut self, now: Duration) {
+    /// Ends faults and runs scheduled actions whose time has come, then reacts
+    /// to crashes, shutdowns and the rollout.
+    fn run_due(&mut self, now: Duration) {
         let (over, active) = std::mem::take(&mut self.active)
             .into_iter()
             .partition(|active| active.ends_at <= now);
@@ -285,41 +301,41 @@
         for fault in over {
             self.end(&fault);
         }
-        let (due, later) = std::mem::take(&mut self.later)
+        let (due, scheduled) = std::mem::take(&mut self.scheduled)
             .into_iter()
             .partition(|(at, _)| *at <= now);
-        self.later = later;
+        self.scheduled = scheduled;
         for (_, what) in due {
-            self.carry_out(what);
+            self.run_action(what);
         }
-        self.look_at_crashes(now);
-        self.look_at_processes(now);
-        self.look_at_roll_out(now);
+        self.crash_hit_upstreams(now);
+        self.restart_stopped_vms(now);
+        self.follow_rollout(now);
     }
 
-    fn carry_out(&mut self, what: Later) {
+    fn run_action(&mut self, what: Action) {
         match what {
-            Later::StartVm(vm) if !self.site.vms[vm].is_started() => {
+            Action::StartVm(vm) if !self.site.vms[vm].is_started() => {
                 self.start_vm(vm);
             }
-            Later::StartVm(_) => {}
-            Later::RemoveRecord(key) => self.site.store.remove(&key),
-            Later::RecordLeaving(id) => {
+            Action::StartVm(_) => {}
+            Action::RemoveRecord(key) => self.site.store.remove(&key),
+            Action::RecordLeaving(id) => {
                 let is_it = |worker: &Worker| worker.upstream.id == id;
-                if let Some(at) = self.left.iter().position(is_it) {
-                    let leaving = self.left.remove(at);
-                    self.let_go(leaving, self.now());
+                if let Some(at) = self.leaving.iter().position(is_it) {
+                    let leaving = self.leaving.remove(at);
+                    self.start_leaving(leaving, self.now());
                 }
             }
-            Later::EndLimit(id) => self.end_limit(&id),
-            Later::EndRollOut(software) => {
+            Action::EndRateLimit(id) => self.end_rate_limit(&id),
+            Action::RemoveRolloutOrder(software) => {
                 let key = format!("op/rollout/{MODELS}");
                 let order = self.site.store.get(&key).unwrap_or_default();
                 if order["target_version"] == software.as_str() {
                     self.site.store.remove(&key);
                 }
             }
-            Later::StartUpstream(id) => {
+            Action::StartUpstream(id) => {
                 let found = self.workers.iter().find(|w| w.upstream.id == id);
                 if let Some(worker) = found {
                     worker.start_again(&self.site.store);
@@ -328,21 +344,21 @@
         }
     }
 
-    /// Ends the upstreams that run a deadly request; they are back after some
-    /// time.
-    fn look_at_crashes(&mut self, now: Duration) {
-        for worker in self.workers.iter().chain(&self.left) {
+    /// Crashes the upstreams that received a crashing request and schedules
+    /// their restart.
+    fn crash_hit_upstreams(&mut self, now: Duration) {
+        for worker in self.workers.iter().chain(&self.leaving) {
             if worker.takes_deadly() {
                 worker.crash();
                 let id = worker.upstream.id.clone();
-                let back_at = now + BACK_AFTER;
-                self.later.push((back_at, Later::StartUpstream(id)));
+                let restart_at = now + RESTART_AFTER;
+                self.scheduled.push((restart_at, Action::StartUpstream(id)));
             }
         }
     }
 
-    /// Starts the VMs again that have ended after a planned stop.
-    fn look_at_processes(&mut self, now: Duration) {
+    /// Schedules the restart of VMs that have ended a graceful shutdown.
+    fn restart_stopped_vms(&mut self, now: Duration) {
         let stopping: Vec<usize> = self.stopping.keys().copied().collect();
         for vm in stopping {
             if self.site.vms[vm].has_ended() {
@@ -351,13 +367,15 @@
                     self.evidence.troubles[trouble].to = now;
                 }
                 let at = now + Duration::from_millis(300);
-                self.later.push((at, Later::StartVm(vm)));
+                self.scheduled.push((at, Action::StartVm(vm)));
             }
         }
     }
 
-    fn look_at_roll_out(&mut self, now: Duration) {
-        let Some(software) = self.rolling_out.clone() else { return };
+    /// Once the rollout is completed or reverted, lets the upstreams of the
+    /// other versions leave and schedules the removal of the order.
+    fn follow_rollout(&mut self, now: Duration) {
+        let Some(software) = self.rollout_version.clone() else { return };
         let status = self.site.store.get(&format!("status/rollout/{MODELS}"));
         let status = status.unwrap_or_default();
         if status["target_version"] != software.as_str() {
@@ -369,70 +387,72 @@
             Some("reverted") => {
                 let change = Change::Reverted(software);
                 self.evidence.changes.push((now, change));
-                format!("v{}", self.software)
+                format!("v{}", self.current_version)
             }
             _ => return,
         };
-        self.rolling_out = None;
+        self.rollout_version = None;
         let number = keeps.trim_start_matches('v').parse();
-        self.software = number.unwrap_or(self.software);
+        self.current_version = number.unwrap_or(self.current_version);
         let (kept, over) = std::mem::take(&mut self.workers)
             .into_iter()
             .partition(|w| w.service != MODELS || w.software == keeps);
         self.workers = kept;
         for worker in over {
-            self.let_go(worker, now);
+            self.start_leaving(worker, now);
         }
         let at = now + Duration::from_secs(1);
-        self.later.push((at, Later::EndRollOut(ordered)));
+        self.scheduled.push((at, Action::RemoveRolloutOrder(ordered)));
         self.active.retain(|a| a.target != Target::Operator);
     }
 
-    /// Lets an upstream leave: its record says so, and goes later.
-    pub(super) fn let_go(&mut self, worker: Worker, now: Duration) {
+    /// Lets an upstream leave: it signals and records that it is leaving, and
+    /// its record is removed after [`LEAVE_TIME`].
+    pub(super) fn start_leaving(&mut self, worker: Worker, now: Duration) {
         worker.say_leaving();
         worker.record(&self.site.store, "draining");
         let id = worker.upstream.id.clone();
         self.evidence.changes.push((self.now(), Change::Leaving(id)));
         let key = worker.key();
-        self.later.push((now + LEAVE_TIME, Later::RemoveRecord(key)));
-        self.left.push(worker);
+        self.scheduled.push((now + LEAVE_TIME, Action::RemoveRecord(key)));
+        self.leaving.push(worker);
     }
 
-    /// Asks every VM whether it is ready, as the platform's balancer does.
-    fn balance(&self) {
+    /// Checks the readiness of every VM, as the platform's load balancer does.
+    fn check_readiness(&self) {
         for (vm, door) in self.site.vms.iter().zip(&self.callers.doors) {
-            // A frozen VM would hold the soak up; connecting is enough then.
+            // The short limit keeps a frozen VM from blocking the soak.
             let is_ready = vm.is_started() && vm.is_ready_within(TICK * 10);
             door.is_open.store(is_ready, Ordering::Relaxed);
         }
     }
 
-    /// Ends every fault and starts every VM that is down.
-    fn heal(&mut self) {
+    /// Ends every fault and rate limit, then waits while scheduled actions
+    /// restart what is down.
+    fn end_all_faults(&mut self) {
         let active = std::mem::take(&mut self.active);
         for fault in &active {
             self.end(fault);
         }
-        for worker in self.workers.iter().chain(&self.left) {
+        for worker in self.workers.iter().chain(&self.leaving) {
             worker.set_way(Mode::Pass);
         }
         let limits = self.evidence.rate_limits.iter();
         let ids: Vec<String> =
             limits.map(|limit| limit.upstream.clone()).collect();
         for id in ids {
-            self.end_limit(&id);
+            self.end_rate_limit(&id);
         }
         let until = self.now() + RECOVERY_TIME;
         while self.now() < until {
-            thread::sleep(BALANCER_PERIOD);
+            thread::sleep(READINESS_PERIOD);
             let now = self.now();
-            self.look(now);
-            self.balance();
+            self.run_due(now);
+            self.check_readiness();
         }
     }
 
-    /// Looks how the site has recovered, ends it and checks everything.
+    /// Makes the recovery calls, stops the clients and runs all checks.
     pub(super) fn finish(&mut self, seed: u64) -> Outcome {
         for vm in 0..self.site.vms.len() {
             for call in 0..RECOVERY_CALLS {
@@ -446,7 +466,7 @@
         }
         self.callers.stop();
         for thread in self.threads.drain(..).chain(self.deadly.drain(..)) {
-            // A caller that panicked has printed why.
+            // A panicking thread has printed its message already.
             let _ = thread.join();
         }
         self.evidence.calls = self.callers.calls.lock().unwrap().clone();
@@ -473,7 +493,8 @@
         }
     }
 
-    /// Keeps what is needed to trace a violation.
+    /// Writes the faults, the evidence and the logs of the VMs to `folder`, to
+    /// trace violations.
     pub(super) fn keep_logs(
         &self,
         folder: &std::path::Path,
