--- a/standins/src/soak/inject.rs
+++ b/standins/src/soak/inject.rs
@@ -55,8 +55,8 @@
         self.evidence.troubles.len() - 1
     }
 
-    /// Begins a fault; returns the index of its trouble if it causes one. The
-    /// end of the trouble is updated when the fault ends earlier or later.
+    /// Begins a fault; returns the index of its trouble if it causes one, so
+    /// that the end of the trouble can be corrected later.
     fn begin(
         &mut self,
         fault: Fault,
@@ -94,8 +94,10 @@
             Fault::StoreWay(vm, mode) => self.store_proxies[vm].set(mode),
             Fault::StoreRefuses(vm) => self.site.vms[vm].store.refuse(true),
             Fault::Store(mood) => self.site.store.set_mood(mood),
-            Fault::UpstreamWay(at, mode) => self.workers[at].set_way(mode),
-            Fault::Upstream(at, how) => self.workers[at].behave(how),
+            Fault::UpstreamWay(at, mode) => {
+                self.workers[at].set_proxy_mode(mode)
+            }
+            Fault::Upstream(at, how) => self.workers[at].set_behaviour(how),
             Fault::StartAgain(at) => self.restart_upstream(at, now + lasts),
             _ => {}
         }
@@ -131,8 +133,8 @@
         }
     }
 
-    /// Makes a change that operators or upstreams make in normal operation,
-    /// which causes no trouble.
+    /// Applies a change by operators, upstreams or another writer, which does
+    /// not count as trouble.
     fn apply_change(&mut self, fault: Fault, now: Duration) {
         match fault {
             Fault::ReloadVm(vm) => self.site.vms[vm].signal(Signal::HUP),
@@ -154,7 +156,7 @@
             }
             Fault::LeaveUnrecorded(at) => {
                 let leaving = self.workers.remove(at);
-                leaving.say_leaving();
+                leaving.signal_leaving();
                 let recorded_at = now + RECORD_LEAVING_AFTER;
                 let id = leaving.upstream.id.clone();
                 self.scheduled.push((recorded_at, Action::RecordLeaving(id)));
@@ -219,7 +221,7 @@
         }
         if is_bad {
             let new = self.workers.iter().filter(|w| w.software == software);
-            new.for_each(|worker| worker.behave(Behaviour::Failing));
+            new.for_each(|worker| worker.set_behaviour(Behaviour::Failing));
         }
         let order = json!({
             "service": MODELS,
@@ -259,12 +261,12 @@
         let new = self.rollout_version.as_deref();
         for (at, worker) in self.workers.iter().enumerate() {
             if !is_affected(Target::UpstreamWay(at)) {
-                worker.set_way(Mode::Pass);
+                worker.set_proxy_mode(Mode::Pass);
             }
             if !is_affected(Target::Upstream(at))
                 && new != Some(&worker.software)
             {
-                worker.behave(Behaviour::Well);
+                worker.set_behaviour(Behaviour::Well);
             }
         }
     }
--- a/standins/src/soak/upstreams.rs
+++ b/standins/src/soak/upstreams.rs
@@ -1,4 +1,5 @@
-//! Upstreams of a soak: they answer by their behaviour, and note every run.
+//! Upstreams of a soak: they respond as their behaviour signal_headers and record every
+//! request.
 
 use std::{
     sync::{
@@ -23,43 +24,44 @@
     scripted::{Act, Script, Upstream, stamped},
 };
 
-/// Events of a stream.
+/// Number of events of a streamed response.
 pub const EVENTS: u64 = 8;
 
-/// Pause between two events.
+/// Pause before each event.
 const EVENT_PAUSE: Duration = Duration::from_millis(25);
 
-/// Time that a plain request takes.
+/// Time until an upstream sends a plain response or the head of a stream.
 const WORK_TIME: Duration = Duration::from_millis(12);
 
-/// Longest time until an upstream is gone that runs a deadly request.
+/// Longest time for which an upstream still exists after it has received a
+/// crashing request.
 const CRASH_TIME: Duration = Duration::from_millis(200);
 
-/// The rest that a resting upstream asks for.
-const REST: Duration = Duration::from_secs(2);
+/// Backoff that a resting upstream asks for with `Retry-After`.
+const BACKOFF: Duration = Duration::from_secs(2);
 
-/// Share of the requests that a failing upstream treats badly.
+/// Share of the requests to which a faulty behaviour applies.
 const FAULTY_SHARE: f64 = 0.6;
 
 /// How an upstream treats requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Behaviour {
-    /// As it should.
+    /// It responds correctly.
     Well,
-    /// Many of its answers are failures.
+    /// Many of its responses have status 500.
     Failing,
-    /// Many of its answers are lost after it ran the request.
+    /// It runs many requests and closes the connection without a response.
     LosingAnswers,
-    /// Many of its answers carry another request's id.
+    /// Many of its responses carry another request's attempt ID.
     Foreign,
-    /// Many of its answers are followed by bytes of no request.
+    /// Many of its responses are followed by bytes that belong to no request.
     Surplus,
-    /// It takes nothing.
+    /// It declines many requests with status 503, without running them.
     Declining,
-    /// Many of its streams break off within an event.
+    /// Many of its streams break off in the middle of an event.
     BreakingOff,
-    /// It turns many requests away and asks for rest.
+    /// It declines many requests and asks for a backoff.
     Resting,
 }
 
@@ -81,42 +83,43 @@
     }
 }
 
-/// An upstream behind a proxy.
+/// An upstream behind a proxy of its own.
 pub struct Worker {
-    /// The upstream.
+    /// The scripted server.
     pub upstream: Upstream,
-    /// Its service.
+    /// The service that it belongs to.
     pub service: &'static str,
-    /// The version of its software.
+    /// Its software version.
     pub software: String,
     behaviour: Arc<AtomicU8>,
-    way: Proxy,
-    /// When its present life began, in milliseconds; rises with each.
+    proxy: Proxy,
+    /// The `born` value of its record; rises with each restart and so
+    /// identifies its incarnation.
     born: Arc<AtomicU64>,
-    /// Whether it runs a request that crashes it.
-    is_hit: Arc<AtomicBool>,
-    says_leaving: Arc<AtomicBool>,
-    /// The rate that it names, as it stands in a header.
+    /// Whether it has received a crashing request and not crashed yet.
+    has_crashing_request: Arc<AtomicBool>,
+    signals_leaving: Arc<AtomicBool>,
+    /// The rate limit that its responses state, as header text.
     rate_limit: Arc<Mutex<Option<String>>>,
 }
 
-/// The upstream whose entries cannot be read.
+/// The ID of the upstream for which only malformed records are written.
 pub const UNREADABLE: &str = "i-unreadable";
 
-/// What all upstreams have received.
+/// The record of what all upstreams have received and signalled.
 #[derive(Default)]
 pub struct Received {
-    /// Runs, as they began.
+    /// Requests that were run, in the order of arrival.
     pub runs: Vec<Run>,
-    /// Requests that were declined.
+    /// Requests that were declined without being run.
     pub declined: Vec<Run>,
-    /// What was said in answers.
+    /// Backoff and leaving signals sent in responses.
     pub signals: Vec<UpstreamSignal>,
-    /// Answers that named a rate limit.
+    /// Responses that stated a rate limit.
     pub rate_limit_signals: Vec<RateLimitSignal>,
 }
 
-/// Shared by all upstreams.
+/// The record, shared by all upstreams.
 pub type Runs = Arc<Mutex<Received>>;
 
 impl Worker {
@@ -139,7 +142,7 @@
         worker
     }
 
-    /// Starts an upstream that the store knows nothing of.
+    /// Starts an upstream without a record in the store.
     ///
     /// # Panics
     ///
@@ -153,68 +156,71 @@
     ) -> Worker {
         let behaviour = Arc::new(AtomicU8::new(Behaviour::Well as u8));
         let born = Arc::new(AtomicU64::new(1));
-        let is_hit = Arc::new(AtomicBool::new(false));
-        let says_leaving = Arc::new(AtomicBool::new(false));
+        let has_crashing_request = Arc::new(AtomicBool::new(false));
+        let signals_leaving = Arc::new(AtomicBool::new(false));
         let rate_limit = Arc::new(Mutex::new(None));
-        let script = Serving {
+        let script = ScriptState {
             id: id.to_owned(),
             software: software.to_owned(),
             started_at,
             runs: runs.clone(),
             behaviour: behaviour.clone(),
             born: born.clone(),
-            is_hit: is_hit.clone(),
-            says_leaving: says_leaving.clone(),
+            has_crashing_request: has_crashing_request.clone(),
+            signals_leaving: signals_leaving.clone(),
             rate_limit: rate_limit.clone(),
         };
         let upstream = Upstream::start(id, script.into_script());
-        let way = Proxy::tcp(upstream.address).expect("a port");
+        let proxy = Proxy::tcp(upstream.address).expect("a port");
         let software = software.to_owned();
         Worker {
             upstream,
             service,
             software,
             behaviour,
-            way,
+            proxy,
             born,
-            is_hit,
-            says_leaving,
+            has_crashing_request,
+            signals_leaving,
             rate_limit,
         }
     }
 
-    /// Names a rate limit in all its answers from now on, or none.
-    pub fn name_limit(&self, per_s: Option<f64>) {
+    /// States this rate limit, in requests per second, in all its responses
+    /// from now on, or none.
+    pub fn set_rate_limit(&self, per_s: Option<f64>) {
         let text = per_s.map(|per_s| per_s.to_string());
         *self.rate_limit.lock().unwrap() = text;
     }
 
-    /// Says in all its answers from now on that it leaves.
-    pub fn say_leaving(&self) {
-        self.says_leaving.store(true, Ordering::Relaxed);
+    /// Signals in all its responses from now on that it is leaving.
+    pub fn signal_leaving(&self) {
+        self.signals_leaving.store(true, Ordering::Relaxed);
     }
 
-    /// Crashes: its connections break, and it is gone until it starts again.
+    /// Simulates a crash: its connections close, and it accepts none until it
+    /// starts again.
     pub fn crash(&self) {
-        self.way.set(Mode::Gone);
+        self.proxy.set(Mode::Gone);
     }
 
-    /// Whether a request is about to crash it; it is only once.
-    pub fn takes_deadly(&self) -> bool {
-        self.is_hit.swap(false, Ordering::Relaxed)
+    /// Returns whether it has received a crashing request, and resets that, so
+    /// that each crash is reported once.
+    pub fn take_crash(&self) -> bool {
+        self.has_crashing_request.swap(false, Ordering::Relaxed)
     }
 
-    /// Starts again under its name, at its address.
-    pub fn start_again(&self, store: &PlatformStore) {
+    /// Starts again as a new incarnation with the same ID and address.
+    pub fn restart(&self, store: &PlatformStore) {
         self.born.fetch_add(1, Ordering::Relaxed);
-        self.way.set(Mode::Pass);
+        self.proxy.set(Mode::Pass);
         self.record(store, "ready");
     }
 
-    /// Writes an entry for it that cannot be read, with another name: a field
-    /// is missing, or of another type, or nothing of it can be read.
+    /// Writes a malformed record under the ID [`UNREADABLE`]: a field has the
+    /// wrong type or an unknown value, or the record is no object at all.
     pub fn record_unreadable(&self, store: &PlatformStore, kind: u64) {
-        let address = self.way.address;
+        let address = self.proxy.address;
         let mut record =
             upstream_record(address, self.service, &self.software, "ready");
         let key = format!("servers/{UNREADABLE}");
@@ -226,45 +232,45 @@
         store.put(&key, &record);
     }
 
-    /// Writes its record.
+    /// Writes its record with this state to the store.
     pub fn record(&self, store: &PlatformStore, state: &str) {
-        let address = self.way.address;
+        let address = self.proxy.address;
         let mut record =
             upstream_record(address, self.service, &self.software, state);
         record["born"] = json!(self.born.load(Ordering::Relaxed));
         store.put(&self.key(), &record);
     }
 
-    /// The key of its record.
+    /// Returns the store key of its record.
     pub fn key(&self) -> String {
         format!("servers/{}", self.upstream.id)
     }
 
-    /// Changes how it treats requests.
-    pub fn behave(&self, behaviour: Behaviour) {
+    /// Sets how it treats requests.
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
         self.behaviour.store(behaviour as u8, Ordering::Relaxed);
     }
 
-    /// Changes what happens on the way to it.
-    pub fn set_way(&self, mode: Mode) {
-        self.way.set(mode);
+    /// Sets the mode of the proxy before it.
+    pub fn set_proxy_mode(&self, mode: Mode) {
+        self.proxy.set(mode);
     }
 }
 
-/// What a script knows.
-struct Serving {
+/// The state that an upstream's script shares with its [`Worker`].
+struct ScriptState {
     id: String,
     software: String,
     started_at: Instant,
     runs: Runs,
     behaviour: Arc<AtomicU8>,
     born: Arc<AtomicU64>,
-    is_hit: Arc<AtomicBool>,
-    says_leaving: Arc<AtomicBool>,
+    has_crashing_request: Arc<AtomicBool>,
+    signals_leaving: Arc<AtomicBool>,
     rate_limit: Arc<Mutex<Option<String>>>,
 }
 
-impl Serving {
+impl ScriptState {
     fn into_script(self) -> Script {
         Box::new(move |request| self.serve(request))
     }
@@ -278,80 +284,81 @@
         let expected = request.header("lupinseam-expected-instance");
         let declined = [("Lupinseam-Not-Executed", "1")];
         if !expected.is_empty() && expected != self.id {
-            self.note(request, |received| &mut received.declined);
+            self.record_request(request, |received| &mut received.declined);
             let head = stamped(request, &declined);
             return vec![Act::Send(answer(421, &head, ""))];
         }
         if behaviour == Behaviour::Declining {
-            self.note(request, |received| &mut received.declined);
+            self.record_request(request, |received| &mut received.declined);
             let head = stamped(request, &declined);
             return vec![Act::Send(answer(503, &head, ""))];
         }
         if behaviour == Behaviour::Resting {
-            self.note(request, |received| &mut received.declined);
-            self.say(request, Some(REST));
-            let seconds = REST.as_secs().to_string();
+            self.record_request(request, |received| &mut received.declined);
+            self.record_signal(request, Some(BACKOFF));
+            let seconds = BACKOFF.as_secs().to_string();
             let more = [declined[0], ("Retry-After", seconds.as_str())];
             let head = stamped(request, &more);
             return vec![Act::Send(answer(503, &head, ""))];
         }
-        self.note(request, |received| &mut received.runs);
+        self.record_request(request, |received| &mut received.runs);
         if is_crashing(&request.path) {
-            self.is_hit.store(true, Ordering::Relaxed);
+            self.has_crashing_request.store(true, Ordering::Relaxed);
             return vec![Act::Wait(CRASH_TIME), Act::Close];
         }
-        let is_stream = self.serves_streams(request);
+        let is_stream = self.is_stream_request(request);
         let rate_limit = self.rate_limit.lock().unwrap().clone();
-        let mut says = Vec::new();
+        let mut signal_headers = Vec::new();
         if let Some(rate) = &rate_limit {
-            self.say_limit(request);
-            says.push(("Server-Limit", rate.as_str()));
+            self.record_rate_limit(request);
+            signal_headers.push(("Server-Limit", rate.as_str()));
         }
-        if self.says_leaving.load(Ordering::Relaxed) {
-            self.say(request, None);
-            says.push(("Server-Leaving", "1"));
+        if self.signals_leaving.load(Ordering::Relaxed) {
+            self.record_signal(request, None);
+            signal_headers.push(("Server-Leaving", "1"));
         }
         match behaviour {
             Behaviour::LosingAnswers => {
                 vec![Act::Wait(WORK_TIME), Act::Close]
             }
             Behaviour::Failing => {
-                let head = stamped(request, &says);
+                let head = stamped(request, &signal_headers);
                 vec![Act::Wait(WORK_TIME), Act::Send(answer(500, &head, ""))]
             }
-            _ if is_stream => stream(request, behaviour, &says),
-            _ => plain(request, behaviour, &says),
+            _ if is_stream => stream(request, behaviour, &signal_headers),
+            _ => plain(request, behaviour, &signal_headers),
         }
     }
 
-    /// Notes what it says of itself in its answer.
-    fn say(&self, request: &RawRequest, rest: Option<Duration>) {
-        let said = UpstreamSignal {
+    /// Records a backoff signal, or without a backoff a leaving signal.
+    fn record_signal(&self, request: &RawRequest, rest: Option<Duration>) {
+        let signal = UpstreamSignal {
             id: request.header("lupinseam-attempt-id").to_owned(),
             upstream: self.id.clone(),
             life: self.born.load(Ordering::Relaxed),
             at: self.started_at.elapsed(),
             rest,
         };
-        self.runs.lock().unwrap().signals.push(said);
+        self.runs.lock().unwrap().signals.push(signal);
     }
 
-    /// Notes that its answer names its rate limit.
-    fn say_limit(&self, request: &RawRequest) {
-        let said = RateLimitSignal {
+    /// Records that its response states its rate limit.
+    fn record_rate_limit(&self, request: &RawRequest) {
+        let signal = RateLimitSignal {
             id: request.header("lupinseam-attempt-id").to_owned(),
             upstream: self.id.clone(),
             life: self.born.load(Ordering::Relaxed),
             at: self.started_at.elapsed(),
         };
-        self.runs.lock().unwrap().rate_limit_signals.push(said);
+        self.runs.lock().unwrap().rate_limit_signals.push(signal);
     }
 
-    fn serves_streams(&self, request: &RawRequest) -> bool {
+    fn is_stream_request(&self, request: &RawRequest) -> bool {
         ["/write/", "/tell/"].iter().any(|p| request.path.starts_with(p))
     }
 
-    fn note(
+    /// Records a request in the list that `list` selects.
+    fn record_request(
         &self,
         request: &RawRequest,
         list: impl FnOnce(&mut Received) -> &mut Vec<Run>,
@@ -369,12 +376,12 @@
     }
 }
 
-/// The body that an upstream makes for a plain request.
+/// Returns the body that an upstream generates for a plain request.
 pub fn plain_body(id: &str) -> String {
     format!("made for {id}")
 }
 
-/// One event that an upstream makes for a stream.
+/// Returns one event that an upstream generates for a stream.
 pub fn event(id: &str, number: u64) -> String {
     format!("id: {number}\ndata: {id} {number}\n\n")
 }
@@ -382,17 +389,17 @@
 fn plain(
     request: &RawRequest,
     behaviour: Behaviour,
-    says: &[(&str, &str)],
+    signal_headers: &[(&str, &str)],
 ) -> Vec<Act> {
     let id = request.header("lupinseam-attempt-id");
-    let whole = match behaviour {
+    let response = match behaviour {
         Behaviour::Foreign => {
             let head = [("Lupinseam-Attempt-Id", "another")];
             answer(200, &head, "made for another")
         }
-        _ => answer(200, &stamped(request, says), &plain_body(id)),
+        _ => answer(200, &stamped(request, signal_headers), &plain_body(id)),
     };
-    let mut acts = vec![Act::Wait(WORK_TIME), Act::Send(whole)];
+    let mut acts = vec![Act::Wait(WORK_TIME), Act::Send(response)];
     if behaviour == Behaviour::Surplus {
         let head = [("Lupinseam-Attempt-Id", "another")];
         acts.push(Act::Send(answer(200, &head, "made for another")));
@@ -403,21 +410,23 @@
 fn stream(
     request: &RawRequest,
     behaviour: Behaviour,
-    says: &[(&str, &str)],
+    signal_headers: &[(&str, &str)],
 ) -> Vec<Act> {
     let id = request.header("lupinseam-attempt-id");
-    let named = match behaviour {
+    let attempt_id = match behaviour {
         Behaviour::Foreign => "another",
         _ => id,
     };
     let head = format!(
-        "HTTP/1.1 200 OK\r\nLupinseam-Attempt-Id: {named}\r\n\
+        "HTTP/1.1 200 OK\r\nLupinseam-Attempt-Id: {attempt_id}\r\n\
          Lupinseam-Response-Seal: s\r\nLupinseam-Confidence: 90\r\n\
          Content-Type: text/event-stream\r\n\
          Transfer-Encoding: chunked\r\n"
     );
-    let says = says.iter().map(|(name, value)| format!("{name}: {value}\r\n"));
-    let head = format!("{head}{}\r\n", says.collect::<String>());
+    let signal_headers = signal_headers
+        .iter()
+        .map(|(name, value)| format!("{name}: {value}\r\n"));
+    let head = format!("{head}{}\r\n", signal_headers.collect::<String>());
     let mut acts = vec![Act::Wait(WORK_TIME), Act::Send(head.into_bytes())];
     let after: u64 = request.header("last-event-id").parse().unwrap_or(0);
     for number in after + 1..=EVENTS {
@@ -437,5 +446,5 @@
     acts
 }
 
-/// The services of a soak, with how many upstreams each has.
+/// The services of the site with their numbers of upstreams.
 pub const SERVICES: [(&str, usize); 2] = [(PLAIN, 4), (MODELS, 5)];
--- a/standins/src/soak/world.rs
+++ b/standins/src/soak/world.rs
@@ -265,7 +265,7 @@
                 || begun.is_whole_service && worker.service == service
         });
         for worker in limited {
-            worker.name_limit(Some(begun.per_s));
+            worker.set_rate_limit(Some(begun.per_s));
             let upstream = worker.upstream.id.clone();
             let end = Action::EndRateLimit(upstream.clone());
             self.scheduled.push((begun.ends_at, end));
@@ -283,7 +283,7 @@
         let now = self.now();
         let workers = self.workers.iter().chain(&self.leaving);
         for worker in workers.filter(|worker| worker.upstream.id == id) {
-            worker.name_limit(None);
+            worker.set_rate_limit(None);
         }
         let limits = self.evidence.rate_limits.iter_mut();
         for limit in limits.filter(|limit| limit.upstream == id) {
@@ -338,7 +338,7 @@
             Action::StartUpstream(id) => {
                 let found = self.workers.iter().find(|w| w.upstream.id == id);
                 if let Some(worker) = found {
-                    worker.start_again(&self.site.store);
+                    worker.restart(&self.site.store);
                 }
             }
         }
@@ -348,7 +348,7 @@
     /// their restart.
     fn crash_hit_upstreams(&mut self, now: Duration) {
         for worker in self.workers.iter().chain(&self.leaving) {
-            if worker.takes_deadly() {
+            if worker.take_crash() {
                 worker.crash();
                 let id = worker.upstream.id.clone();
                 let restart_at = now + RESTART_AFTER;
@@ -409,7 +409,7 @@
     /// Lets an upstream leave: it signals and records that it is leaving, and
     /// its record is removed after [`LEAVE_TIME`].
     pub(super) fn start_leaving(&mut self, worker: Worker, now: Duration) {
-        worker.say_leaving();
+        worker.signal_leaving();
         worker.record(&self.site.store, "draining");
         let id = worker.upstream.id.clone();
         self.evidence.changes.push((self.now(), Change::Leaving(id)));
@@ -435,7 +435,7 @@
             self.end(fault);
         }
         for worker in self.workers.iter().chain(&self.leaving) {
-            worker.set_way(Mode::Pass);
+            worker.set_proxy_mode(Mode::Pass);
         }
         let limits = self.evidence.rate_limits.iter();
         let ids: Vec<String> =
