--- a/standins/src/soak/callers.rs
+++ b/standins/src/soak/callers.rs
@@ -1,5 +1,5 @@
-//! Callers of a soak: each sends one request after the other, over
-//! connections that it keeps until the VM's process is gone.
+//! Callers of a soak: each sends one request after the other and keeps its
+//! connections open for reuse for as long as the VM allows it.
 
 use std::{
     collections::HashMap,
@@ -22,61 +22,67 @@
 };
 use crate::gateway_site::{Got, KEY};
 
-/// Time that a caller gives a request; callers and VMs are told the same.
+/// Deadline of a request, which the request states to the VM. The caller waits
+/// only a little longer.
 const DEADLINE: Duration = Duration::from_millis(5000);
 
-/// Longest pause between two requests of a caller.
-const PAUSE_MOST_MS: u64 = 60;
+/// Longest pause between two requests of a caller, in milliseconds.
+const MAX_PAUSE_MS: u64 = 60;
 
-/// Share of the calls before which a caller begins another session.
-const SESSION_ENDS: f64 = 0.1;
+/// Probability that a caller begins another session before a call.
+const NEW_SESSION_SHARE: f64 = 0.1;
 
-/// What says that a request is held back.
-const HELD_BACK: &str = "crashes_upstreams";
+/// Text in the body of a response that rejects a quarantined request.
+const QUARANTINE_ERROR: &str = "crashes_upstreams";
 
-/// Pause after a refusal or a connection that did not open.
-const REST: Duration = Duration::from_millis(60);
+/// Pause after a 503 or a missing response; also the time beyond the deadline
+/// that a caller waits for a response.
+const RETRY_PAUSE: Duration = Duration::from_millis(60);
 
-/// How a VM is seen by callers.
-pub struct Door {
-    /// Where callers connect.
+/// A VM as its callers see it.
+pub struct VmEndpoint {
+    /// Where callers connect: the proxy before the VM.
     pub address: SocketAddr,
-    /// Whether the balancer gives it connections.
-    pub is_open: AtomicBool,
-    /// Its process, counted from 1.
-    pub life: AtomicU32,
+    /// Whether the load balancer sends new connections to it.
+    pub is_ready: AtomicBool,
+    /// The incarnation of its process, counted from 1; 0 before the first.
+    pub incarnation: AtomicU32,
 }
 
-/// What all callers share.
+/// State that all callers of a run share.
 pub struct Callers {
-    /// The VMs.
-    pub doors: Vec<Door>,
-    /// Keys besides the one that is never taken away; the last may have been.
+    /// The VMs, by index.
+    pub endpoints: Vec<VmEndpoint>,
+    /// API keys to use besides the one that is never removed; at least all but
+    /// the last have been removed.
     pub keys: Mutex<Vec<String>>,
-    /// The number of the last route that was added.
+    /// The number of the route added last; 0 if none was.
     pub last_route: AtomicU64,
-    /// Calls, as they ended.
+    /// Calls, in the order in which they ended.
     pub calls: Mutex<Vec<Call>>,
     started_at: Instant,
     next_id: AtomicU64,
-    is_over: AtomicBool,
+    is_stopping: AtomicBool,
 }
 
 impl Callers {
-    /// Callers of these VMs, none of which runs yet.
-    pub fn new(doors: Vec<Door>, started_at: Instant) -> Arc<Callers> {
+    /// Creates the shared state; starts no caller yet.
+    pub fn new(
+        endpoints: Vec<VmEndpoint>,
+        started_at: Instant,
+    ) -> Arc<Callers> {
         Arc::new(Callers {
-            doors,
+            endpoints,
             keys: Mutex::default(),
             last_route: AtomicU64::new(0),
             calls: Mutex::default(),
             started_at,
             next_id: AtomicU64::new(1),
-            is_over: AtomicBool::new(false),
+            is_stopping: AtomicBool::new(false),
         })
     }
 
-    /// Runs so many callers until they are told to stop.
+    /// Starts `count` callers, which run until [`Callers::stop`].
     pub fn run(
         self: &Arc<Callers>,
         count: u64,
@@ -85,45 +91,46 @@
         let caller = |number| {
             let callers = self.clone();
             let rng = ChaCha8Rng::seed_from_u64(seed ^ (number << 32));
-            thread::spawn(move || callers.call_on(number, rng))
+            thread::spawn(move || callers.call_repeatedly(number, rng))
         };
         (1..=count).map(caller).collect()
     }
 
-    /// Whether they are to stop.
-    pub fn is_over(&self) -> bool {
-        self.is_over.load(Ordering::Relaxed)
+    /// Returns whether the callers are to stop.
+    pub fn is_stopping(&self) -> bool {
+        self.is_stopping.load(Ordering::Relaxed)
     }
 
-    /// Tells the callers to stop after the request at hand.
+    /// Tells the callers to stop after their current request.
     pub fn stop(&self) {
-        self.is_over.store(true, Ordering::Relaxed);
+        self.is_stopping.store(true, Ordering::Relaxed);
     }
 
-    fn call_on(&self, number: u64, mut rng: ChaCha8Rng) {
-        let mut kept = HashMap::new();
+    fn call_repeatedly(&self, number: u64, mut rng: ChaCha8Rng) {
+        let mut connections = HashMap::new();
         let mut session = 0;
-        while !self.is_over() {
+        while !self.is_stopping() {
             let kind = self.draw_kind(&mut rng);
             let key = self.draw_key(kind, &mut rng);
-            // Most requests stay on a connection that is open already, also
-            // when the balancer gives the VM no new ones.
-            let keeps = rng.random::<f64>() < 0.7;
-            let used: Vec<usize> = kept.keys().copied().collect();
-            let vm = match used.choose(&mut rng).filter(|_| keeps) {
+            // Most requests reuse an open connection, even if the load
+            // balancer sends no new connections to its VM.
+            let reuses = rng.random::<f64>() < 0.7;
+            let used: Vec<usize> = connections.keys().copied().collect();
+            let vm = match used.choose(&mut rng).filter(|_| reuses) {
                 Some(vm) => *vm,
-                None => self.draw_door(&mut rng),
+                None => self.draw_vm(&mut rng),
             };
-            if rng.random::<f64>() < SESSION_ENDS {
+            if rng.random::<f64>() < NEW_SESSION_SHARE {
                 session += 1;
             }
             let name = format!("s-{number}-{session}");
-            let session_of = kind.is_stream().then_some(name);
-            let status = self.call(vm, kind, &key, session_of, &mut kept);
+            let session_name = kind.is_stream().then_some(name);
+            let status =
+                self.call(vm, kind, &key, session_name, &mut connections);
             if matches!(status, 0 | 503) {
-                thread::sleep(REST);
+                thread::sleep(RETRY_PAUSE);
             }
-            let pause_ms = rng.random_range(0..PAUSE_MOST_MS);
+            let pause_ms = rng.random_range(0..MAX_PAUSE_MS);
             thread::sleep(Duration::from_millis(pause_ms));
         }
     }
@@ -136,7 +143,8 @@
             5..7 => Kind::Write,
             7..8 => Kind::Tell,
             _ if last_route > 0 => {
-                // Mostly the newest; any of the others may have been lost.
+                // Mostly the newest; the others show whether a VM has lost an
+                // older route.
                 let newest = rng.random::<f64>() < 0.7;
                 let any = rng.random_range(1..=last_route);
                 Kind::Probe(if newest { last_route } else { any })
@@ -153,44 +161,49 @@
         other.cloned().unwrap_or_else(|| KEY.to_owned())
     }
 
-    fn draw_door(&self, rng: &mut ChaCha8Rng) -> usize {
-        let is_open = |vm: &usize| {
-            let door = &self.doors[*vm];
-            door.is_open.load(Ordering::Relaxed)
+    /// Draws a VM that the load balancer uses, or any VM if it uses none.
+    fn draw_vm(&self, rng: &mut ChaCha8Rng) -> usize {
+        let is_ready = |vm: &usize| {
+            let endpoint = &self.endpoints[*vm];
+            endpoint.is_ready.load(Ordering::Relaxed)
         };
-        let open: Vec<usize> = (0..self.doors.len()).filter(is_open).collect();
-        let any = rng.random_range(0..self.doors.len());
+        let open: Vec<usize> =
+            (0..self.endpoints.len()).filter(is_ready).collect();
+        let any = rng.random_range(0..self.endpoints.len());
         open.choose(rng).copied().unwrap_or(any)
     }
 
-    /// Makes one call and notes it; returns its status.
+    /// Makes one call and records it; returns its status.
+    ///
+    /// Returns 0 without a record if no connection could be opened.
     pub fn call(
         &self,
         vm: usize,
         kind: Kind,
         key: &str,
         session: Option<String>,
-        kept: &mut HashMap<usize, Connection>,
+        connections: &mut HashMap<usize, Connection>,
     ) -> u16 {
         let number = self.next_id.fetch_add(1, Ordering::Relaxed);
         let id = format!("c-{number}");
-        let door = &self.doors[vm];
-        let opened = kept
+        let endpoint = &self.endpoints[vm];
+        let opened = connections
             .remove(&vm)
-            .map_or_else(|| Connection::open(door.address), Ok);
+            .map_or_else(|| Connection::open(endpoint.address), Ok);
         let Ok(mut connection) = opened else { return 0 };
-        let life = door.life.load(Ordering::Relaxed);
+        let life = endpoint.incarnation.load(Ordering::Relaxed);
         let sent_at = self.started_at.elapsed();
-        let text = request(kind, &id, key, session.as_deref());
-        let (got, is_kept) = connection.ask(&text, DEADLINE + REST);
-        let status = got.status;
-        if is_kept {
-            kept.insert(vm, connection);
+        let request = request(kind, &id, key, session.as_deref());
+        let (response, is_reusable) =
+            connection.send(&request, DEADLINE + RETRY_PAUSE);
+        let status = response.status;
+        if is_reusable {
+            connections.insert(vm, connection);
         }
         self.calls.lock().unwrap().push(Call {
-            is_own: is_own(kind, &id, &got),
-            is_whole: got.whole,
-            is_held_back: got.body.contains(HELD_BACK),
+            is_own: is_own(kind, &id, &response),
+            is_whole: response.whole,
+            is_held_back: response.body.contains(QUARANTINE_ERROR),
             status,
             id,
             kind,
@@ -228,13 +241,14 @@
     )
 }
 
-/// Whether an answer is all of what an upstream made for this call.
-fn is_own(kind: Kind, id: &str, got: &Got) -> bool {
+/// Returns whether a response body is exactly what an upstream generates for
+/// this call.
+fn is_own(kind: Kind, id: &str, response: &Got) -> bool {
     match kind {
         Kind::Write | Kind::Tell => {
             let events = (1..=EVENTS).map(|number| event(id, number));
-            got.body == events.collect::<String>()
+            response.body == events.collect::<String>()
         }
-        _ => got.body == plain_body(id),
+        _ => response.body == plain_body(id),
     }
 }
--- a/standins/src/soak/client.rs
+++ b/standins/src/soak/client.rs
@@ -1,5 +1,5 @@
-//! A caller's connection: one request after the other, for as long as both
-//! sides keep it open.
+//! An HTTP/1.1 client connection, reused for one request after the other for
+//! as long as both sides keep it open.
 
 use std::{
     io::{self, BufRead, BufReader, Read, Write},
@@ -9,10 +9,10 @@
 
 use crate::gateway_site::Got;
 
-/// Longest time to open a connection.
+/// Time limit for opening a connection.
 const CONNECT_TIME: Duration = Duration::from_secs(1);
 
-/// Longest line that is read: a head line or the size of a chunk.
+/// Longest status, header or chunk size line that is read, in bytes.
 const LINE_BYTES: u64 = 16 << 10;
 
 /// An open connection.
@@ -25,68 +25,74 @@
     ///
     /// # Errors
     ///
-    /// When it does not open in time.
+    /// If it fails or does not open within the time limit.
     pub fn open(address: SocketAddr) -> io::Result<Connection> {
         let stream = TcpStream::connect_timeout(&address, CONNECT_TIME)?;
         stream.set_nodelay(true)?;
         Ok(Connection { reader: BufReader::new(stream) })
     }
 
-    /// Sends a request and reads its answer, as far as it comes in time.
+    /// Sends a request and reads as much of the response as arrives within the
+    /// time limit.
     ///
-    /// Returns the answer, and whether another request may follow.
-    pub fn ask(&mut self, request: &str, limit: Duration) -> (Got, bool) {
-        let until = Instant::now() + limit;
-        let mut got = Got::default();
-        let read = self.exchange(request, until, &mut got);
-        got.whole = read.is_ok();
-        let is_kept = got.whole && got.header("connection") != "close";
-        (got, is_kept)
+    /// Returns the response, and whether the connection can be reused.
+    pub fn send(&mut self, request: &str, limit: Duration) -> (Got, bool) {
+        let deadline = Instant::now() + limit;
+        let mut response = Got::default();
+        let read = self.exchange(request, deadline, &mut response);
+        response.whole = read.is_ok();
+        let is_reusable =
+            response.whole && response.header("connection") != "close";
+        (response, is_reusable)
     }
 
     fn exchange(
         &mut self,
         request: &str,
-        until: Instant,
-        got: &mut Got,
+        deadline: Instant,
+        response: &mut Got,
     ) -> io::Result<()> {
         self.reader.get_mut().write_all(request.as_bytes())?;
-        let status_line = self.line(until)?;
+        let status_line = self.read_line_until(deadline)?;
         let mut words = status_line.split(' ');
-        got.status = words
+        response.status = words
             .nth(1)
             .and_then(|word| word.parse().ok())
             .ok_or(io::ErrorKind::InvalidData)?;
         loop {
-            let line = self.line(until)?;
+            let line = self.read_line_until(deadline)?;
             if line.is_empty() {
                 break;
             }
-            got.head.push_str(&line);
-            got.head.push('\n');
+            response.head.push_str(&line);
+            response.head.push('\n');
         }
-        if got.header("transfer-encoding") == "chunked" {
-            return self.chunks(until, &mut got.body);
+        if response.header("transfer-encoding") == "chunked" {
+            return self.read_chunks(deadline, &mut response.body);
         }
-        let length = got.header("content-length").parse().unwrap_or(0);
-        self.take(length, until, &mut got.body)
+        let length = response.header("content-length").parse().unwrap_or(0);
+        self.read_body(length, deadline, &mut response.body)
     }
 
-    fn chunks(&mut self, until: Instant, body: &mut String) -> io::Result<()> {
+    fn read_chunks(
+        &mut self,
+        deadline: Instant,
+        body: &mut String,
+    ) -> io::Result<()> {
         loop {
-            let line = self.line(until)?;
+            let line = self.read_line_until(deadline)?;
             let size = usize::from_str_radix(&line, 16)
                 .map_err(|_| io::ErrorKind::InvalidData)?;
-            self.take(size, until, body)?;
-            self.line(until)?;
+            self.read_body(size, deadline, body)?;
+            self.read_line_until(deadline)?;
             if size == 0 {
                 return Ok(());
             }
         }
     }
 
-    fn line(&mut self, until: Instant) -> io::Result<String> {
-        self.set_limit(until)?;
+    fn read_line_until(&mut self, deadline: Instant) -> io::Result<String> {
+        self.set_read_timeout_until(deadline)?;
         let mut line = String::new();
         let mut limited = (&mut self.reader).take(LINE_BYTES);
         limited.read_line(&mut line)?;
@@ -96,22 +102,22 @@
         }
     }
 
-    fn take(
+    fn read_body(
         &mut self,
         length: usize,
-        until: Instant,
+        deadline: Instant,
         body: &mut String,
     ) -> io::Result<()> {
-        self.set_limit(until)?;
+        self.set_read_timeout_until(deadline)?;
         let mut bytes = vec![0; length];
         self.reader.read_exact(&mut bytes)?;
         body.push_str(&String::from_utf8_lossy(&bytes));
         Ok(())
     }
 
-    /// Bounds the next read by what is left of the request's time.
-    fn set_limit(&self, until: Instant) -> io::Result<()> {
-        let left = until.saturating_duration_since(Instant::now());
+    /// Limits the next read to what is left of the request's time.
+    fn set_read_timeout_until(&self, deadline: Instant) -> io::Result<()> {
+        let left = deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return Err(io::ErrorKind::TimedOut.into());
         }
--- a/standins/src/soak/deadly.rs
+++ b/standins/src/soak/deadly.rs
@@ -3,7 +3,7 @@
 //!
 //! A run has a few different ones. Each is sent again and again to random VMs,
 //! one after the other and several at once, always with another attempt ID.
-//! Names say "deadly" for such a request.
+//! Identifiers and paths call such a request "deadly".
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -47,7 +47,7 @@
     path.starts_with("/read/deadly-")
 }
 
-/// Starts a thread for each crashing request, which sends it until the clients
+/// Starts a thread for each crashing request, which sends it until the callers
 /// stop.
 pub fn run(callers: &Arc<Callers>, seed: u64) -> Vec<thread::JoinHandle<()>> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ (u64::MAX << 48));
@@ -61,12 +61,12 @@
 }
 
 fn send_repeatedly(callers: &Arc<Callers>, number: u64, mut rng: ChaCha8Rng) {
-    while !callers.is_over() {
+    while !callers.is_stopping() {
         let pause_ms = rng.random_range(0..MAX_PAUSE_MS);
         thread::sleep(Duration::from_millis(pause_ms));
         let count = rng.random_range(1..=MAX_CONCURRENT);
         let sends = (0..count).map(|_| {
-            let vm = rng.random_range(0..callers.doors.len());
+            let vm = rng.random_range(0..callers.endpoints.len());
             let callers = callers.clone();
             thread::spawn(move || {
                 let kind = Kind::Deadly(number);
--- a/standins/src/soak/evidence.rs
+++ b/standins/src/soak/evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence that a soak run collects: calls of the clients, runs at the
+//! Evidence that a soak run collects: calls of the callers, runs at the
 //! upstreams, changes by operators and upstreams, and periods of trouble.
 //!
 //! All times are relative to the start of the run.
@@ -68,7 +68,7 @@
     }
 }
 
-/// A request and its response, as the client saw them.
+/// A request and its response, as the caller saw them.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// Its ID, unique within the run; sent as the attempt ID.
@@ -145,7 +145,7 @@
 /// What a trouble affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// One VM, or the connections of its clients or to the store.
+    /// One VM, or the connections of its callers or to the store.
     Vm(usize),
     /// A VM in a graceful shutdown.
     PlannedStop(usize),
--- a/standins/src/soak/faults.rs
+++ b/standins/src/soak/faults.rs
@@ -22,7 +22,7 @@
     StopVm(usize),
     /// A VM is told to reload its settings (SIGHUP).
     ReloadVm(usize),
-    /// The proxy between the clients and a VM is put into this mode.
+    /// The proxy between the callers and a VM is put into this mode.
     CallersWay(usize, Mode),
     /// The proxy between a VM and the store is put into this mode.
     StoreWay(usize, Mode),
@@ -60,7 +60,7 @@
 pub enum Target {
     /// A VM's process.
     Process(usize),
-    /// The proxy between the clients and a VM.
+    /// The proxy between the callers and a VM.
     CallersWay(usize),
     /// The proxy between a VM and the store.
     StoreWay(usize),
--- a/standins/src/soak/inject.rs
+++ b/standins/src/soak/inject.rs
@@ -94,9 +94,7 @@
             Fault::StoreWay(vm, mode) => self.store_proxies[vm].set(mode),
             Fault::StoreRefuses(vm) => self.site.vms[vm].store.refuse(true),
             Fault::Store(mood) => self.site.store.set_mood(mood),
-            Fault::UpstreamWay(at, mode) => {
-                self.workers[at].set_proxy_mode(mode)
-            }
+            Fault::UpstreamWay(at, mode) => self.workers[at].set_mode(mode),
             Fault::Upstream(at, how) => self.workers[at].set_behaviour(how),
             Fault::StartAgain(at) => self.restart_upstream(at, now + lasts),
             _ => {}
@@ -199,7 +197,7 @@
         self.next_key += 1;
         self.write_configuration();
         let now = self.now();
-        // Clients go on using the removed keys.
+        // Callers go on using the removed keys.
         let mut used = removed.clone();
         used.extend(self.keys.iter().cloned());
         *self.callers.keys.lock().unwrap() = used;
@@ -261,7 +259,7 @@
         let new = self.rollout_version.as_deref();
         for (at, worker) in self.workers.iter().enumerate() {
             if !is_affected(Target::UpstreamWay(at)) {
-                worker.set_proxy_mode(Mode::Pass);
+                worker.set_mode(Mode::Pass);
             }
             if !is_affected(Target::Upstream(at))
                 && new != Some(&worker.software)
--- a/standins/src/soak/mod.rs
+++ b/standins/src/soak/mod.rs
@@ -1,18 +1,19 @@
-//! A soak: real processes of the router before the platform, under faults
-//! that are injected from outside, in series and overlapping.
+//! The soak test: runs real processes of the router in a simulated platform,
+//! injects faults from outside, in series and overlapping, and checks that the
+//! router keeps its promises.
 //!
-//! * [`faults`]: what goes wrong, drawn from a seed; `inject` brings it about.
-//! * `world`: the site, and what is due in it.
-//! * [`upstreams`], [`callers`], [`client`]: who stands around the VMs.
-//! * [`deadly`]: requests that crash the upstreams that run them.
-//! * [`own_words`]: what upstreams say of themselves, and who heeds it.
-//! * [`rate_limits`]: rates that upstreams name, and who keeps to them.
-//! * [`evidence`]: what was seen.
-//! * [`check`]: whether that keeps every promise.
+//! * [`faults`]: faults, drawn from a seed; `inject` applies and ends them.
+//! * `world`: the site and its main loop.
+//! * [`upstreams`], [`callers`], [`client`]: the upstreams and callers.
+//! * [`deadly`]: requests that crash upstreams, and their quarantine.
+//! * [`own_words`]: backoff and leaving signals, and whether VMs respect them.
+//! * [`rate_limits`]: rate limits, and whether VMs respect them.
+//! * [`evidence`]: what a run records.
+//! * [`check`]: the promises, checked against the evidence.
 //!
-//! The same seed draws the same faults at the same times; real processes do
-//! not repeat exactly, so a seed that failed is kept and run again, and the
-//! logs of the run that failed are kept too.
+//! The same seed draws the same faults at the same times, but real processes
+//! are not deterministic. So a seed that failed is kept and run again, and the
+//! logs of the failed run are kept too.
 
 use std::{path::PathBuf, time::Duration};
 
@@ -36,7 +37,7 @@
 use own_words::IgnoredSignals;
 use world::World;
 
-/// Soak the router before the platform; the last line is JSON, and the exit
+/// Run the soak test on the router; the last line is JSON, and the exit
 /// code is 0 only when no promise was broken.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "soak")]
@@ -44,29 +45,29 @@
     /// first seed
     #[argh(option, default = "1")]
     pub seed: u64,
-    /// how many seeds, one after the other
+    /// number of seeds, run one after the other
     #[argh(option, default = "1")]
     pub seeds: u64,
     /// seconds of faults for each seed
     #[argh(option, default = "20")]
     pub seconds: u64,
-    /// entry VMs
+    /// number of entry VMs
     #[argh(option, default = "6")]
     pub vms: usize,
-    /// callers
+    /// number of callers
     #[argh(option, default = "24")]
     pub callers: u64,
-    /// folder for the logs of runs that failed
+    /// folder for the logs of failed runs
     #[argh(option, default = "PathBuf::from(\"target/soak\")")]
     pub logs: PathBuf,
 }
 
 impl Soak {
-    /// Runs every seed; returns whether all promises were kept.
+    /// Runs every seed; returns whether no promise was broken.
     ///
     /// # Errors
     ///
-    /// When the program cannot be found or logs not be kept.
+    /// If this program's path cannot be determined or logs cannot be written.
     pub fn run(&self) -> Result<bool, String> {
         let program = std::env::current_exe().map_err(|e| e.to_string())?;
         let mut is_kept = true;
@@ -78,11 +79,11 @@
         Ok(is_kept)
     }
 
-    /// Runs one seed with this program as the VMs.
+    /// Runs one seed, with `program` as the program of the VMs.
     ///
     /// # Errors
     ///
-    /// When logs cannot be kept.
+    /// If logs cannot be written.
     pub fn run_seed(
         &self,
         seed: u64,
@@ -100,28 +101,28 @@
     }
 }
 
-/// How the run of one seed ended.
+/// The result of one seed's run.
 #[derive(Debug)]
 pub struct Outcome {
-    /// The seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// Faults that were injected.
+    /// Number of faults that were injected.
     pub faults: usize,
-    /// Calls that were made.
+    /// Number of calls that were made.
     pub calls: usize,
-    /// Calls that were answered whole with a 2xx.
+    /// Number of calls with a complete response with status 200.
     pub served: usize,
-    /// Different requests that crash what runs them.
+    /// Number of different crashing requests that were sent.
     pub crashing_requests: usize,
-    /// The most upstreams that ended under one of those.
+    /// The most upstream crashes that one of them caused.
     pub most_ended_by_one: usize,
-    /// What was sent against upstreams' own words.
+    /// Requests that were sent in spite of upstreams' signals.
     pub ignored_signals: IgnoredSignals,
-    /// Rate limits that upstreams have named.
+    /// Number of rate limits that upstreams stated.
     pub limits_named: usize,
-    /// The most that came at one upstream beyond what its limit allows.
+    /// The most requests beyond a rate limit that arrived at one upstream.
     pub sent_past_limit: usize,
-    /// What was violated.
+    /// The broken promises.
     pub violations: Vec<Violation>,
 }
 
--- a/standins/src/soak/own_words.rs
+++ b/standins/src/soak/own_words.rs
@@ -43,13 +43,13 @@
     pub sent_after_leaving: usize,
 }
 
-/// One incarnation of a VM and one incarnation of an upstream.
+/// The link between one incarnation of a VM and one of an upstream.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct Link<'a> {
     vm: usize,
-    process: u32,
+    vm_incarnation: u32,
     upstream: &'a str,
-    life: u64,
+    upstream_incarnation: u64,
 }
 
 /// The evidence, indexed by call ID and by link.
@@ -74,8 +74,9 @@
         IndexedEvidence { evidence, calls, arrivals }
     }
 
-    /// Returns whether a VM is excused for a time: it was frozen, connections
-    /// to upstreams were faulty, or the soak's own machine was too slow.
+    /// Returns whether a VM is excused for a time, as it may not have received
+    /// a signal: it was frozen, connections to upstreams were faulty, or the
+    /// soak's own machine was too slow.
     pub(super) fn is_excused(
         &self,
         vm: usize,
@@ -138,22 +139,31 @@
     }
 }
 
-fn link<'a>(call: &Call, upstream: &'a str, life: u64) -> Link<'a> {
-    Link { vm: call.vm, process: call.life, upstream, life }
+fn link<'a>(
+    call: &Call,
+    upstream: &'a str,
+    upstream_incarnation: u64,
+) -> Link<'a> {
+    Link {
+        vm: call.vm,
+        vm_incarnation: call.life,
+        upstream,
+        upstream_incarnation,
+    }
 }
 
 /// Returns the worst disregard of each kind of signal.
 pub fn summary(evidence: &Evidence) -> IgnoredSignals {
-    let seen = IndexedEvidence::new(evidence);
+    let index = IndexedEvidence::new(evidence);
     let mut most = IgnoredSignals::default();
     for signal in &evidence.signals {
         match signal.rest {
             Some(rest) => {
-                let sent = seen.count_in_backoff(signal, rest);
+                let sent = index.count_in_backoff(signal, rest);
                 most.sent_during_backoff = most.sent_during_backoff.max(sent);
             }
             None => {
-                let sent = seen.count_after_leaving(signal);
+                let sent = index.count_after_leaving(signal);
                 most.sent_after_leaving = most.sent_after_leaving.max(sent);
             }
         }
--- a/standins/src/soak/rate_limits.rs
+++ b/standins/src/soak/rate_limits.rs
@@ -109,7 +109,7 @@
     }
 }
 
-/// Returns the largest number of requests beyond what a limit allows that
+/// Returns the largest number of requests beyond what a rate limit allows that
 /// arrived at one upstream in one window.
 pub fn sent_past_limit(evidence: &Evidence) -> usize {
     let index = IndexedEvidence::new(evidence);
--- a/standins/src/soak/upstreams.rs
+++ b/standins/src/soak/upstreams.rs
@@ -1,5 +1,5 @@
-//! Upstreams of a soak: they respond as their behaviour signal_headers and record every
-//! request.
+//! Upstreams of a soak: they respond according to their behaviour and record
+//! every request.
 
 use std::{
     sync::{
@@ -252,7 +252,7 @@
     }
 
     /// Sets the mode of the proxy before it.
-    pub fn set_proxy_mode(&self, mode: Mode) {
+    pub fn set_mode(&self, mode: Mode) {
         self.proxy.set(mode);
     }
 }
--- a/standins/src/soak/world.rs
+++ b/standins/src/soak/world.rs
@@ -13,7 +13,7 @@
 
 use super::{
     Outcome, Soak,
-    callers::{Callers, Door},
+    callers::{Callers, VmEndpoint},
     check::{RETRY_EXTRA, RETRY_SHARE, REVOKE_TIME, check},
     deadly,
     evidence::{Change, Evidence, Kind, Scope},
@@ -81,14 +81,14 @@
     RemoveRolloutOrder(String),
 }
 
-/// The site, the clients and upstreams around it, and the evidence.
+/// The site, the callers and upstreams around it, and the evidence.
 pub(super) struct World {
     pub(super) rng: ChaCha8Rng,
     pub(super) started_at: Instant,
     pub(super) site: Site,
     /// Proxies between each VM and the store.
     pub(super) store_proxies: Vec<Proxy>,
-    /// Proxies between the clients and each VM.
+    /// Proxies between the callers and each VM.
     pub(super) entry_proxies: Vec<Proxy>,
     /// Upstreams that are not leaving; faults refer to them by index.
     pub(super) workers: Vec<Worker>,
@@ -132,7 +132,7 @@
         site.retry_extra = RETRY_EXTRA;
         let mut store_proxies = Vec::new();
         let mut entry_proxies = Vec::new();
-        let mut doors = Vec::new();
+        let mut endpoints = Vec::new();
         for number in 0..plan.vms {
             let door = site.store.another_door();
             let store_proxy = Proxy::tcp(door.address).expect("a port");
@@ -140,15 +140,15 @@
             let at = site.add_vm(hall, door, store_proxy.address);
             let entry_proxy =
                 Proxy::tcp(site.vms[at].callers).expect("a port");
-            doors.push(Door {
+            endpoints.push(VmEndpoint {
                 address: entry_proxy.address,
-                is_open: false.into(),
-                life: 0.into(),
+                is_ready: false.into(),
+                incarnation: 0.into(),
             });
             store_proxies.push(store_proxy);
             entry_proxies.push(entry_proxy);
         }
-        let callers = Callers::new(doors, started_at);
+        let callers = Callers::new(endpoints, started_at);
         let runs = Runs::default();
         let unreadable =
             Worker::unrecorded(UNREADABLE, PLAIN, "v1", started_at, &runs);
@@ -220,7 +220,7 @@
     }
 
     pub(super) fn start_vm(&mut self, vm: usize) {
-        self.callers.doors[vm].life.fetch_add(1, Ordering::Relaxed);
+        self.callers.endpoints[vm].incarnation.fetch_add(1, Ordering::Relaxed);
         self.site.vms[vm].start();
     }
 
@@ -255,23 +255,23 @@
 
     /// Lets upstreams state a rate limit if one is due.
     fn start_rate_limits(&mut self, now: Duration) {
-        let Some(begun) = self.limits.next(self.workers.len(), now) else {
+        let Some(drawn) = self.limits.next(self.workers.len(), now) else {
             return;
         };
-        let drawn = &self.workers[begun.upstream];
-        let (id, service) = (drawn.upstream.id.clone(), drawn.service);
+        let chosen = &self.workers[drawn.upstream];
+        let (id, service) = (chosen.upstream.id.clone(), chosen.service);
         let limited = self.workers.iter().filter(|worker| {
             worker.upstream.id == id
-                || begun.is_whole_service && worker.service == service
+                || drawn.is_whole_service && worker.service == service
         });
         for worker in limited {
-            worker.set_rate_limit(Some(begun.per_s));
+            worker.set_rate_limit(Some(drawn.per_s));
             let upstream = worker.upstream.id.clone();
             let end = Action::EndRateLimit(upstream.clone());
-            self.scheduled.push((begun.ends_at, end));
+            self.scheduled.push((drawn.ends_at, end));
             self.evidence.rate_limits.push(RateLimitPeriod {
                 upstream,
-                per_s: begun.per_s,
+                per_s: drawn.per_s,
                 from: now,
                 to: Duration::MAX,
             });
@@ -420,10 +420,11 @@
 
     /// Checks the readiness of every VM, as the platform's load balancer does.
     fn check_readiness(&self) {
-        for (vm, door) in self.site.vms.iter().zip(&self.callers.doors) {
+        for (vm, endpoint) in self.site.vms.iter().zip(&self.callers.endpoints)
+        {
             // The short limit keeps a frozen VM from blocking the soak.
             let is_ready = vm.is_started() && vm.is_ready_within(TICK * 10);
-            door.is_open.store(is_ready, Ordering::Relaxed);
+            endpoint.is_ready.store(is_ready, Ordering::Relaxed);
         }
     }
 
@@ -435,7 +436,7 @@
             self.end(fault);
         }
         for worker in self.workers.iter().chain(&self.leaving) {
-            worker.set_proxy_mode(Mode::Pass);
+            worker.set_mode(Mode::Pass);
         }
         let limits = self.evidence.rate_limits.iter();
         let ids: Vec<String> =
@@ -452,7 +453,7 @@
         }
     }
 
-    /// Makes the recovery calls, stops the clients and runs all checks.
+    /// Makes the recovery calls, stops the callers and runs all checks.
     pub(super) fn finish(&mut self, seed: u64) -> Outcome {
         for vm in 0..self.site.vms.len() {
             for call in 0..RECOVERY_CALLS {
@@ -514,7 +515,7 @@
         std::fs::write(folder.join("calls"), lines(calls.collect()))?;
         let runs = evidence.runs.iter().map(|run| format!("{run:?}"));
         std::fs::write(folder.join("runs"), lines(runs.collect()))?;
-        let said = evidence.signals.iter().map(|said| format!("{said:?}"));
+        let said = evidence.signals.iter().map(|s| format!("{s:?}"));
         std::fs::write(folder.join("said"), lines(said.collect()))?;
         let limits =
             evidence.rate_limits.iter().map(|limit| format!("{limit:?}"));
