--- a/standins/tests/soak.rs
+++ b/standins/tests/soak.rs
@@ -9,8 +9,8 @@
         Soak,
         check::{Promise, check},
         evidence::{Call, Change, Evidence, Kind, Order, Run, Scope, Trouble},
-        own_words::{Said, summary},
-        rate_limits::{LimitSaid, NamedLimit, sent_past_limit},
+        own_words::{UpstreamSignal, summary},
+        rate_limits::{RateLimitPeriod, RateLimitSignal, sent_past_limit},
         upstreams::UNREADABLE,
     },
 };
@@ -398,7 +398,7 @@
     let came_s = came_s.to_vec();
     move |evidence| {
         let told = evidence.runs[0].clone();
-        evidence.said.push(Said {
+        evidence.signals.push(UpstreamSignal {
             id: told.id,
             upstream: told.upstream,
             life: told.life,
@@ -470,13 +470,13 @@
 fn limited_and_came(calls: usize) -> impl Fn(&mut Evidence) {
     move |evidence| {
         let told = evidence.runs[0].clone();
-        evidence.limits.push(NamedLimit {
+        evidence.rate_limits.push(RateLimitPeriod {
             upstream: told.upstream.clone(),
             per_s: 1.0,
             from: seconds(9.0),
             to: seconds(20.0),
         });
-        evidence.limits_said.push(LimitSaid {
+        evidence.rate_limit_signals.push(RateLimitSignal {
             id: told.id,
             upstream: told.upstream,
             life: told.life,
@@ -502,10 +502,10 @@
     assert_eq!(sent_past_limit(&evidence), 1);
     let other_told = |evidence: &mut Evidence| {
         limited_and_came(6)(evidence);
-        let mut said = evidence.limits_said[0].clone();
+        let mut said = evidence.rate_limit_signals[0].clone();
         said.id = "c-1".to_owned();
         evidence.calls[1].vm = 1;
-        evidence.limits_said.push(said);
+        evidence.rate_limit_signals.push(said);
     };
     assert_eq!(broken_by(other_told), [Promise::LimitKept], "both together");
     let restarted = |evidence: &mut Evidence| {
