--- a/src/gateway/vm_registration.rs
+++ b/src/gateway/vm_registration.rs
@@ -172,11 +172,11 @@
             // A record in the store is newer than the copy of this VM.
             WriteOutcome::Conflict => {
                 self.gateway.peers.look();
-                Err(StoreError::NotDone("a record has changed".to_owned()))
+                Err(StoreError::NotApplied("a record has changed".to_owned()))
             }
             WriteOutcome::LeaseExpired => {
                 self.lease = None;
-                Err(StoreError::NotDone("the lease has expired".to_owned()))
+                Err(StoreError::NotApplied("the lease has expired".to_owned()))
             }
         }
     }
--- a/src/placing/gossip_outbox.rs
+++ b/src/placing/gossip_outbox.rs
@@ -197,9 +197,9 @@
         self.failure_sent_at.extend(sent_now);
         self.failure_sent_at.retain(|_, at| is_recent(*at, now));
         let due = failures.into_iter();
-        due.map(|(upstream, verdict)| UpstreamFailureReport {
+        due.map(|(upstream, outcome)| UpstreamFailureReport {
             upstream,
-            verdict,
+            outcome,
         })
         .take(MAX_FAILURES)
         .collect()
--- a/src/placing/pool/gossip.rs
+++ b/src/placing/pool/gossip.rs
@@ -246,7 +246,7 @@
             else {
                 continue;
             };
-            if member.health.record_from_peer(failure.verdict, now).is_some() {
+            if member.health.record_from_peer(failure.outcome, now).is_some() {
                 unhealthy.push(member.entry.id.clone());
             }
         }
