--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -9,7 +9,7 @@
     id::{DataHallId, VmId},
     placing::{retry_window::RetryBound, warm_up::WarmUpSlack},
     secret::ClusterKey,
-    settings::{Fault, Key, Reader, read_file, read_ini},
+    settings::{Key, Reader, SettingsError, read_file, read_ini},
     unit::Mbps,
 };
 
@@ -179,7 +179,9 @@
     /// # Errors
     ///
     /// Every fault of the file.
-    pub fn from_file(path: &Path) -> Result<GatewaySettings, Vec<Fault>> {
+    pub fn from_file(
+        path: &Path,
+    ) -> Result<GatewaySettings, Vec<SettingsError>> {
         GatewaySettings::from_ini(&read_file(path)?)
     }
 
@@ -188,7 +190,9 @@
     /// # Errors
     ///
     /// Every fault of the text.
-    pub fn from_ini(text: &str) -> Result<GatewaySettings, Vec<Fault>> {
+    pub fn from_ini(
+        text: &str,
+    ) -> Result<GatewaySettings, Vec<SettingsError>> {
         read_ini(text, KEYS, read)
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -138,7 +138,7 @@
 
 /// One thing that is wrong with a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct SettingsError {
     /// The section, empty for the file as a whole.
     pub section: String,
     /// The key, empty for the section as a whole.
@@ -147,7 +147,7 @@
     pub reason: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "[{}] {}: {}", self.section, self.key, self.reason)
     }
@@ -341,7 +341,7 @@
     /// # Errors
     ///
     /// Every fault of the file, in the order of the file's keys.
-    pub fn from_file(path: &Path) -> Result<Settings, Vec<Fault>> {
+    pub fn from_file(path: &Path) -> Result<Settings, Vec<SettingsError>> {
         Settings::from_ini(&read_file(path)?)
     }
 
@@ -350,15 +350,15 @@
     /// # Errors
     ///
     /// Every fault of the text.
-    pub fn from_ini(text: &str) -> Result<Settings, Vec<Fault>> {
+    pub fn from_ini(text: &str) -> Result<Settings, Vec<SettingsError>> {
         read_ini(text, KEYS, read_settings)
     }
 }
 
 /// Reads a settings file as text.
-pub(crate) fn read_file(path: &Path) -> Result<String, Vec<Fault>> {
+pub(crate) fn read_file(path: &Path) -> Result<String, Vec<SettingsError>> {
     std::fs::read_to_string(path).map_err(|error| {
-        vec![Fault {
+        vec![SettingsError {
             section: String::new(),
             key: String::new(),
             reason: format!("cannot read {}: {error}", path.display()),
@@ -371,9 +371,9 @@
     text: &str,
     keys: &'static [Key],
     read: impl FnOnce(&mut Reader<'_>) -> Option<T>,
-) -> Result<T, Vec<Fault>> {
+) -> Result<T, Vec<SettingsError>> {
     let ini = Ini::load_from_str_noescape(text).map_err(|error| {
-        vec![Fault {
+        vec![SettingsError {
             section: String::new(),
             key: String::new(),
             reason: format!("not an INI file: {error}"),
@@ -391,7 +391,7 @@
 pub(crate) struct Reader<'a> {
     ini: &'a Ini,
     keys: &'static [Key],
-    faults: Vec<Fault>,
+    faults: Vec<SettingsError>,
 }
 
 impl<'a> Reader<'a> {
@@ -402,7 +402,7 @@
     }
 
     pub(crate) fn fault(&mut self, section: &str, key: &str, reason: String) {
-        self.faults.push(Fault {
+        self.faults.push(SettingsError {
             section: section.to_owned(),
             key: key.to_owned(),
             reason,
@@ -775,7 +775,8 @@
 lease_ttl_ms = 10
 ";
         let faults = Settings::from_ini(text).unwrap_err();
-        let lines: Vec<String> = faults.iter().map(Fault::to_string).collect();
+        let lines: Vec<String> =
+            faults.iter().map(SettingsError::to_string).collect();
         insta::assert_snapshot!(lines.join("\n"));
     }
 
