--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -9,7 +9,7 @@
     id::{DataHallId, VmId},
     placing::{retry_window::RetryBound, warm_up::WarmUpSlack},
     secret::ClusterKey,
-    settings::{Key, Reader, SettingsError, read_file, read_ini},
+    settings::{Key, SettingsError, SettingsReader, read_file, read_ini},
     unit::Mbps,
 };
 
@@ -197,7 +197,7 @@
     }
 }
 
-fn read(r: &mut Reader<'_>) -> Option<GatewaySettings> {
+fn read(r: &mut SettingsReader<'_>) -> Option<GatewaySettings> {
     // Each part is read before any is unwrapped, so that one fault does not
     // hide the next.
     let vm = r.value("vm", "id");
@@ -242,13 +242,13 @@
     })
 }
 
-fn read_warm_up_slack(r: &mut Reader<'_>) -> Option<WarmUpSlack> {
+fn read_warm_up_slack(r: &mut SettingsReader<'_>) -> Option<WarmUpSlack> {
     let overshoot = r.number("warm_up", "overshoot", 0.0, 100.0);
     let tolerance = r.number("warm_up", "tolerance", 0.0, 100_000.0);
     Some(WarmUpSlack { overshoot: overshoot?, tolerance: tolerance? })
 }
 
-fn read_retries(r: &mut Reader<'_>) -> Option<RetryBound> {
+fn read_retries(r: &mut SettingsReader<'_>) -> Option<RetryBound> {
     let share = r.number("retries", "share", 0.0, 10.0);
     let extra = r.number("retries", "extra", 0.0, 100_000.0);
     let window_s = r.number("retries", "window_s", 0.1, 3600.0);
@@ -260,7 +260,7 @@
 }
 
 fn read_seeds(
-    r: &mut Reader<'_>,
+    r: &mut SettingsReader<'_>,
     peers: Option<SocketAddr>,
 ) -> Option<Vec<SocketAddr>> {
     let text = r.text("peers", "seeds")?;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -370,7 +370,7 @@
 pub(crate) fn read_ini<T>(
     text: &str,
     keys: &'static [Key],
-    read: impl FnOnce(&mut Reader<'_>) -> Option<T>,
+    read: impl FnOnce(&mut SettingsReader<'_>) -> Option<T>,
 ) -> Result<T, Vec<SettingsError>> {
     let ini = Ini::load_from_str_noescape(text).map_err(|error| {
         vec![SettingsError {
@@ -379,7 +379,7 @@
             reason: format!("not an INI file: {error}"),
         }]
     })?;
-    let mut reader = Reader::new(&ini, keys);
+    let mut reader = SettingsReader::new(&ini, keys);
     let settings = read(&mut reader);
     match settings {
         Some(settings) if reader.faults.is_empty() => Ok(settings),
@@ -388,15 +388,15 @@
 }
 
 /// Reads keys one by one and collects what is wrong with them.
-pub(crate) struct Reader<'a> {
+pub(crate) struct SettingsReader<'a> {
     ini: &'a Ini,
     keys: &'static [Key],
     faults: Vec<SettingsError>,
 }
 
-impl<'a> Reader<'a> {
-    fn new(ini: &'a Ini, keys: &'static [Key]) -> Reader<'a> {
-        let mut reader = Reader { ini, keys, faults: Vec::new() };
+impl<'a> SettingsReader<'a> {
+    fn new(ini: &'a Ini, keys: &'static [Key]) -> SettingsReader<'a> {
+        let mut reader = SettingsReader { ini, keys, faults: Vec::new() };
         reader.find_unknown();
         reader
     }
@@ -515,7 +515,7 @@
     }
 }
 
-fn read_settings(r: &mut Reader<'_>) -> Option<Settings> {
+fn read_settings(r: &mut SettingsReader<'_>) -> Option<Settings> {
     // Each part is read before any is unwrapped, so that one fault does not
     // hide the next.
     let vm = r.value("vm", "id");
@@ -558,7 +558,7 @@
     })
 }
 
-fn read_listen(r: &mut Reader<'_>) -> Option<Listen> {
+fn read_listen(r: &mut SettingsReader<'_>) -> Option<Listen> {
     let callers = r.value("listen", "callers");
     let operators = r.value("listen", "operators");
     let peers = r.value("listen", "peers");
@@ -566,7 +566,7 @@
 }
 
 fn read_operators_key(
-    r: &mut Reader<'_>,
+    r: &mut SettingsReader<'_>,
     listen: Option<&Listen>,
 ) -> Option<Option<KeyHash>> {
     let text = r.text("operators", "key_hash")?;
@@ -582,7 +582,7 @@
     Some(None)
 }
 
-fn read_platform(r: &mut Reader<'_>) -> Option<Platform> {
+fn read_platform(r: &mut SettingsReader<'_>) -> Option<Platform> {
     let store_url = r.url("platform", "store_url");
     let list_url = r.url("platform", "list_url");
     let rating = r.text("platform", "rating_url")?;
@@ -600,7 +600,7 @@
     })
 }
 
-fn read_store(r: &mut Reader<'_>) -> Option<StoreSettings> {
+fn read_store(r: &mut SettingsReader<'_>) -> Option<StoreSettings> {
     let deadline = r.millis("store", "deadline_ms");
     let writes_per_s = r.number("store", "writes_per_s", 0.1, 1e4);
     let reads_per_s = r.number("store", "reads_per_s", 0.1, 1e4);
@@ -613,7 +613,7 @@
     })
 }
 
-fn read_peers(r: &mut Reader<'_>) -> Option<PeerSettings> {
+fn read_peers(r: &mut SettingsReader<'_>) -> Option<PeerSettings> {
     let gossip = r.millis("peers", "gossip_ms");
     let suspect_after = r.millis("peers", "suspect_after_ms");
     let dead_after = r.millis("peers", "dead_after_ms");
@@ -633,7 +633,7 @@
     Some(peers)
 }
 
-fn read_requests(r: &mut Reader<'_>) -> Option<RequestSettings> {
+fn read_requests(r: &mut SettingsReader<'_>) -> Option<RequestSettings> {
     const S: &str = "requests";
     let body_limit_bytes = r.number(S, "body_limit_bytes", 1024, 1 << 30);
     let answer_limit_bytes = r.number(S, "answer_limit_bytes", 1024, 1 << 30);
@@ -657,7 +657,7 @@
     })
 }
 
-fn read_claims(r: &mut Reader<'_>) -> Option<ClaimSettings> {
+fn read_claims(r: &mut SettingsReader<'_>) -> Option<ClaimSettings> {
     const S: &str = "claims";
     let slots = r.number(S, "slots", 1, 4096);
     let commit = r.millis(S, "commit_ms");
@@ -675,7 +675,7 @@
     })
 }
 
-fn read_ledger(r: &mut Reader<'_>) -> Option<LedgerSettings> {
+fn read_ledger(r: &mut SettingsReader<'_>) -> Option<LedgerSettings> {
     let writers_per_hall = r.number("ledger", "writers_per_hall", 1, 16);
     let commit = r.millis("ledger", "commit_ms");
     let orphan_after = r.seconds("ledger", "orphan_after_s");
@@ -686,7 +686,7 @@
     })
 }
 
-fn read_steward(r: &mut Reader<'_>) -> Option<StewardSettings> {
+fn read_steward(r: &mut SettingsReader<'_>) -> Option<StewardSettings> {
     let lease_ttl = r.millis("steward", "lease_ttl_ms");
     let send_max = r.millis("steward", "send_max_ms");
     let steward =
@@ -698,7 +698,7 @@
     Some(steward)
 }
 
-fn read_log(r: &mut Reader<'_>) -> Option<LogSettings> {
+fn read_log(r: &mut SettingsReader<'_>) -> Option<LogSettings> {
     let level = r.value("log", "level");
     let format = r.value("log", "format");
     let path = r.text("log", "path")?;
