--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -9,7 +9,9 @@
     id::{DataHallId, VmId},
     placing::{retry_window::RetryBound, warm_up::WarmUpSlack},
     secret::ClusterKey,
-    settings::{Key, SettingsError, SettingsReader, read_file, read_ini},
+    settings::{
+        SettingKey, SettingsError, SettingsReader, read_file, read_ini,
+    },
     unit::Mbps,
 };
 
@@ -18,12 +20,12 @@
     name: &'static str,
     default: Option<&'static str>,
     meaning: &'static str,
-) -> Key {
-    Key { section, name, default, meaning }
+) -> SettingKey {
+    SettingKey { section, name, default, meaning }
 }
 
 /// Every key that the settings file of such a VM may hold.
-pub const KEYS: &[Key] = &[
+pub const KEYS: &[SettingKey] = &[
     key("vm", "id", None, "Name of this VM; the same after a restart."),
     key("vm", "data_hall", None, "Name of the data hall it stands in."),
     key(
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -28,7 +28,7 @@
 
 /// One key of the settings file.
 #[derive(Clone, Copy, Debug)]
-pub struct Key {
+pub struct SettingKey {
     /// The section the key stands in.
     pub section: &'static str,
     /// The name of the key, with its unit as a suffix.
@@ -42,7 +42,7 @@
 macro_rules! keys {
     ($($section:literal . $name:literal = $default:expr, $meaning:literal;)*) => {
         /// Every key that a settings file may hold.
-        pub const KEYS: &[Key] = &[$(Key {
+        pub const KEYS: &[SettingKey] = &[$(SettingKey {
             section: $section,
             name: $name,
             default: $default,
@@ -369,7 +369,7 @@
 /// Reads settings whose keys stand in `keys`, and reports every fault.
 pub(crate) fn read_ini<T>(
     text: &str,
-    keys: &'static [Key],
+    keys: &'static [SettingKey],
     read: impl FnOnce(&mut SettingsReader<'_>) -> Option<T>,
 ) -> Result<T, Vec<SettingsError>> {
     let ini = Ini::load_from_str_noescape(text).map_err(|error| {
@@ -390,12 +390,12 @@
 /// Reads keys one by one and collects what is wrong with them.
 pub(crate) struct SettingsReader<'a> {
     ini: &'a Ini,
-    keys: &'static [Key],
+    keys: &'static [SettingKey],
     faults: Vec<SettingsError>,
 }
 
 impl<'a> SettingsReader<'a> {
-    fn new(ini: &'a Ini, keys: &'static [Key]) -> SettingsReader<'a> {
+    fn new(ini: &'a Ini, keys: &'static [SettingKey]) -> SettingsReader<'a> {
         let mut reader = SettingsReader { ini, keys, faults: Vec::new() };
         reader.find_unknown();
         reader
@@ -708,7 +708,7 @@
 
 /// A table of keys in Markdown, as `docs/SETTINGS.md` and
 /// `docs/GATEWAY.md` print it.
-pub fn key_table(keys: &[Key]) -> String {
+pub fn key_table(keys: &[SettingKey]) -> String {
     let mut table = String::from(
         "| section | key | default | meaning |\n|---|---|---|---|\n",
     );
