--- a/src/settings.rs
+++ b/src/settings.rs
@@ -155,7 +155,7 @@
 
 /// The listeners of one VM.
 #[derive(Clone, Debug)]
-pub struct Listen {
+pub struct ListenSettings {
     /// For callers.
     pub callers: SocketAddr,
     /// For operators.
@@ -166,7 +166,7 @@
 
 /// Where the platform's services are.
 #[derive(Clone, Debug)]
-pub struct Platform {
+pub struct PlatformSettings {
     /// Base URL of the key-value service.
     pub store_url: String,
     /// URL of the list of VMs.
@@ -302,13 +302,13 @@
     /// Its data hall.
     pub data_hall: DataHallId,
     /// Its listeners.
-    pub listen: Listen,
+    pub listen: ListenSettings,
     /// The secret shared by all VMs.
     pub cluster_key: ClusterKey,
     /// The hash of the operators' key.
     pub operators_key_hash: Option<KeyHash>,
     /// The platform's services.
-    pub platform: Platform,
+    pub platform: PlatformSettings,
     /// Use of the store.
     pub store: StoreSettings,
     /// Age at which the configuration counts as stale.
@@ -558,16 +558,20 @@
     })
 }
 
-fn read_listen(r: &mut SettingsReader<'_>) -> Option<Listen> {
+fn read_listen(r: &mut SettingsReader<'_>) -> Option<ListenSettings> {
     let callers = r.value("listen", "callers");
     let operators = r.value("listen", "operators");
     let peers = r.value("listen", "peers");
-    Some(Listen { callers: callers?, operators: operators?, peers: peers? })
+    Some(ListenSettings {
+        callers: callers?,
+        operators: operators?,
+        peers: peers?,
+    })
 }
 
 fn read_operators_key(
     r: &mut SettingsReader<'_>,
-    listen: Option<&Listen>,
+    listen: Option<&ListenSettings>,
 ) -> Option<Option<KeyHash>> {
     let text = r.text("operators", "key_hash")?;
     if !text.is_empty() {
@@ -582,7 +586,7 @@
     Some(None)
 }
 
-fn read_platform(r: &mut SettingsReader<'_>) -> Option<Platform> {
+fn read_platform(r: &mut SettingsReader<'_>) -> Option<PlatformSettings> {
     let store_url = r.url("platform", "store_url");
     let list_url = r.url("platform", "list_url");
     let rating = r.text("platform", "rating_url")?;
@@ -592,7 +596,7 @@
         r.url("platform", "rating_url").map(Some)
     };
     let list_poll = r.millis("platform", "list_poll_ms");
-    Some(Platform {
+    Some(PlatformSettings {
         store_url: store_url?,
         list_url: list_url?,
         rating_url: rating_url?,
