--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -52,7 +52,8 @@
     settings: GatewaySettings,
     path: PathBuf,
 ) -> io::Result<()> {
-    logging::start_queue(settings.log_level).map_err(io::Error::other)?;
+    logging::start_nonblocking(settings.log_level)
+        .map_err(io::Error::other)?;
     let vm = settings.vm.to_string();
     Event::Starting.record(fields(json!({
         "vm": vm,
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -61,7 +61,7 @@
 /// # Errors
 ///
 /// When the log cannot be started, or has been before.
-pub(crate) fn start_queue(level: log::LevelFilter) -> Result<(), Error> {
+pub(crate) fn start_nonblocking(level: log::LevelFilter) -> Result<(), Error> {
     let appender = QueueAppender::start().map_err(failed)?;
     let quiet = log::LevelFilter::Warn.min(level);
     let config = Config::builder()
