--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,13 +1,14 @@
-//! Settings of one VM, read from an INI file and checked as a whole.
+//! Settings of one VM, read from an INI file and validated as a whole.
 //!
-//! [`KEYS`] is the one table of sections and keys, with default and meaning;
-//! `docs/SETTINGS.md` prints it and a test keeps the two equal.
+//! [`KEYS`] lists all sections and keys with their defaults and meanings.
+//! `docs/SETTINGS.md` contains the same table, and a test checks that the two
+//! are equal.
 //!
 //! # Example
 //!
 //! ```
-//! let faults = lupinseam::settings::Settings::from_ini("[vm]\nid = ?").unwrap_err();
-//! assert!(faults.iter().any(|f| f.section == "vm" && f.key == "id"));
+//! let errors = lupinseam::settings::Settings::from_ini("[vm]\nid = ?").unwrap_err();
+//! assert!(errors.iter().any(|e| e.section == "vm" && e.key == "id"));
 //! ```
 
 use std::{
@@ -26,22 +27,22 @@
     secret::{ClusterKey, KeyHash},
 };
 
-/// One key of the settings file.
+/// A key of a settings file.
 #[derive(Clone, Copy, Debug)]
 pub struct SettingKey {
-    /// The section the key stands in.
+    /// The section that contains the key.
     pub section: &'static str,
-    /// The name of the key, with its unit as a suffix.
+    /// The name of the key; ends with the unit if the value has one.
     pub name: &'static str,
-    /// The value when the key is absent; `None` when it must be given.
+    /// The value when the key is absent; `None` when the key is required.
     pub default: Option<&'static str>,
-    /// What the value means.
+    /// What the value means, for operators.
     pub meaning: &'static str,
 }
 
 macro_rules! keys {
     ($($section:literal . $name:literal = $default:expr, $meaning:literal;)*) => {
-        /// Every key that a settings file may hold.
+        /// All keys that a settings file may contain.
         pub const KEYS: &[SettingKey] = &[$(SettingKey {
             section: $section,
             name: $name,
@@ -52,12 +53,12 @@
 }
 
 keys! {
-    "vm"."id" = None, "Name of this VM; the same after a restart.";
-    "vm"."data_hall" = None, "Name of the data hall this VM stands in.";
-    "listen"."callers" = None, "IP and port for callers (HTTP).";
-    "listen"."operators" = None, "IP and port for operators (HTTP).";
+    "vm"."id" = None, "Name of this VM; does not change when it restarts.";
+    "vm"."data_hall" = None, "Name of the data hall that this VM is in.";
+    "listen"."callers" = None, "IP and port of the listener for callers (HTTP).";
+    "listen"."operators" = None, "IP and port of the listener for operators (HTTP).";
     "listen"."peers" = None,
-        "IP and port for other VMs (UDP and TCP, the same number).";
+        "IP and port of the listeners for other VMs (UDP and TCP, the same port number).";
     "cluster"."key" = None,
         "Secret shared by all VMs: 64 hexadecimal digits.";
     "operators"."key_hash" = Some(""),
@@ -69,20 +70,20 @@
     "platform"."list_poll_ms" = Some("1000"),
         "Time between two reads of the platform's list.";
     "store"."deadline_ms" = Some("1000"),
-        "Longest time one call to the store may take.";
+        "Longest time that one call to the store may take.";
     "store"."writes_per_s" = Some("30"),
-        "Writes a second that this VM may make, with a burst of as many.";
+        "Writes per second that this VM may make, with a burst of the same number.";
     "store"."reads_per_s" = Some("40"),
-        "Reads a second that this VM may make, with a burst of as many.";
+        "Reads per second that this VM may make, with a burst of the same number.";
     "store"."watch_s" = Some("10"),
-        "Time after which a waiting watch is renewed.";
+        "Longest time that a watch waits for changes before it is renewed.";
     "configuration"."stale_after_s" = Some("30"),
-        "Age of the last proof that the configuration is current, after which no new session starts on a version that is rolling out.";
+        "Age of the last proof that the configuration is current, after which no new session starts on a version that is being rolled out.";
     "peers"."gossip_ms" = Some("500"), "Time between two gossip rounds.";
     "peers"."suspect_after_ms" = Some("2500"),
-        "Silence after which a VM of the same data hall is suspected.";
+        "Silence after which a VM of the same data hall is suspected to have failed.";
     "peers"."dead_after_ms" = Some("5000"),
-        "Silence after which a VM of the same data hall counts as dead.";
+        "Silence after which a VM of the same data hall is considered dead.";
     "load"."poll_ms" = Some("500"),
         "Time between two load reports of one upstream.";
     "requests"."body_limit_bytes" = Some("1048576"),
@@ -92,56 +93,56 @@
     "requests"."connect_timeout_ms" = Some("1000"),
         "Longest time to connect to an upstream.";
     "requests"."deadline_ms" = Some("120000"),
-        "Time for a request whose caller names none; also the longest a caller may name for interactive work.";
+        "Deadline of a request whose caller sets none; also the longest that a caller may set for interactive requests.";
     "requests"."batch_deadline_s" = Some("43200"),
-        "Longest time that batch work may wait and run.";
+        "Longest time that a batch request may wait and run.";
     "requests"."queue_limit" = Some("512"),
-        "Requests that may wait at this VM.";
+        "Requests that may wait in this VM's queue.";
     "requests"."batch_share" = Some("0.7"),
-        "Share of the model slots that batch work may hold.";
+        "Share of the model slots that batch requests may occupy.";
     "requests"."retry_share" = Some("0.1"),
         "Retries allowed, as a share of the requests.";
     "requests"."attempts" = Some("3"),
-        "Most attempts of one request that may be repeated.";
+        "Most attempts for one request that may be retried.";
     "claims"."slots" = Some("8"),
-        "Number of claim slots of the fleet; the same on every VM, never changed while claims are kept.";
+        "Number of claim slots of the fleet; must be the same on every VM and must not change while claims are kept.";
     "claims"."commit_ms" = Some("50"),
         "Shortest time between two commits of one slot.";
     "claims"."offline_max_s" = Some("600"),
-        "Longest time a slot's owner goes on without the store; also the time after which another data hall may take a lost slot over.";
+        "Longest time that a slot's owner continues without the store; also the time after which another data hall may take over a lost slot.";
     "claims"."gap_hold_s" = Some("900"),
-        "After such a takeover, time for which unknown keys are answered `outcome_unknown`.";
+        "After such a takeover, time for which unknown keys are answered with `outcome_unknown`.";
     "claims"."retention_s" = Some("86400"),
         "Time for which a settled key and its answer are kept.";
     "claims"."answer_limit_bytes" = Some("2048"),
         "Largest answer that is kept for a repeated key.";
     "ledger"."writers_per_hall" = Some("2"),
-        "VMs of a data hall that commit its bills.";
+        "Number of VMs in a data hall that commit its bills.";
     "ledger"."commit_ms" = Some("500"),
         "Shortest time between two commits of one writer.";
     "ledger"."orphan_after_s" = Some("30"),
         "Time after a VM's death at which its open bills are settled.";
     "steward"."lease_ttl_ms" = Some("6000"),
-        "Time for which a steward lease holds without renewal.";
+        "Time for which a steward lease is valid without renewal.";
     "steward"."send_max_ms" = Some("1000"),
         "Longest time that sending one order may take.";
     "sessions"."lifetime_s" = Some("3600"),
-        "Time for which a session token holds.";
+        "Time for which a session token is valid.";
     "decisions"."kept" = Some("4000"),
         "Decision records that this VM keeps in memory.";
     "stop"."grace_s" = Some("60"),
-        "Longest time a planned stop waits for requests in flight.";
+        "Longest time that a planned stop waits for requests in flight.";
     "log"."level" = Some("info"), "error, warn, info or debug.";
     "log"."format" = Some("text"), "text or json.";
     "log"."path" = Some(""), "Log file; empty for standard error.";
 }
 
-/// One thing that is wrong with a settings file.
+/// An error in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The section, empty for the file as a whole.
+    /// The section; empty if the error concerns the whole file.
     pub section: String,
-    /// The key, empty for the section as a whole.
+    /// The key; empty if the error concerns the whole file.
     pub key: String,
     /// What is wrong.
     pub reason: String,
@@ -153,126 +154,128 @@
     }
 }
 
-/// The listeners of one VM.
+/// The addresses on which a VM listens.
 #[derive(Clone, Debug)]
 pub struct ListenSettings {
-    /// For callers.
+    /// For callers' HTTP requests.
     pub callers: SocketAddr,
-    /// For operators.
+    /// For operators' HTTP requests.
     pub operators: SocketAddr,
     /// For other VMs, both UDP and TCP.
     pub peers: SocketAddr,
 }
 
-/// Where the platform's services are.
+/// The addresses of the platform's services.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
     /// Base URL of the key-value service.
     pub store_url: String,
     /// URL of the list of VMs.
     pub list_url: String,
-    /// URL of the rating service, if there is one.
+    /// URL of the rating service; `None` when there is none.
     pub rating_url: Option<String>,
     /// Time between two reads of the list.
     pub list_poll: Duration,
 }
 
-/// How this VM uses the key-value service.
+/// Limits on this VM's use of the key-value service.
 #[derive(Clone, Debug)]
 pub struct StoreSettings {
-    /// Longest time of one call.
+    /// Longest time that one call may take.
     pub deadline: Duration,
-    /// Writes a second.
+    /// Writes per second, with a burst of the same number.
     pub writes_per_s: f64,
-    /// Reads a second.
+    /// Reads per second, with a burst of the same number.
     pub reads_per_s: f64,
-    /// Length of one waiting watch.
+    /// Longest time that a watch waits before it is renewed.
     pub watch: Duration,
 }
 
-/// How this VM talks with other VMs.
+/// Gossip and failure detection between VMs.
 #[derive(Clone, Debug)]
 pub struct PeerSettings {
     /// Time between gossip rounds.
     pub gossip: Duration,
-    /// Silence before suspicion.
+    /// Silence after which a VM of the data hall is suspected.
     pub suspect_after: Duration,
-    /// Silence before death.
+    /// Silence after which a VM of the data hall is considered dead.
     pub dead_after: Duration,
 }
 
-/// Bounds on requests.
+/// Limits on requests.
 #[derive(Clone, Debug)]
 pub struct RequestSettings {
     /// Largest request body.
     pub body_limit_bytes: u64,
-    /// Largest answer that is not streamed.
+    /// Largest answer body that is not streamed.
     pub answer_limit_bytes: u64,
     /// Longest time to connect to an upstream.
     pub connect_timeout: Duration,
-    /// Time for a request whose caller names none.
+    /// Deadline of a request whose caller sets none; also the longest that a
+    /// caller may set for interactive requests.
     pub deadline: Duration,
-    /// Longest time of batch work.
+    /// Longest time that a batch request may wait and run.
     pub batch_deadline: Duration,
-    /// Requests that may wait.
+    /// Requests that may wait in this VM's queue.
     pub queue_limit: usize,
-    /// Share of model slots that batch work may hold.
+    /// Share of the model slots that batch requests may occupy.
     pub batch_share: f64,
-    /// Retries as a share of requests.
+    /// Retry budget, as a share of the requests.
     pub retry_share: f64,
-    /// Most attempts of one request.
+    /// Most attempts for one request that may be retried.
     pub attempts: u32,
 }
 
-/// How claims on keys are settled.
+/// How claims on request keys are committed and kept.
 #[derive(Clone, Debug)]
 pub struct ClaimSettings {
-    /// Number of slots.
+    /// Number of claim slots of the fleet.
     pub slots: u32,
-    /// Shortest time between commits of a slot.
+    /// Shortest time between two commits of one slot.
     pub commit: Duration,
-    /// Longest time without the store.
+    /// Longest time that a slot's owner continues without the store.
     pub offline_max: Duration,
-    /// Time of caution after a takeover without a handover.
+    /// Time after a takeover without a handover for which unknown keys are
+    /// answered with `outcome_unknown`.
     pub gap_hold: Duration,
-    /// Time for which settled keys are kept.
+    /// Time for which a settled key and its answer are kept.
     pub retention: Duration,
-    /// Largest answer kept for a repeated key.
+    /// Largest answer in bytes that is kept for a repeated key.
     pub answer_limit_bytes: usize,
 }
 
 /// How bills are committed.
 #[derive(Clone, Debug)]
 pub struct LedgerSettings {
-    /// Writers in each data hall.
+    /// Number of VMs in each data hall that commit its bills.
     pub writers_per_hall: usize,
-    /// Shortest time between commits.
+    /// Shortest time between two commits of one writer.
     pub commit: Duration,
-    /// Time after a VM's death before its open bills are settled.
+    /// Time after a VM's death at which its open bills are settled.
     pub orphan_after: Duration,
 }
 
-/// How the steward of a data hall works.
+/// Lease and timing of the steward of a data hall.
 #[derive(Clone, Debug)]
 pub struct StewardSettings {
-    /// Time for which a lease holds.
+    /// Time for which a lease is valid without renewal.
     pub lease_ttl: Duration,
-    /// Longest time to send one order.
+    /// Longest time that sending one order may take.
     pub send_max: Duration,
 }
 
-/// Where and how much to log.
+/// Destination, level and format of the log.
 #[derive(Clone, Debug)]
 pub struct LogSettings {
     /// The least severe level that is written.
     pub level: log::LevelFilter,
-    /// The form of a line.
+    /// The format of a line.
     pub format: LogFormat,
-    /// The file, or standard error.
+    /// The log file; `None` for standard error.
     pub path: Option<PathBuf>,
 }
 
-/// The form of a log line.
+/// The format of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
     /// One line of text.
@@ -297,59 +300,62 @@
 /// All settings of one VM.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The name of this VM.
+    /// The name of this VM, which does not change when it restarts.
     pub vm: VmId,
-    /// Its data hall.
+    /// The data hall that this VM is in.
     pub data_hall: DataHallId,
-    /// Its listeners.
+    /// The addresses on which this VM listens.
     pub listen: ListenSettings,
     /// The secret shared by all VMs.
     pub cluster_key: ClusterKey,
-    /// The hash of the operators' key.
+    /// The hash of the operators' key; `None` allows operators without a key,
+    /// which is accepted only on a loopback address.
     pub operators_key_hash: Option<KeyHash>,
-    /// The platform's services.
+    /// The addresses of the platform's services.
     pub platform: PlatformSettings,
-    /// Use of the store.
+    /// Limits on the use of the store.
     pub store: StoreSettings,
-    /// Age at which the configuration counts as stale.
+    /// Age of the last proof that the configuration is current, after which
+    /// no new session starts on a version that is being rolled out.
     pub stale_after: Duration,
-    /// Use of the network between VMs.
+    /// Gossip and failure detection between VMs.
     pub peers: PeerSettings,
     /// Time between load reports of one upstream.
     pub load_poll: Duration,
-    /// Bounds on requests.
+    /// Limits on requests.
     pub requests: RequestSettings,
-    /// Claims on keys.
+    /// Claims on request keys.
     pub claims: ClaimSettings,
-    /// Bills.
+    /// Commits of bills.
     pub ledger: LedgerSettings,
-    /// Orders to upstreams.
+    /// The steward's lease and its orders to upstreams.
     pub steward: StewardSettings,
-    /// Life of a session token.
+    /// Time for which a session token is valid.
     pub session_lifetime: Duration,
-    /// Decision records kept in memory.
+    /// Decision records that this VM keeps in memory.
     pub decisions_kept: usize,
-    /// Longest planned stop.
+    /// Longest time that a planned stop waits for requests in flight.
     pub stop_grace: Duration,
-    /// Logs.
+    /// Destination, level and format of the log.
     pub log: LogSettings,
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// Every fault of the file, in the order of the file's keys.
+    /// Returns all errors of the file: unknown and repeated keys first, then
+    /// invalid values in the order of [`KEYS`].
     pub fn from_file(path: &Path) -> Result<Settings, Vec<SettingsError>> {
         Settings::from_ini(&read_file(path)?)
     }
 
-    /// Checks the text of a settings file.
+    /// Validates the text of a settings file.
     ///
     /// # Errors
     ///
-    /// Every fault of the text.
+    /// Returns all errors of the text, as [`Settings::from_file`] does.
     pub fn from_ini(text: &str) -> Result<Settings, Vec<SettingsError>> {
         read_ini(text, KEYS, read_settings)
     }
@@ -366,7 +372,9 @@
     })
 }
 
-/// Reads settings whose keys stand in `keys`, and reports every fault.
+/// Parses `text` as INI and builds settings with `read`.
+///
+/// Returns all errors, among them keys that are not in `keys`.
 pub(crate) fn read_ini<T>(
     text: &str,
     keys: &'static [SettingKey],
@@ -382,34 +390,34 @@
     let mut reader = SettingsReader::new(&ini, keys);
     let settings = read(&mut reader);
     match settings {
-        Some(settings) if reader.faults.is_empty() => Ok(settings),
-        _ => Err(reader.faults),
+        Some(settings) if reader.errors.is_empty() => Ok(settings),
+        _ => Err(reader.errors),
     }
 }
 
-/// Reads keys one by one and collects what is wrong with them.
+/// Reads keys one by one and collects the errors.
 pub(crate) struct SettingsReader<'a> {
     ini: &'a Ini,
     keys: &'static [SettingKey],
-    faults: Vec<SettingsError>,
+    errors: Vec<SettingsError>,
 }
 
 impl<'a> SettingsReader<'a> {
     fn new(ini: &'a Ini, keys: &'static [SettingKey]) -> SettingsReader<'a> {
-        let mut reader = SettingsReader { ini, keys, faults: Vec::new() };
-        reader.find_unknown();
+        let mut reader = SettingsReader { ini, keys, errors: Vec::new() };
+        reader.check_names();
         reader
     }
 
     pub(crate) fn fault(&mut self, section: &str, key: &str, reason: String) {
-        self.faults.push(SettingsError {
+        self.errors.push(SettingsError {
             section: section.to_owned(),
             key: key.to_owned(),
             reason,
         });
     }
 
-    fn find_unknown(&mut self) {
+    fn check_names(&mut self) {
         for (section, properties) in self.ini.iter() {
             let section = section.unwrap_or("");
             for (name, _) in properties.iter() {
@@ -435,8 +443,9 @@
             .keys
             .iter()
             .find(|key| key.section == section && key.name == name)
-            .expect("every key that is read stands in its table");
-        // A template leaves a value empty where nothing was stated for it.
+            .expect("every key that is read is in its table");
+        // A rendered settings template leaves the value of an unset key empty,
+        // so an empty value counts as absent.
         let given = self.ini.get_from(Some(section), name);
         let given = given.filter(|text| !text.trim().is_empty());
         match given.or(key.default) {
@@ -467,18 +476,18 @@
         &mut self,
         section: &str,
         name: &str,
-        least: T,
-        most: T,
+        min: T,
+        max: T,
     ) -> Option<T>
     where
         T: FromStr + PartialOrd + fmt::Display + Copy,
         T::Err: fmt::Display,
     {
         let value: T = self.value(section, name)?;
-        if value >= least && value <= most {
+        if value >= min && value <= max {
             return Some(value);
         }
-        let reason = format!("{value} is not between {least} and {most}");
+        let reason = format!("{value} is not between {min} and {max}");
         self.fault(section, name, reason);
         None
     }
@@ -505,8 +514,8 @@
         let text = self.text(section, name)?;
         let rest = text.strip_prefix("http://");
         let host = rest.and_then(|rest| rest.split('/').next());
-        let by_ip = host.is_some_and(|h| h.parse::<SocketAddr>().is_ok());
-        if by_ip {
+        let is_ip = host.is_some_and(|h| h.parse::<SocketAddr>().is_ok());
+        if is_ip {
             return Some(text);
         }
         let reason = format!("`{text}` is not http://IP:PORT[/path]");
@@ -516,8 +525,8 @@
 }
 
 fn read_settings(r: &mut SettingsReader<'_>) -> Option<Settings> {
-    // Each part is read before any is unwrapped, so that one fault does not
-    // hide the next.
+    // All sections are read before any is unwrapped, so that an error in one
+    // does not hide the errors in the next.
     let vm = r.value("vm", "id");
     let data_hall = r.value("vm", "data_hall");
     let listen = read_listen(r);
@@ -577,8 +586,8 @@
     if !text.is_empty() {
         return r.value("operators", "key_hash").map(Some);
     }
-    let open = listen.is_some_and(|l| !l.operators.ip().is_loopback());
-    if open {
+    let is_exposed = listen.is_some_and(|l| !l.operators.ip().is_loopback());
+    if is_exposed {
         let reason = "must be given when the operators' listener is not on a loopback address";
         r.fault("operators", "key_hash", reason.to_owned());
         return None;
@@ -710,8 +719,8 @@
     Some(LogSettings { level: level?, format: format?, path })
 }
 
-/// A table of keys in Markdown, as `docs/SETTINGS.md` and
-/// `docs/GATEWAY.md` print it.
+/// Returns a table of keys in Markdown, for `docs/SETTINGS.md` and
+/// `docs/GATEWAY.md`.
 pub fn key_table(keys: &[SettingKey]) -> String {
     let mut table = String::from(
         "| section | key | default | meaning |\n|---|---|---|---|\n",
@@ -734,7 +743,7 @@
 mod tests {
     use super::*;
 
-    const GOOD: &str = "
+    const MINIMAL: &str = "
 [vm]
 id = vm-1
 data_hall = dakar-a
@@ -750,14 +759,14 @@
 ";
 
     #[test]
-    fn a_minimal_file_is_enough() {
-        let settings = Settings::from_ini(GOOD).unwrap();
+    fn absent_keys_take_their_defaults() {
+        let settings = Settings::from_ini(MINIMAL).unwrap();
         assert_eq!(settings.claims.slots, 8);
         assert_eq!(settings.store.deadline, Duration::from_secs(1));
     }
 
     #[test]
-    fn every_fault_is_reported() {
+    fn every_error_is_reported() {
         let text = "
 [vm]
 id = Not Good
@@ -778,16 +787,16 @@
 [steward]
 lease_ttl_ms = 10
 ";
-        let faults = Settings::from_ini(text).unwrap_err();
+        let errors = Settings::from_ini(text).unwrap_err();
         let lines: Vec<String> =
-            faults.iter().map(SettingsError::to_string).collect();
+            errors.iter().map(SettingsError::to_string).collect();
         insta::assert_snapshot!(lines.join("\n"));
     }
 
     #[test]
-    fn a_key_given_twice_is_a_fault() {
-        let text = format!("{GOOD}list_poll_ms = 1\nlist_poll_ms = 2\n");
-        let faults = Settings::from_ini(&text).unwrap_err();
-        assert!(faults.iter().any(|f| f.reason == "given twice"));
+    fn a_repeated_key_is_an_error() {
+        let text = format!("{MINIMAL}list_poll_ms = 1\nlist_poll_ms = 2\n");
+        let errors = Settings::from_ini(&text).unwrap_err();
+        assert!(errors.iter().any(|e| e.reason == "given twice"));
     }
 }
