--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -272,7 +272,7 @@
         match part.parse::<SocketAddr>() {
             Ok(seed) => seeds.push(SocketAddr::new(seed.ip(), port)),
             Err(error) => {
-                r.fault("peers", "seeds", format!("`{part}`: {error}"));
+                r.add_error("peers", "seeds", format!("`{part}`: {error}"));
                 return None;
             }
         }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -409,7 +409,12 @@
         reader
     }
 
-    pub(crate) fn fault(&mut self, section: &str, key: &str, reason: String) {
+    pub(crate) fn add_error(
+        &mut self,
+        section: &str,
+        key: &str,
+        reason: String,
+    ) {
         self.errors.push(SettingsError {
             section: section.to_owned(),
             key: key.to_owned(),
@@ -426,9 +431,9 @@
                     .iter()
                     .any(|key| key.section == section && key.name == name);
                 if !known {
-                    self.fault(section, name, "unknown key".to_owned());
+                    self.add_error(section, name, "unknown key".to_owned());
                 } else if properties.get_all(name).count() > 1 {
-                    self.fault(section, name, "given twice".to_owned());
+                    self.add_error(section, name, "given twice".to_owned());
                 }
             }
         }
@@ -451,7 +456,7 @@
         match given.or(key.default) {
             Some(text) => Some(text.trim().to_owned()),
             None => {
-                self.fault(section, name, "must be given".to_owned());
+                self.add_error(section, name, "must be given".to_owned());
                 None
             }
         }
@@ -466,7 +471,7 @@
         match text.parse() {
             Ok(value) => Some(value),
             Err(error) => {
-                self.fault(section, name, format!("`{text}`: {error}"));
+                self.add_error(section, name, format!("`{text}`: {error}"));
                 None
             }
         }
@@ -488,7 +493,7 @@
             return Some(value);
         }
         let reason = format!("{value} is not between {min} and {max}");
-        self.fault(section, name, reason);
+        self.add_error(section, name, reason);
         None
     }
 
@@ -519,7 +524,7 @@
             return Some(text);
         }
         let reason = format!("`{text}` is not http://IP:PORT[/path]");
-        self.fault(section, name, reason);
+        self.add_error(section, name, reason);
         None
     }
 }
@@ -589,7 +594,7 @@
     let is_exposed = listen.is_some_and(|l| !l.operators.ip().is_loopback());
     if is_exposed {
         let reason = "must be given when the operators' listener is not on a loopback address";
-        r.fault("operators", "key_hash", reason.to_owned());
+        r.add_error("operators", "key_hash", reason.to_owned());
         return None;
     }
     Some(None)
@@ -637,11 +642,11 @@
     };
     if peers.suspect_after < peers.gossip * 2 {
         let reason = "must be at least two gossip rounds".to_owned();
-        r.fault("peers", "suspect_after_ms", reason);
+        r.add_error("peers", "suspect_after_ms", reason);
     }
     if peers.dead_after <= peers.suspect_after {
         let reason = "must be longer than suspect_after_ms".to_owned();
-        r.fault("peers", "dead_after_ms", reason);
+        r.add_error("peers", "dead_after_ms", reason);
     }
     Some(peers)
 }
@@ -706,7 +711,7 @@
         StewardSettings { lease_ttl: lease_ttl?, send_max: send_max? };
     if steward.lease_ttl < steward.send_max * 3 {
         let reason = "must be at least three times send_max_ms".to_owned();
-        r.fault("steward", "lease_ttl_ms", reason);
+        r.add_error("steward", "lease_ttl_ms", reason);
     }
     Some(steward)
 }
