--- a/src/log_queue.rs
+++ b/src/log_queue.rs
@@ -1,8 +1,8 @@
 //! A log appender that never blocks.
 //!
-//! Lines go through a bounded queue to one thread, which writes them to
-//! standard output in batches. When the queue is full, lines are dropped and
-//! counted, and the count is written as soon as there is room.
+//! Lines are sent through a bounded queue to one thread, which writes them to
+//! standard output in batches. When the queue is full, new lines are dropped
+//! and counted, and the count is written with the next batch.
 
 use std::{
     fmt,
@@ -19,37 +19,40 @@
 use log4rs::append::Append;
 use serde_json::json;
 
-/// Lines that wait at most; at a few hundred bytes each, about a megabyte.
+/// Capacity of the queue in lines. At a few hundred bytes each, a full queue
+/// takes about a megabyte.
 const QUEUE_LINES: usize = 4096;
 
-/// Time for which lines are gathered before they are written together.
+/// Time for which lines are collected before they are written as one batch.
 const BATCH_TIME: Duration = Duration::from_millis(25);
 
 /// Appends lines to standard output through a queue.
 pub(crate) struct QueueAppender {
     lines: SyncSender<String>,
+    /// Lines dropped since the count was last written.
     dropped: Arc<AtomicU64>,
 }
 
 impl QueueAppender {
-    /// Creates the appender and starts its thread.
+    /// Creates the appender and starts the thread that writes the lines.
     ///
     /// # Errors
     ///
-    /// When no thread can be started.
+    /// Returns an error if the thread cannot be started.
     pub(crate) fn start() -> io::Result<QueueAppender> {
         let (lines, queue) = sync_channel(QUEUE_LINES);
         let dropped = Arc::new(AtomicU64::new(0));
-        let counted = dropped.clone();
+        let dropped_by_appender = dropped.clone();
         thread::Builder::new()
             .name("log".to_owned())
-            .spawn(move || write_lines(&queue, &counted))?;
+            .spawn(move || write_lines(&queue, &dropped_by_appender))?;
         Ok(QueueAppender { lines, dropped })
     }
 }
 
 impl Append for QueueAppender {
     fn append(&self, record: &log::Record<'_>) -> anyhow::Result<()> {
+        // A structured event is already a JSON object; text is wrapped in one.
         let message = record.args().to_string();
         let line = match message.starts_with('{') {
             true => message,
@@ -74,6 +77,7 @@
     }
 }
 
+/// Writes queued lines in batches until the appender is dropped.
 fn write_lines(queue: &Receiver<String>, dropped: &AtomicU64) {
     while let Ok(first) = queue.recv() {
         thread::sleep(BATCH_TIME);
@@ -83,12 +87,13 @@
             batch.push_str(&line);
             batch.push('\n');
         }
-        let lost = dropped.swap(0, Ordering::Relaxed);
-        if lost > 0 {
-            let line = json!({"level": "warn", "dropped_lines": lost});
+        let dropped_lines = dropped.swap(0, Ordering::Relaxed);
+        if dropped_lines > 0 {
+            let line =
+                json!({"level": "warn", "dropped_lines": dropped_lines});
             batch.push_str(&format!("{line}\n"));
         }
-        // Standard output that is gone cannot be told of anywhere.
+        // A failed write to standard output cannot be reported anywhere.
         let _ = io::stdout().write_all(batch.as_bytes());
     }
 }
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,4 +1,4 @@
-//! Sets up the log of the process from its settings.
+//! Configures the process-wide logger from the settings.
 
 use log4rs::{
     Config,
@@ -16,12 +16,13 @@
 const TEXT_PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} {l} {m}{n}";
 const APPENDER: &str = "main";
 
-/// Starts logging; called once in a process.
+/// Starts logging to a file or standard error, with blocking writes; may be
+/// called only once in a process.
 ///
 /// # Errors
 ///
-/// [`ErrorKind::InvalidInput`] when the file cannot be opened or logging has
-/// been started before.
+/// Returns [`ErrorKind::InvalidInput`] if the file cannot be opened or logging
+/// was already started.
 pub(crate) fn start(settings: &LogSettings) -> Result<(), Error> {
     let encoder: Box<dyn Encode> = match settings.format {
         LogFormat::Text => Box::new(PatternEncoder::new(TEXT_PATTERN)),
@@ -32,7 +33,7 @@
             FileAppender::builder()
                 .encoder(encoder)
                 .build(path)
-                .map_err(failed)?,
+                .map_err(start_error)?,
         ),
         None => Box::new(
             ConsoleAppender::builder()
@@ -41,39 +42,41 @@
                 .build(),
         ),
     };
-    // Libraries speak up only when something is wrong.
-    let quiet = log::LevelFilter::Warn.min(settings.level);
+    // Libraries log warnings and errors only.
+    let library_level = log::LevelFilter::Warn.min(settings.level);
     let config = Config::builder()
         .appender(Appender::builder().build(APPENDER, appender))
         .logger(
             log4rs::config::Logger::builder()
                 .build("lupinseam", settings.level),
         )
-        .build(Root::builder().appender(APPENDER).build(quiet))
-        .map_err(failed)?;
-    log4rs::init_config(config).map_err(failed)?;
+        .build(Root::builder().appender(APPENDER).build(library_level))
+        .map_err(start_error)?;
+    log4rs::init_config(config).map_err(start_error)?;
     Ok(())
 }
 
-/// Sends the log to standard output, one JSON object a line, through a
-/// bounded queue.
+/// Starts logging to standard output, one JSON object per line, through a
+/// bounded queue, so that logging never blocks; may be called only once in a
+/// process.
 ///
 /// # Errors
 ///
-/// When the log cannot be started, or has been before.
+/// Returns [`ErrorKind::InvalidInput`] if the thread that writes the log
+/// cannot be started or logging was already started.
 pub(crate) fn start_nonblocking(level: log::LevelFilter) -> Result<(), Error> {
-    let appender = QueueAppender::start().map_err(failed)?;
-    let quiet = log::LevelFilter::Warn.min(level);
+    let appender = QueueAppender::start().map_err(start_error)?;
+    let library_level = log::LevelFilter::Warn.min(level);
     let config = Config::builder()
         .appender(Appender::builder().build(APPENDER, Box::new(appender)))
         .logger(log4rs::config::Logger::builder().build("lupinseam", level))
-        .build(Root::builder().appender(APPENDER).build(quiet))
-        .map_err(failed)?;
-    log4rs::init_config(config).map_err(failed)?;
+        .build(Root::builder().appender(APPENDER).build(library_level))
+        .map_err(start_error)?;
+    log4rs::init_config(config).map_err(start_error)?;
     Ok(())
 }
 
-fn failed(error: impl std::fmt::Display) -> Error {
+fn start_error(error: impl std::fmt::Display) -> Error {
     Error::new(ErrorKind::InvalidInput)
         .context(error.to_string())
         .context("starting the log")
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The shipped program; everything it does is in the library.
+//! The executable, a thin wrapper around [`lupinseam::cli`].
 
 use std::process::ExitCode;
 
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,15 +1,15 @@
-//! What the VM counts: the metrics, with bounded sets of labels.
+//! The Prometheus metrics of a VM, all with bounded sets of label values.
 //!
-//! Organisations are labels only while they have a template; anything else
-//! is counted as `other`. `docs/METRICS.md` lists the names; a test keeps
-//! the list equal.
+//! An organisation is a label value only while it has a template; all others
+//! are counted as `other`. `docs/METRICS.md` contains the list of metrics, and
+//! a test checks that it equals this module's.
 
 use prometheus::{
     Encoder, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge,
     IntGaugeVec, Opts, Registry, TextEncoder,
 };
 
-/// Label of an organisation without a template.
+/// The label value for organisations without a template.
 pub const OTHER: &str = "other";
 
 const LATENCY_BUCKETS_S: &[f64] = &[
@@ -26,59 +26,63 @@
 /// All metrics of a VM.
 pub struct Metrics {
     registry: Registry,
-    /// Whole-answer latency by organisation and class.
+    /// Time from a request's arrival to the end of its answer, by
+    /// organisation and class.
     pub latency_s: HistogramVec,
-    /// Time to the first token by organisation and class.
+    /// Time to the first part of a streamed answer, by organisation and class.
     pub first_token_s: HistogramVec,
-    /// Cost of a request by organisation and class.
+    /// Cost of a request in currency units, by organisation and class.
     pub cost: HistogramVec,
-    /// Ratings by organisation and model version.
+    /// Ratings of answers, by organisation and model version.
     pub quality: HistogramVec,
-    /// Requests by organisation, class and answer code.
+    /// Requests, by organisation, class and answer code.
     pub requests: IntCounterVec,
-    /// Attempts by how they ended.
+    /// Attempts at upstreams, by outcome.
     pub attempts: IntCounterVec,
-    /// Retries refused by the budget.
+    /// Retries that the retry budget did not allow.
     pub retries_refused: IntCounter,
-    /// Cascades that went on to a further model.
+    /// Answers that were rated poor and requested from another model.
     pub escalations: IntCounter,
-    /// Frames from other VMs that were dropped, by fault.
+    /// Frames from other VMs that were dropped, by error.
     pub frames_dropped: IntCounterVec,
-    /// Values in the platform's store that could not be read.
+    /// Values in the platform's store that could not be decoded.
     pub entries_unreadable: IntCounter,
     /// Bytes sent to other VMs, by transport.
     pub peer_bytes: IntCounterVec,
-    /// Store calls, by kind.
+    /// Calls to the store since the start, by kind; set from the store client's
+    /// counters, hence a gauge.
     pub store_calls: IntGaugeVec,
     /// Configuration revision in force.
     pub configuration_revision: IntGauge,
-    /// Age of the last proof that the configuration is current.
+    /// Age of the last proof that the configuration is current; -1 without one.
     pub configuration_age_ms: IntGauge,
-    /// Age of the platform's list.
+    /// Age of the platform's list of VMs; -1 without one.
     pub list_age_ms: IntGauge,
     /// Requests in flight.
     pub in_flight: IntGauge,
-    /// What upstreams have said of themselves in answers that was news.
+    /// Changes that upstreams signalled in the headers of their answers, by
+    /// kind of change.
     pub upstreams_said: IntCounterVec,
-    /// Upstreams that were seen to have ended under requests.
+    /// Upstreams that crashed while they ran this VM's requests.
     pub upstreams_ended: IntCounter,
-    /// Requests that are held back since upstreams ended under them.
+    /// Requests that are quarantined because upstreams crashed while running
+    /// them.
     pub requests_held: IntGauge,
-    /// Requests waiting for room.
+    /// Requests that wait until an upstream has capacity.
     pub queued: IntGauge,
-    /// VMs of the hall by belief.
+    /// Other VMs of the data hall, by liveness.
     pub peers: IntGaugeVec,
-    /// Bills not yet in the store.
+    /// Bills that are not in the store yet.
     pub bills_waiting: IntGauge,
-    /// Answers that ended with only one VM knowing their bill.
+    /// Answers that ended while only this VM had their bill.
     pub bills_single_holder: IntCounter,
-    /// Claims by verdict.
+    /// Claims, by verdict.
     pub claims: IntCounterVec,
     /// Claim slots that this VM owns, by state.
     pub claim_slots: IntGaugeVec,
-    /// Versions that the guard has stopped here.
+    /// Versions that the rollout guard has stopped at this VM.
     pub versions_stopped: IntGauge,
-    /// Orders sent, by outcome.
+    /// Orders sent to upstreams, by outcome.
     pub orders: IntCounterVec,
 }
 
@@ -124,16 +128,16 @@
             ),
             attempts: r.counters(
                 "lupinseam_attempts_total",
-                "Attempts at upstreams by how they ended.",
+                "Attempts at upstreams by outcome.",
                 &["end"],
             ),
             retries_refused: r.counter(
                 "lupinseam_retries_refused_total",
-                "Retries that the budget did not allow.",
+                "Retries that the retry budget did not allow.",
             ),
             escalations: r.counter(
                 "lupinseam_escalations_total",
-                "Answers that were rated poor and asked of another model.",
+                "Answers that were rated poor and requested from another model.",
             ),
             frames_dropped: r.counters(
                 "lupinseam_frames_dropped_total",
@@ -142,7 +146,7 @@
             ),
             entries_unreadable: r.counter(
                 "lupinseam_entries_unreadable_total",
-                "Values in the platform's store that could not be read.",
+                "Values in the platform's store that could not be decoded.",
             ),
             peer_bytes: r.counters(
                 "lupinseam_peer_bytes_total",
@@ -165,31 +169,33 @@
             ),
             list_age_ms: r.gauge(
                 "lupinseam_list_age_milliseconds",
-                "Age of the platform's list; -1 without one.",
+                "Age of the platform's list of VMs; -1 without one.",
             ),
             in_flight: r
-                .gauge("lupinseam_in_flight", "Requests being worked on."),
+                .gauge("lupinseam_in_flight", "Requests in flight."),
             upstreams_said: r.counters(
                 "lupinseam_upstreams_said_total",
-                "What upstreams have said of themselves in answers, when it \
-                 was news: leaving, resting, rested, unreadable, limited, unlimited, limit_unreadable.",
+                "Changes that upstreams signalled in the headers of their \
+                 answers: leaving, resting, rested, unreadable, limited, \
+                 unlimited, limit_unreadable.",
                 &["what"],
             ),
             upstreams_ended: r.counter(
                 "lupinseam_upstreams_ended_total",
-                "Upstreams that this VM saw end under its requests.",
+                "Upstreams that crashed while they ran this VM's requests.",
             ),
             requests_held: r.gauge(
                 "lupinseam_requests_held",
-                "Requests that are refused since upstreams ended under them.",
+                "Requests that are quarantined, and rejected, because \
+                 upstreams crashed while running them.",
             ),
             queued: r.gauge(
                 "lupinseam_queued",
-                "Requests waiting for room at the replicas.",
+                "Requests that wait until a replica has capacity.",
             ),
             peers: r.gauges(
                 "lupinseam_peers",
-                "Other VMs of the data hall, by belief.",
+                "Other VMs of the data hall, by liveness.",
                 &["life"],
             ),
             bills_waiting: r.gauge(
@@ -198,7 +204,7 @@
             ),
             bills_single_holder: r.counter(
                 "lupinseam_bills_single_holder_total",
-                "Answers that ended with only this VM knowing their bill.",
+                "Answers that ended while only this VM had their bill.",
             ),
             claims: r.counters(
                 "lupinseam_claims_total",
@@ -212,7 +218,7 @@
             ),
             versions_stopped: r.gauge(
                 "lupinseam_versions_stopped",
-                "Versions that the guard has stopped at this VM.",
+                "Versions that the rollout guard has stopped at this VM.",
             ),
             orders: r.counters(
                 "lupinseam_orders_total",
@@ -223,7 +229,7 @@
         }
     }
 
-    /// All metrics in the text format.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut bytes = Vec::new();
         let families = self.registry.gather();
@@ -233,12 +239,14 @@
         String::from_utf8(bytes).expect("metrics are text")
     }
 
-    /// The names and meanings in Markdown, as `docs/METRICS.md` prints them.
+    /// Returns the metrics' names and meanings in Markdown, for
+    /// `docs/METRICS.md`.
     ///
-    /// Only metrics without labels, and those used before, can be gathered,
-    /// so each labelled one is touched first; meant for a fresh instance.
+    /// A registry returns a metric with labels only once a set of label values
+    /// has been used. This function therefore adds an empty set to each, and
+    /// should be called only on a new instance.
     pub fn table(&self) -> String {
-        self.touch();
+        self.add_empty_labels();
         let mut table = String::from("| metric | meaning |\n|---|---|\n");
         for family in self.registry.gather() {
             let help = family.help();
@@ -248,7 +256,7 @@
         table
     }
 
-    fn touch(&self) {
+    fn add_empty_labels(&self) {
         for family in
             [&self.latency_s, &self.first_token_s, &self.cost, &self.quality]
         {
@@ -277,7 +285,7 @@
     }
 }
 
-/// Creates metrics and registers them in one step.
+/// Creates metrics and registers them.
 struct Registrar<'a>(&'a Registry);
 
 impl Registrar<'_> {
--- a/src/secret.rs
+++ b/src/secret.rs
@@ -1,4 +1,4 @@
-//! Secrets and what is derived from them.
+//! Secrets, and the keys and hashes that are derived from them.
 
 use std::{fmt, str::FromStr};
 
@@ -7,6 +7,8 @@
 
 use crate::error::{Error, ErrorKind};
 
+// Contexts of BLAKE3 key derivation; changing one invalidates the tokens or
+// frames of VMs that run another version.
 const SESSION_CONTEXT: &str = "lupinseam 2026-12 session tokens";
 const FRAME_CONTEXT: &str = "lupinseam 2026-12 frames between VMs";
 
@@ -15,12 +17,12 @@
 pub struct ClusterKey([u8; 32]);
 
 impl ClusterKey {
-    /// The key that authenticates session tokens.
+    /// Derives the key that authenticates session tokens.
     pub(crate) fn session_key(&self) -> [u8; 32] {
         blake3::derive_key(SESSION_CONTEXT, &self.0)
     }
 
-    /// The key that authenticates frames between VMs.
+    /// Derives the key that authenticates frames between VMs.
     pub(crate) fn frame_key(&self) -> [u8; 32] {
         blake3::derive_key(FRAME_CONTEXT, &self.0)
     }
@@ -37,14 +39,14 @@
 
     fn from_str(text: &str) -> Result<Self, Error> {
         parse_hex(text).map(ClusterKey).map_err(|_| {
-            // The value itself stays out of the message: it is a secret.
+            // The message must not contain the value, which is a secret.
             Error::new(ErrorKind::InvalidInput)
                 .context("the cluster key must be 64 hexadecimal digits")
         })
     }
 }
 
-/// The BLAKE3 hash of a bearer key; the key itself is never kept.
+/// The BLAKE3 hash of a bearer key; the key itself is never stored.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -95,7 +97,7 @@
 fn parse_hex(text: &str) -> Result<[u8; 32], Error> {
     let invalid = || {
         Error::new(ErrorKind::InvalidInput)
-            .context("64 hexadecimal digits are expected")
+            .context("expected 64 hexadecimal digits")
     };
     let bytes =
         HEXLOWER_PERMISSIVE.decode(text.as_bytes()).map_err(|_| invalid())?;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -409,6 +409,7 @@
         reader
     }
 
+    /// Adds an error about one key.
     pub(crate) fn add_error(
         &mut self,
         section: &str,
@@ -422,6 +423,7 @@
         });
     }
 
+    /// Adds an error for every unknown or repeated key.
     fn check_names(&mut self) {
         for (section, properties) in self.ini.iter() {
             let section = section.unwrap_or("");
@@ -439,6 +441,8 @@
         }
     }
 
+    /// Returns the trimmed value of a key or its default. Adds an error if a
+    /// required key is absent.
     pub(crate) fn text(
         &mut self,
         section: &str,
@@ -462,6 +466,7 @@
         }
     }
 
+    /// Parses the value of a key.
     pub(crate) fn value<T>(&mut self, section: &str, name: &str) -> Option<T>
     where
         T: FromStr,
@@ -477,6 +482,7 @@
         }
     }
 
+    /// Parses a number that must lie between `min` and `max`, inclusive.
     pub(crate) fn number<T>(
         &mut self,
         section: &str,
@@ -497,6 +503,7 @@
         None
     }
 
+    /// Parses a time in milliseconds: at least one, at most an hour.
     pub(crate) fn millis(
         &mut self,
         section: &str,
@@ -506,6 +513,7 @@
         Some(Duration::from_millis(value))
     }
 
+    /// Parses a time in seconds: at most thirty days, and zero is allowed.
     pub(crate) fn seconds(
         &mut self,
         section: &str,
@@ -515,6 +523,7 @@
         Some(Duration::from_secs(value))
     }
 
+    /// Reads an `http` URL whose host is an IP address with a port.
     fn url(&mut self, section: &str, name: &str) -> Option<String> {
         let text = self.text(section, name)?;
         let rest = text.strip_prefix("http://");
