--- a/src/event.rs
+++ b/src/event.rs
@@ -217,7 +217,7 @@
         "An upstream accepts no connections right after an attempt there was cut off, so it has crashed. Names the digest of the request whose attempt was the first to be cut off at this VM.";
     /// A request was quarantined.
     RequestHeld = 93, Error,
-        "As many upstreams crashed while running a request as it takes to quarantine it; the request is rejected at every VM from now on, until ten minutes after the last crash. States the request's identifier and how many upstreams crashed.";
+        "Enough upstreams crashed while running a request for it to be quarantined; the request is rejected at every VM from now on, until ten minutes after the last crash. States the request's identifier and how many upstreams crashed.";
     /// A request is no longer quarantined.
     RequestReleased = 94, Info,
         "A request that was quarantined is accepted again: it completed elsewhere, another request explains the crashes, or ten minutes have passed.";
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -49,12 +49,13 @@
     pub entries_unreadable: IntCounter,
     /// Bytes sent to other VMs, by transport.
     pub peer_bytes: IntCounterVec,
-    /// Calls to the store since the start, by kind; set from the store client's
-    /// counters, hence a gauge.
+    /// Calls to the store since the start, by kind; set from the store
+    /// client's counters, hence a gauge.
     pub store_calls: IntGaugeVec,
     /// Configuration revision in force.
     pub configuration_revision: IntGauge,
-    /// Age of the last proof that the configuration is current; -1 without one.
+    /// Age of the last proof that the configuration is current; -1 without
+    /// one.
     pub configuration_age_ms: IntGauge,
     /// Age of the platform's list of VMs; -1 without one.
     pub list_age_ms: IntGauge,
--- a/src/story.rs
+++ b/src/story.rs
@@ -39,8 +39,8 @@
 /// A structured line of a log.
 #[derive(Clone, Debug)]
 struct Line {
-    /// The word before the line's JSON, which is the VM's name; the name of the
-    /// log if there is none.
+    /// The word before the line's JSON, which is the VM's name; the name of
+    /// the log if there is none.
     source: String,
     at_ms: u64,
     event: String,
