--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -9,7 +9,9 @@
     id::{DataHallId, VmId},
     placing::{retry_window::RetryBound, warm_up::WarmUpSlack},
     secret::ClusterKey,
-    settings::{Fault, Key, Reader, read_file, read_ini},
+    settings::{
+        SettingKey, SettingsError, SettingsReader, read_file, read_ini,
+    },
     unit::Mbps,
 };
 
@@ -18,12 +20,12 @@
     name: &'static str,
     default: Option<&'static str>,
     meaning: &'static str,
-) -> Key {
-    Key { section, name, default, meaning }
+) -> SettingKey {
+    SettingKey { section, name, default, meaning }
 }
 
 /// Every key that the settings file of a gateway VM may hold.
-pub const KEYS: &[Key] = &[
+pub const KEYS: &[SettingKey] = &[
     key("vm", "id", None, "Name of this VM; the same after a restart."),
     key("vm", "data_hall", None, "Name of its data hall."),
     key(
@@ -181,7 +183,9 @@
     /// # Errors
     ///
     /// All faults found in the file.
-    pub fn from_file(path: &Path) -> Result<GatewaySettings, Vec<Fault>> {
+    pub fn from_file(
+        path: &Path,
+    ) -> Result<GatewaySettings, Vec<SettingsError>> {
         GatewaySettings::from_ini(&read_file(path)?)
     }
 
@@ -190,12 +194,14 @@
     /// # Errors
     ///
     /// All faults found in the text.
-    pub fn from_ini(text: &str) -> Result<GatewaySettings, Vec<Fault>> {
+    pub fn from_ini(
+        text: &str,
+    ) -> Result<GatewaySettings, Vec<SettingsError>> {
         read_ini(text, KEYS, read)
     }
 }
 
-fn read(r: &mut Reader<'_>) -> Option<GatewaySettings> {
+fn read(r: &mut SettingsReader<'_>) -> Option<GatewaySettings> {
     // Every key is read before any is unwrapped, so that all faults are
     // reported at once.
     let vm = r.value("vm", "id");
@@ -240,13 +246,13 @@
     })
 }
 
-fn read_warm_up_slack(r: &mut Reader<'_>) -> Option<WarmUpSlack> {
+fn read_warm_up_slack(r: &mut SettingsReader<'_>) -> Option<WarmUpSlack> {
     let overshoot = r.number("warm_up", "overshoot", 0.0, 100.0);
     let tolerance = r.number("warm_up", "tolerance", 0.0, 100_000.0);
     Some(WarmUpSlack { overshoot: overshoot?, tolerance: tolerance? })
 }
 
-fn read_retries(r: &mut Reader<'_>) -> Option<RetryBound> {
+fn read_retries(r: &mut SettingsReader<'_>) -> Option<RetryBound> {
     let share = r.number("retries", "share", 0.0, 10.0);
     let extra = r.number("retries", "extra", 0.0, 100_000.0);
     let window_s = r.number("retries", "window_s", 0.1, 3600.0);
@@ -258,7 +264,7 @@
 }
 
 fn read_seeds(
-    r: &mut Reader<'_>,
+    r: &mut SettingsReader<'_>,
     peer_address: Option<SocketAddr>,
 ) -> Option<Vec<SocketAddr>> {
     let text = r.text("peers", "seeds")?;
@@ -268,7 +274,7 @@
         match part.parse::<SocketAddr>() {
             Ok(seed) => seeds.push(SocketAddr::new(seed.ip(), port)),
             Err(error) => {
-                r.fault("peers", "seeds", format!("`{part}`: {error}"));
+                r.add_error("peers", "seeds", format!("`{part}`: {error}"));
                 return None;
             }
         }
