--- a/src/facts/route.rs
+++ b/src/facts/route.rs
@@ -54,7 +54,7 @@
     /// Longest time a request is held.
     pub time_limit: Duration,
     /// Time within which the answer, or the first event, is wanted.
-    pub aim: Duration,
+    pub latency_target: Duration,
     /// Longest pause between events that is still in time.
     pub pause_aim: Option<Duration>,
     /// Rank among requests; 0 is the most urgent.
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -261,7 +261,7 @@
             withdrawn: &version.withdrawn,
             tried,
             max_utilization: admission::utilization_limit(
-                self.route.aim,
+                self.route.latency_target,
                 takes,
             ),
         }
@@ -393,7 +393,7 @@
         let times = &self.gateway.read_times;
         let saved = times.expected(self.model.as_ref(), tokens);
         let count = u32::try_from(tokens).unwrap_or(u32::MAX);
-        let most = self.route.aim.mul_f64(KEPT_PROMPT_WAIT_PART);
+        let most = self.route.latency_target.mul_f64(KEPT_PROMPT_WAIT_PART);
         let spared = KEPT_TOKEN_WAIT.saturating_mul(count).min(most);
         Some(PrefixAffinity { prefix_hash, cache_miss_cost: saved + spared })
     }
@@ -537,7 +537,8 @@
     ) -> Result<Reply, Fault> {
         let takes = self.gateway.service_times.of(&self.service);
         let line = admission::queue_wait(attempt.fill_before, takes);
-        let patience = self.route.aim.mul_f64(RETRY_AFTER_AIM) + line;
+        let patience =
+            self.route.latency_target.mul_f64(RETRY_AFTER_AIM) + line;
         let limit = self.limit(attempt, patience);
         let (mut exchange, _) = self.send(attempt, None, limit, trace).await?;
         exchange.allow_end_at_close();
--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -307,7 +307,7 @@
     }
 
     fn first_limit(&self) -> Duration {
-        self.pause_limit().max(self.route.aim)
+        self.pause_limit().max(self.route.latency_target)
     }
 
     fn pause_limit(&self) -> Duration {
--- a/src/placing/cascade.rs
+++ b/src/placing/cascade.rs
@@ -162,7 +162,8 @@
     let passed = now.saturating_duration_since(doubt.started_at);
     let reading = times.expected(Some(largest), doubt.tokens);
     let expected = passed + waiting + reading;
-    let used = expected.as_secs_f64() / doubt.route.aim.as_secs_f64();
+    let used =
+        expected.as_secs_f64() / doubt.route.latency_target.as_secs_f64();
     let ease = ((1.0 - used) / (1.0 - EASY_PART)).clamp(0.0, 1.0);
     if confidence >= enough * ease {
         return Err(NoEscalation::NoTime);
--- a/src/placing/cascade/tests.rs
+++ b/src/placing/cascade/tests.rs
@@ -9,7 +9,7 @@
         repeat: Repeat::Any,
         is_stream: true,
         time_limit: Duration::from_secs(20),
-        aim: Duration::from_secs(2),
+        latency_target: Duration::from_secs(2),
         pause_aim: None,
         priority: 0,
         attempts: 3,
