--- a/src/facts/route.rs
+++ b/src/facts/route.rs
@@ -56,7 +56,7 @@
     /// Time within which the answer, or the first event, is wanted.
     pub latency_target: Duration,
     /// Longest pause between events that is still in time.
-    pub pause_aim: Option<Duration>,
+    pub event_gap_target: Option<Duration>,
     /// Rank among requests; 0 is the most urgent.
     pub priority: u8,
     /// Upstreams that one request may be sent to.
--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -311,7 +311,7 @@
     }
 
     fn pause_limit(&self) -> Duration {
-        let aim = self.route.pause_aim;
+        let aim = self.route.event_gap_target;
         aim.map_or(PAUSE_LIMIT, |pause| pause.mul_f64(PAUSE_PART))
     }
 }
--- a/src/placing/cascade/tests.rs
+++ b/src/placing/cascade/tests.rs
@@ -10,7 +10,7 @@
         is_stream: true,
         time_limit: Duration::from_secs(20),
         latency_target: Duration::from_secs(2),
-        pause_aim: None,
+        event_gap_target: None,
         priority: 0,
         attempts: 3,
         targets: vec![Target { service: "w".parse().unwrap(), weight: 1 }],
