--- a/src/facts/route.rs
+++ b/src/facts/route.rs
@@ -64,7 +64,7 @@
     /// The services that answer it, at least one.
     pub targets: Vec<Target>,
     /// The models to choose from, the smallest first.
-    pub sizes: Vec<ModelId>,
+    pub models: Vec<ModelId>,
     /// Whether it needs no key.
     pub is_public: bool,
 }
--- a/src/placing/cascade.rs
+++ b/src/placing/cascade.rs
@@ -89,7 +89,7 @@
 
 /// The first model to ask, where the caller leaves the choice.
 pub(crate) fn first_model(route: &Route) -> Option<ModelId> {
-    route.sizes.first().cloned()
+    route.models.first().cloned()
 }
 
 /// What decides whether a larger model is asked.
@@ -147,7 +147,7 @@
     waiting: Duration,
     now: BootInstant,
 ) -> Result<ModelId, NoEscalation> {
-    let largest = doubt.route.sizes.last().ok_or(NoEscalation::Largest)?;
+    let largest = doubt.route.models.last().ok_or(NoEscalation::Largest)?;
     if doubt.model == largest {
         return Err(NoEscalation::Largest);
     }
--- a/src/placing/cascade/tests.rs
+++ b/src/placing/cascade/tests.rs
@@ -14,7 +14,7 @@
         priority: 0,
         attempts: 3,
         targets: vec![Target { service: "w".parse().unwrap(), weight: 1 }],
-        sizes: ["small", "middle", "large"]
+        models: ["small", "middle", "large"]
             .iter()
             .map(|name| name.parse().unwrap())
             .collect(),
