--- a/src/facts/knowledge.rs
+++ b/src/facts/knowledge.rs
@@ -56,7 +56,7 @@
     /// A roll-out was ordered.
     RolloutOrdered(ServiceId, RolloutOrder),
     /// The order of a roll-out was removed.
-    RolloutOver(ServiceId),
+    RolloutOrderRemoved(ServiceId),
     /// How far a roll-out is.
     RolloutStatus(ServiceId, RolloutStatus),
     /// The upstreams of a data hall are to get no requests.
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -371,7 +371,9 @@
                         .record(fields(json!({ "data_hall": hall })));
                 }
             }
-            Fact::RolloutOver(service) => self.rollouts.remove(&service),
+            Fact::RolloutOrderRemoved(service) => {
+                self.rollouts.remove(&service)
+            }
             Fact::RolloutStatus(service, status) => {
                 self.rollouts.set_status(&service, &status);
                 Event::RolloutRecorded.record(fields(json!({
