--- a/src/facts/knowledge.rs
+++ b/src/facts/knowledge.rs
@@ -62,7 +62,7 @@
     /// The upstreams of a data hall are to get no requests.
     EvacuationOrdered(DataHallId),
     /// They may get requests again.
-    EvacuationOver(DataHallId),
+    EvacuationOrderRemoved(DataHallId),
     /// An upstream is there, or its record changed.
     Upstream(UpstreamEntry),
     /// The record of an upstream is gone.
--- a/src/facts/knowledge/tests.rs
+++ b/src/facts/knowledge/tests.rs
@@ -157,7 +157,7 @@
     let digest_before = knowledge.digest();
     let over = items(vec![item(key, None, 8)], 8);
     let news = knowledge.take_changes(over);
-    assert!(matches!(news.facts[..], [Fact::EvacuationOver(_)]));
+    assert!(matches!(news.facts[..], [Fact::EvacuationOrderRemoved(_)]));
     assert!(knowledge.take_told(digest_before, ordered).facts.is_empty());
     // The operator may ask again.
     let again = items(vec![item(key, Some(b"{}".to_vec()), 9)], 9);
@@ -171,5 +171,5 @@
     let ordered = items(vec![item(key, Some(b"{}".to_vec()), 5)], 5);
     knowledge.take_changes(ordered);
     let news = knowledge.take_all(items(Vec::new(), 30));
-    assert!(matches!(news.facts[..], [Fact::EvacuationOver(_)]));
+    assert!(matches!(news.facts[..], [Fact::EvacuationOrderRemoved(_)]));
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -365,7 +365,7 @@
                         .record(fields(json!({ "data_hall": hall })));
                 }
             }
-            Fact::EvacuationOver(hall) => {
+            Fact::EvacuationOrderRemoved(hall) => {
                 if self.pool.end_evacuation(&hall, now) {
                     Event::EvacuationOver
                         .record(fields(json!({ "data_hall": hall })));
