--- a/src/facts/knowledge.rs
+++ b/src/facts/knowledge.rs
@@ -1,6 +1,6 @@
 //! What a VM knows from the platform's store, and how fresh that is.
 //!
-//! Everything comes as [`Fact`]s with a version that only grows. Whichever
+//! Everything comes as [`StoreUpdate`]s with a version that only grows. Whichever
 //! way a fact came — by watch, by a read after the history was lost, or from
 //! another VM — an older version never replaces a newer one.
 //!
@@ -50,7 +50,7 @@
 
 /// One thing that the store says.
 #[derive(Clone, Debug)]
-pub enum Fact {
+pub enum StoreUpdate {
     /// The operator's configuration.
     Configuration(RouteTable),
     /// A roll-out was ordered.
@@ -119,7 +119,7 @@
 #[derive(Debug, Default)]
 pub struct News {
     /// What is new, in the order of the items.
-    pub facts: Vec<Fact>,
+    pub facts: Vec<StoreUpdate>,
     /// Values that could not be read.
     pub unreadable: Vec<Unreadable>,
 }
--- a/src/facts/knowledge/tests.rs
+++ b/src/facts/knowledge/tests.rs
@@ -26,7 +26,9 @@
     let facts = news.facts.into_iter();
     facts
         .filter(|fact| match fact {
-            Fact::Configuration(table) => knowledge.install(table.clone()),
+            StoreUpdate::Configuration(table) => {
+                knowledge.install(table.clone())
+            }
             _ => false,
         })
         .count()
@@ -78,7 +80,7 @@
     let news = knowledge.take_all(items(one, 5));
     assert!(matches!(
         news.facts.as_slice(),
-        [Fact::UpstreamGone(id)] if id.as_str() == "i-1"
+        [StoreUpdate::UpstreamGone(id)] if id.as_str() == "i-1"
     ));
 }
 
@@ -153,11 +155,14 @@
     let key = "op/evacuate/hall-a";
     let ordered = items(vec![item(key, Some(b"{}".to_vec()), 5)], 5);
     let news = knowledge.take_changes(ordered.clone());
-    assert!(matches!(news.facts[..], [Fact::EvacuationOrdered(_)]));
+    assert!(matches!(news.facts[..], [StoreUpdate::EvacuationOrdered(_)]));
     let digest_before = knowledge.digest();
     let over = items(vec![item(key, None, 8)], 8);
     let news = knowledge.take_changes(over);
-    assert!(matches!(news.facts[..], [Fact::EvacuationOrderRemoved(_)]));
+    assert!(matches!(
+        news.facts[..],
+        [StoreUpdate::EvacuationOrderRemoved(_)]
+    ));
     assert!(knowledge.take_told(digest_before, ordered).facts.is_empty());
     // The operator may ask again.
     let again = items(vec![item(key, Some(b"{}".to_vec()), 9)], 9);
@@ -171,5 +176,8 @@
     let ordered = items(vec![item(key, Some(b"{}".to_vec()), 5)], 5);
     knowledge.take_changes(ordered);
     let news = knowledge.take_all(items(Vec::new(), 30));
-    assert!(matches!(news.facts[..], [Fact::EvacuationOrderRemoved(_)]));
+    assert!(matches!(
+        news.facts[..],
+        [StoreUpdate::EvacuationOrderRemoved(_)]
+    ));
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -27,7 +27,7 @@
     },
     event::Event,
     facts::{
-        knowledge::{Fact, Knowledge, News, Unreadable},
+        knowledge::{Knowledge, News, StoreUpdate, Unreadable},
         peers::{Peers, WatchRole},
     },
     http_client::HttpClient,
@@ -311,10 +311,10 @@
         }
     }
 
-    fn take_fact(&self, fact: Fact) {
+    fn take_fact(&self, fact: StoreUpdate) {
         let now = self.clock.now();
         match fact {
-            Fact::Configuration(table) => {
+            StoreUpdate::Configuration(table) => {
                 let version = table.version();
                 let routes = table.routes_len();
                 let warm_ups = table.warm_ups();
@@ -326,7 +326,7 @@
                     })));
                 }
             }
-            Fact::Upstream(entry) => {
+            StoreUpdate::Upstream(entry) => {
                 Event::UpstreamListed.record(fields(json!({
                     "upstream": entry.id,
                     "service": entry.service,
@@ -339,8 +339,10 @@
             }
             // Whoever wrote it, it names nobody to send to. What was begun
             // there goes on to its end.
-            Fact::UpstreamUnreadable(id) => self.pool.remove(&id, true, now),
-            Fact::UpstreamGone(id) => {
+            StoreUpdate::UpstreamUnreadable(id) => {
+                self.pool.remove(&id, true, now)
+            }
+            StoreUpdate::UpstreamGone(id) => {
                 let is_sure = self.is_store_well(now);
                 Event::UpstreamGone.record(fields(json!({
                     "upstream": id,
@@ -348,7 +350,7 @@
                 })));
                 self.pool.remove(&id, is_sure, now);
             }
-            Fact::RolloutOrdered(service, order) => {
+            StoreUpdate::RolloutOrdered(service, order) => {
                 let target = order.target.clone();
                 let allowed_ms = order.time_allowed.as_millis() as u64;
                 if self.rollouts.apply_order(service.clone(), order, now) {
@@ -359,22 +361,22 @@
                     })));
                 }
             }
-            Fact::EvacuationOrdered(hall) => {
+            StoreUpdate::EvacuationOrdered(hall) => {
                 if self.pool.evacuate(&hall) {
                     Event::EvacuationOrdered
                         .record(fields(json!({ "data_hall": hall })));
                 }
             }
-            Fact::EvacuationOrderRemoved(hall) => {
+            StoreUpdate::EvacuationOrderRemoved(hall) => {
                 if self.pool.end_evacuation(&hall, now) {
                     Event::EvacuationOver
                         .record(fields(json!({ "data_hall": hall })));
                 }
             }
-            Fact::RolloutOrderRemoved(service) => {
+            StoreUpdate::RolloutOrderRemoved(service) => {
                 self.rollouts.remove(&service)
             }
-            Fact::RolloutStatus(service, status) => {
+            StoreUpdate::RolloutStatus(service, status) => {
                 self.rollouts.set_status(&service, &status);
                 Event::RolloutRecorded.record(fields(json!({
                     "service": service,
@@ -382,16 +384,16 @@
                     "progress": status.progress.to_string(),
                 })));
             }
-            Fact::CrashingRequest(request, crashes) => {
+            StoreUpdate::CrashingRequest(request, crashes) => {
                 let told: Vec<RequestObservation> =
                     RequestObservation::of_crashes(request, crashes).collect();
                 self.merge_sightings(&told, Source::Snapshot);
             }
-            Fact::Peer(vm, record) => {
+            StoreUpdate::Peer(vm, record) => {
                 self.pool.add_vm(&vm, &record.data_hall);
                 self.peers.learn(&vm, &record);
             }
-            Fact::PeerGone(vm) => {
+            StoreUpdate::PeerGone(vm) => {
                 self.pool.remove_vm(&vm);
                 self.peers.unrecord(&vm);
             }
