--- a/src/facts/knowledge.rs
+++ b/src/facts/knowledge.rs
@@ -119,7 +119,7 @@
 #[derive(Debug, Default)]
 pub struct News {
     /// What is new, in the order of the items.
-    pub facts: Vec<StoreUpdate>,
+    pub updates: Vec<StoreUpdate>,
     /// Values that could not be read.
     pub unreadable: Vec<Unreadable>,
 }
@@ -328,18 +328,18 @@
         }
         let Some(value) = item.value else {
             if self.items.remove(&item.key).is_some() {
-                news.facts.extend(document::removal_fact(&item.key));
+                news.updates.extend(document::removal_fact(&item.key));
             }
             return;
         };
         self.digest ^= digest(&item.key, item.version);
         let held = match document::decode_fact(&item.key, &value) {
             Ok(fact) => {
-                news.facts.extend(fact);
+                news.updates.extend(fact);
                 value
             }
             Err(error) => {
-                news.facts.extend(document::unreadable_fact(&item.key));
+                news.updates.extend(document::unreadable_fact(&item.key));
                 news.unreadable.push(Unreadable {
                     key: item.key.clone(),
                     reason: error.to_string(),
--- a/src/facts/knowledge/tests.rs
+++ b/src/facts/knowledge/tests.rs
@@ -23,7 +23,7 @@
 }
 
 fn install(knowledge: &Knowledge, news: News) -> usize {
-    let facts = news.facts.into_iter();
+    let facts = news.updates.into_iter();
     facts
         .filter(|fact| match fact {
             StoreUpdate::Configuration(table) => {
@@ -79,7 +79,7 @@
     let one = vec![item("servers/i-2", Some(record), 2)];
     let news = knowledge.take_all(items(one, 5));
     assert!(matches!(
-        news.facts.as_slice(),
+        news.updates.as_slice(),
         [StoreUpdate::UpstreamGone(id)] if id.as_str() == "i-1"
     ));
 }
@@ -155,12 +155,12 @@
     let key = "op/evacuate/hall-a";
     let ordered = items(vec![item(key, Some(b"{}".to_vec()), 5)], 5);
     let news = knowledge.take_changes(ordered.clone());
-    assert!(matches!(news.facts[..], [StoreUpdate::EvacuationOrdered(_)]));
+    assert!(matches!(news.updates[..], [StoreUpdate::EvacuationOrdered(_)]));
     let digest_before = knowledge.digest();
     let over = items(vec![item(key, None, 8)], 8);
     let news = knowledge.take_changes(over);
     assert!(matches!(
-        news.facts[..],
+        news.updates[..],
         [StoreUpdate::EvacuationOrderRemoved(_)]
     ));
     assert!(knowledge.take_told(digest_before, ordered).facts.is_empty());
@@ -177,7 +177,7 @@
     knowledge.take_changes(ordered);
     let news = knowledge.take_all(items(Vec::new(), 30));
     assert!(matches!(
-        news.facts[..],
+        news.updates[..],
         [StoreUpdate::EvacuationOrderRemoved(_)]
     ));
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -288,7 +288,7 @@
     /// Takes in what the store says.
     pub(crate) fn apply_news(&self, news: News) {
         self.note_unreadable(&news.unreadable);
-        for fact in news.facts {
+        for fact in news.updates {
             self.take_fact(fact);
         }
     }
