--- a/src/facts/knowledge.rs
+++ b/src/facts/knowledge.rs
@@ -117,7 +117,7 @@
 
 /// What taking in items brought.
 #[derive(Debug, Default)]
-pub struct News {
+pub struct AppliedItems {
     /// What is new, in the order of the items.
     pub updates: Vec<StoreUpdate>,
     /// Values that could not be read.
@@ -225,9 +225,9 @@
     }
 
     /// Takes in one value that was read.
-    pub fn take_item(&self, item: StoreItem) -> News {
+    pub fn take_item(&self, item: StoreItem) -> AppliedItems {
         let mut mirror = self.mirror.lock().expect("mirror lock");
-        let mut news = News::default();
+        let mut news = AppliedItems::default();
         mirror.take(item, &mut news);
         news
     }
@@ -239,7 +239,7 @@
     }
 
     /// Takes in changes that a watch brought.
-    pub fn take_changes(&self, changes: StoreItems) -> News {
+    pub fn take_changes(&self, changes: StoreItems) -> AppliedItems {
         self.mirror.lock().expect("mirror lock").take_changes(changes)
     }
 
@@ -248,7 +248,11 @@
     /// They may be known already in part, and something may be missing
     /// between them and what is known; only if neither is so does this VM
     /// know everything up to their version of the store afterwards.
-    pub fn take_told(&self, digest_before: u64, changes: StoreItems) -> News {
+    pub fn take_told(
+        &self,
+        digest_before: u64,
+        changes: StoreItems,
+    ) -> AppliedItems {
         let mut mirror = self.mirror.lock().expect("mirror lock");
         let as_of = match mirror.digest == digest_before {
             true => changes.as_of,
@@ -260,9 +264,9 @@
     /// Takes in everything there is; what is not among it is gone.
     ///
     /// Nothing happens when it is older than what is known.
-    pub fn take_all(&self, all: StoreItems) -> News {
+    pub fn take_all(&self, all: StoreItems) -> AppliedItems {
         let mut mirror = self.mirror.lock().expect("mirror lock");
-        let mut news = News::default();
+        let mut news = AppliedItems::default();
         if all.as_of < mirror.as_of {
             return news;
         }
@@ -297,8 +301,8 @@
         items.collect()
     }
 
-    fn take_changes(&mut self, changes: StoreItems) -> News {
-        let mut news = News::default();
+    fn take_changes(&mut self, changes: StoreItems) -> AppliedItems {
+        let mut news = AppliedItems::default();
         for item in changes.items {
             self.take(item, &mut news);
         }
@@ -319,7 +323,7 @@
         }
     }
 
-    fn take(&mut self, item: StoreItem, news: &mut News) {
+    fn take(&mut self, item: StoreItem, news: &mut AppliedItems) {
         if !self.is_new(&item) {
             return;
         }
--- a/src/facts/knowledge/tests.rs
+++ b/src/facts/knowledge/tests.rs
@@ -22,7 +22,7 @@
     StoreItems { items, as_of: StoreVersion(as_of) }
 }
 
-fn install(knowledge: &Knowledge, news: News) -> usize {
+fn install(knowledge: &Knowledge, news: AppliedItems) -> usize {
     let facts = news.updates.into_iter();
     facts
         .filter(|fact| match fact {
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -27,7 +27,7 @@
     },
     event::Event,
     facts::{
-        knowledge::{Knowledge, News, StoreUpdate, Unreadable},
+        knowledge::{AppliedItems, Knowledge, StoreUpdate, Unreadable},
         peers::{Peers, WatchRole},
     },
     http_client::HttpClient,
@@ -286,7 +286,7 @@
     }
 
     /// Takes in what the store says.
-    pub(crate) fn apply_news(&self, news: News) {
+    pub(crate) fn apply_news(&self, news: AppliedItems) {
         self.note_unreadable(&news.unreadable);
         for fact in news.updates {
             self.take_fact(fact);
