--- a/src/facts/knowledge.rs
+++ b/src/facts/knowledge.rs
@@ -264,7 +264,7 @@
     /// Takes in everything there is; what is not among it is gone.
     ///
     /// Nothing happens when it is older than what is known.
-    pub fn take_all(&self, all: StoreItems) -> AppliedItems {
+    pub fn apply_snapshot(&self, all: StoreItems) -> AppliedItems {
         let mut mirror = self.mirror.lock().expect("mirror lock");
         let mut news = AppliedItems::default();
         if all.as_of < mirror.as_of {
--- a/src/facts/knowledge/tests.rs
+++ b/src/facts/knowledge/tests.rs
@@ -43,7 +43,7 @@
     // An answer that was long on its way, by watch, read or another VM.
     let old = items(vec![item(key, Some(configuration(7)), 10)], 10);
     assert_eq!(install(&knowledge, knowledge.take_changes(old.clone())), 0);
-    assert_eq!(install(&knowledge, knowledge.take_all(old)), 0);
+    assert_eq!(install(&knowledge, knowledge.apply_snapshot(old)), 0);
     // Written later, but with a number that is lower.
     let lower = items(vec![item(key, Some(configuration(8)), 30)], 30);
     assert_eq!(install(&knowledge, knowledge.take_changes(lower)), 0);
@@ -75,9 +75,9 @@
         item("servers/i-1", Some(record.clone()), 1),
         item("servers/i-2", Some(record.clone()), 2),
     ];
-    knowledge.take_all(items(both, 2));
+    knowledge.apply_snapshot(items(both, 2));
     let one = vec![item("servers/i-2", Some(record), 2)];
-    let news = knowledge.take_all(items(one, 5));
+    let news = knowledge.apply_snapshot(items(one, 5));
     assert!(matches!(
         news.updates.as_slice(),
         [StoreUpdate::UpstreamGone(id)] if id.as_str() == "i-1"
@@ -98,7 +98,7 @@
         .expect("it was packed here")
         .into_iter()
         .map(|held| item(&held.key, Some(held.value), held.version));
-    other.take_all(StoreItems { items: all.collect(), as_of });
+    other.apply_snapshot(StoreItems { items: all.collect(), as_of });
     assert_eq!(one.digest(), other.digest());
 }
 
@@ -175,7 +175,7 @@
     let key = "op/evacuate/hall-a";
     let ordered = items(vec![item(key, Some(b"{}".to_vec()), 5)], 5);
     knowledge.take_changes(ordered);
-    let news = knowledge.take_all(items(Vec::new(), 30));
+    let news = knowledge.apply_snapshot(items(Vec::new(), 30));
     assert!(matches!(
         news.updates[..],
         [StoreUpdate::EvacuationOrderRemoved(_)]
--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -389,7 +389,7 @@
     });
     let all =
         StoreItems { items: items.collect(), as_of: StoreVersion(as_of) };
-    let news = gateway.knowledge.take_all(all);
+    let news = gateway.knowledge.apply_snapshot(all);
     gateway.apply_news(news);
     let age = Duration::from_millis(proof_age_ms.into());
     if let Some(proven_at) = asked_at.checked_sub(age) {
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -118,7 +118,7 @@
         let gateway = &self.gateway;
         let asked_at = gateway.clock.now();
         let all = gateway.store.read_all(EVERYTHING, recency).await?;
-        let news = gateway.knowledge.take_all(all);
+        let news = gateway.knowledge.apply_snapshot(all);
         gateway.apply_news(news);
         match recency {
             Recency::Current => {
