--- a/src/facts/knowledge/tests.rs
+++ b/src/facts/knowledge/tests.rs
@@ -163,10 +163,10 @@
         news.updates[..],
         [StoreUpdate::EvacuationOrderRemoved(_)]
     ));
-    assert!(knowledge.take_told(digest_before, ordered).facts.is_empty());
+    assert!(knowledge.take_told(digest_before, ordered).updates.is_empty());
     // The operator may ask again.
     let again = items(vec![item(key, Some(b"{}".to_vec()), 9)], 9);
-    assert_eq!(knowledge.take_changes(again).facts.len(), 1);
+    assert_eq!(knowledge.take_changes(again).updates.len(), 1);
 }
 
 #[test]
