--- a/src/facts/knowledge.rs
+++ b/src/facts/knowledge.rs
@@ -239,8 +239,8 @@
     }
 
     /// Takes in changes that a watch brought.
-    pub fn take_changes(&self, changes: StoreItems) -> AppliedItems {
-        self.mirror.lock().expect("mirror lock").take_changes(changes)
+    pub fn apply_changes(&self, changes: StoreItems) -> AppliedItems {
+        self.mirror.lock().expect("mirror lock").apply_changes(changes)
     }
 
     /// Takes in changes that another VM tells.
@@ -258,7 +258,7 @@
             true => changes.as_of,
             false => mirror.as_of,
         };
-        mirror.take_changes(StoreItems { items: changes.items, as_of })
+        mirror.apply_changes(StoreItems { items: changes.items, as_of })
     }
 
     /// Takes in everything there is; what is not among it is gone.
@@ -301,7 +301,7 @@
         items.collect()
     }
 
-    fn take_changes(&mut self, changes: StoreItems) -> AppliedItems {
+    fn apply_changes(&mut self, changes: StoreItems) -> AppliedItems {
         let mut news = AppliedItems::default();
         for item in changes.items {
             self.take(item, &mut news);
--- a/src/facts/knowledge/tests.rs
+++ b/src/facts/knowledge/tests.rs
@@ -39,14 +39,14 @@
     let knowledge = Knowledge::default();
     let key = document::CONFIGURATION_KEY;
     let new = items(vec![item(key, Some(configuration(9)), 20)], 20);
-    assert_eq!(install(&knowledge, knowledge.take_changes(new)), 1);
+    assert_eq!(install(&knowledge, knowledge.apply_changes(new)), 1);
     // An answer that was long on its way, by watch, read or another VM.
     let old = items(vec![item(key, Some(configuration(7)), 10)], 10);
-    assert_eq!(install(&knowledge, knowledge.take_changes(old.clone())), 0);
+    assert_eq!(install(&knowledge, knowledge.apply_changes(old.clone())), 0);
     assert_eq!(install(&knowledge, knowledge.apply_snapshot(old)), 0);
     // Written later, but with a number that is lower.
     let lower = items(vec![item(key, Some(configuration(8)), 30)], 30);
-    assert_eq!(install(&knowledge, knowledge.take_changes(lower)), 0);
+    assert_eq!(install(&knowledge, knowledge.apply_changes(lower)), 0);
     assert_eq!(knowledge.table_version(), Some(TableVersion(9)));
 }
 
@@ -55,9 +55,9 @@
     let knowledge = Knowledge::default();
     let key = document::CONFIGURATION_KEY;
     let good = items(vec![item(key, Some(configuration(1)), 1)], 1);
-    install(&knowledge, knowledge.take_changes(good));
+    install(&knowledge, knowledge.apply_changes(good));
     let bad = items(vec![item(key, Some(b"{".to_vec()), 2)], 2);
-    let news = knowledge.take_changes(bad);
+    let news = knowledge.apply_changes(bad);
     assert_eq!(news.unreadable.len(), 1);
     assert_eq!(knowledge.table_version(), Some(TableVersion(1)));
 }
@@ -89,9 +89,9 @@
     let one = Knowledge::default();
     let other = Knowledge::default();
     let key = document::CONFIGURATION_KEY;
-    one.take_changes(items(vec![item(key, Some(configuration(1)), 1)], 1));
-    one.take_changes(items(vec![item("x", Some(vec![1]), 2)], 2));
-    one.take_changes(items(vec![item(key, Some(configuration(2)), 3)], 3));
+    one.apply_changes(items(vec![item(key, Some(configuration(1)), 1)], 1));
+    one.apply_changes(items(vec![item("x", Some(vec![1]), 2)], 2));
+    one.apply_changes(items(vec![item(key, Some(configuration(2)), 3)], 3));
     assert_ne!(one.digest(), other.digest());
     let (as_of, packed) = one.packed();
     let all = knowledge_pack::unpack(&packed)
@@ -130,11 +130,11 @@
         2,
     );
     assert!(knowledge.lacks_any(&changes));
-    knowledge.take_changes(changes.clone());
+    knowledge.apply_changes(changes.clone());
     assert!(!knowledge.lacks_any(&changes));
     let removed = items(vec![item("x", None, 3)], 3);
     assert!(knowledge.lacks_any(&removed));
-    knowledge.take_changes(removed.clone());
+    knowledge.apply_changes(removed.clone());
     assert!(!knowledge.lacks_any(&removed));
 }
 
@@ -154,11 +154,11 @@
     let knowledge = Knowledge::default();
     let key = "op/evacuate/hall-a";
     let ordered = items(vec![item(key, Some(b"{}".to_vec()), 5)], 5);
-    let news = knowledge.take_changes(ordered.clone());
+    let news = knowledge.apply_changes(ordered.clone());
     assert!(matches!(news.updates[..], [StoreUpdate::EvacuationOrdered(_)]));
     let digest_before = knowledge.digest();
     let over = items(vec![item(key, None, 8)], 8);
-    let news = knowledge.take_changes(over);
+    let news = knowledge.apply_changes(over);
     assert!(matches!(
         news.updates[..],
         [StoreUpdate::EvacuationOrderRemoved(_)]
@@ -166,7 +166,7 @@
     assert!(knowledge.take_told(digest_before, ordered).updates.is_empty());
     // The operator may ask again.
     let again = items(vec![item(key, Some(b"{}".to_vec()), 9)], 9);
-    assert_eq!(knowledge.take_changes(again).updates.len(), 1);
+    assert_eq!(knowledge.apply_changes(again).updates.len(), 1);
 }
 
 #[test]
@@ -174,7 +174,7 @@
     let knowledge = Knowledge::default();
     let key = "op/evacuate/hall-a";
     let ordered = items(vec![item(key, Some(b"{}".to_vec()), 5)], 5);
-    knowledge.take_changes(ordered);
+    knowledge.apply_changes(ordered);
     let news = knowledge.apply_snapshot(items(Vec::new(), 30));
     assert!(matches!(
         news.updates[..],
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -297,7 +297,7 @@
 /// Takes in all changes since what is known, which is current as of when they
 /// were asked for.
 fn take_in(gateway: &Gateway, changes: StoreItems, asked_at: BootInstant) {
-    let news = gateway.knowledge.take_changes(changes);
+    let news = gateway.knowledge.apply_changes(changes);
     gateway.apply_news(news);
     gateway.knowledge.prove(asked_at);
 }
