--- a/src/facts/knowledge.rs
+++ b/src/facts/knowledge.rs
@@ -225,7 +225,7 @@
     }
 
     /// Takes in one value that was read.
-    pub fn take_item(&self, item: StoreItem) -> AppliedItems {
+    pub fn apply_item(&self, item: StoreItem) -> AppliedItems {
         let mut mirror = self.mirror.lock().expect("mirror lock");
         let mut news = AppliedItems::default();
         mirror.take(item, &mut news);
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -108,7 +108,7 @@
         // A store that does not answer is met again when everything is read.
         let Ok(recorded) = recorded else { return false };
         for item in recorded.items {
-            gateway.apply_news(gateway.knowledge.take_item(item));
+            gateway.apply_news(gateway.knowledge.apply_item(item));
         }
         let readers = gateway.peers.readers();
         mesh::take_from_either(gateway, &readers).await
@@ -307,7 +307,7 @@
     let asked_at = gateway.clock.now();
     match gateway.store.read(document::CONFIGURATION_KEY).await? {
         Some(item) => {
-            let news = gateway.knowledge.take_item(item);
+            let news = gateway.knowledge.apply_item(item);
             gateway.apply_news(news);
             gateway.knowledge.prove(asked_at);
         }
