--- a/src/facts/knowledge.rs
+++ b/src/facts/knowledge.rs
@@ -248,7 +248,7 @@
     /// They may be known already in part, and something may be missing
     /// between them and what is known; only if neither is so does this VM
     /// know everything up to their version of the store afterwards.
-    pub fn take_told(
+    pub fn merge_peer_changes(
         &self,
         digest_before: u64,
         changes: StoreItems,
--- a/src/facts/knowledge/tests.rs
+++ b/src/facts/knowledge/tests.rs
@@ -106,7 +106,7 @@
 fn changes_told_twice_or_with_a_gap_are_taken_in_by_their_versions() {
     let knowledge = Knowledge::default();
     let tell = |digest, items: StoreItems| {
-        knowledge.take_told(digest, items);
+        knowledge.merge_peer_changes(digest, items);
     };
     let one = items(vec![item("x", Some(vec![1]), 1)], 10);
     tell(knowledge.digest(), one.clone());
@@ -163,7 +163,12 @@
         news.updates[..],
         [StoreUpdate::EvacuationOrderRemoved(_)]
     ));
-    assert!(knowledge.take_told(digest_before, ordered).updates.is_empty());
+    assert!(
+        knowledge
+            .merge_peer_changes(digest_before, ordered)
+            .updates
+            .is_empty()
+    );
     // The operator may ask again.
     let again = items(vec![item(key, Some(b"{}".to_vec()), 9)], 9);
     assert_eq!(knowledge.apply_changes(again).updates.len(), 1);
--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -432,7 +432,8 @@
                 let as_of = StoreVersion(as_of);
                 let changes = StoreItems { items: items.collect(), as_of };
                 // Whether anything is missing shows in the next beat.
-                let news = self.knowledge.take_told(digest_before, changes);
+                let news =
+                    self.knowledge.merge_peer_changes(digest_before, changes);
                 self.apply_news(news);
                 PeerReply::Done
             }
