--- a/src/facts/knowledge.rs
+++ b/src/facts/knowledge.rs
@@ -233,7 +233,7 @@
     }
 
     /// Whether any of these changes is new.
-    pub fn lacks_any(&self, changes: &StoreItems) -> bool {
+    pub fn has_new(&self, changes: &StoreItems) -> bool {
         let mirror = self.mirror.lock().expect("mirror lock");
         changes.items.iter().any(|item| mirror.is_new(item))
     }
--- a/src/facts/knowledge/tests.rs
+++ b/src/facts/knowledge/tests.rs
@@ -129,13 +129,13 @@
         vec![item("x", Some(vec![1]), 1), item("y", Some(vec![2]), 2)],
         2,
     );
-    assert!(knowledge.lacks_any(&changes));
+    assert!(knowledge.has_new(&changes));
     knowledge.apply_changes(changes.clone());
-    assert!(!knowledge.lacks_any(&changes));
+    assert!(!knowledge.has_new(&changes));
     let removed = items(vec![item("x", None, 3)], 3);
-    assert!(knowledge.lacks_any(&removed));
+    assert!(knowledge.has_new(&removed));
     knowledge.apply_changes(removed.clone());
-    assert!(!knowledge.lacks_any(&removed));
+    assert!(!knowledge.has_new(&removed));
 }
 
 #[test]
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -168,7 +168,7 @@
                     let digest = gateway.knowledge.digest();
                     // What the first watcher has told all need not be told
                     // again.
-                    if gateway.knowledge.lacks_any(&changes) {
+                    if gateway.knowledge.has_new(&changes) {
                         mesh::tell_news(gateway, digest, &changes);
                     }
                     take_in(gateway, changes, asked_at);
