--- a/src/facts/knowledge.rs
+++ b/src/facts/knowledge.rs
@@ -198,7 +198,7 @@
     }
 
     /// Whether a key is there with this value.
-    pub fn holds(&self, key: &str, value: &[u8]) -> bool {
+    pub fn contains(&self, key: &str, value: &[u8]) -> bool {
         let mirror = self.mirror.lock().expect("mirror lock");
         mirror.items.get(key).is_some_and(|(held, _)| held == value)
     }
--- a/src/gateway/record.rs
+++ b/src/gateway/record.rs
@@ -128,7 +128,7 @@
         }
         let mut records = Vec::new();
         let own = own_record(gateway);
-        if gateway.knowledge.holds(&own.key, &own.value) {
+        if gateway.knowledge.contains(&own.key, &own.value) {
             let spread = OWN_SPREAD.mul_f64(rand::random());
             self.own_due_at = now + OWN_AFTER + spread;
         } else if peers.is_seed() || now >= self.own_due_at {
