--- a/src/facts/peers.rs
+++ b/src/facts/peers.rs
@@ -268,7 +268,7 @@
     }
 
     /// Takes in the record of a VM.
-    pub(crate) fn learn(&self, vm: &str, record: &PeerRecord) {
+    pub(crate) fn set_record(&self, vm: &str, record: &PeerRecord) {
         if vm == self.vm {
             return;
         }
--- a/src/facts/peers/tests.rs
+++ b/src/facts/peers/tests.rs
@@ -165,7 +165,7 @@
             data_hall: "hall-a".parse().unwrap(),
             link_mbps: Mbps(link),
         };
-        peers.learn(&format!("vm-{vm}"), &record);
+        peers.set_record(&format!("vm-{vm}"), &record);
     };
     learn(1, 200);
     assert!(peers.readers().is_empty(), "one may be gone");
@@ -197,7 +197,7 @@
     assert!((15..=45).contains(&own), "{own} of 90 are its share");
     assert_eq!(peers.unrecorded(true, now).len(), 90);
     let (vm, record) = peers.unrecorded(true, now).remove(0);
-    peers.learn(&vm, &record);
+    peers.set_record(&vm, &record);
     assert_eq!(peers.unrecorded(true, now).len(), 89);
     assert!(peers.unrecorded(true, now + SILENT_AFTER).is_empty(), "silent");
 }
@@ -277,9 +277,9 @@
     let peers = &gateway.peers;
     let now = Duration::ZERO;
     assert_eq!(role(&gateway, 0, now), WatchRole::Watch, "it is alone");
-    peers.learn(&format!("vm-{}", after[0]), &record(after[0]));
+    peers.set_record(&format!("vm-{}", after[0]), &record(after[0]));
     assert_eq!(role(&gateway, 0, now), WatchRole::Watch, "it comes first");
-    peers.learn(&format!("vm-{}", before[0]), &record(before[0]));
+    peers.set_record(&format!("vm-{}", before[0]), &record(before[0]));
     assert_eq!(role(&gateway, 0, now), WatchRole::Look);
     peers.note_looked(gateway.clock.now());
     assert_eq!(role(&gateway, 0, now), WatchRole::Rest);
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -391,7 +391,7 @@
             }
             StoreUpdate::Peer(vm, record) => {
                 self.pool.add_vm(&vm, &record.data_hall);
-                self.peers.learn(&vm, &record);
+                self.peers.set_record(&vm, &record);
             }
             StoreUpdate::PeerGone(vm) => {
                 self.pool.remove_vm(&vm);
--- a/src/gateway/test_fleet.rs
+++ b/src/gateway/test_fleet.rs
@@ -101,7 +101,7 @@
                 data_hall: self.hall_name(other).parse().unwrap(),
                 link_mbps: Mbps(20),
             };
-            vm.peers.learn(&format!("vm-{other}"), &record);
+            vm.peers.set_record(&format!("vm-{other}"), &record);
         }
         vm
     }
