--- a/src/facts/peers.rs
+++ b/src/facts/peers.rs
@@ -325,7 +325,7 @@
 
     /// Notes that a VM's record is gone. One that still is heard stays known:
     /// its lease may have run out while it could not be renewed.
-    pub(crate) fn unrecord(&self, vm: &str) {
+    pub(crate) fn remove_record(&self, vm: &str) {
         let mut known = self.known.lock().expect("peers lock");
         if let Some(peer) = known.get_mut(vm) {
             peer.is_recorded = false;
--- a/src/facts/peers/tests.rs
+++ b/src/facts/peers/tests.rs
@@ -206,7 +206,7 @@
 fn a_vm_that_is_heard_outlives_its_record() {
     let gateway = hearing(1, &["hall-a"]);
     let peers = &gateway.peers;
-    peers.unrecord("vm-1");
+    peers.remove_record("vm-1");
     peers.sweep(gateway.clock.now());
     assert!(is_alive(&gateway, "vm-1"));
     peers.sweep(gateway.clock.now() + FORGET_AFTER);
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -395,7 +395,7 @@
             }
             StoreUpdate::PeerGone(vm) => {
                 self.pool.remove_vm(&vm);
-                self.peers.unrecord(&vm);
+                self.peers.remove_record(&vm);
             }
         }
     }
