--- a/src/facts/peers.rs
+++ b/src/facts/peers.rs
@@ -192,7 +192,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WatchRole {
     /// Nothing: others watch, and it knows what they know.
-    Rest,
+    Idle,
     /// Ask once for what has changed.
     Look,
     /// Watch, and tell the others.
@@ -503,7 +503,7 @@
         let is_proven = proof_age.is_none_or(|age| age <= limit);
         let agreement = *self.agreement.lock().expect("agreement lock");
         match is_proven && agreement.holds(now) {
-            true => WatchRole::Rest,
+            true => WatchRole::Idle,
             false => WatchRole::Look,
         }
     }
--- a/src/facts/peers/tests.rs
+++ b/src/facts/peers/tests.rs
@@ -254,7 +254,7 @@
     assert!(!watchers.iter().any(|vm| vm == peers.vm()), "it does not watch");
     assert_eq!(role(100), WatchRole::Look, "no watcher agrees yet");
     peers.note_agreed(&watchers[0], now);
-    assert_eq!(role(100), WatchRole::Rest);
+    assert_eq!(role(100), WatchRole::Idle);
     assert_eq!(role(3_500), WatchRole::Look, "the proof is old");
     peers.look();
     assert_eq!(role(100), WatchRole::Look, "told to look for itself");
@@ -282,7 +282,7 @@
     peers.set_record(&format!("vm-{}", before[0]), &record(before[0]));
     assert_eq!(role(&gateway, 0, now), WatchRole::Look);
     peers.note_looked(gateway.clock.now());
-    assert_eq!(role(&gateway, 0, now), WatchRole::Rest);
+    assert_eq!(role(&gateway, 0, now), WatchRole::Idle);
     assert!(!peers.is_first_of_hall(gateway.clock.now()), "another proves");
     // Those before it were never heard.
     assert_eq!(role(&gateway, 0, START_TIME), WatchRole::Watch);
@@ -308,7 +308,7 @@
         hear(&gateway, &beat(vm, "hall-a", 1, 1));
     }
     let soon = Duration::from_millis(100);
-    assert_eq!(role(&gateway, 0, soon), WatchRole::Rest, "more may come");
+    assert_eq!(role(&gateway, 0, soon), WatchRole::Idle, "more may come");
     assert_eq!(role(&gateway, 0, HEAR_TIME), WatchRole::Watch);
 }
 
@@ -319,6 +319,6 @@
     let settings = GatewaySettings::from_ini(&text).expect("settings");
     let gateway = Gateway::new(settings, Arc::new(SystemClock));
     gateway.peers.note_looked(gateway.clock.now());
-    assert_eq!(role(&gateway, 0, Duration::ZERO), WatchRole::Rest);
+    assert_eq!(role(&gateway, 0, Duration::ZERO), WatchRole::Idle);
     assert_eq!(role(&gateway, 0, START_TIME), WatchRole::Watch);
 }
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -143,7 +143,7 @@
         loop {
             let gateway = &self.gateway;
             let role = gateway.watch_role();
-            if role == WatchRole::Rest {
+            if role == WatchRole::Idle {
                 task::sleep(REST_TIME).await;
                 continue;
             }
