--- a/src/facts/peers.rs
+++ b/src/facts/peers.rs
@@ -194,7 +194,7 @@
     /// Nothing: others watch, and it knows what they know.
     Idle,
     /// Ask once for what has changed.
-    Look,
+    Poll,
     /// Watch, and tell the others.
     Watch,
 }
@@ -504,7 +504,7 @@
         let agreement = *self.agreement.lock().expect("agreement lock");
         match is_proven && agreement.holds(now) {
             true => WatchRole::Idle,
-            false => WatchRole::Look,
+            false => WatchRole::Poll,
         }
     }
 
--- a/src/facts/peers/tests.rs
+++ b/src/facts/peers/tests.rs
@@ -252,12 +252,12 @@
     let role = |age_ms| role(&gateway, age_ms, Duration::ZERO);
     let watchers = peers.find_watchers(now);
     assert!(!watchers.iter().any(|vm| vm == peers.vm()), "it does not watch");
-    assert_eq!(role(100), WatchRole::Look, "no watcher agrees yet");
+    assert_eq!(role(100), WatchRole::Poll, "no watcher agrees yet");
     peers.note_agreed(&watchers[0], now);
     assert_eq!(role(100), WatchRole::Idle);
-    assert_eq!(role(3_500), WatchRole::Look, "the proof is old");
+    assert_eq!(role(3_500), WatchRole::Poll, "the proof is old");
     peers.look();
-    assert_eq!(role(100), WatchRole::Look, "told to look for itself");
+    assert_eq!(role(100), WatchRole::Poll, "told to look for itself");
 }
 
 /// Hundreds of VMs that start at once, as for the first time or after a loss
@@ -280,7 +280,7 @@
     peers.set_record(&format!("vm-{}", after[0]), &record(after[0]));
     assert_eq!(role(&gateway, 0, now), WatchRole::Watch, "it comes first");
     peers.set_record(&format!("vm-{}", before[0]), &record(before[0]));
-    assert_eq!(role(&gateway, 0, now), WatchRole::Look);
+    assert_eq!(role(&gateway, 0, now), WatchRole::Poll);
     peers.note_looked(gateway.clock.now());
     assert_eq!(role(&gateway, 0, now), WatchRole::Idle);
     assert!(!peers.is_first_of_hall(gateway.clock.now()), "another proves");
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -147,7 +147,7 @@
                 task::sleep(REST_TIME).await;
                 continue;
             }
-            if role == WatchRole::Look || self.is_lost {
+            if role == WatchRole::Poll || self.is_lost {
                 // A short call tells sooner than a watch that the store is
                 // back, and proves the configuration at once.
                 match prove(gateway).await {
