--- a/src/crashes/persistence.rs
+++ b/src/crashes/persistence.rs
@@ -85,6 +85,6 @@
     let lease = store.take_lease(REMEMBERED).await?;
     let written = store.write_all(values, Some(lease)).await?;
     // Whatever stands there now, this VM is to know it.
-    gateway.peers.look();
+    gateway.peers.request_poll();
     Ok(written)
 }
--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -337,7 +337,7 @@
 async fn take_or_look(gateway: Arc<Gateway>, from: SocketAddr) {
     task::sleep(TAKE_SPREAD.mul_f64(rand::random())).await;
     if !fetch(&gateway, from).await {
-        gateway.peers.look();
+        gateway.peers.request_poll();
     }
 }
 
--- a/src/facts/peers.rs
+++ b/src/facts/peers.rs
@@ -532,7 +532,7 @@
     }
 
     /// Has this VM ask the store itself for what has changed.
-    pub(crate) fn look(&self) {
+    pub(crate) fn request_poll(&self) {
         *self.agreement.lock().expect("agreement lock") = Agreement::default();
     }
 
--- a/src/facts/peers/tests.rs
+++ b/src/facts/peers/tests.rs
@@ -256,7 +256,7 @@
     peers.note_agreed(&watchers[0], now);
     assert_eq!(role(100), WatchRole::Idle);
     assert_eq!(role(3_500), WatchRole::Poll, "the proof is old");
-    peers.look();
+    peers.request_poll();
     assert_eq!(role(100), WatchRole::Poll, "told to look for itself");
 }
 
--- a/src/gateway/record.rs
+++ b/src/gateway/record.rs
@@ -159,12 +159,12 @@
         };
         match store.write_all(records, Some(lease)).await? {
             WriteOutcome::Committed(_) => {
-                self.gateway.peers.look();
+                self.gateway.peers.request_poll();
                 Ok(())
             }
             // What this VM knows of a record is behind the store.
             WriteOutcome::Conflict => {
-                self.gateway.peers.look();
+                self.gateway.peers.request_poll();
                 Err(StoreError::NotDone("a record has changed".to_owned()))
             }
             WriteOutcome::LeaseExpired => {
