--- a/src/facts/agreement.rs
+++ b/src/facts/agreement.rs
@@ -41,7 +41,7 @@
     }
 
     /// Notes that the store was asked for all changes.
-    pub(crate) fn note_looked(&mut self, asked_at: BootInstant) {
+    pub(crate) fn record_poll(&mut self, asked_at: BootInstant) {
         self.looked_at = Some(asked_at);
         self.behind_since = None;
     }
--- a/src/facts/agreement/tests.rs
+++ b/src/facts/agreement/tests.rs
@@ -11,7 +11,7 @@
 fn a_vm_that_has_just_asked_waits_for_a_watcher() {
     let start = BootInstant::now();
     let mut agreement = Agreement::default();
-    agreement.note_looked(start);
+    agreement.record_poll(start);
     assert!(agreement.holds(start + SETTLE_TIME - MOMENT));
     assert!(!agreement.holds(start + SETTLE_TIME));
     agreement.note_agreed(start + SETTLE_TIME);
@@ -28,6 +28,6 @@
     agreement.note_behind(start + NEWS_TIME / 2);
     assert!(agreement.holds(start + NEWS_TIME - MOMENT));
     assert!(!agreement.holds(start + NEWS_TIME));
-    agreement.note_looked(start + NEWS_TIME);
+    agreement.record_poll(start + NEWS_TIME);
     assert!(agreement.holds(start + NEWS_TIME), "it has caught up");
 }
--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -394,7 +394,7 @@
     let age = Duration::from_millis(proof_age_ms.into());
     if let Some(proven_at) = asked_at.checked_sub(age) {
         gateway.knowledge.prove(proven_at);
-        gateway.peers.note_looked(proven_at);
+        gateway.peers.record_poll(proven_at);
     }
     Event::KnowledgeFromPeer.record(fields(json!({
         "from": from.to_string(),
--- a/src/facts/peers.rs
+++ b/src/facts/peers.rs
@@ -543,9 +543,9 @@
     }
 
     /// Notes that this VM asked the store for all changes at that time.
-    pub(crate) fn note_looked(&self, asked_at: BootInstant) {
+    pub(crate) fn record_poll(&self, asked_at: BootInstant) {
         let mut agreement = self.agreement.lock().expect("agreement lock");
-        agreement.note_looked(asked_at);
+        agreement.record_poll(asked_at);
     }
 
     /// Notes that a VM knows what this VM knows, which counts if it watches.
--- a/src/facts/peers/tests.rs
+++ b/src/facts/peers/tests.rs
@@ -281,7 +281,7 @@
     assert_eq!(role(&gateway, 0, now), WatchRole::Watch, "it comes first");
     peers.set_record(&format!("vm-{}", before[0]), &record(before[0]));
     assert_eq!(role(&gateway, 0, now), WatchRole::Poll);
-    peers.note_looked(gateway.clock.now());
+    peers.record_poll(gateway.clock.now());
     assert_eq!(role(&gateway, 0, now), WatchRole::Idle);
     assert!(!peers.is_first_of_hall(gateway.clock.now()), "another proves");
     // Those before it were never heard.
@@ -303,7 +303,7 @@
         .replace("[keys]", "[peers]\nseeds = 127.0.0.9:1\n[keys]");
     let settings = GatewaySettings::from_ini(&text).expect("settings");
     let gateway = Gateway::new(settings, Arc::new(SystemClock));
-    gateway.peers.note_looked(gateway.clock.now());
+    gateway.peers.record_poll(gateway.clock.now());
     for vm in 1..=2 {
         hear(&gateway, &beat(vm, "hall-a", 1, 1));
     }
@@ -318,7 +318,7 @@
         .replace("[keys]", "[peers]\nseeds = 127.0.0.9:1\n[keys]");
     let settings = GatewaySettings::from_ini(&text).expect("settings");
     let gateway = Gateway::new(settings, Arc::new(SystemClock));
-    gateway.peers.note_looked(gateway.clock.now());
+    gateway.peers.record_poll(gateway.clock.now());
     assert_eq!(role(&gateway, 0, Duration::ZERO), WatchRole::Idle);
     assert_eq!(role(&gateway, 0, START_TIME), WatchRole::Watch);
 }
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -123,12 +123,12 @@
         match recency {
             Recency::Current => {
                 gateway.knowledge.prove(asked_at);
-                gateway.peers.note_looked(asked_at);
+                gateway.peers.record_poll(asked_at);
             }
             // Before the operators' first configuration there is nothing to
             // prove, and all VMs of a new fleet are in that place.
             Recency::MayLag if gateway.knowledge.is_empty() => {
-                gateway.peers.note_looked(asked_at);
+                gateway.peers.record_poll(asked_at);
             }
             Recency::MayLag => {
                 // If the history is gone, the watch finds so as well.
@@ -284,7 +284,7 @@
     match store.watch(EVERYTHING, since, Duration::ZERO).await? {
         Watched::Changes(changes) => {
             take_in(gateway, changes, asked_at);
-            gateway.peers.note_looked(asked_at);
+            gateway.peers.record_poll(asked_at);
             Ok(Proof::Everything)
         }
         Watched::HistoryLost => {
