--- a/src/facts/peers.rs
+++ b/src/facts/peers.rs
@@ -369,7 +369,10 @@
 
     /// Notes that the store did not answer this VM as it should at that time,
     /// or that it does.
-    pub(crate) fn note_watch(&self, turned_away_at: Option<BootInstant>) {
+    pub(crate) fn set_store_failure(
+        &self,
+        turned_away_at: Option<BootInstant>,
+    ) {
         *self.turned_away_at.lock().expect("watch lock") = turned_away_at;
     }
 
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -186,7 +186,7 @@
 
     fn answered(&mut self) {
         self.backoff.reset();
-        self.gateway.peers.note_watch(None);
+        self.gateway.peers.set_store_failure(None);
         if std::mem::take(&mut self.is_lost) {
             Event::StoreBack.record(fields(json!({})));
         }
@@ -194,7 +194,7 @@
 
     async fn failed(&mut self, error: &StoreError) {
         self.gateway.note_store_ill();
-        self.gateway.peers.note_watch(Some(self.gateway.clock.now()));
+        self.gateway.peers.set_store_failure(Some(self.gateway.clock.now()));
         if !std::mem::replace(&mut self.is_lost, true) {
             let reason = error.to_string();
             Event::StoreLost.record(fields(json!({ "reason": reason })));
