--- a/src/facts/peers.rs
+++ b/src/facts/peers.rs
@@ -415,7 +415,7 @@
     /// Whether this VM is one of the first of its data hall, in the same order
     /// of all that are heard: those ask a store that does not answer more
     /// often, and tell the others when it does.
-    pub(crate) fn is_forward(&self, now: BootInstant) -> bool {
+    pub(crate) fn is_outage_prober(&self, now: BootInstant) -> bool {
         self.count_before(|peer| peer.is_alive(now)) < FORWARD
     }
 
--- a/src/facts/peers/tests.rs
+++ b/src/facts/peers/tests.rs
@@ -152,7 +152,7 @@
     assert!(!peers.is_first_watcher(now), "faster links come before it");
     let later = now + SILENT_AFTER + WATCHERS_KEPT;
     assert!(peers.is_first_watcher(later));
-    assert!(peers.is_forward(later));
+    assert!(peers.is_outage_prober(later));
 }
 
 #[test]
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -218,7 +218,7 @@
     let wait = backoff.wait();
     loop {
         let now = gateway.clock.now();
-        let limit = match gateway.peers.is_forward(now) {
+        let limit = match gateway.peers.is_outage_prober(now) {
             true => wait,
             false => wait.mul_f64(RETRY_FACTOR_OTHERS),
         };
