--- a/src/facts/peers.rs
+++ b/src/facts/peers.rs
@@ -514,7 +514,7 @@
     /// The VMs that this one asks for everything when it starts: those of its
     /// data hall that read it from the store for the others. None if this VM
     /// is one of them.
-    pub(crate) fn readers(&self) -> Vec<SocketAddr> {
+    pub(crate) fn snapshot_readers(&self) -> Vec<SocketAddr> {
         let known = self.known.lock().expect("peers lock");
         let hall = known.iter().filter(|(_, peer)| {
             peer.is_recorded && peer.data_hall == self.data_hall
--- a/src/facts/peers/tests.rs
+++ b/src/facts/peers/tests.rs
@@ -168,10 +168,10 @@
         peers.set_record(&format!("vm-{vm}"), &record);
     };
     learn(1, 200);
-    assert!(peers.readers().is_empty(), "one may be gone");
+    assert!(peers.snapshot_readers().is_empty(), "one may be gone");
     learn(2, 200);
     learn(3, 20);
-    let mut readers = peers.readers();
+    let mut readers = peers.snapshot_readers();
     readers.sort();
     let expected: Vec<SocketAddr> = vec![
         "127.0.0.1:1001".parse().unwrap(),
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -110,7 +110,7 @@
         for item in recorded.items {
             gateway.apply_news(gateway.knowledge.apply_item(item));
         }
-        let readers = gateway.peers.readers();
+        let readers = gateway.peers.snapshot_readers();
         mesh::take_from_either(gateway, &readers).await
     }
 
