--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -216,12 +216,13 @@
 }
 
 /// Takes in a beat.
-pub(crate) fn hear(gateway: &Arc<Gateway>, beat: &Heartbeat) {
+pub(crate) fn merge_heartbeat(gateway: &Arc<Gateway>, beat: &Heartbeat) {
     if beat.vm == gateway.peers.vm() {
         return;
     }
     let now = gateway.clock.now();
-    let knows_more = gateway.peers.hear(beat, &gateway.knowledge, now);
+    let knows_more =
+        gateway.peers.merge_heartbeat(beat, &gateway.knowledge, now);
     if beat.digest == gateway.knowledge.digest() {
         gateway.peers.note_agreed(&beat.vm, now);
     }
--- a/src/facts/peers.rs
+++ b/src/facts/peers.rs
@@ -575,7 +575,7 @@
 
     /// Takes in a beat, and what it proves of what this VM knows; returns
     /// whether its sender knows more.
-    pub(crate) fn hear(
+    pub(crate) fn merge_heartbeat(
         &self,
         beat: &Heartbeat,
         knowledge: &Knowledge,
--- a/src/facts/peers/tests.rs
+++ b/src/facts/peers/tests.rs
@@ -44,7 +44,7 @@
 /// Lets a VM hear a beat.
 fn hear(gateway: &Gateway, beat: &Heartbeat) {
     let now = gateway.clock.now();
-    gateway.peers.hear(beat, &gateway.knowledge, now);
+    gateway.peers.merge_heartbeat(beat, &gateway.knowledge, now);
 }
 
 /// A VM that hears `count` others, spread over the halls.
