--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -206,7 +206,7 @@
             continue;
         };
         match gateway.peers.codec.open::<Heartbeat>(&buffer[..length]) {
-            Ok(beat) => hear(&gateway, &beat),
+            Ok(beat) => receive_heartbeat(&gateway, &beat),
             Err(fault) => {
                 let dropped = &gateway.metrics.frames_dropped;
                 dropped.with_label_values(&[fault.as_str()]).inc();
@@ -216,7 +216,7 @@
 }
 
 /// Takes in a beat.
-pub(crate) fn merge_heartbeat(gateway: &Arc<Gateway>, beat: &Heartbeat) {
+pub(crate) fn receive_heartbeat(gateway: &Arc<Gateway>, beat: &Heartbeat) {
     if beat.vm == gateway.peers.vm() {
         return;
     }
--- a/src/gateway/test_fleet.rs
+++ b/src/gateway/test_fleet.rs
@@ -154,7 +154,7 @@
         while let Some((address, beat)) = round.next_beat() {
             let receiver = self.by_address[&address];
             if self.reaches(number, receiver) {
-                mesh::hear(&self.vms[receiver], beat);
+                mesh::receive_heartbeat(&self.vms[receiver], beat);
             }
         }
     }
--- a/src/gateway/wake_tests.rs
+++ b/src/gateway/wake_tests.rs
@@ -103,7 +103,7 @@
             let mut round = Round::new(&fleet.vms[OTHER]);
             while let Some((address, beat)) = round.next_beat() {
                 if address == gateway.settings.peer_address {
-                    mesh::hear(gateway, beat);
+                    mesh::receive_heartbeat(gateway, beat);
                 }
             }
         }
