--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -198,7 +198,10 @@
 }
 
 /// Takes in beats for as long as it is polled.
-pub(crate) async fn hear_loop(gateway: Arc<Gateway>, socket: UdpSocket) {
+pub(crate) async fn receive_heartbeats(
+    gateway: Arc<Gateway>,
+    socket: UdpSocket,
+) {
     let mut buffer = vec![0; DATAGRAM_BYTES];
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -74,7 +74,7 @@
         task::spawn(rollout_status::run(gateway.clone())),
         task::spawn(persistence::run(gateway.clone())),
         task::spawn(mesh::beat_loop(gateway.clone(), datagrams.clone())),
-        task::spawn(mesh::hear_loop(gateway.clone(), datagrams)),
+        task::spawn(mesh::receive_heartbeats(gateway.clone(), datagrams)),
         task::spawn(mesh::serve(gateway.clone(), streams)),
         task::spawn(serve_plain(gateway.clone(), readiness)),
         task::spawn(serve_plain(gateway.clone(), metrics)),
