--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -75,7 +75,7 @@
 
 /// Sends beats again and again: at every beat period, and sooner when
 /// something was begun that the others should know of.
-pub(crate) async fn beat_loop(gateway: Arc<Gateway>, socket: UdpSocket) {
+pub(crate) async fn send_heartbeats(gateway: Arc<Gateway>, socket: UdpSocket) {
     loop {
         let jitter = 0.9 + 0.2 * rand::random::<f64>();
         let regular =
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -73,7 +73,7 @@
         task::spawn(record::run(gateway.clone())),
         task::spawn(rollout_status::run(gateway.clone())),
         task::spawn(persistence::run(gateway.clone())),
-        task::spawn(mesh::beat_loop(gateway.clone(), datagrams.clone())),
+        task::spawn(mesh::send_heartbeats(gateway.clone(), datagrams.clone())),
         task::spawn(mesh::receive_heartbeats(gateway.clone(), datagrams)),
         task::spawn(mesh::serve(gateway.clone(), streams)),
         task::spawn(serve_plain(gateway.clone(), readiness)),
