--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -90,7 +90,7 @@
 }
 
 async fn send_beats(gateway: &Gateway, socket: &UdpSocket) {
-    let mut round = Round::new(gateway);
+    let mut round = HeartbeatRound::new(gateway);
     while let Some((address, beat)) = round.next_beat() {
         let frame = gateway.peers.codec.seal(beat);
         let counter = gateway.metrics.peer_bytes.with_label_values(&["udp"]);
@@ -103,7 +103,7 @@
 
 /// The beats of one round: one for the VMs of the own data hall and one for
 /// those of others, which differ only in their echo.
-pub(crate) struct Round {
+pub(crate) struct HeartbeatRound {
     beat: Heartbeat,
     /// What only other halls are told, until the first of them is reached.
     for_others: Option<ForOthers>,
@@ -118,9 +118,9 @@
     rate_limits: Vec<RateLimitReport>,
 }
 
-impl Round {
+impl HeartbeatRound {
     /// What a VM has to tell now, and whom.
-    pub(crate) fn new(gateway: &Gateway) -> Round {
+    pub(crate) fn new(gateway: &Gateway) -> HeartbeatRound {
         let now = gateway.clock.now();
         let mut beat = beat(gateway);
         let hall = ShortHash::of(gateway.settings.data_hall.as_str());
@@ -135,7 +135,7 @@
         beat.hall_evidence = rollouts.relayed_evidence(&beat.evidence, now);
         beat.observations = gateway.crashes.next_broadcasts(Audience::OwnHall);
         let receivers = gateway.peers.receivers(now);
-        Round {
+        HeartbeatRound {
             beat,
             for_others: Some(for_others),
             receivers: receivers.into_iter(),
--- a/src/gateway/test_fleet.rs
+++ b/src/gateway/test_fleet.rs
@@ -13,7 +13,7 @@
     clock::{BootInstant, Clock},
     facts::{
         knowledge::PeerRecord,
-        mesh::{self, Round},
+        mesh::{self, HeartbeatRound},
     },
     gateway::{Gateway, settings::GatewaySettings, tests::MINIMAL_SETTINGS},
     unit::Mbps,
@@ -150,7 +150,7 @@
     fn beat(&mut self, number: usize) {
         self.beat_at_ms.insert(number, self.elapsed_ms);
         self.early.remove(&number);
-        let mut round = Round::new(&self.vms[number]);
+        let mut round = HeartbeatRound::new(&self.vms[number]);
         while let Some((address, beat)) = round.next_beat() {
             let receiver = self.by_address[&address];
             if self.reaches(number, receiver) {
--- a/src/gateway/wake_tests.rs
+++ b/src/gateway/wake_tests.rs
@@ -15,7 +15,7 @@
     clock::Clock,
     crashes::digest::RequestDigest,
     facts::{
-        mesh::{self, Round},
+        mesh::{self, HeartbeatRound},
         route::{InputLimits, RouteTable, TableVersion},
     },
     gateway::test_fleet::Fleet,
@@ -100,7 +100,7 @@
         }
         Act::Vanish => gateway.pool.remove(&upstream(), false, now),
         Act::Hear => {
-            let mut round = Round::new(&fleet.vms[OTHER]);
+            let mut round = HeartbeatRound::new(&fleet.vms[OTHER]);
             while let Some((address, beat)) = round.next_beat() {
                 if address == gateway.settings.peer_address {
                     mesh::receive_heartbeat(gateway, beat);
