--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -91,7 +91,7 @@
 
 async fn send_beats(gateway: &Gateway, socket: &UdpSocket) {
     let mut round = HeartbeatRound::new(gateway);
-    while let Some((address, beat)) = round.next_beat() {
+    while let Some((address, beat)) = round.next_heartbeat() {
         let frame = gateway.peers.codec.seal(beat);
         let counter = gateway.metrics.peer_bytes.with_label_values(&["udp"]);
         counter.inc_by(frame.len() as u64);
@@ -143,7 +143,9 @@
     }
 
     /// The next beat, and the VM that it goes to.
-    pub(crate) fn next_beat(&mut self) -> Option<(SocketAddr, &Heartbeat)> {
+    pub(crate) fn next_heartbeat(
+        &mut self,
+    ) -> Option<(SocketAddr, &Heartbeat)> {
         let receiver = self.receivers.next()?;
         if !receiver.is_near
             && let Some(told) = self.for_others.take()
--- a/src/gateway/test_fleet.rs
+++ b/src/gateway/test_fleet.rs
@@ -151,7 +151,7 @@
         self.beat_at_ms.insert(number, self.elapsed_ms);
         self.early.remove(&number);
         let mut round = HeartbeatRound::new(&self.vms[number]);
-        while let Some((address, beat)) = round.next_beat() {
+        while let Some((address, beat)) = round.next_heartbeat() {
             let receiver = self.by_address[&address];
             if self.reaches(number, receiver) {
                 mesh::receive_heartbeat(&self.vms[receiver], beat);
--- a/src/gateway/wake_tests.rs
+++ b/src/gateway/wake_tests.rs
@@ -101,7 +101,7 @@
         Act::Vanish => gateway.pool.remove(&upstream(), false, now),
         Act::Hear => {
             let mut round = HeartbeatRound::new(&fleet.vms[OTHER]);
-            while let Some((address, beat)) = round.next_beat() {
+            while let Some((address, beat)) = round.next_heartbeat() {
                 if address == gateway.settings.peer_address {
                     mesh::receive_heartbeat(gateway, beat);
                 }
