--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -281,7 +281,7 @@
 }
 
 /// Tells the other VMs what has changed.
-pub(crate) fn tell_news(
+pub(crate) fn push_changes(
     gateway: &Arc<Gateway>,
     digest_before: u64,
     changes: &StoreItems,
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -169,7 +169,7 @@
                     // What the first watcher has told all need not be told
                     // again.
                     if gateway.knowledge.has_new(&changes) {
-                        mesh::tell_news(gateway, digest, &changes);
+                        mesh::push_changes(gateway, digest, &changes);
                     }
                     take_in(gateway, changes, asked_at);
                     self.answered();
