--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -349,7 +349,7 @@
 
 /// Takes everything from the first of two VMs that tells it; returns whether
 /// one did.
-pub(crate) async fn take_from_either(
+pub(crate) async fn fetch_from_either(
     gateway: &Gateway,
     sources: &[SocketAddr],
 ) -> bool {
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -111,7 +111,7 @@
             gateway.apply_news(gateway.knowledge.apply_item(item));
         }
         let readers = gateway.peers.snapshot_readers();
-        mesh::take_from_either(gateway, &readers).await
+        mesh::fetch_from_either(gateway, &readers).await
     }
 
     async fn try_read_all(&self, recency: Recency) -> Result<(), StoreError> {
