--- a/src/answer.rs
+++ b/src/answer.rs
@@ -39,7 +39,10 @@
 
 impl Answer {
     /// The answer that belongs to an error.
-    pub(crate) fn refusal(error: &Error, id: Option<&RequestId>) -> Answer {
+    pub(crate) fn error_response(
+        error: &Error,
+        id: Option<&RequestId>,
+    ) -> Answer {
         let answer = error.kind().answer();
         let mut headers =
             vec![Header::new("content-type", "application/json")];
--- a/src/api/caller_api.rs
+++ b/src/api/caller_api.rs
@@ -263,7 +263,7 @@
     reason: impl Into<String>,
 ) -> Conn {
     let error = Error::new(kind).context(reason);
-    send(conn, Answer::refusal(&error, None))
+    send(conn, Answer::error_response(&error, None))
 }
 
 /// Answers with JSON.
--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -383,7 +383,7 @@
         let code = self.finish(outcome.as_ref().err());
         let mut answer = match outcome {
             Ok(answer) => answer,
-            Err(error) => Answer::refusal(&error, Some(&id)),
+            Err(error) => Answer::error_response(&error, Some(&id)),
         };
         self.count(&code);
         answer.add_header(Header::new("lupinseam-decision", id.to_string()));
