--- a/src/answer.rs
+++ b/src/answer.rs
@@ -53,7 +53,7 @@
         Answer::Whole {
             status: answer.status,
             headers,
-            body: Bytes::from(refusal_json(error, id).to_string()),
+            body: Bytes::from(error_json(error, id).to_string()),
         }
     }
 
@@ -67,7 +67,7 @@
 }
 
 /// The JSON of a refusal.
-pub(crate) fn refusal_json(
+pub(crate) fn error_json(
     error: &Error,
     id: Option<&RequestId>,
 ) -> serde_json::Value {
--- a/src/api/operators.rs
+++ b/src/api/operators.rs
@@ -401,7 +401,7 @@
 
     /// Refuses; to the loser of two edits it shows what stands now.
     fn send_refusal(&self, conn: Conn, parts: &[&str], error: &Error) -> Conn {
-        let mut body = crate::answer::refusal_json(error, None);
+        let mut body = crate::answer::error_json(error, None);
         if error.kind() == ErrorKind::EditConflict {
             let current = match parts {
                 ["templates", name] => self.template(name),
--- a/src/api/relay.rs
+++ b/src/api/relay.rs
@@ -12,9 +12,7 @@
 use smol::channel::{Sender, bounded};
 
 use crate::{
-    answer::{
-        Answer, BrokenOff, Header, StreamBody, StreamPart, refusal_json,
-    },
+    answer::{Answer, BrokenOff, Header, StreamBody, StreamPart, error_json},
     api::{
         chat::TokenUsage,
         decision::AttemptEnd,
@@ -376,7 +374,7 @@
     async fn break_off(self, error: Error) {
         let id = &self.request.core.decision.id;
         Event::AnswerBroken.log(format_args!("request {id}: {error}"));
-        let data = refusal_json(&error, Some(id));
+        let data = error_json(&error, Some(id));
         let event = format!("event: error\ndata: {}\n\n", json!(data));
         // The caller may be gone as well; then nobody needs to know.
         let _ = self.sender.send(Ok(Bytes::from(event))).await;
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -767,7 +767,7 @@
             headers.insert(hyper::header::RETRY_AFTER, value);
         }
     }
-    let body = crate::answer::refusal_json(error, None).to_string();
+    let body = crate::answer::error_json(error, None).to_string();
     headers.insert(
         hyper::header::CONTENT_TYPE,
         hyper::header::HeaderValue::from_static("application/json"),
