--- a/src/answer.rs
+++ b/src/answer.rs
@@ -82,11 +82,11 @@
 }
 
 /// A part of a streamed body, or the word that no whole body will come.
-pub(crate) type StreamPart = Result<Bytes, BrokenOff>;
+pub(crate) type StreamPart = Result<Bytes, BodyAborted>;
 
 /// The body broke off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct BrokenOff;
+pub(crate) struct BodyAborted;
 
 /// A body that is read as its parts come.
 ///
@@ -136,7 +136,7 @@
                     self.ended = true;
                 }
                 Poll::Ready(Some(Ok(part))) => self.current = part,
-                Poll::Ready(Some(Err(BrokenOff)) | None) => {
+                Poll::Ready(Some(Err(BodyAborted)) | None) => {
                     let error = io::ErrorKind::ConnectionAborted.into();
                     return Poll::Ready(Err(error));
                 }
@@ -173,7 +173,7 @@
         let part = || Ok(Bytes::from_static(b"ab"));
         let ended = read(vec![part(), part(), Ok(StreamBody::END)]);
         assert_eq!(ended.unwrap(), b"abab");
-        assert!(read(vec![part(), Err(BrokenOff)]).is_err());
+        assert!(read(vec![part(), Err(BodyAborted)]).is_err());
         assert!(read(vec![part()]).is_err());
     }
 }
--- a/src/api/relay.rs
+++ b/src/api/relay.rs
@@ -12,7 +12,9 @@
 use smol::channel::{Sender, bounded};
 
 use crate::{
-    answer::{Answer, BrokenOff, Header, StreamBody, StreamPart, error_json},
+    answer::{
+        Answer, BodyAborted, Header, StreamBody, StreamPart, error_json,
+    },
     api::{
         chat::TokenUsage,
         decision::AttemptEnd,
@@ -378,7 +380,7 @@
         let event = format!("event: error\ndata: {}\n\n", json!(data));
         // The caller may be gone as well; then nobody needs to know.
         let _ = self.sender.send(Ok(Bytes::from(event))).await;
-        let _ = self.sender.send(Err(BrokenOff)).await;
+        let _ = self.sender.send(Err(BodyAborted)).await;
         self.request.core.settle_stream(Some(&error));
     }
 }
--- a/src/gateway/ingress.rs
+++ b/src/gateway/ingress.rs
@@ -33,7 +33,7 @@
         Gateway,
         forward::{Job, Reply, ReplyBody, refuse},
         inbound::{Inbound, ModelWish},
-        relay_events::{self, BrokenOff},
+        relay_events::{self, BodyAborted},
         trace::Trace,
     },
     placing::cascade::first_model,
@@ -73,7 +73,7 @@
 /// Time between two looks at whether a VM that starts is ready.
 const FIRST_KNOWLEDGE_LOOK: Duration = Duration::from_millis(5);
 
-type AnswerBody = UnsyncBoxBody<Bytes, BrokenOff>;
+type AnswerBody = UnsyncBoxBody<Bytes, BodyAborted>;
 
 /// Accepts callers until told to stop.
 ///
--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -46,15 +46,15 @@
 
 /// The stream broke off for good.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct BrokenOff;
+pub(crate) struct BodyAborted;
 
-impl std::fmt::Display for BrokenOff {
+impl std::fmt::Display for BodyAborted {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the stream broke off")
     }
 }
 
-impl std::error::Error for BrokenOff {}
+impl std::error::Error for BodyAborted {}
 
 /// A stream from one upstream.
 struct Source {
@@ -343,7 +343,7 @@
 
 impl EventRelay {
     /// The next events, or `None` after the last.
-    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, BrokenOff> {
+    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, BodyAborted> {
         if let Some(first) = self.first.take()
             && !first.is_empty()
         {
@@ -356,7 +356,7 @@
             }
             let limit = self.job.pause_limit();
             let Some(source) = &mut self.source else {
-                return Err(BrokenOff);
+                return Err(BodyAborted);
             };
             let last = &mut self.last_event;
             match source.next(&self.job, last, limit).await {
@@ -397,9 +397,9 @@
     }
 
     /// Asks another upstream for the rest.
-    async fn resume(&mut self, stop: Stop) -> Result<(), BrokenOff> {
+    async fn resume(&mut self, stop: Stop) -> Result<(), BodyAborted> {
         let Some(source) = self.source.take() else {
-            return Err(BrokenOff);
+            return Err(BodyAborted);
         };
         let mut reason = stop.reason();
         self.job.judge(&source.attempt, AttemptOutcome::Lost, None);
@@ -488,11 +488,11 @@
         }
     }
 
-    fn break_off(&mut self, reason: String) -> Result<(), BrokenOff> {
+    fn break_off(&mut self, reason: String) -> Result<(), BodyAborted> {
         if let Some(trace) = self.trace.take() {
             trace.end(End::Broken(reason));
         }
-        Err(BrokenOff)
+        Err(BodyAborted)
     }
 }
 
@@ -500,8 +500,9 @@
 pub(crate) fn into_body(
     relay: Box<EventRelay>,
     held: crate::gateway::Held,
-) -> impl futures_lite::Stream<Item = Result<hyper::body::Frame<Bytes>, BrokenOff>>
-+ Send {
+) -> impl futures_lite::Stream<
+    Item = Result<hyper::body::Frame<Bytes>, BodyAborted>,
+> + Send {
     let state = Some((relay, held));
     futures_lite::stream::unfold(state, |state| async move {
         let (mut relay, held) = state?;
