--- a/src/api/relay.rs
+++ b/src/api/relay.rs
@@ -395,7 +395,7 @@
             self.last_id = Some(id);
         }
         self.events += 1;
-        if let Some(used) = event.token_use() {
+        if let Some(used) = event.token_usage() {
             self.used = Some(used);
         }
         if self.text.len() < RATED_BYTES
--- a/src/sse.rs
+++ b/src/sse.rs
@@ -29,7 +29,7 @@
     }
 
     /// The tokens used, where the event says so.
-    pub(crate) fn token_use(&self) -> Option<TokenUsage> {
+    pub(crate) fn token_usage(&self) -> Option<TokenUsage> {
         if !self.data.contains("\"usage\"") {
             return None;
         }
@@ -145,6 +145,6 @@
                     \"completion_tokens\":5}}";
         let event = parse(Bytes::from(format!("data: {data}\n\n")));
         let expected = TokenUsage { input: 3, output: 5 };
-        assert_eq!(event.token_use(), Some(expected));
+        assert_eq!(event.token_usage(), Some(expected));
     }
 }
