--- a/src/api/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -37,7 +37,7 @@
     error::{Error, ErrorKind},
     event::Event,
     http_client::{
-        Call, Exchange, HOP_HEADERS, Reuse, SendError, WholeAnswer,
+        Call, Exchange, HOP_BY_HOP_HEADERS, Reuse, SendError, WholeAnswer,
     },
     id::UpstreamId,
     message::ShortHash,
@@ -880,7 +880,7 @@
 
 /// Whether a header is passed on between caller and upstream.
 pub(crate) fn is_passed_on(name: &str) -> bool {
-    !HOP_HEADERS.contains(&name) && name != "host" && name != "date"
+    !HOP_BY_HOP_HEADERS.contains(&name) && name != "host" && name != "date"
 }
 
 fn pass_on(answer: WholeAnswer) -> Answer {
--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -36,7 +36,7 @@
 const IDLE_LIFETIME: Duration = Duration::from_secs(20);
 
 /// Headers that belong to a connection and are not passed on.
-pub(crate) const HOP_HEADERS: [&str; 8] = [
+pub(crate) const HOP_BY_HOP_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
     "proxy-connection",
