--- a/src/facts/mesh.rs
+++ b/src/facts/mesh.rs
@@ -291,7 +291,7 @@
     }
     let own = gateway.settings.peer_address;
     let request = news(digest_before, changes, own);
-    for address in gateway.peers.told(gateway.clock.now()) {
+    for address in gateway.peers.change_receivers(gateway.clock.now()) {
         let request = request.clone();
         let gateway = gateway.clone();
         task::spawn(async move {
--- a/src/facts/peers.rs
+++ b/src/facts/peers.rs
@@ -560,7 +560,10 @@
 
     /// The VMs that a watcher tells what has changed: the other watchers too,
     /// which are there for its loss and ask less often.
-    pub(crate) fn told(&self, now: BootInstant) -> Vec<SocketAddr> {
+    pub(crate) fn change_receivers(
+        &self,
+        now: BootInstant,
+    ) -> Vec<SocketAddr> {
         if !self.watchers(now).contains(&self.vm) {
             return Vec::new();
         }
