--- a/src/answer.rs
+++ b/src/answer.rs
@@ -115,7 +115,7 @@
     }
 
     /// Keeps the sign that the caller is there for as long as the body.
-    pub(crate) fn keep_presence(&mut self, presence: Sender<()>) {
+    pub(crate) fn attach_caller_guard(&mut self, presence: Sender<()>) {
         self._presence = Some(presence);
     }
 }
--- a/src/api/caller_api.rs
+++ b/src/api/caller_api.rs
@@ -222,7 +222,7 @@
     let answer = conn.cancel_on_disconnect(waiting).await;
     match answer {
         Some(Ok(Answer::Streamed { headers, mut body })) => {
-            body.keep_presence(gone);
+            body.attach_caller_guard(gone);
             send(conn, Answer::Streamed { headers, body })
         }
         Some(Ok(answer)) => send(conn, answer),
