--- a/src/facts/agreement.rs
+++ b/src/facts/agreement.rs
@@ -24,7 +24,7 @@
 
 /// What a VM has to go by instead of watching the store.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Agreement {
+pub(crate) struct Freshness {
     /// When a watcher last knew what this VM knows.
     agreed_at: Option<BootInstant>,
     /// When this VM last asked the store for everything that had changed.
@@ -33,7 +33,7 @@
     behind_since: Option<BootInstant>,
 }
 
-impl Agreement {
+impl Freshness {
     /// Notes that a watcher knows what this VM knows.
     pub(crate) fn note_agreed(&mut self, now: BootInstant) {
         self.agreed_at = Some(now);
@@ -53,7 +53,7 @@
     }
 
     /// Whether the store need not be asked for what has changed.
-    pub(crate) fn holds(&self, now: BootInstant) -> bool {
+    pub(crate) fn is_current(&self, now: BootInstant) -> bool {
         let within = |at: Option<BootInstant>, limit: Duration| {
             at.is_some_and(|at| now.saturating_duration_since(at) < limit)
         };
--- a/src/facts/peers.rs
+++ b/src/facts/peers.rs
@@ -15,7 +15,7 @@
 use crate::{
     clock::BootInstant,
     facts::{
-        agreement::{self, Agreement},
+        agreement::{self, Freshness},
         knowledge::{Knowledge, PeerRecord},
         route::TableVersion,
     },
@@ -215,7 +215,7 @@
     /// In the order of their names, so that each has its turn.
     known: Mutex<BTreeMap<String, Peer>>,
     sent: Mutex<Vec<(u32, BootInstant)>>,
-    agreement: Mutex<Agreement>,
+    agreement: Mutex<Freshness>,
     /// When the store last did not answer this VM as it should.
     turned_away_at: Mutex<Option<BootInstant>>,
     /// The VMs that watch, as found at that time.
@@ -505,7 +505,7 @@
         // Nothing was proven as long as there is nothing to prove.
         let is_proven = proof_age.is_none_or(|age| age <= limit);
         let agreement = *self.agreement.lock().expect("agreement lock");
-        match is_proven && agreement.holds(now) {
+        match is_proven && agreement.is_current(now) {
             true => WatchRole::Idle,
             false => WatchRole::Poll,
         }
@@ -536,7 +536,7 @@
 
     /// Has this VM ask the store itself for what has changed.
     pub(crate) fn request_poll(&self) {
-        *self.agreement.lock().expect("agreement lock") = Agreement::default();
+        *self.agreement.lock().expect("agreement lock") = Freshness::default();
     }
 
     /// Notes that another VM knows more than this one. What a watcher tells
