--- a/src/facts/mod.rs
+++ b/src/facts/mod.rs
@@ -4,10 +4,10 @@
 //! * [`knowledge_pack`]: all of it, packed for a VM that starts.
 //! * [`peers`]: the other VMs, and which of them watch the store.
 //! * [`mesh`]: beats, news and questions between VMs.
-//! * [`agreement`]: when a VM may go by another's word.
+//! * [`freshness`]: when a VM may go by another's word.
 //! * [`route`]: the operators' configuration as facts bring it.
 
-pub(crate) mod agreement;
+pub(crate) mod freshness;
 pub mod knowledge;
 pub(crate) mod knowledge_pack;
 pub(crate) mod mesh;
--- a/src/facts/peers.rs
+++ b/src/facts/peers.rs
@@ -15,7 +15,7 @@
 use crate::{
     clock::BootInstant,
     facts::{
-        agreement::{self, Freshness},
+        freshness::{self, Freshness},
         knowledge::{Knowledge, PeerRecord},
         route::TableVersion,
     },
@@ -31,7 +31,7 @@
 
 /// Age of the last beat from which a VM counts as gone. A VM of another data
 /// hall may send one only every few rounds.
-const SILENT_AFTER: Duration = agreement::AGREED_TIME;
+const SILENT_AFTER: Duration = freshness::AGREED_TIME;
 
 /// Age of the last beat from which one of an earlier life is believed again:
 /// the time of day, which tells lives apart, may have been set back.
@@ -215,7 +215,7 @@
     /// In the order of their names, so that each has its turn.
     known: Mutex<BTreeMap<String, Peer>>,
     sent: Mutex<Vec<(u32, BootInstant)>>,
-    agreement: Mutex<Freshness>,
+    freshness: Mutex<Freshness>,
     /// When the store last did not answer this VM as it should.
     turned_away_at: Mutex<Option<BootInstant>>,
     /// The VMs that watch, as found at that time.
@@ -250,7 +250,7 @@
             started_at: now,
             known: Mutex::default(),
             sent: Mutex::default(),
-            agreement: Mutex::default(),
+            freshness: Mutex::default(),
             turned_away_at: Mutex::default(),
             watchers: Mutex::default(),
             next_receiver: AtomicUsize::new(rendezvous::short_hash(
@@ -504,8 +504,8 @@
         let limit = revoke.mul_f64(REST_PROOF_PART);
         // Nothing was proven as long as there is nothing to prove.
         let is_proven = proof_age.is_none_or(|age| age <= limit);
-        let agreement = *self.agreement.lock().expect("agreement lock");
-        match is_proven && agreement.is_current(now) {
+        let freshness = *self.freshness.lock().expect("freshness lock");
+        match is_proven && freshness.is_current(now) {
             true => WatchRole::Idle,
             false => WatchRole::Poll,
         }
@@ -536,25 +536,25 @@
 
     /// Has this VM ask the store itself for what has changed.
     pub(crate) fn request_poll(&self) {
-        *self.agreement.lock().expect("agreement lock") = Freshness::default();
+        *self.freshness.lock().expect("freshness lock") = Freshness::default();
     }
 
     /// Notes that another VM knows more than this one. What a watcher tells
     /// may be on its way, so that alone says nothing yet.
     pub(crate) fn note_behind(&self, now: BootInstant) {
-        self.agreement.lock().expect("agreement lock").note_behind(now);
+        self.freshness.lock().expect("freshness lock").note_behind(now);
     }
 
     /// Notes that this VM asked the store for all changes at that time.
     pub(crate) fn record_poll(&self, asked_at: BootInstant) {
-        let mut agreement = self.agreement.lock().expect("agreement lock");
-        agreement.record_poll(asked_at);
+        let mut freshness = self.freshness.lock().expect("freshness lock");
+        freshness.record_poll(asked_at);
     }
 
     /// Notes that a VM knows what this VM knows, which counts if it watches.
     pub(crate) fn note_agreed(&self, vm: &str, now: BootInstant) {
         if self.watchers(now).iter().any(|watcher| watcher == vm) {
-            self.agreement.lock().expect("agreement lock").note_agreed(now);
+            self.freshness.lock().expect("freshness lock").note_agreed(now);
         }
     }
 
