--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -23,7 +23,7 @@
     clock::SystemClock,
     crashes::persistence,
     event::Event,
-    facts::mesh,
+    facts::gossip,
     gateway::{
         Gateway, fields, ingress, record, rollout_status,
         settings::GatewaySettings, watch,
@@ -73,9 +73,12 @@
         task::spawn(record::run(gateway.clone())),
         task::spawn(rollout_status::run(gateway.clone())),
         task::spawn(persistence::run(gateway.clone())),
-        task::spawn(mesh::send_heartbeats(gateway.clone(), datagrams.clone())),
-        task::spawn(mesh::receive_heartbeats(gateway.clone(), datagrams)),
-        task::spawn(mesh::serve(gateway.clone(), streams)),
+        task::spawn(gossip::send_heartbeats(
+            gateway.clone(),
+            datagrams.clone(),
+        )),
+        task::spawn(gossip::receive_heartbeats(gateway.clone(), datagrams)),
+        task::spawn(gossip::serve(gateway.clone(), streams)),
         task::spawn(serve_plain(gateway.clone(), readiness)),
         task::spawn(serve_plain(gateway.clone(), metrics)),
     ];
--- a/src/gateway/test_fleet.rs
+++ b/src/gateway/test_fleet.rs
@@ -12,8 +12,8 @@
 use crate::{
     clock::{BootInstant, Clock},
     facts::{
+        gossip::{self, HeartbeatRound},
         knowledge::PeerRecord,
-        mesh::{self, HeartbeatRound},
     },
     gateway::{Gateway, settings::GatewaySettings, tests::MINIMAL_SETTINGS},
     unit::Mbps,
@@ -154,7 +154,7 @@
         while let Some((address, beat)) = round.next_heartbeat() {
             let receiver = self.by_address[&address];
             if self.reaches(number, receiver) {
-                mesh::receive_heartbeat(&self.vms[receiver], beat);
+                gossip::receive_heartbeat(&self.vms[receiver], beat);
             }
         }
     }
--- a/src/gateway/wake_tests.rs
+++ b/src/gateway/wake_tests.rs
@@ -15,7 +15,7 @@
     clock::Clock,
     crashes::digest::RequestDigest,
     facts::{
-        mesh::{self, HeartbeatRound},
+        gossip::{self, HeartbeatRound},
         route::{InputLimits, RouteTable, TableVersion},
     },
     gateway::test_fleet::Fleet,
@@ -103,7 +103,7 @@
             let mut round = HeartbeatRound::new(&fleet.vms[OTHER]);
             while let Some((address, beat)) = round.next_heartbeat() {
                 if address == gateway.settings.peer_address {
-                    mesh::receive_heartbeat(gateway, beat);
+                    gossip::receive_heartbeat(gateway, beat);
                 }
             }
         }
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -111,7 +111,7 @@
             gateway.apply_news(gateway.knowledge.apply_item(item));
         }
         let readers = gateway.peers.snapshot_readers();
-        mesh::fetch_from_either(gateway, &readers).await
+        gossip::fetch_from_either(gateway, &readers).await
     }
 
     async fn try_read_all(&self, recency: Recency) -> Result<(), StoreError> {
@@ -169,7 +169,7 @@
                     // What the first watcher has told all need not be told
                     // again.
                     if gateway.knowledge.has_new(&changes) {
-                        mesh::push_changes(gateway, digest, &changes);
+                        gossip::push_changes(gateway, digest, &changes);
                     }
                     take_in(gateway, changes, asked_at);
                     self.answered();
