--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -8,7 +8,7 @@
     chains::store::{Backoff, StoreError},
     clock::BootInstant,
     event::Event,
-    facts::{mesh, peers::WatchRole},
+    facts::{gossip, peers::WatchRole},
     gateway::{Gateway, fields},
     platform::{
         document::{self, EVERYTHING},
