--- a/src/api/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -37,7 +37,7 @@
     error::{Error, ErrorKind},
     event::Event,
     http_client::{
-        Call, Exchange, HOP_BY_HOP_HEADERS, Reuse, SendError, WholeAnswer,
+        Call, Exchange, FullResponse, HOP_BY_HOP_HEADERS, Reuse, SendError,
     },
     id::UpstreamId,
     message::ShortHash,
@@ -251,7 +251,7 @@
         &mut self,
         step: &Step,
         pass: &mut Option<crate::api::queue::Pass>,
-    ) -> Result<WholeAnswer, Error> {
+    ) -> Result<FullResponse, Error> {
         let repeatable = self.state.repeatable;
         let mut tried: Vec<UpstreamId> = Vec::new();
         loop {
@@ -334,7 +334,7 @@
         }
     }
 
-    fn note_answer(&mut self, entry: &VersionEntry, answer: &WholeAnswer) {
+    fn note_answer(&mut self, entry: &VersionEntry, answer: &FullResponse) {
         let status = answer.status;
         self.core.end_attempt(AttemptEnd::Answered { status });
         let used = serde_json::from_slice::<Value>(&answer.body)
@@ -434,7 +434,7 @@
         }
     }
 
-    fn whole(&self, answer: WholeAnswer, entry: &VersionEntry) -> Answer {
+    fn whole(&self, answer: FullResponse, entry: &VersionEntry) -> Answer {
         let mut passed = pass_on(answer);
         if let Some(header) = self.session_header(entry) {
             passed.add_header(header);
@@ -710,7 +710,7 @@
         &self,
         chosen: &SelectedUpstream,
         sending: Sending,
-    ) -> Result<WholeAnswer, AttemptFault> {
+    ) -> Result<FullResponse, AttemptFault> {
         let limit = sending.limit;
         let most = self.vm.settings.requests.answer_limit_bytes;
         // A connection that others used before may be closing, which leaves
@@ -883,7 +883,7 @@
     !HOP_BY_HOP_HEADERS.contains(&name) && name != "host" && name != "date"
 }
 
-fn pass_on(answer: WholeAnswer) -> Answer {
+fn pass_on(answer: FullResponse) -> Answer {
     let headers = answer.headers.iter().filter_map(|(name, value)| {
         let value = value.to_str().ok()?;
         is_passed_on(name.as_str()).then(|| Header::new(name.as_str(), value))
--- a/src/chains/store.rs
+++ b/src/chains/store.rs
@@ -23,7 +23,7 @@
 
 use crate::{
     clock::SharedClock,
-    http_client::{Call, HttpClient, SendError, WholeAnswer},
+    http_client::{Call, FullResponse, HttpClient, SendError},
     settings::StoreSettings,
     task,
     token_bucket::TokenBucket,
@@ -273,7 +273,7 @@
         &self,
         call: Call,
         limit: Duration,
-    ) -> Result<WholeAnswer, StoreError> {
+    ) -> Result<FullResponse, StoreError> {
         let sent = self.client.fetch(call, limit, ANSWER_LIMIT_BYTES).await;
         let outcome = match sent {
             Err(SendError::NotSent(reason)) => {
@@ -298,13 +298,13 @@
         &self,
         path: String,
         limit: Duration,
-    ) -> Result<WholeAnswer, StoreError> {
+    ) -> Result<FullResponse, StoreError> {
         self.admit(&self.reads).await?;
         self.counts.reads.fetch_add(1, Ordering::Relaxed);
         self.call(Call::new(self.address, Method::GET, path), limit).await
     }
 
-    async fn write(&self, call: Call) -> Result<WholeAnswer, StoreError> {
+    async fn write(&self, call: Call) -> Result<FullResponse, StoreError> {
         self.admit(&self.writes).await?;
         self.counts.writes.fetch_add(1, Ordering::Relaxed);
         self.call(call, self.settings.deadline).await
@@ -405,14 +405,14 @@
     StoreError::MaybeDone(format!("unexpected status {status}"))
 }
 
-fn etag(answer: &WholeAnswer) -> Result<StoreVersion, StoreError> {
+fn etag(answer: &FullResponse) -> Result<StoreVersion, StoreError> {
     let text = answer.header("etag").map(|tag| tag.trim_matches('"'));
     text.and_then(|text| text.parse().ok())
         .map(StoreVersion)
         .ok_or_else(|| StoreError::MaybeDone("no version given".into()))
 }
 
-fn stored(answer: WholeAnswer) -> Result<Option<Stored>, StoreError> {
+fn stored(answer: FullResponse) -> Result<Option<Stored>, StoreError> {
     match answer.status {
         200 => {
             let version = etag(&answer)?;
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -19,7 +19,7 @@
     clock::SystemClock,
     error::Error,
     gateway::{self, settings::GatewaySettings},
-    http_client::{Call, HttpClient, WholeAnswer},
+    http_client::{Call, FullResponse, HttpClient},
     logging,
     settings::Settings,
     story::Story,
@@ -435,7 +435,7 @@
     }
 }
 
-async fn ask(command: Command) -> Result<WholeAnswer, String> {
+async fn ask(command: Command) -> Result<FullResponse, String> {
     let (address, call) = match command {
         Command::Template(command) => template_call(command.action)?,
         Command::Version(command) => version_call(command.action)?,
@@ -552,7 +552,7 @@
         .map_err(|error| format!("reading {}: {error}", path.display()))
 }
 
-fn print_answer(answer: &WholeAnswer) -> ExitCode {
+fn print_answer(answer: &FullResponse) -> ExitCode {
     let text = String::from_utf8_lossy(&answer.body).into_owned();
     let pretty = serde_json::from_str::<Value>(&text)
         .ok()
--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -276,7 +276,7 @@
         call: Call,
         limit: Duration,
         body_limit_bytes: u64,
-    ) -> Result<WholeAnswer, SendError> {
+    ) -> Result<FullResponse, SendError> {
         let work = async {
             let exchange = self.send(call, Reuse::Pooled).await?;
             exchange.read_whole(body_limit_bytes).await
@@ -411,7 +411,7 @@
 
 /// An answer read to its end.
 #[derive(Clone, Debug)]
-pub struct WholeAnswer {
+pub struct FullResponse {
     /// The HTTP status.
     pub status: u16,
     /// The headers.
@@ -420,7 +420,7 @@
     pub body: Bytes,
 }
 
-impl WholeAnswer {
+impl FullResponse {
     /// A header as text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
@@ -485,7 +485,7 @@
     pub async fn read_whole(
         mut self,
         limit_bytes: u64,
-    ) -> Result<WholeAnswer, SendError> {
+    ) -> Result<FullResponse, SendError> {
         let mut whole = BytesMut::new();
         while let Some(chunk) = self.next_chunk().await? {
             if (whole.len() + chunk.len()) as u64 > limit_bytes {
@@ -496,7 +496,7 @@
         if self.framed {
             self.release();
         }
-        Ok(WholeAnswer {
+        Ok(FullResponse {
             status: self.status,
             headers: std::mem::take(&mut self.headers),
             body: whole.freeze(),
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -12,7 +12,7 @@
 use hyper::Method;
 use lupinseam::{
     clock::SystemClock,
-    http_client::{Call, HttpClient, WholeAnswer},
+    http_client::{Call, FullResponse, HttpClient},
 };
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -852,7 +852,7 @@
         &self,
         address: SocketAddr,
         path: &str,
-    ) -> FleetResult<WholeAnswer> {
+    ) -> FleetResult<FullResponse> {
         self.fetch(Call::new(address, Method::GET, path)).await
     }
 
@@ -861,7 +861,7 @@
     /// # Errors
     ///
     /// When it does not answer.
-    pub async fn fetch(&self, call: Call) -> FleetResult<WholeAnswer> {
+    pub async fn fetch(&self, call: Call) -> FleetResult<FullResponse> {
         let address = call.address;
         self.client
             .fetch(call, CALL_LIMIT, ANSWER_LIMIT_BYTES)
