--- a/src/api/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -729,7 +729,7 @@
                 exchange.status,
                 &exchange.headers,
             );
-            exchange.read_whole(most).await.map_err(fault_of)
+            exchange.read_to_end(most).await.map_err(fault_of)
         };
         let result = match can_cancel {
             true => self.bounded(limit, work).await,
--- a/src/api/relay.rs
+++ b/src/api/relay.rs
@@ -189,7 +189,7 @@
     exchange: Exchange,
 ) -> Option<Answer> {
     let limit = request.core.vm.settings.requests.answer_limit_bytes;
-    let answer = exchange.read_whole(limit).await.ok()?;
+    let answer = exchange.read_to_end(limit).await.ok()?;
     let status = answer.status;
     request.core.end_attempt(AttemptEnd::Answered { status });
     let content_type = answer.header("content-type").unwrap_or("text/plain");
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -546,7 +546,7 @@
         let now = self.gateway.clock.now();
         let waited = now.saturating_duration_since(attempt.began_at);
         let body_limit = self.left(now);
-        let read = exchange.read_whole(ANSWER_LIMIT_BYTES);
+        let read = exchange.read_to_end(ANSWER_LIMIT_BYTES);
         let answer = match task::within(body_limit, read).await {
             Some(Ok(answer)) => answer,
             Some(Err(error)) => {
--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -284,7 +284,7 @@
         const LIMIT_BYTES: u64 = 1 << 20;
         let status = exchange.status;
         let left = self.left(self.gateway.clock.now());
-        let read = exchange.read_whole(LIMIT_BYTES);
+        let read = exchange.read_to_end(LIMIT_BYTES);
         let Some(Ok(answer)) = task::within(left, read).await else {
             self.judge(&attempt, AttemptOutcome::Lost, None);
             return Fault::Unknown("broken", format!("status {status}"));
--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -279,7 +279,7 @@
     ) -> Result<FullResponse, SendError> {
         let work = async {
             let exchange = self.send(call, Reuse::Pooled).await?;
-            exchange.read_whole(body_limit_bytes).await
+            exchange.read_to_end(body_limit_bytes).await
         };
         let timed_out =
             || Err(SendError::Broken(format!("no answer in {limit:?}")));
@@ -482,7 +482,7 @@
     ///
     /// [`SendError::TooLarge`] beyond `limit_bytes`, and as
     /// [`Exchange::next_chunk`].
-    pub async fn read_whole(
+    pub async fn read_to_end(
         mut self,
         limit_bytes: u64,
     ) -> Result<FullResponse, SendError> {
--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -185,7 +185,7 @@
     if is_stream {
         read_stream(exchange, request, record, begun).await;
     } else {
-        read_whole(exchange, request, record).await;
+        read_to_end(exchange, request, record).await;
     }
 }
 
@@ -237,13 +237,13 @@
     call.header("authorization", &key)
 }
 
-async fn read_whole(
+async fn read_to_end(
     exchange: Exchange,
     request: &Request,
     record: &mut CallRecord,
 ) {
     const LIMIT_BYTES: u64 = 64 << 20;
-    let answer = match exchange.read_whole(LIMIT_BYTES).await {
+    let answer = match exchange.read_to_end(LIMIT_BYTES).await {
         Ok(answer) => answer,
         Err(error) => {
             record.came_back = CameBack::Broken(error.to_string());
