--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -18,7 +18,6 @@
     clock::BootInstant,
     crashes::{crash_check, digest::RequestDigest},
     error::{Error, ErrorKind},
-    facts::route::{Organisation, Repeat, Route},
     gateway::{
         Gateway,
         inbound::{AttemptHead, Inbound},
@@ -37,6 +36,7 @@
     },
     platform::headers::{self, AnswerHead},
     rollouts::choice::VersionChoice,
+    store_sync::route::{Organisation, Repeat, Route},
     task,
 };
 
--- a/src/gateway/ingress.rs
+++ b/src/gateway/ingress.rs
@@ -28,7 +28,6 @@
 
 use crate::{
     error::{Error, ErrorKind},
-    facts::route::{Organisation, RouteTable},
     gateway::{
         Gateway,
         forward::{Job, Reply, ReplyBody, refuse},
@@ -38,6 +37,7 @@
     },
     placing::cascade::first_model,
     platform::headers,
+    store_sync::route::{Organisation, RouteTable},
     task,
 };
 
@@ -234,7 +234,7 @@
 
 struct Admitted {
     table: Arc<RouteTable>,
-    route: Arc<crate::facts::route::Route>,
+    route: Arc<crate::store_sync::route::Route>,
     organisation: Option<Organisation>,
 }
 
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -26,10 +26,6 @@
         tracker::{CrashTracker, QuarantineChange},
     },
     event::Event,
-    facts::{
-        knowledge::{AppliedItems, Knowledge, StoreUpdate, Unreadable},
-        peers::{Peers, WatchRole},
-    },
     http_client::HttpClient,
     id::{Incarnation, ServiceId, VersionId},
     metrics::Metrics,
@@ -43,6 +39,10 @@
     },
     platform::store::PlatformStore,
     rollouts::registry::Rollouts,
+    store_sync::{
+        knowledge::{AppliedItems, Knowledge, StoreUpdate, Unreadable},
+        peers::{Peers, WatchRole},
+    },
     task::Wake,
 };
 
--- a/src/gateway/record.rs
+++ b/src/gateway/record.rs
@@ -14,12 +14,12 @@
     chains::store::{Backoff, StoreError},
     clock::BootInstant,
     event::Event,
-    facts::knowledge::PeerRecord,
     gateway::{Gateway, fields},
     platform::{
         document,
         store::{ConditionalWrite, MAX_WRITES, WriteOutcome},
     },
+    store_sync::knowledge::PeerRecord,
     task,
 };
 
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -23,13 +23,13 @@
     clock::SystemClock,
     crashes::persistence,
     event::Event,
-    facts::gossip,
     gateway::{
         Gateway, fields, ingress, record, rollout_status,
         settings::GatewaySettings, watch,
     },
     logging,
     platform::headers::READY_PATH,
+    store_sync::gossip,
     task::{self, Task},
 };
 
--- a/src/gateway/test_fleet.rs
+++ b/src/gateway/test_fleet.rs
@@ -11,11 +11,11 @@
 
 use crate::{
     clock::{BootInstant, Clock},
-    facts::{
+    gateway::{Gateway, settings::GatewaySettings, tests::MINIMAL_SETTINGS},
+    store_sync::{
         gossip::{self, HeartbeatRound},
         knowledge::PeerRecord,
     },
-    gateway::{Gateway, settings::GatewaySettings, tests::MINIMAL_SETTINGS},
     unit::Mbps,
 };
 
--- a/src/gateway/tests.rs
+++ b/src/gateway/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::{
     clock::SystemClock,
-    facts::route::{InputLimits, RouteTable, TableVersion},
+    store_sync::route::{InputLimits, RouteTable, TableVersion},
     unit::Mbps,
 };
 
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -11,7 +11,6 @@
     clock::{BootInstant, SharedClock},
     crashes::digest::RequestDigest,
     event::Event,
-    facts::route::{Route, TableVersion},
     gateway::inbound::Inbound,
     id::{ModelId, OrganisationId},
     metrics::{Metrics, OTHER},
@@ -22,6 +21,7 @@
         signals::{RateLimit, RetryAfter, UpstreamSignals},
     },
     rollouts::choice::{ChoiceReason, VersionChoice},
+    store_sync::route::{Route, TableVersion},
     unit::Percent,
 };
 
--- a/src/gateway/wake_tests.rs
+++ b/src/gateway/wake_tests.rs
@@ -14,15 +14,15 @@
 use crate::{
     clock::Clock,
     crashes::digest::RequestDigest,
-    facts::{
-        gossip::{self, HeartbeatRound},
-        route::{InputLimits, RouteTable, TableVersion},
-    },
     gateway::test_fleet::Fleet,
     http_client::Listening,
     id::UpstreamId,
     message::ShortHash,
     placing::{member::UpstreamEntry, pool::PickCriteria},
+    store_sync::{
+        gossip::{self, HeartbeatRound},
+        route::{InputLimits, RouteTable, TableVersion},
+    },
 };
 
 const REQUEST: RequestDigest = RequestDigest(1);
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -8,12 +8,12 @@
     chains::store::{Backoff, StoreError},
     clock::BootInstant,
     event::Event,
-    facts::{gossip, peers::WatchRole},
     gateway::{Gateway, fields},
     platform::{
         document::{self, EVERYTHING},
         store::{Recency, StoreItems, Watched},
     },
+    store_sync::{gossip, peers::WatchRole},
     task,
 };
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -18,7 +18,7 @@
 //!   [`placing`], without input or output.
 //!   What one request may do to the fleet, by crashing the upstreams that run
 //!   it, is looked after in [`crashes`].
-//! * The way of a **fact**: [`facts`] follows the platform's store and tells
+//! * The way of a **fact**: [`store_sync`] follows the platform's store and tells
 //!   the other VMs what it says, with a proof of how fresh that is.
 //! * The way of an **agreement**: what must be agreed or kept goes through
 //!   the platform's key-value service; [`chains`] has the own interface's
@@ -52,7 +52,6 @@
 pub mod crashes;
 pub mod error;
 pub mod event;
-pub mod facts;
 mod frame;
 pub mod gateway;
 pub mod http_client;
@@ -71,6 +70,7 @@
 pub mod secret;
 pub mod settings;
 mod sse;
+pub mod store_sync;
 mod story;
 mod task;
 mod token_bucket;
--- a/src/message.rs
+++ b/src/message.rs
@@ -19,10 +19,10 @@
         configuration::Change,
     },
     crashes::observation::RequestObservation,
-    facts::knowledge::ChangedItem,
     id::{DataHallId, Incarnation, RequestId, Revision, VmId},
     placing::health::AttemptOutcome,
     rollouts::evidence::{Evidence, HallEvidence},
+    store_sync::knowledge::ChangedItem,
     unit::{Mbps, RequestRate},
 };
 
@@ -346,7 +346,7 @@
     Knowledge {
         /// The version of the store up to which it holds.
         as_of: u64,
-        /// The values, as [`crate::facts::knowledge_pack`] packs them.
+        /// The values, as [`crate::store_sync::knowledge_pack`] packs them.
         packed: Vec<u8>,
         /// The age of the proof that they are current.
         proof_age_ms: u32,
--- a/src/placing/cascade.rs
+++ b/src/placing/cascade.rs
@@ -10,7 +10,7 @@
 use std::{collections::HashMap, sync::Mutex, time::Duration};
 
 use crate::{
-    clock::BootInstant, facts::route::Route, id::ModelId, unit::Percent,
+    clock::BootInstant, id::ModelId, store_sync::route::Route, unit::Percent,
 };
 
 /// Confidence from which an answer of a smaller model is passed on.
--- a/src/placing/cascade/tests.rs
+++ b/src/placing/cascade/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::facts::route::{Repeat, Target};
+use crate::store_sync::route::{Repeat, Target};
 
 fn route() -> Route {
     Route {
--- a/src/facts/gossip.rs
+++ b/src/store_sync/gossip.rs
@@ -19,13 +19,13 @@
         observation::RequestObservation,
     },
     event::Event,
-    facts::{knowledge::ChangedItem, knowledge_pack, peers::Receiver},
     gateway::{Gateway, fields},
     message::{Heartbeat, PeerReply, PeerRequest, RateLimitReport, ShortHash},
     metrics::Metrics,
     peer::PeerService,
     platform::store::{StoreItem, StoreItems},
     rollouts::{evidence::HallEvidence, peer_evidence::Delivery},
+    store_sync::{knowledge::ChangedItem, knowledge_pack, peers::Receiver},
     task,
 };
 
--- a/src/facts/knowledge.rs
+++ b/src/store_sync/knowledge.rs
@@ -21,10 +21,6 @@
     chains::store::StoreVersion,
     clock::BootInstant,
     crashes::{digest::RequestDigest, observation::Crash},
-    facts::{
-        knowledge_pack,
-        route::{RouteTable, TableVersion},
-    },
     id::{DataHallId, ServiceId, UpstreamId},
     placing::member::UpstreamEntry,
     platform::{
@@ -33,6 +29,10 @@
     },
     rendezvous,
     rollouts::rollout::{RolloutOrder, RolloutStatus},
+    store_sync::{
+        knowledge_pack,
+        route::{RouteTable, TableVersion},
+    },
     unit::Mbps,
 };
 
--- a/src/facts/knowledge_pack.rs
+++ b/src/store_sync/knowledge_pack.rs
@@ -6,8 +6,8 @@
 //! takes a second to tell each of them everything.
 
 use crate::{
-    facts::knowledge::MirroredItem,
     frame::{self, FRAME_LIMIT_BYTES},
+    store_sync::knowledge::MirroredItem,
 };
 
 /// Packs values.
--- a/src/facts/peers.rs
+++ b/src/store_sync/peers.rs
@@ -14,11 +14,6 @@
 
 use crate::{
     clock::BootInstant,
-    facts::{
-        freshness::{self, Freshness},
-        knowledge::{Knowledge, PeerRecord},
-        route::TableVersion,
-    },
     frame::FrameCodec,
     gateway::settings::GatewaySettings,
     id::{DataHallId, Incarnation},
@@ -26,6 +21,11 @@
     metrics::Metrics,
     peer::PeerClient,
     rendezvous,
+    store_sync::{
+        freshness::{self, Freshness},
+        knowledge::{Knowledge, PeerRecord},
+        route::TableVersion,
+    },
     unit::Mbps,
 };
 
