--- a/src/store_sync/freshness.rs
+++ b/src/store_sync/freshness.rs
@@ -1,67 +1,69 @@
-//! Whether a VM knows what the VMs that watch the store know.
+//! Tracks whether a VM that does not watch the store knows what the watchers
+//! know.
 //!
-//! Hundreds of VMs that start together each asked the store three times until
-//! the records of all had settled, so a VM that has just asked for everything
-//! waits for the word of a watcher before it asks again.
+//! A VM that has just read everything waits for a watcher's report before it
+//! polls the store again. Otherwise hundreds of VMs that start together would
+//! each poll it three times until the records of all have settled.
 
 use std::time::Duration;
 
 use crate::clock::BootInstant;
 
-/// Age of a watcher's word up to which it counts: that of the last beat from
-/// which a VM counts as gone.
-pub(crate) const AGREED_TIME: Duration = Duration::from_millis(2600);
+/// Time for which a watcher's agreement counts, equal to the age of the last
+/// heartbeat from which a VM counts as gone.
+pub(crate) const AGREEMENT_LIFETIME: Duration = Duration::from_millis(2600);
 
-/// Time after this VM has asked the store for all changes in which a watcher
-/// gets to say that it knows no more: three beats of the usual period. It is
-/// part of the time in which a configuration must be in force, so it stays
-/// below the two seconds that the strictest operators allow.
+/// Time after a poll of the store in which a watcher may confirm that it knows
+/// no more: three heartbeats at the usual period. It is part of the time in
+/// which a configuration must be in force, so it stays below the two seconds
+/// that the strictest operators allow.
 pub(crate) const SETTLE_TIME: Duration = Duration::from_millis(1500);
 
-/// Time that what a watcher tells may be on its way before a VM that others
-/// are ahead of asks the store itself.
-pub(crate) const NEWS_TIME: Duration = Duration::from_millis(800);
+/// Time that a watcher's push may take to arrive before a VM that is behind
+/// others polls the store itself.
+pub(crate) const PUSH_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What a VM has to go by instead of watching the store.
+/// Evidence that this VM is up to date without watching the store.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Freshness {
-    /// When a watcher last knew what this VM knows.
+    /// When a watcher last knew exactly what this VM knows.
     agreed_at: Option<BootInstant>,
-    /// When this VM last asked the store for everything that had changed.
-    looked_at: Option<BootInstant>,
-    /// Since when another VM has been known to know more.
+    /// When this VM last polled the store for all changes.
+    polled_at: Option<BootInstant>,
+    /// Since when another VM is known to know more.
     behind_since: Option<BootInstant>,
 }
 
 impl Freshness {
-    /// Notes that a watcher knows what this VM knows.
-    pub(crate) fn note_agreed(&mut self, now: BootInstant) {
+    /// Records that a watcher knows what this VM knows.
+    pub(crate) fn record_agreement(&mut self, now: BootInstant) {
         self.agreed_at = Some(now);
         self.behind_since = None;
     }
 
-    /// Notes that the store was asked for all changes.
-    pub(crate) fn record_poll(&mut self, asked_at: BootInstant) {
-        self.looked_at = Some(asked_at);
+    /// Records that the store was polled for all changes at that time.
+    pub(crate) fn record_poll(&mut self, polled_at: BootInstant) {
+        self.polled_at = Some(polled_at);
         self.behind_since = None;
     }
 
-    /// Notes that another VM knows more. What a watcher tells may be on its
-    /// way, so that alone says nothing yet.
-    pub(crate) fn note_behind(&mut self, now: BootInstant) {
+    /// Records that another VM knows more. The push of a watcher may still be
+    /// on its way, so that alone does not make this VM poll.
+    pub(crate) fn record_behind(&mut self, now: BootInstant) {
         self.behind_since.get_or_insert(now);
     }
 
-    /// Whether the store need not be asked for what has changed.
+    /// Returns whether this VM is up to date, so that it need not poll the
+    /// store.
     pub(crate) fn is_current(&self, now: BootInstant) -> bool {
         let within = |at: Option<BootInstant>, limit: Duration| {
             at.is_some_and(|at| now.saturating_duration_since(at) < limit)
         };
         let is_behind = self.behind_since.is_some()
-            && !within(self.behind_since, NEWS_TIME);
-        let has_word = within(self.agreed_at, AGREED_TIME)
-            || within(self.looked_at, SETTLE_TIME);
-        has_word && !is_behind
+            && !within(self.behind_since, PUSH_TIMEOUT);
+        let is_confirmed = within(self.agreed_at, AGREEMENT_LIFETIME)
+            || within(self.polled_at, SETTLE_TIME);
+        is_confirmed && !is_behind
     }
 }
 
--- a/src/store_sync/gossip.rs
+++ b/src/store_sync/gossip.rs
@@ -147,7 +147,7 @@
         &mut self,
     ) -> Option<(SocketAddr, &Heartbeat)> {
         let receiver = self.receivers.next()?;
-        if !receiver.is_near
+        if !receiver.is_same_hall
             && let Some(told) = self.for_others.take()
         {
             self.beat.evidence = Vec::new();
@@ -229,15 +229,15 @@
     let knows_more =
         gateway.peers.merge_heartbeat(beat, &gateway.knowledge, now);
     if beat.digest == gateway.knowledge.digest() {
-        gateway.peers.note_agreed(&beat.vm, now);
+        gateway.peers.record_agreement(&beat.vm, now);
     }
     gateway.pool.record_hall_heartbeat(&beat.data_hall, now);
     gateway.pool.set_peer_work(&beat.vm, &beat.in_flight, now);
     gateway.pool.apply_peer_loads(&beat.load_reports, now);
-    let is_near = beat.data_hall == gateway.settings.data_hall;
+    let is_same_hall = beat.data_hall == gateway.settings.data_hall;
     gateway.merge_leaving_upstreams(&beat.vm, &beat.leaving_upstreams);
-    gateway.merge_rate_limits(&beat.vm, &beat.rate_limits, is_near);
-    if is_near {
+    gateway.merge_rate_limits(&beat.vm, &beat.rate_limits, is_same_hall);
+    if is_same_hall {
         for unfit in gateway.pool.apply_peer_failures(&beat.failures, now) {
             Event::UpstreamUnfit.record(fields(json!({
                 "upstream": unfit,
@@ -245,13 +245,14 @@
             })));
         }
     }
-    hear_evidence(gateway, beat, is_near);
-    let source = if is_near { Source::OwnHall } else { Source::OtherHall };
+    hear_evidence(gateway, beat, is_same_hall);
+    let source =
+        if is_same_hall { Source::OwnHall } else { Source::OtherHall };
     gateway.merge_sightings(&beat.observations, source);
     if !knows_more {
         return;
     }
-    gateway.peers.note_behind(now);
+    gateway.peers.record_behind(now);
     let age = gateway.knowledge.proof_age(now);
     if age.is_none_or(|age| age > BEHIND_AFTER) {
         let (gateway, from) = (gateway.clone(), beat.peer_address);
@@ -264,14 +265,14 @@
 }
 
 /// Takes in what a beat tells of the roll-outs that are running.
-fn hear_evidence(gateway: &Gateway, beat: &Heartbeat, is_near: bool) {
+fn hear_evidence(gateway: &Gateway, beat: &Heartbeat, is_same_hall: bool) {
     let now = gateway.clock.now();
     let rollouts = &gateway.rollouts;
     let own_hall = ShortHash::of(gateway.settings.data_hall.as_str());
-    if is_near {
+    if is_same_hall {
         rollouts.merge_evidence(&beat.vm, &beat.evidence, now);
     }
-    let way = if is_near { Delivery::Relayed } else { Delivery::Direct };
+    let way = if is_same_hall { Delivery::Relayed } else { Delivery::Direct };
     for sum in &beat.hall_evidence {
         // One of this hall comes from a VM that took it for another.
         if sum.data_hall != own_hall {
--- a/src/store_sync/knowledge.rs
+++ b/src/store_sync/knowledge.rs
@@ -1,12 +1,12 @@
-//! What a VM knows from the platform's store, and how fresh that is.
+//! A VM's copy of the platform's store, and how recent it is.
 //!
-//! Everything comes as [`StoreUpdate`]s with a version that only grows. Whichever
-//! way a fact came — by watch, by a read after the history was lost, or from
-//! another VM — an older version never replaces a newer one.
+//! Every value has a version that only grows. Whether it arrived by a watch,
+//! by a full read after the store lost its history, or from another VM, an
+//! older version never replaces a newer one.
 //!
-//! Keys may be taken away, so a VM accepts one only while its knowledge is
-//! *proven* recent: by a call of its own, counted from before it was sent, or
-//! by another VM's proof, counted from before that VM was asked.
+//! Keys may be revoked, so a VM accepts a key only while its copy is *proven*
+//! recent: by its own call to the store, counted from before the call was
+//! sent, or by another VM's proof, counted from before that VM was asked.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -36,66 +36,66 @@
     unit::Mbps,
 };
 
-/// What a VM records of itself for the others.
+/// The record that a VM keeps of itself in the store, for the others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerRecord {
-    /// Where it listens for other VMs.
+    /// Address on which it listens for other VMs.
     pub peers: SocketAddr,
-    /// Its data hall.
+    /// The data hall that it is in.
     pub data_hall: DataHallId,
-    /// The rate of its network link.
+    /// Rate of its network link.
     #[serde(default)]
     pub link_mbps: Mbps,
 }
 
-/// One thing that the store says.
+/// A decoded change of the store.
 #[derive(Clone, Debug)]
 pub enum StoreUpdate {
-    /// The operator's configuration.
+    /// The operator's configuration was set.
     Configuration(RouteTable),
-    /// A roll-out was ordered.
+    /// A rollout was ordered.
     RolloutOrdered(ServiceId, RolloutOrder),
-    /// The order of a roll-out was removed.
+    /// The order of a rollout was removed.
     RolloutOrderRemoved(ServiceId),
-    /// How far a roll-out is.
+    /// The status of a rollout changed.
     RolloutStatus(ServiceId, RolloutStatus),
-    /// The upstreams of a data hall are to get no requests.
+    /// The upstreams of a data hall are to get no more requests.
     EvacuationOrdered(DataHallId),
-    /// They may get requests again.
+    /// The upstreams of a data hall may get requests again.
     EvacuationOrderRemoved(DataHallId),
-    /// An upstream is there, or its record changed.
+    /// An upstream was added, or its record changed.
     Upstream(UpstreamEntry),
-    /// The record of an upstream is gone.
+    /// The record of an upstream was removed.
     UpstreamGone(UpstreamId),
     /// The record of an upstream can no longer be read.
     UpstreamUnreadable(UpstreamId),
-    /// Upstreams have ended under a request.
+    /// Upstreams have crashed under a request.
     CrashingRequest(RequestDigest, Vec<Crash>),
-    /// An entry VM is there.
+    /// A router VM was added, or its record changed.
     Peer(String, PeerRecord),
-    /// The record of an entry VM is gone.
+    /// The record of a router VM was removed.
     PeerGone(String),
 }
 
-/// A value as it lies in the store, for another VM.
+/// A key and its value in the store, as sent to another VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MirroredItem {
     /// The key.
     pub key: String,
-    /// The value.
+    /// The value, empty if it could not be decoded.
     pub value: Vec<u8>,
-    /// The version of its last change.
+    /// Version of its last change.
     pub version: u64,
 }
 
-/// A value that changed, or was removed, for another VM.
+/// A key that was changed or removed, as sent to another VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangedItem {
     /// The key.
     pub key: String,
-    /// The value, unless the key was removed.
+    /// The new value, or `None` if the key was removed.
     pub value: Option<Vec<u8>>,
-    /// The version of the change.
+    /// Version of the change.
     pub version: u64,
 }
 
@@ -106,114 +106,118 @@
     items: BTreeMap<String, (Vec<u8>, StoreVersion)>,
 }
 
-/// A value that could not be read.
+/// A value that could not be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Unreadable {
     /// The key.
     pub key: String,
-    /// Why.
+    /// Description of the decoding error.
     pub reason: String,
 }
 
-/// What taking in items brought.
+/// Result of applying items of the store.
 #[derive(Debug, Default)]
 pub struct AppliedItems {
-    /// What is new, in the order of the items.
+    /// Updates that changed this VM's copy, in the order of the items.
     pub updates: Vec<StoreUpdate>,
-    /// Values that could not be read.
+    /// Values that could not be decoded.
     pub unreadable: Vec<Unreadable>,
 }
 
-/// What this VM knows.
+/// This VM's copy of the platform's store.
 #[derive(Debug, Default)]
 pub struct Knowledge {
     table: RwLock<Option<Arc<RouteTable>>>,
     proven_at: Mutex<Option<BootInstant>>,
     mirror: Mutex<Mirror>,
-    /// All values, packed, and the digest of what they are.
+    /// Cached packed snapshot, with the digest that it was made from.
     packed: Mutex<Option<(u64, Arc<[u8]>)>>,
 }
 
 impl Knowledge {
-    /// The configuration in force, if one is known.
+    /// Returns the configuration in force, if one is known.
     pub fn table(&self) -> Option<Arc<RouteTable>> {
         self.table.read().expect("table lock").clone()
     }
 
-    /// The version of the configuration in force.
+    /// Returns the version of the configuration in force.
     pub fn table_version(&self) -> Option<TableVersion> {
         let table = self.table.read().expect("table lock");
         table.as_ref().map(|table| table.version())
     }
 
-    /// Puts a configuration in force if it is newer than the one held;
+    /// Puts a configuration in force if it is newer than the current one;
     /// returns whether it did.
     pub fn install(&self, table: RouteTable) -> bool {
-        let mut held = self.table.write().expect("table lock");
-        let is_newer =
-            held.as_ref().is_none_or(|held| table.version() > held.version());
+        let mut current = self.table.write().expect("table lock");
+        let is_newer = current
+            .as_ref()
+            .is_none_or(|current| table.version() > current.version());
         if is_newer {
-            *held = Some(Arc::new(table));
+            *current = Some(Arc::new(table));
         }
         is_newer
     }
 
-    /// Notes that what is known was current at `at`.
+    /// Records that this copy was current at `at`; an earlier time than the
+    /// latest one recorded has no effect.
     pub fn prove(&self, at: BootInstant) {
         let mut proven_at = self.proven_at.lock().expect("proof lock");
-        *proven_at = Some(proven_at.map_or(at, |held| held.max(at)));
+        *proven_at = Some(proven_at.map_or(at, |current| current.max(at)));
     }
 
-    /// How long ago what is known was last proven current.
+    /// Returns the time since this copy was last proven current, or `None` if
+    /// it never was.
     pub fn proof_age(&self, now: BootInstant) -> Option<Duration> {
         let proven_at = *self.proven_at.lock().expect("proof lock");
         proven_at.map(|at| now.saturating_duration_since(at))
     }
 
-    /// The version of the store up to which everything is known.
+    /// Returns the version of the store up to which every change is known.
     pub fn as_of(&self) -> StoreVersion {
         self.mirror.lock().expect("mirror lock").as_of
     }
 
-    /// A digest of everything known; two VMs with the same one know the
-    /// same.
+    /// Returns a digest of all keys and their versions. Two VMs with the same
+    /// digest have the same copy.
     pub fn digest(&self) -> u64 {
         self.mirror.lock().expect("mirror lock").digest
     }
 
-    /// Whether anything is known.
+    /// Returns whether no configuration is known yet.
     pub fn is_empty(&self) -> bool {
         self.table.read().expect("table lock").is_none()
     }
 
-    /// Whether everything has been read once, however little there was.
+    /// Returns whether the whole store has been read once, even if it was
+    /// empty.
     pub fn is_read(&self) -> bool {
         self.as_of() > StoreVersion::default()
     }
 
-    /// The version of a value, if its key is there.
+    /// Returns the version of a key, if it exists.
     pub fn version_of(&self, key: &str) -> Option<StoreVersion> {
         let mirror = self.mirror.lock().expect("mirror lock");
         mirror.items.get(key).map(|(_, version)| *version)
     }
 
-    /// Whether a key is there with this value.
+    /// Returns whether a key exists with this value.
     pub fn contains(&self, key: &str, value: &[u8]) -> bool {
         let mirror = self.mirror.lock().expect("mirror lock");
-        mirror.items.get(key).is_some_and(|(held, _)| held == value)
+        mirror.items.get(key).is_some_and(|(current, _)| current == value)
     }
 
-    /// All values, packed for another VM, and the version of the store up to
-    /// which they are all.
+    /// Returns a packed snapshot of all values for another VM, and the version
+    /// of the store that it is complete up to.
     ///
-    /// They are packed once for all VMs that ask: deflating 300 KB takes a VM
-    /// with half a core some 15 ms.
+    /// The snapshot is cached for all VMs that ask: deflating 300 KB takes a
+    /// VM with half a core about 15 ms.
     pub fn packed(&self) -> (StoreVersion, Arc<[u8]>) {
         let mut packed = self.packed.lock().expect("packed lock");
         let mirror = self.mirror.lock().expect("mirror lock");
         let (as_of, digest) = (mirror.as_of, mirror.digest);
-        if let Some((held, bytes)) = &*packed
-            && *held == digest
+        if let Some((current, bytes)) = &*packed
+            && *current == digest
         {
             return (as_of, bytes.clone());
         }
@@ -224,30 +228,31 @@
         (as_of, bytes)
     }
 
-    /// Takes in one value that was read.
+    /// Applies one item that was read from the store.
     pub fn apply_item(&self, item: StoreItem) -> AppliedItems {
         let mut mirror = self.mirror.lock().expect("mirror lock");
-        let mut news = AppliedItems::default();
-        mirror.take(item, &mut news);
-        news
+        let mut applied = AppliedItems::default();
+        mirror.apply(item, &mut applied);
+        applied
     }
 
-    /// Whether any of these changes is new.
+    /// Returns whether any of these changes is new to this VM.
     pub fn has_new(&self, changes: &StoreItems) -> bool {
         let mirror = self.mirror.lock().expect("mirror lock");
         changes.items.iter().any(|item| mirror.is_new(item))
     }
 
-    /// Takes in changes that a watch brought.
+    /// Applies changes that a watch returned.
     pub fn apply_changes(&self, changes: StoreItems) -> AppliedItems {
         self.mirror.lock().expect("mirror lock").apply_changes(changes)
     }
 
-    /// Takes in changes that another VM tells.
+    /// Merges changes that another VM pushed.
     ///
-    /// They may be known already in part, and something may be missing
-    /// between them and what is known; only if neither is so does this VM
-    /// know everything up to their version of the store afterwards.
+    /// Some of them may be known already, and changes may be missing between
+    /// them and this copy. `digest_before` is the digest of the sender's copy
+    /// before the changes; only if it equals that of this copy does the copy
+    /// become complete up to their version of the store.
     pub fn merge_peer_changes(
         &self,
         digest_before: u64,
@@ -261,32 +266,34 @@
         mirror.apply_changes(StoreItems { items: changes.items, as_of })
     }
 
-    /// Takes in everything there is; what is not among it is gone.
+    /// Applies a snapshot of the whole store, and removes the keys that it
+    /// does not contain.
     ///
-    /// Nothing happens when it is older than what is known.
+    /// A snapshot that is older than this copy is ignored.
     pub fn apply_snapshot(&self, all: StoreItems) -> AppliedItems {
         let mut mirror = self.mirror.lock().expect("mirror lock");
-        let mut news = AppliedItems::default();
+        let mut applied = AppliedItems::default();
         if all.as_of < mirror.as_of {
-            return news;
+            return applied;
         }
-        let there: BTreeSet<String> =
+        let present: BTreeSet<String> =
             all.items.iter().map(|item| item.key.clone()).collect();
-        let gone: Vec<String> = mirror
+        let removed: Vec<String> = mirror
             .items
             .keys()
-            .filter(|key| !there.contains(*key))
+            .filter(|key| !present.contains(*key))
             .cloned()
             .collect();
-        for key in gone {
+        for key in removed {
             let version = all.as_of;
-            mirror.take(StoreItem { key, value: None, version }, &mut news);
+            mirror
+                .apply(StoreItem { key, value: None, version }, &mut applied);
         }
         for item in all.items {
-            mirror.take(item, &mut news);
+            mirror.apply(item, &mut applied);
         }
         mirror.as_of = all.as_of;
-        news
+        applied
     }
 }
 
@@ -302,57 +309,57 @@
     }
 
     fn apply_changes(&mut self, changes: StoreItems) -> AppliedItems {
-        let mut news = AppliedItems::default();
+        let mut applied = AppliedItems::default();
         for item in changes.items {
-            self.take(item, &mut news);
+            self.apply(item, &mut applied);
         }
         self.as_of = self.as_of.max(changes.as_of);
-        news
+        applied
     }
 
-    /// Whether an item changes what is known.
+    /// Returns whether an item changes this copy.
     fn is_new(&self, item: &StoreItem) -> bool {
-        let held = self.items.get(&item.key);
-        match (&item.value, held) {
+        let current = self.items.get(&item.key);
+        match (&item.value, current) {
             (_, Some((_, version))) => item.version > *version,
-            // Everything up to `as_of` is known, so a key that is not there
-            // was removed since: news that was long on its way must not bring
-            // it back.
+            // Every change up to `as_of` is known, so an unknown key at or
+            // below that version has been removed since. A delayed message
+            // must not restore it.
             (Some(_), None) => item.version > self.as_of,
             (None, None) => false,
         }
     }
 
-    fn take(&mut self, item: StoreItem, news: &mut AppliedItems) {
+    fn apply(&mut self, item: StoreItem, applied: &mut AppliedItems) {
         if !self.is_new(&item) {
             return;
         }
-        if let Some((_, held)) = self.items.get(&item.key) {
-            self.digest ^= digest(&item.key, *held);
+        if let Some((_, current)) = self.items.get(&item.key) {
+            self.digest ^= digest(&item.key, *current);
         }
         let Some(value) = item.value else {
             if self.items.remove(&item.key).is_some() {
-                news.updates.extend(document::removal_fact(&item.key));
+                applied.updates.extend(document::removal_fact(&item.key));
             }
             return;
         };
         self.digest ^= digest(&item.key, item.version);
-        let held = match document::decode_fact(&item.key, &value) {
+        let current = match document::decode_fact(&item.key, &value) {
             Ok(fact) => {
-                news.updates.extend(fact);
+                applied.updates.extend(fact);
                 value
             }
             Err(error) => {
-                news.updates.extend(document::unreadable_fact(&item.key));
-                news.unreadable.push(Unreadable {
+                applied.updates.extend(document::unreadable_fact(&item.key));
+                applied.unreadable.push(Unreadable {
                     key: item.key.clone(),
                     reason: error.to_string(),
                 });
-                // Other VMs can read it no better, and it may be large.
+                // Other VMs cannot decode it either, and it may be large.
                 Vec::new()
             }
         };
-        self.items.insert(item.key, (held, item.version));
+        self.items.insert(item.key, (current, item.version));
     }
 }
 
--- a/src/store_sync/knowledge/tests.rs
+++ b/src/store_sync/knowledge/tests.rs
@@ -22,10 +22,10 @@
     StoreItems { items, as_of: StoreVersion(as_of) }
 }
 
-fn install(knowledge: &Knowledge, news: AppliedItems) -> usize {
-    let facts = news.updates.into_iter();
-    facts
-        .filter(|fact| match fact {
+fn install(knowledge: &Knowledge, applied: AppliedItems) -> usize {
+    let updates = applied.updates.into_iter();
+    updates
+        .filter(|update| match update {
             StoreUpdate::Configuration(table) => {
                 knowledge.install(table.clone())
             }
@@ -40,30 +40,30 @@
     let key = document::CONFIGURATION_KEY;
     let new = items(vec![item(key, Some(configuration(9)), 20)], 20);
     assert_eq!(install(&knowledge, knowledge.apply_changes(new)), 1);
-    // An answer that was long on its way, by watch, read or another VM.
+    // A delayed response, from a watch, a read or another VM.
     let old = items(vec![item(key, Some(configuration(7)), 10)], 10);
     assert_eq!(install(&knowledge, knowledge.apply_changes(old.clone())), 0);
     assert_eq!(install(&knowledge, knowledge.apply_snapshot(old)), 0);
-    // Written later, but with a number that is lower.
+    // Written later, but with a lower configuration version.
     let lower = items(vec![item(key, Some(configuration(8)), 30)], 30);
     assert_eq!(install(&knowledge, knowledge.apply_changes(lower)), 0);
     assert_eq!(knowledge.table_version(), Some(TableVersion(9)));
 }
 
 #[test]
-fn a_configuration_that_cannot_be_read_changes_nothing() {
+fn a_malformed_configuration_changes_nothing() {
     let knowledge = Knowledge::default();
     let key = document::CONFIGURATION_KEY;
     let good = items(vec![item(key, Some(configuration(1)), 1)], 1);
     install(&knowledge, knowledge.apply_changes(good));
     let bad = items(vec![item(key, Some(b"{".to_vec()), 2)], 2);
-    let news = knowledge.apply_changes(bad);
-    assert_eq!(news.unreadable.len(), 1);
+    let applied = knowledge.apply_changes(bad);
+    assert_eq!(applied.unreadable.len(), 1);
     assert_eq!(knowledge.table_version(), Some(TableVersion(1)));
 }
 
 #[test]
-fn what_is_missing_from_everything_is_gone() {
+fn a_snapshot_removes_the_keys_that_it_lacks() {
     let knowledge = Knowledge::default();
     let record = json!({
         "service": "portal", "address": "127.0.0.1:1", "zone": "a",
@@ -77,15 +77,15 @@
     ];
     knowledge.apply_snapshot(items(both, 2));
     let one = vec![item("servers/i-2", Some(record), 2)];
-    let news = knowledge.apply_snapshot(items(one, 5));
+    let applied = knowledge.apply_snapshot(items(one, 5));
     assert!(matches!(
-        news.updates.as_slice(),
+        applied.updates.as_slice(),
         [StoreUpdate::UpstreamGone(id)] if id.as_str() == "i-1"
     ));
 }
 
 #[test]
-fn the_same_knowledge_has_the_same_digest_however_it_came() {
+fn a_copy_has_the_same_digest_whatever_its_source() {
     let one = Knowledge::default();
     let other = Knowledge::default();
     let key = document::CONFIGURATION_KEY;
@@ -97,33 +97,35 @@
     let all = knowledge_pack::unpack(&packed)
         .expect("it was packed here")
         .into_iter()
-        .map(|held| item(&held.key, Some(held.value), held.version));
+        .map(|mirrored| {
+            item(&mirrored.key, Some(mirrored.value), mirrored.version)
+        });
     other.apply_snapshot(StoreItems { items: all.collect(), as_of });
     assert_eq!(one.digest(), other.digest());
 }
 
 #[test]
-fn changes_told_twice_or_with_a_gap_are_taken_in_by_their_versions() {
+fn duplicate_or_incomplete_changes_are_merged_by_version() {
     let knowledge = Knowledge::default();
-    let tell = |digest, items: StoreItems| {
+    let push = |digest, items: StoreItems| {
         knowledge.merge_peer_changes(digest, items);
     };
     let one = items(vec![item("x", Some(vec![1]), 1)], 10);
-    tell(knowledge.digest(), one.clone());
+    push(knowledge.digest(), one.clone());
     assert_eq!(knowledge.as_of(), StoreVersion(10));
-    // From a second VM, which gathered one more.
+    // From a second VM, which batched one more change.
     let both = vec![item("x", Some(vec![1]), 1), item("y", Some(vec![2]), 12)];
-    tell(0, items(both, 20));
+    push(0, items(both, 20));
     let complete = knowledge.digest();
     assert_eq!(knowledge.version_of("y"), Some(StoreVersion(12)));
-    // It cannot know what came between, so a watch would begin before.
+    // Changes in between may be missing, so a watch must begin before.
     assert_eq!(knowledge.as_of(), StoreVersion(10));
-    tell(0, one);
+    push(0, one);
     assert_eq!(knowledge.digest(), complete);
 }
 
 #[test]
-fn what_was_told_already_is_no_news() {
+fn changes_that_are_already_known_are_not_new() {
     let knowledge = Knowledge::default();
     let changes = items(
         vec![item("x", Some(vec![1]), 1), item("y", Some(vec![2]), 2)],
@@ -139,7 +141,7 @@
 }
 
 #[test]
-fn a_proof_counts_from_its_latest_moment() {
+fn the_latest_proof_counts() {
     let knowledge = Knowledge::default();
     let now = BootInstant::now();
     assert_eq!(knowledge.proof_age(now), None);
@@ -150,17 +152,20 @@
 }
 
 #[test]
-fn a_key_that_was_removed_does_not_come_back_with_late_news() {
+fn a_delayed_change_does_not_restore_a_removed_key() {
     let knowledge = Knowledge::default();
     let key = "op/evacuate/hall-a";
     let ordered = items(vec![item(key, Some(b"{}".to_vec()), 5)], 5);
-    let news = knowledge.apply_changes(ordered.clone());
-    assert!(matches!(news.updates[..], [StoreUpdate::EvacuationOrdered(_)]));
+    let applied = knowledge.apply_changes(ordered.clone());
+    assert!(matches!(
+        applied.updates[..],
+        [StoreUpdate::EvacuationOrdered(_)]
+    ));
     let digest_before = knowledge.digest();
-    let over = items(vec![item(key, None, 8)], 8);
-    let news = knowledge.apply_changes(over);
+    let removed = items(vec![item(key, None, 8)], 8);
+    let applied = knowledge.apply_changes(removed);
     assert!(matches!(
-        news.updates[..],
+        applied.updates[..],
         [StoreUpdate::EvacuationOrderRemoved(_)]
     ));
     assert!(
@@ -169,20 +174,20 @@
             .updates
             .is_empty()
     );
-    // The operator may ask again.
+    // The operator may order it again.
     let again = items(vec![item(key, Some(b"{}".to_vec()), 9)], 9);
     assert_eq!(knowledge.apply_changes(again).updates.len(), 1);
 }
 
 #[test]
-fn an_evacuation_ends_with_its_key_also_when_history_is_lost() {
+fn an_evacuation_ends_when_a_snapshot_lacks_its_key() {
     let knowledge = Knowledge::default();
     let key = "op/evacuate/hall-a";
     let ordered = items(vec![item(key, Some(b"{}".to_vec()), 5)], 5);
     knowledge.apply_changes(ordered);
-    let news = knowledge.apply_snapshot(items(Vec::new(), 30));
+    let applied = knowledge.apply_snapshot(items(Vec::new(), 30));
     assert!(matches!(
-        news.updates[..],
+        applied.updates[..],
         [StoreUpdate::EvacuationOrderRemoved(_)]
     ));
 }
--- a/src/store_sync/knowledge_pack/tests.rs
+++ b/src/store_sync/knowledge_pack/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn what_is_packed_comes_out_again_and_is_small() {
+fn packed_items_are_small_and_unpack_to_the_same() {
     let items = items(400);
     let plain: usize = items.iter().map(|i| i.key.len() + i.value.len()).sum();
     let packed = pack(&items);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn what_is_cut_short_or_foreign_is_nothing() {
+fn truncated_or_foreign_bytes_do_not_unpack() {
     let packed = pack(&items(10));
     for length in 0..packed.len() {
         assert_eq!(unpack(&packed[..length]), None);
--- a/src/store_sync/mod.rs
+++ b/src/store_sync/mod.rs
@@ -1,11 +1,13 @@
-//! The way of a fact: from the platform's store to every VM.
+//! Keeps every VM in sync with the platform's store.
 //!
-//! * [`knowledge`]: what this VM knows, and how fresh that is.
-//! * [`knowledge_pack`]: all of it, packed for a VM that starts.
+//! A few VMs watch the store and push its changes to the others.
+//!
+//! * [`knowledge`]: this VM's copy of the store, and how recent it is.
+//! * [`knowledge_pack`]: a packed snapshot of the copy, for VMs that start.
 //! * [`peers`]: the other VMs, and which of them watch the store.
-//! * [`gossip`]: beats, news and questions between VMs.
-//! * [`freshness`]: when a VM may go by another's word.
-//! * [`route`]: the operators' configuration as facts bring it.
+//! * [`gossip`]: heartbeats, pushed changes and requests between VMs.
+//! * [`freshness`]: whether a VM that does not watch is up to date.
+//! * [`route`]: the operators' configuration.
 
 pub(crate) mod freshness;
 pub(crate) mod gossip;
--- a/src/store_sync/peers.rs
+++ b/src/store_sync/peers.rs
@@ -1,5 +1,6 @@
-//! The other VMs before a platform that one VM knows of: who is alive, what
-//! their beats prove, who watches the store and who keeps records.
+//! Tracks the other VMs that stand before the same platform: which are alive,
+//! what their heartbeats prove, which watch the store and which one keeps the
+//! records of rollouts.
 
 use std::{
     cmp::Reverse,
@@ -29,85 +30,90 @@
     unit::Mbps,
 };
 
-/// Age of the last beat from which a VM counts as gone. A VM of another data
-/// hall may send one only every few rounds.
-const SILENT_AFTER: Duration = freshness::AGREED_TIME;
+/// Age of the last heartbeat from which a VM counts as gone. A VM of another
+/// data hall may send one only every few rounds.
+const HEARTBEAT_TIMEOUT: Duration = freshness::AGREEMENT_LIFETIME;
 
-/// Age of the last beat from which one of an earlier life is believed again:
-/// the time of day, which tells lives apart, may have been set back.
-const LIFE_OPEN_AFTER: Duration = Duration::from_millis(1200);
+/// Age of the last heartbeat from which an earlier incarnation is accepted
+/// again. Incarnations are ordered by the time of day, which may have been set
+/// back.
+const INCARNATION_RESET_AFTER: Duration = Duration::from_millis(1200);
 
-/// Age of the last beat from which a VM that is not recorded is forgotten.
+/// Age of the last heartbeat from which a VM without a record is forgotten.
 const FORGET_AFTER: Duration = Duration::from_secs(30);
 
-/// Beats that a VM sends in one round. Those of its own data hall get one
-/// each time, the others in turn, so that the cost does not grow with the
-/// fleet.
-const BEATS_A_ROUND: usize = 32;
+/// Heartbeats that a VM sends in one round. Each VM of its own data hall gets
+/// one in every round and the others take turns, so the cost does not grow
+/// with the fleet.
+const HEARTBEATS_PER_ROUND: usize = 32;
 
-/// Time for which a VM that the store turned away does not count as one that
-/// can watch it.
-const WATCH_PAUSE: Duration = Duration::from_secs(3);
+/// Time for which a VM that the store failed to answer is not chosen as a
+/// watcher.
+const WATCH_RETRY_PAUSE: Duration = Duration::from_secs(3);
 
-/// Age up to which the list of the VMs that watch is used again.
-const WATCHERS_KEPT: Duration = Duration::from_millis(100);
+/// Time for which the list of watchers is cached.
+const WATCHERS_CACHE_TIME: Duration = Duration::from_millis(100);
 
-/// Beats of its own that a VM remembers, to know when an echoed one left: at
-/// the least gap between two, those of about three seconds.
-const BEATS_REMEMBERED: usize = 64;
+/// Number of sent heartbeats whose send time a VM remembers, to look up the
+/// time of an echoed one. At the minimum gap between two heartbeats, these
+/// cover about three seconds.
+const SENT_HISTORY_LENGTH: usize = 64;
 
-/// Age of the proof of a VM that may keep the records of roll-outs.
-const STEWARD_PROOF: Duration = Duration::from_millis(2800);
+/// Oldest proof of the configuration with which a VM may keep the records of
+/// rollouts.
+const STEWARD_MAX_PROOF_AGE: Duration = Duration::from_millis(2800);
 
-/// VMs that watch the store, each of another data hall if there are as many;
-/// the others are told by them. Each watch has its price, and three are enough
-/// to lose two.
+/// Number of VMs that watch the store, in different data halls if there are
+/// enough; these push changes to the others. Each watch costs the store
+/// something, and three tolerate the loss of two.
 const WATCHERS: usize = 3;
 
-/// VMs of each data hall that watch the store in a fleet that is too large for
-/// each VM to hear all of the other halls; the second is there for the loss of
-/// the first.
-const WATCHERS_OF_HALL: usize = 2;
+/// Number of watchers per data hall in a fleet that is too large for each VM
+/// to receive the heartbeats of all other halls. The second tolerates the loss
+/// of the first.
+const WATCHERS_PER_HALL: usize = 2;
 
-/// Rounds of beats within which a VM of another data hall must be heard; with
-/// the usual two beats a second, they take less than [`SILENT_AFTER`].
-const ROUNDS_HEARD: usize = 4;
+/// Rounds within which a VM must reach every VM of the other data halls. At
+/// the usual two heartbeats per second they take less than
+/// [`HEARTBEAT_TIMEOUT`].
+const MAX_ROTATION_ROUNDS: usize = 4;
 
-/// VMs of a data hall that read everything from the store when they start,
-/// for the others.
-const READERS_OF_HALL: usize = 2;
+/// Number of VMs per data hall that read everything from the store at startup,
+/// on behalf of the others.
+const READERS_PER_HALL: usize = 2;
 
-/// VMs of a data hall that ask a store that does not answer more often.
-const FORWARD: usize = 2;
+/// Number of VMs per data hall that retry more often while the store does not
+/// answer.
+const OUTAGE_PROBERS_PER_HALL: usize = 2;
 
-/// Time after its start by which a VM has heard the others of its data hall
-/// that start with it: two beats of each.
-const HEAR_TIME: Duration = Duration::from_millis(1200);
+/// Time after startup by which a VM has received heartbeats from the VMs of
+/// its data hall that started with it: two heartbeats of each.
+const DISCOVERY_TIME: Duration = Duration::from_millis(1200);
 
-/// Time after its start for which a VM takes those that it knows of for alive
-/// although their beats are still to come.
-const START_TIME: Duration = Duration::from_secs(4);
+/// Time after startup for which a VM treats recorded VMs as alive although it
+/// has not received their heartbeats yet.
+const STARTUP_TIME: Duration = Duration::from_secs(4);
 
-/// Part of the time in which a key that was taken away must be refused, up to
-/// which the proof of a VM that does not watch may age before it does.
-const REST_PROOF_PART: f64 = 0.52;
+/// Largest age of the proof with which a VM does not contact the store, as a
+/// fraction of the time within which a revoked key must be rejected.
+const IDLE_PROOF_FRACTION: f64 = 0.52;
 
-/// The place of a VM in an order that all VMs find.
+/// The rank of a VM in an order on which all VMs agree.
 ///
-/// Those with the fastest links come first, since they read from the store
-/// for the others: of 50 VMs of a hall that start together, three with links
-/// of 200 Mbit/s know everything after 0.13 s, and the others, with 20 Mbit/s
-/// and the store's link shared by all, after 0.9 to 1.15 s.
+/// VMs with the fastest links come first, since they read from the store for
+/// the others: of 50 VMs of a hall that start together, three with links of
+/// 200 Mbit/s know everything after 0.13 s, and the others, with 20 Mbit/s and
+/// the store's link shared by all, after 0.9 to 1.15 s.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct Rank {
     link: Reverse<Mbps>,
     hash: u32,
 }
 
-impl Place {
-    fn of(vm: &str, link: Mbps) -> Place {
+impl Rank {
+    fn of(vm: &str, link: Mbps) -> Rank {
         let hash = rendezvous::short_hash(vm.as_bytes());
-        Place { link: Reverse(link), hash }
+        Rank { link: Reverse(link), hash }
     }
 }
 
@@ -117,34 +123,36 @@
     data_hall: DataHallId,
     link: Mbps,
     is_recorded: bool,
-    heard: Option<Heard>,
+    last_heartbeat: Option<LastHeartbeat>,
 }
 
 impl Peer {
-    fn place(&self, vm: &str) -> Place {
-        Place::of(vm, self.link)
+    fn rank(&self, vm: &str) -> Rank {
+        Rank::of(vm, self.link)
     }
 
-    /// Whether it was heard a short while ago.
+    /// Returns whether the last heartbeat is recent enough.
     fn is_alive(&self, now: BootInstant) -> bool {
-        self.heard_within(SILENT_AFTER, now)
+        self.has_heartbeat_within(HEARTBEAT_TIMEOUT, now)
     }
 
-    fn heard_within(&self, limit: Duration, now: BootInstant) -> bool {
-        self.heard.as_ref().is_some_and(|heard| {
-            now.saturating_duration_since(heard.at) < limit
-        })
+    fn has_heartbeat_within(&self, limit: Duration, now: BootInstant) -> bool {
+        self.last_heartbeat
+            .as_ref()
+            .is_some_and(|last| now.saturating_duration_since(last.at) < limit)
     }
 
-    /// Whether it was heard, is not leaving, and the store answers it.
+    /// Returns whether the VM is alive, is not leaving and reports that the
+    /// store answers it.
     fn can_watch(&self, now: BootInstant) -> bool {
-        let may = |heard: &Heard| heard.can_watch && !heard.is_leaving;
-        self.is_alive(now) && self.heard.as_ref().is_some_and(may)
+        let is_able =
+            |last: &LastHeartbeat| last.can_watch && !last.is_leaving;
+        self.is_alive(now) && self.last_heartbeat.as_ref().is_some_and(is_able)
     }
 }
 
 #[derive(Clone, Debug)]
-struct Heard {
+struct LastHeartbeat {
     at: BootInstant,
     incarnation: Incarnation,
     number: u32,
@@ -153,18 +161,22 @@
     proven_at: Option<BootInstant>,
 }
 
-impl Heard {
-    /// Whether a beat was sent before this one.
+impl LastHeartbeat {
+    /// Returns whether the given heartbeat is stale, because this one was sent
+    /// after it or is the same.
     ///
-    /// Lives are told apart by the time of day at which they began, which may
-    /// have been set back meanwhile; a life that has fallen silent gives way
-    /// to any other.
-    fn is_after(&self, beat: &Heartbeat, now: BootInstant) -> bool {
-        let silent = now.saturating_duration_since(self.at);
-        if self.incarnation != beat.incarnation && silent > LIFE_OPEN_AFTER {
+    /// Incarnations are ordered by the time of day at which they began, which
+    /// may have been set back meanwhile. An incarnation that has gone silent
+    /// is therefore replaced by any other.
+    fn is_newer_than(&self, heartbeat: &Heartbeat, now: BootInstant) -> bool {
+        let silence = now.saturating_duration_since(self.at);
+        if self.incarnation != heartbeat.incarnation
+            && silence > INCARNATION_RESET_AFTER
+        {
             return false;
         }
-        (self.incarnation, self.number) >= (beat.incarnation, beat.number)
+        (self.incarnation, self.number)
+            >= (heartbeat.incarnation, heartbeat.number)
     }
 
     fn echo(&self, now: BootInstant) -> HeartbeatEcho {
@@ -177,60 +189,62 @@
     }
 }
 
-/// A VM that a beat goes to.
+/// A VM that a heartbeat is sent to.
 #[derive(Clone, Debug)]
 pub(crate) struct Receiver {
-    /// Where it listens.
+    /// Address on which it listens for other VMs.
     pub(crate) address: SocketAddr,
-    /// Its last beat that arrived.
+    /// Echo of the last heartbeat received from it, if any.
     pub(crate) echo: Option<HeartbeatEcho>,
-    /// Whether it is known to stand in the sender's data hall.
-    pub(crate) is_near: bool,
+    /// Whether it is known to be in the sender's data hall.
+    pub(crate) is_same_hall: bool,
 }
 
-/// What a VM does to know what has changed in the store.
+/// How a VM learns of changes in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WatchRole {
-    /// Nothing: others watch, and it knows what they know.
+    /// Does not contact the store: others watch it, and this VM is up to date
+    /// with them.
     Idle,
-    /// Ask once for what has changed.
+    /// Asks the store once for all changes.
     Poll,
-    /// Watch, and tell the others.
+    /// Watches the store and pushes changes to the other VMs.
     Watch,
 }
 
-/// The other VMs that this one knows of.
+/// The other VMs that this one knows of, with its own part in watching the
+/// store.
 pub(crate) struct Peers {
     vm: String,
     data_hall: DataHallId,
-    /// The place of this VM.
-    place: Place,
-    /// Other VMs whose addresses are told to those that start.
+    /// Rank of this VM.
+    rank: Rank,
+    /// Addresses of the other seeds, which VMs contact at startup.
     seeds: Vec<SocketAddr>,
-    /// The place of this VM among them, if it is one.
-    seed_place: Option<usize>,
-    /// This VM's life.
+    /// Index of this VM among the seeds, if it is one.
+    seed_index: Option<usize>,
+    /// Incarnation of this VM.
     incarnation: Incarnation,
     started_at: BootInstant,
-    /// In the order of their names, so that each has its turn.
+    /// Ordered by name, so that heartbeats can go round in a fixed order.
     known: Mutex<BTreeMap<String, Peer>>,
     sent: Mutex<Vec<(u32, BootInstant)>>,
     freshness: Mutex<Freshness>,
-    /// When the store last did not answer this VM as it should.
-    turned_away_at: Mutex<Option<BootInstant>>,
-    /// The VMs that watch, as found at that time.
+    /// When the store last failed to answer this VM, until it answers again.
+    store_failed_at: Mutex<Option<BootInstant>>,
+    /// Cached list of the watchers and when it was computed.
     watchers: Mutex<Option<(BootInstant, Arc<[String]>)>>,
-    /// Where the next round of beats to other data halls begins.
+    /// Index at which the next round of heartbeats to other data halls begins.
     next_receiver: AtomicUsize,
     next_number: AtomicU32,
-    /// Seals and opens what VMs send each other.
+    /// Seals and opens messages between VMs.
     pub(crate) codec: FrameCodec,
-    /// Asks other VMs.
+    /// Sends requests to other VMs.
     pub(crate) client: PeerClient,
 }
 
 impl Peers {
-    /// Creates the list with nobody on it but the seeds.
+    /// Creates the list, which knows no VM but the addresses of the seeds.
     pub(crate) fn new(
         settings: &GatewaySettings,
         incarnation: Incarnation,
@@ -242,16 +256,16 @@
         let seeds = settings.seeds.iter().copied();
         Peers {
             vm: settings.vm.to_string(),
-            place: Place::of(settings.vm.as_str(), settings.link_rate),
+            rank: Rank::of(settings.vm.as_str(), settings.link_rate),
             data_hall: settings.data_hall.clone(),
-            seed_place: settings.seeds.iter().position(|seed| *seed == own),
+            seed_index: settings.seeds.iter().position(|seed| *seed == own),
             seeds: seeds.filter(|seed| *seed != own).collect(),
             incarnation,
             started_at: now,
             known: Mutex::default(),
             sent: Mutex::default(),
             freshness: Mutex::default(),
-            turned_away_at: Mutex::default(),
+            store_failed_at: Mutex::default(),
             watchers: Mutex::default(),
             next_receiver: AtomicUsize::new(rendezvous::short_hash(
                 settings.vm.as_str().as_bytes(),
@@ -262,12 +276,12 @@
         }
     }
 
-    /// This VM's name.
+    /// Returns the name of this VM.
     pub(crate) fn vm(&self) -> &str {
         &self.vm
     }
 
-    /// Takes in the record of a VM.
+    /// Sets the record of a VM, adding the VM if it is unknown.
     pub(crate) fn set_record(&self, vm: &str, record: &PeerRecord) {
         if vm == self.vm {
             return;
@@ -278,35 +292,37 @@
             data_hall: record.data_hall.clone(),
             link: record.link_mbps,
             is_recorded: true,
-            heard: None,
+            last_heartbeat: None,
         });
         peer.is_recorded = true;
         peer.link = record.link_mbps;
         peer.address = record.peers;
     }
 
-    /// How many VMs there are, with this one.
+    /// Returns the number of known VMs, including this one.
     pub(crate) fn fleet_size(&self) -> usize {
         self.known.lock().expect("peers lock").len() + 1
     }
 
-    /// Whether VMs that start are told this one's address.
+    /// Returns whether this VM is a seed, whose address other VMs know at
+    /// startup.
     pub(crate) fn is_seed(&self) -> bool {
-        self.seed_place.is_some()
+        self.seed_index.is_some()
     }
 
-    /// The VMs that are heard and not recorded, as far as they are this seed's
-    /// to record, or all of them. None if it is no seed.
+    /// Returns the live VMs that have no record in the store and that this
+    /// seed is responsible for, or all of them if `with_others` is set. Empty
+    /// if this VM is no seed.
     pub(crate) fn unrecorded(
         &self,
         with_others: bool,
         now: BootInstant,
     ) -> Vec<(String, PeerRecord)> {
-        let Some(seed_place) = self.seed_place else { return Vec::new() };
+        let Some(seed_index) = self.seed_index else { return Vec::new() };
         let seeds = self.seeds.len() + 1;
         let is_mine = |vm: &str| {
             let hash = rendezvous::short_hash(vm.as_bytes()) as usize;
-            with_others || hash % seeds == seed_place
+            with_others || hash % seeds == seed_index
         };
         let known = self.known.lock().expect("peers lock");
         let missing = known.iter().filter(|(vm, peer)| {
@@ -323,8 +339,8 @@
         records.collect()
     }
 
-    /// Notes that a VM's record is gone. One that still is heard stays known:
-    /// its lease may have run out while it could not be renewed.
+    /// Marks a VM as having no record. A VM that still sends heartbeats stays
+    /// known: its lease may have expired while it could not renew it.
     pub(crate) fn remove_record(&self, vm: &str) {
         let mut known = self.known.lock().expect("peers lock");
         if let Some(peer) = known.get_mut(vm) {
@@ -332,17 +348,17 @@
         }
     }
 
-    /// Forgets the VMs that are neither recorded nor heard.
+    /// Forgets the VMs that have neither a record nor a recent heartbeat.
     pub(crate) fn sweep(&self, now: BootInstant) {
         let mut known = self.known.lock().expect("peers lock");
         known.retain(|_, peer| {
-            peer.is_recorded || peer.heard_within(FORGET_AFTER, now)
+            peer.is_recorded || peer.has_heartbeat_within(FORGET_AFTER, now)
         });
     }
 
-    /// Whether this VM is the one that keeps the records of roll-outs: the
-    /// first, in a fixed order, of those that hear each other and know the
-    /// store well.
+    /// Returns whether this VM is the one that keeps the records of rollouts:
+    /// the first, in a fixed order, of the live VMs whose configuration was
+    /// proven current recently.
     pub(crate) fn is_steward(
         &self,
         own_proof: Option<Duration>,
@@ -350,15 +366,16 @@
     ) -> bool {
         let is_able = |proven_at: Option<BootInstant>| {
             proven_at.is_some_and(|at| {
-                now.saturating_duration_since(at) <= STEWARD_PROOF
+                now.saturating_duration_since(at) <= STEWARD_MAX_PROOF_AGE
             })
         };
-        if own_proof.is_none_or(|age| age > STEWARD_PROOF) {
+        if own_proof.is_none_or(|age| age > STEWARD_MAX_PROOF_AGE) {
             return false;
         }
         let known = self.known.lock().expect("peers lock");
         let able = known.iter().filter(|(_, peer)| {
-            let proven_at = peer.heard.as_ref().and_then(|h| h.proven_at);
+            let proven_at =
+                peer.last_heartbeat.as_ref().and_then(|last| last.proven_at);
             peer.is_alive(now) && is_able(proven_at)
         });
         let names = able.map(|(vm, _)| vm.as_str());
@@ -367,76 +384,82 @@
         first == Some(self.vm.as_str())
     }
 
-    /// Notes that the store did not answer this VM as it should at that time,
-    /// or that it does.
+    /// Records when the store failed to answer this VM, or clears that with
+    /// `None` once it answers.
     pub(crate) fn set_store_failure(
         &self,
-        turned_away_at: Option<BootInstant>,
+        store_failed_at: Option<BootInstant>,
     ) {
-        *self.turned_away_at.lock().expect("watch lock") = turned_away_at;
+        *self.store_failed_at.lock().expect("watch lock") = store_failed_at;
     }
 
-    /// Whether the store answers this VM, as far as it knows.
+    /// Returns whether the store answers this VM, as far as this VM knows.
     pub(crate) fn can_watch(&self, now: BootInstant) -> bool {
-        let at = *self.turned_away_at.lock().expect("watch lock");
-        at.is_none_or(|at| now.saturating_duration_since(at) > WATCH_PAUSE)
+        let at = *self.store_failed_at.lock().expect("watch lock");
+        at.is_none_or(|at| {
+            now.saturating_duration_since(at) > WATCH_RETRY_PAUSE
+        })
     }
 
-    /// Whether this VM is the first of its data hall, in a fixed order of
-    /// those that are heard and that the store answers.
+    /// Returns whether this VM has the first rank in its data hall, among the
+    /// live VMs that the store answers.
     pub(crate) fn is_first_of_hall(&self, now: BootInstant) -> bool {
         self.can_watch(now)
             && !self.expects_others(now)
-            && self.count_before(|p| p.can_watch(now)) == 0
+            && self.count_ranked_before(|p| p.can_watch(now)) == 0
     }
 
-    /// Whether this VM has only just started, and others that are to come
-    /// before it in its data hall have not been heard yet. Where none of them
-    /// is recorded, all may be starting for the first time: they find out by
-    /// their beats who comes first, or else each would wait for the others to
-    /// follow the store.
+    /// Returns whether this VM has just started and has not yet received
+    /// heartbeats from VMs that rank before it in its data hall.
+    ///
+    /// If none of them is recorded, all may be starting for the first time.
+    /// They learn from their heartbeats which one ranks first; otherwise each
+    /// would wait for the others to follow the store.
     fn expects_others(&self, now: BootInstant) -> bool {
         let age = now.saturating_duration_since(self.started_at);
-        if age >= START_TIME {
+        if age >= STARTUP_TIME {
             return false;
         }
         let known = self.known.lock().expect("peers lock");
         let mut recorded = known.iter().filter(|(_, peer)| {
             peer.is_recorded && peer.data_hall == self.data_hall
         });
-        let is_any_heard = known.values().any(|peer| peer.heard.is_some());
+        let has_any_heartbeat =
+            known.values().any(|peer| peer.last_heartbeat.is_some());
         match recorded.clone().next() {
-            None if is_any_heard => age < HEAR_TIME,
+            None if has_any_heartbeat => age < DISCOVERY_TIME,
             None => !self.seeds.is_empty(),
-            Some(_) => recorded.any(|(vm, peer)| peer.place(vm) < self.place),
+            Some(_) => recorded.any(|(vm, peer)| peer.rank(vm) < self.rank),
         }
     }
 
-    /// Whether this VM is one of the first of its data hall, in the same order
-    /// of all that are heard: those ask a store that does not answer more
-    /// often, and tell the others when it does.
+    /// Returns whether this VM is one of the first of its data hall, in rank
+    /// order of all live VMs. These VMs retry more often while the store does
+    /// not answer, and tell the others when it answers.
     pub(crate) fn is_outage_prober(&self, now: BootInstant) -> bool {
-        self.count_before(|peer| peer.is_alive(now)) < FORWARD
+        self.count_ranked_before(|peer| peer.is_alive(now))
+            < OUTAGE_PROBERS_PER_HALL
     }
 
-    /// VMs of this data hall before this one that meet a condition.
-    fn count_before(&self, meets: impl Fn(&Peer) -> bool) -> usize {
+    /// Returns the number of VMs of this data hall that rank before this one
+    /// and meet a condition.
+    fn count_ranked_before(&self, meets: impl Fn(&Peer) -> bool) -> usize {
         let known = self.known.lock().expect("peers lock");
         let before = known.iter().filter(|(vm, peer)| {
             peer.data_hall == self.data_hall
-                && peer.place(vm) < self.place
+                && peer.rank(vm) < self.rank
                 && meets(peer)
         });
         before.count()
     }
 
-    /// The VMs that watch the store: the first few, in a fixed order, of those
-    /// that are heard and that the store answers, of as many data halls as
+    /// Returns the VMs that watch the store: the first, in rank order, of the
+    /// live VMs that the store answers, spread over as many data halls as
     /// possible.
     fn watchers(&self, now: BootInstant) -> Arc<[String]> {
         let mut held = self.watchers.lock().expect("watchers lock");
         if let Some((at, watchers)) = &*held
-            && now.saturating_duration_since(*at) < WATCHERS_KEPT
+            && now.saturating_duration_since(*at) < WATCHERS_CACHE_TIME
         {
             return watchers.clone();
         }
@@ -445,7 +468,7 @@
         watchers
     }
 
-    /// Whether this VM is the first of those that watch, as far as it hears.
+    /// Returns whether this VM is the first of the watchers that it knows of.
     pub(crate) fn is_first_watcher(&self, now: BootInstant) -> bool {
         let watchers = self.watchers(now);
         watchers.first().is_none_or(|first| *first == self.vm)
@@ -453,39 +476,42 @@
 
     fn find_watchers(&self, now: BootInstant) -> Arc<[String]> {
         let known = self.known.lock().expect("peers lock");
-        let hears_all = self.hears_all(&known);
+        let receives_all = self.receives_all(&known);
         let able = known.iter().filter(|(_, peer)| {
-            let is_near = peer.data_hall == self.data_hall;
-            peer.can_watch(now) && (is_near || hears_all)
+            let is_same_hall = peer.data_hall == self.data_hall;
+            peer.can_watch(now) && (is_same_hall || receives_all)
         });
-        let mut able: Vec<(Place, &str, &DataHallId)> = able
-            .map(|(vm, peer)| (peer.place(vm), vm.as_str(), &peer.data_hall))
+        let mut able: Vec<(Rank, &str, &DataHallId)> = able
+            .map(|(vm, peer)| (peer.rank(vm), vm.as_str(), &peer.data_hall))
             .collect();
         if self.can_watch(now) {
-            able.push((self.place, &self.vm, &self.data_hall));
+            able.push((self.rank, &self.vm, &self.data_hall));
         }
         able.sort();
         let mut halls = HashSet::new();
         let (firsts, others): (Vec<_>, Vec<_>) =
             able.into_iter().partition(|(_, _, hall)| halls.insert(*hall));
-        let wanted = watchers_wanted(hears_all);
+        let wanted = wanted_watchers(receives_all);
         let chosen = firsts.into_iter().chain(others).take(wanted);
         chosen.map(|(_, vm, _)| vm.to_owned()).collect()
     }
 
-    /// Whether the beats of all VMs of the other data halls arrive before
-    /// their senders count as gone. Where they do not, each hall looks after
-    /// itself.
-    fn hears_all(&self, known: &BTreeMap<String, Peer>) -> bool {
-        let is_near = |peer: &&Peer| peer.data_hall == self.data_hall;
-        let near = known.values().filter(is_near).count();
-        let far = known.len() - near;
-        let far_a_round = BEATS_A_ROUND.saturating_sub(near).max(1);
-        far <= far_a_round * ROUNDS_HEARD
+    /// Returns whether the heartbeats of all VMs of the other data halls
+    /// arrive before their senders count as gone. If they do not, each hall
+    /// has its own watchers.
+    fn receives_all(&self, known: &BTreeMap<String, Peer>) -> bool {
+        let is_same_hall = |peer: &&Peer| peer.data_hall == self.data_hall;
+        let local = known.values().filter(is_same_hall).count();
+        let remote = known.len() - local;
+        let remote_per_round =
+            HEARTBEATS_PER_ROUND.saturating_sub(local).max(1);
+        remote <= remote_per_round * MAX_ROTATION_ROUNDS
     }
 
-    /// What this VM does to know what has changed; `proof_age` is that of the
-    /// configuration.
+    /// Returns how this VM learns of changes in the store.
+    ///
+    /// `proof_age` is the age of the proof of the configuration, and `revoke`
+    /// the time within which a revoked key must be rejected.
     pub(crate) fn watch_role(
         &self,
         proof_age: Option<Duration>,
@@ -493,16 +519,16 @@
         now: BootInstant,
     ) -> WatchRole {
         let watchers = self.watchers(now);
-        let hears_all =
-            self.hears_all(&self.known.lock().expect("peers lock"));
-        let are_enough = watchers.len() >= watchers_wanted(hears_all);
+        let receives_all =
+            self.receives_all(&self.known.lock().expect("peers lock"));
+        let are_enough = watchers.len() >= wanted_watchers(receives_all);
         let others_watch = self.expects_others(now)
             || (are_enough && !watchers.contains(&self.vm));
         if !others_watch {
             return WatchRole::Watch;
         }
-        let limit = revoke.mul_f64(REST_PROOF_PART);
-        // Nothing was proven as long as there is nothing to prove.
+        let limit = revoke.mul_f64(IDLE_PROOF_FRACTION);
+        // Without a configuration there is nothing to prove yet.
         let is_proven = proof_age.is_none_or(|age| age <= limit);
         let freshness = *self.freshness.lock().expect("freshness lock");
         match is_proven && freshness.is_current(now) {
@@ -511,55 +537,60 @@
         }
     }
 
-    /// The VMs that this one asks for everything when it starts: those of its
-    /// data hall that read it from the store for the others. None if this VM
-    /// is one of them.
+    /// Returns the addresses of the VMs that this one asks for everything at
+    /// startup: those of its data hall that read it from the store for the
+    /// others. Empty if this VM is one of them.
     pub(crate) fn snapshot_readers(&self) -> Vec<SocketAddr> {
         let known = self.known.lock().expect("peers lock");
         let hall = known.iter().filter(|(_, peer)| {
             peer.is_recorded && peer.data_hall == self.data_hall
         });
-        let mut hall: Vec<(Place, SocketAddr)> =
-            hall.map(|(vm, peer)| (peer.place(vm), peer.address)).collect();
+        let mut hall: Vec<(Rank, SocketAddr)> =
+            hall.map(|(vm, peer)| (peer.rank(vm), peer.address)).collect();
         hall.sort();
-        hall.truncate(READERS_OF_HALL);
-        let is_reader = hall.len() < READERS_OF_HALL
-            || hall.iter().any(|(place, _)| self.place < *place);
+        hall.truncate(READERS_PER_HALL);
+        let is_reader = hall.len() < READERS_PER_HALL
+            || hall.iter().any(|(rank, _)| self.rank < *rank);
         if is_reader {
             return Vec::new();
         }
-        // Half of the hall begins with each.
-        let first = self.place.hash as usize % hall.len();
+        // Spreads the VMs evenly over the readers.
+        let first = self.rank.hash as usize % hall.len();
         hall.rotate_left(first);
         hall.into_iter().map(|(_, address)| address).collect()
     }
 
-    /// Has this VM ask the store itself for what has changed.
+    /// Makes this VM poll the store for changes, whatever other VMs report.
     pub(crate) fn request_poll(&self) {
         *self.freshness.lock().expect("freshness lock") = Freshness::default();
     }
 
-    /// Notes that another VM knows more than this one. What a watcher tells
-    /// may be on its way, so that alone says nothing yet.
-    pub(crate) fn note_behind(&self, now: BootInstant) {
-        self.freshness.lock().expect("freshness lock").note_behind(now);
+    /// Records that another VM knows more than this one. The push of a watcher
+    /// may still be on its way, so that alone does not make this VM poll.
+    pub(crate) fn record_behind(&self, now: BootInstant) {
+        self.freshness.lock().expect("freshness lock").record_behind(now);
     }
 
-    /// Notes that this VM asked the store for all changes at that time.
+    /// Records that this VM polled the store for all changes at that time.
     pub(crate) fn record_poll(&self, asked_at: BootInstant) {
         let mut freshness = self.freshness.lock().expect("freshness lock");
         freshness.record_poll(asked_at);
     }
 
-    /// Notes that a VM knows what this VM knows, which counts if it watches.
-    pub(crate) fn note_agreed(&self, vm: &str, now: BootInstant) {
+    /// Records that a VM knows what this VM knows, which counts only if it is
+    /// a watcher.
+    pub(crate) fn record_agreement(&self, vm: &str, now: BootInstant) {
         if self.watchers(now).iter().any(|watcher| watcher == vm) {
-            self.freshness.lock().expect("freshness lock").note_agreed(now);
+            self.freshness
+                .lock()
+                .expect("freshness lock")
+                .record_agreement(now);
         }
     }
 
-    /// The VMs that a watcher tells what has changed: the other watchers too,
-    /// which are there for its loss and ask less often.
+    /// Returns the addresses to which this VM pushes changes; empty unless it
+    /// is a watcher. They include the other watchers, which are there for its
+    /// loss and poll less often.
     pub(crate) fn change_receivers(
         &self,
         now: BootInstant,
@@ -568,69 +599,76 @@
             return Vec::new();
         }
         let known = self.known.lock().expect("peers lock");
-        let hears_all = self.hears_all(&known);
+        let receives_all = self.receives_all(&known);
         let others = known.values().filter(|peer| {
-            let is_near = peer.data_hall == self.data_hall;
-            peer.is_alive(now) && (is_near || hears_all)
+            let is_same_hall = peer.data_hall == self.data_hall;
+            peer.is_alive(now) && (is_same_hall || receives_all)
         });
         others.map(|peer| peer.address).collect()
     }
 
-    /// Takes in a beat, and what it proves of what this VM knows; returns
-    /// whether its sender knows more.
+    /// Merges a heartbeat and what it proves about this VM's knowledge.
+    /// Returns whether its sender knows more than this VM; a stale heartbeat
+    /// is ignored.
     pub(crate) fn merge_heartbeat(
         &self,
-        beat: &Heartbeat,
+        heartbeat: &Heartbeat,
         knowledge: &Knowledge,
         now: BootInstant,
     ) -> bool {
         let mut known = self.known.lock().expect("peers lock");
-        let peer = known.entry(beat.vm.clone()).or_insert_with(|| Peer {
-            address: beat.peer_address,
-            data_hall: beat.data_hall.clone(),
-            link: beat.link_mbps,
+        let peer = known.entry(heartbeat.vm.clone()).or_insert_with(|| Peer {
+            address: heartbeat.peer_address,
+            data_hall: heartbeat.data_hall.clone(),
+            link: heartbeat.link_mbps,
             is_recorded: false,
-            heard: None,
+            last_heartbeat: None,
         });
-        if peer.heard.as_ref().is_some_and(|heard| heard.is_after(beat, now)) {
+        if peer
+            .last_heartbeat
+            .as_ref()
+            .is_some_and(|last| last.is_newer_than(heartbeat, now))
+        {
             return false;
         }
-        peer.address = beat.peer_address;
-        peer.link = beat.link_mbps;
-        let proven_at = self.proven_at(beat);
-        peer.heard = Some(Heard {
+        peer.address = heartbeat.peer_address;
+        peer.link = heartbeat.link_mbps;
+        let proven_at = self.proven_at(heartbeat);
+        peer.last_heartbeat = Some(LastHeartbeat {
             at: now,
-            incarnation: beat.incarnation,
-            number: beat.number,
-            is_leaving: beat.leaving,
-            can_watch: beat.can_watch,
+            incarnation: heartbeat.incarnation,
+            number: heartbeat.number,
+            is_leaving: heartbeat.leaving,
+            can_watch: heartbeat.can_watch,
             proven_at,
         });
         drop(known);
         if let Some(proven_at) = proven_at
             && knowledge.table_version()
-                == Some(TableVersion(beat.configuration_version))
+                == Some(TableVersion(heartbeat.configuration_version))
         {
             knowledge.prove(proven_at);
         }
         let table = knowledge.table_version().unwrap_or_default();
-        beat.digest != knowledge.digest()
-            && (beat.as_of > knowledge.as_of().0
-                || beat.configuration_version > table.0)
+        heartbeat.digest != knowledge.digest()
+            && (heartbeat.as_of > knowledge.as_of().0
+                || heartbeat.configuration_version > table.0)
     }
 
-    /// When what the sender knows was current, by this VM's clock.
+    /// Returns when the sender's configuration was proven current, by this
+    /// VM's clock.
     ///
-    /// The beat was made once the echoed one had been there for as long as it
-    /// says, and the echoed one arrived after it was sent from here.
-    fn proven_at(&self, beat: &Heartbeat) -> Option<BootInstant> {
-        let echo = beat.echo?;
+    /// The heartbeat was made `elapsed_ms` after the echoed one arrived there,
+    /// which was not before this VM sent that one. The result is thus never
+    /// later than the actual time.
+    fn proven_at(&self, heartbeat: &Heartbeat) -> Option<BootInstant> {
+        let echo = heartbeat.echo?;
         if echo.incarnation != self.incarnation {
             return None;
         }
         let sent_at = self.sent_at(echo.number)?;
         let held = Duration::from_millis(echo.elapsed_ms.into());
-        let age = Duration::from_millis(beat.proof_age_ms?.into());
+        let age = Duration::from_millis(heartbeat.proof_age_ms?.into());
         (sent_at + held).checked_sub(age)
     }
 
@@ -639,7 +677,8 @@
         sent.iter().find(|(n, _)| *n == number).map(|(_, at)| *at)
     }
 
-    /// The number of the next beat, sent at `now`.
+    /// Returns the number of the next heartbeat, and records that it is sent
+    /// at `now`.
     pub(crate) fn next_number(&self, now: BootInstant) -> u32 {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         self.note_sent(number, now);
@@ -648,49 +687,51 @@
 
     fn note_sent(&self, number: u32, now: BootInstant) {
         let mut sent = self.sent.lock().expect("sent lock");
-        if sent.len() >= BEATS_REMEMBERED {
+        if sent.len() >= SENT_HISTORY_LENGTH {
             sent.remove(0);
         }
         sent.push((number, now));
     }
 
-    /// Other data halls in which there are VMs.
+    /// Returns the other data halls that have known VMs.
     pub(crate) fn other_halls(&self) -> BTreeSet<DataHallId> {
         let known = self.known.lock().expect("peers lock");
         let halls = known.values().map(|peer| peer.data_hall.clone());
         halls.filter(|hall| *hall != self.data_hall).collect()
     }
 
-    /// Whom to send a beat to, each with the echo of its own last one: first
-    /// the VMs of the own data hall.
+    /// Returns the VMs to send a heartbeat to, each with the echo of its own
+    /// last one. Those of this data hall come first.
     ///
-    /// Each VM begins with another of the other halls, so that the beats of a
-    /// whole hall, one from each of fifty VMs in half a second, reach all
-    /// other halls at any time.
+    /// Each VM starts its rotation at a different VM of the other halls, so
+    /// that the heartbeats of a whole hall, one from each of fifty VMs in half
+    /// a second, reach all other halls at any time.
     pub(crate) fn receivers(&self, now: BootInstant) -> Vec<Receiver> {
         let known = self.known.lock().expect("peers lock");
-        let (near, far): (Vec<&Peer>, Vec<&Peer>) =
+        let (local, remote): (Vec<&Peer>, Vec<&Peer>) =
             known.values().partition(|peer| peer.data_hall == self.data_hall);
-        let far_count = BEATS_A_ROUND.saturating_sub(near.len()).max(1);
-        let far_count = far_count.min(far.len());
-        let first = self.next_receiver.fetch_add(far_count, Ordering::Relaxed);
-        let far = far.iter().cycle().skip(first % far.len().max(1));
-        let chosen = near.iter().chain(far.take(far_count));
+        let remote_count =
+            HEARTBEATS_PER_ROUND.saturating_sub(local.len()).max(1);
+        let remote_count = remote_count.min(remote.len());
+        let first =
+            self.next_receiver.fetch_add(remote_count, Ordering::Relaxed);
+        let remote = remote.iter().cycle().skip(first % remote.len().max(1));
+        let chosen = local.iter().chain(remote.take(remote_count));
         let mut receivers: Vec<Receiver> = chosen
             .map(|peer| Receiver {
                 address: peer.address,
-                echo: peer.heard.as_ref().map(|heard| heard.echo(now)),
-                is_near: peer.data_hall == self.data_hall,
+                echo: peer.last_heartbeat.as_ref().map(|last| last.echo(now)),
+                is_same_hall: peer.data_hall == self.data_hall,
             })
             .collect();
         for seed in &self.seeds {
-            // One that is known has its turn with the others.
+            // A known seed already takes part in the rotation.
             if !known.values().any(|peer| peer.address == *seed) {
                 let address = *seed;
                 receivers.push(Receiver {
                     address,
                     echo: None,
-                    is_near: false,
+                    is_same_hall: false,
                 });
             }
         }
@@ -698,8 +739,8 @@
     }
 }
 
-fn watchers_wanted(hears_all: bool) -> usize {
-    if hears_all { WATCHERS } else { WATCHERS_OF_HALL }
+fn wanted_watchers(receives_all: bool) -> usize {
+    if receives_all { WATCHERS } else { WATCHERS_PER_HALL }
 }
 
 #[cfg(test)]
--- a/src/store_sync/peers/tests.rs
+++ b/src/store_sync/peers/tests.rs
@@ -1,4 +1,5 @@
-//! Who watches the store, who is believed alive, and whom beats go to.
+//! Tests of the choice of watchers, of liveness and of the receivers of
+//! heartbeats.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,7 +16,12 @@
     Gateway::new(settings, Arc::new(SystemClock))
 }
 
-fn beat(vm: usize, hall: &str, incarnation: u64, number: u32) -> Heartbeat {
+fn heartbeat(
+    vm: usize,
+    hall: &str,
+    incarnation: u64,
+    number: u32,
+) -> Heartbeat {
     Heartbeat {
         vm: format!("vm-{vm}"),
         data_hall: hall.parse().unwrap(),
@@ -41,18 +47,19 @@
     }
 }
 
-/// Lets a VM hear a beat.
-fn hear(gateway: &Gateway, beat: &Heartbeat) {
+/// Makes a VM receive a heartbeat.
+fn receive(gateway: &Gateway, heartbeat: &Heartbeat) {
     let now = gateway.clock.now();
-    gateway.peers.merge_heartbeat(beat, &gateway.knowledge, now);
+    gateway.peers.merge_heartbeat(heartbeat, &gateway.knowledge, now);
 }
 
-/// A VM that hears `count` others, spread over the halls.
-fn hearing(count: usize, halls: &[&str]) -> Arc<Gateway> {
+/// Creates a VM that has received heartbeats from `count` others, spread over
+/// the halls.
+fn gateway_with_peers(count: usize, halls: &[&str]) -> Arc<Gateway> {
     let gateway = gateway();
     for vm in 1..=count {
         let hall = halls[vm % halls.len()];
-        hear(&gateway, &beat(vm, hall, 1, 1));
+        receive(&gateway, &heartbeat(vm, hall, 1, 1));
     }
     gateway
 }
@@ -63,32 +70,42 @@
 }
 
 #[test]
-fn a_life_that_began_earlier_by_the_clock_is_heard_once_the_other_is_silent() {
+fn an_earlier_incarnation_is_accepted_once_the_later_is_silent() {
     let gateway = gateway();
     let peers = &gateway.peers;
-    // The time of day was ahead when this life began, and was set back
-    // before the next.
-    hear(&gateway, &beat(1, "hall-b", 900, 50));
-    hear(&gateway, &beat(1, "hall-b", 100, 1));
-    let heard = || {
+    // The time of day was ahead when this incarnation began, and was set back
+    // before the next one.
+    receive(&gateway, &heartbeat(1, "hall-b", 900, 50));
+    receive(&gateway, &heartbeat(1, "hall-b", 100, 1));
+    let incarnation = || {
         let known = peers.known.lock().unwrap();
-        known["vm-1"].heard.clone().unwrap().incarnation
+        known["vm-1"].last_heartbeat.clone().unwrap().incarnation
     };
-    assert_eq!(heard(), Incarnation(900), "a late beat of an old life");
-    let earlier = BootInstant::now().checked_sub(LIFE_OPEN_AFTER * 2).unwrap();
+    assert_eq!(
+        incarnation(),
+        Incarnation(900),
+        "a delayed heartbeat of the old incarnation"
+    );
+    let earlier =
+        BootInstant::now().checked_sub(INCARNATION_RESET_AFTER * 2).unwrap();
     let mut known = peers.known.lock().unwrap();
-    known.get_mut("vm-1").unwrap().heard.as_mut().unwrap().at = earlier;
+    known.get_mut("vm-1").unwrap().last_heartbeat.as_mut().unwrap().at =
+        earlier;
     drop(known);
-    hear(&gateway, &beat(1, "hall-b", 900, 49));
-    assert_eq!(heard(), Incarnation(900), "an old beat of the same life");
-    hear(&gateway, &beat(1, "hall-b", 100, 2));
-    assert_eq!(heard(), Incarnation(100));
+    receive(&gateway, &heartbeat(1, "hall-b", 900, 49));
+    assert_eq!(
+        incarnation(),
+        Incarnation(900),
+        "an old heartbeat of the same incarnation"
+    );
+    receive(&gateway, &heartbeat(1, "hall-b", 100, 2));
+    assert_eq!(incarnation(), Incarnation(100));
 }
 
 #[test]
-fn watchers_stand_in_several_halls_and_can_watch() {
+fn watchers_are_in_several_halls_and_can_watch() {
     let halls = ["hall-a", "hall-b", "hall-c", "hall-d"];
-    let gateway = hearing(40, &halls);
+    let gateway = gateway_with_peers(40, &halls);
     let peers = &gateway.peers;
     let now = gateway.clock.now();
     let before = peers.find_watchers(now);
@@ -97,43 +114,44 @@
         true => peers.data_hall.clone(),
         false => peers.known.lock().unwrap()[vm].data_hall.clone(),
     };
-    let of: HashSet<_> = before.iter().map(hall).collect();
-    assert_eq!(of.len(), WATCHERS, "each in another hall");
-    // One that the store turns away is replaced.
+    let distinct: HashSet<_> = before.iter().map(hall).collect();
+    assert_eq!(distinct.len(), WATCHERS, "each in a different hall");
+    // A watcher that the store does not answer is replaced.
     let first = before.iter().find(|vm| *vm != peers.vm()).unwrap();
     let number = first.strip_prefix("vm-").unwrap().parse().unwrap();
     let hall = hall(first).to_string();
-    let turned_away =
-        Heartbeat { can_watch: false, ..beat(number, &hall, 1, 2) };
-    hear(&gateway, &turned_away);
+    let unable =
+        Heartbeat { can_watch: false, ..heartbeat(number, &hall, 1, 2) };
+    receive(&gateway, &unable);
     let after = peers.find_watchers(gateway.clock.now());
     assert_eq!(after.len(), WATCHERS);
     assert!(!after.contains(first));
 }
 
-/// In a fleet of hundreds, beats of another hall come every two minutes.
+/// In a fleet of hundreds, the heartbeats of another hall arrive only every
+/// two minutes, so no VM can choose watchers for the whole fleet.
 #[test]
-fn in_a_large_fleet_each_hall_watches_for_itself() {
+fn in_a_large_fleet_each_hall_has_its_own_watchers() {
     let halls = ["hall-a", "hall-b", "hall-c", "hall-d", "hall-e", "hall-f"];
-    let gateway = hearing(294, &halls);
+    let gateway = gateway_with_peers(294, &halls);
     let peers = &gateway.peers;
     let watchers = peers.find_watchers(gateway.clock.now());
-    assert_eq!(watchers.len(), WATCHERS_OF_HALL);
+    assert_eq!(watchers.len(), WATCHERS_PER_HALL);
     let known = peers.known.lock().unwrap();
-    let of_hall = |vm: &String| {
+    let is_in_hall = |vm: &String| {
         known.get(vm).is_none_or(|peer| peer.data_hall == peers.data_hall)
     };
-    assert!(watchers.iter().all(of_hall), "{watchers:?}");
+    assert!(watchers.iter().all(is_in_hall), "{watchers:?}");
 }
 
 #[test]
-fn the_fastest_links_of_a_hall_come_first() {
-    let gateway = hearing(294, &["hall-a", "hall-b", "hall-c"]);
+fn vms_with_the_fastest_links_rank_first() {
+    let gateway = gateway_with_peers(294, &["hall-a", "hall-b", "hall-c"]);
     let now = gateway.clock.now();
     for vm in [3, 42] {
-        let mut fast = beat(vm, "hall-a", 1, 2);
+        let mut fast = heartbeat(vm, "hall-a", 1, 2);
         fast.link_mbps = Mbps(200);
-        hear(&gateway, &fast);
+        receive(&gateway, &fast);
     }
     let mut watchers = gateway.peers.find_watchers(now).to_vec();
     watchers.sort();
@@ -141,25 +159,25 @@
     assert!(!gateway.peers.is_first_watcher(now));
 }
 
-/// The watchers fall away one after the other, as when a hall loses power.
+/// The watchers are lost one after the other, as when a hall loses power.
 #[test]
 fn a_vm_is_the_first_watcher_when_those_before_it_are_lost() {
-    let gateway = hearing(3, &["hall-a"]);
+    let gateway = gateway_with_peers(3, &["hall-a"]);
     let peers = &gateway.peers;
     let now = gateway.clock.now();
     let ahead = peers.known.lock().unwrap().len();
     assert_eq!(ahead, 3);
-    assert!(!peers.is_first_watcher(now), "faster links come before it");
-    let later = now + SILENT_AFTER + WATCHERS_KEPT;
+    assert!(!peers.is_first_watcher(now), "faster links rank before it");
+    let later = now + HEARTBEAT_TIMEOUT + WATCHERS_CACHE_TIME;
     assert!(peers.is_first_watcher(later));
     assert!(peers.is_outage_prober(later));
 }
 
 #[test]
-fn a_vm_that_starts_asks_the_readers_of_its_hall() {
+fn a_starting_vm_asks_the_readers_of_its_hall() {
     let gateway = gateway();
     let peers = &gateway.peers;
-    let learn = |vm: usize, link| {
+    let add_record = |vm: usize, link| {
         let record = PeerRecord {
             peers: format!("127.0.0.1:{}", 1000 + vm).parse().unwrap(),
             data_hall: "hall-a".parse().unwrap(),
@@ -167,10 +185,10 @@
         };
         peers.set_record(&format!("vm-{vm}"), &record);
     };
-    learn(1, 200);
-    assert!(peers.snapshot_readers().is_empty(), "one may be gone");
-    learn(2, 200);
-    learn(3, 20);
+    add_record(1, 200);
+    assert!(peers.snapshot_readers().is_empty(), "the only one may be gone");
+    add_record(2, 200);
+    add_record(3, 20);
     let mut readers = peers.snapshot_readers();
     readers.sort();
     let expected: Vec<SocketAddr> = vec![
@@ -181,7 +199,7 @@
 }
 
 #[test]
-fn seeds_share_the_vms_that_they_record() {
+fn seeds_divide_the_vms_that_they_record() {
     let seeds = "127.0.0.1:9, 127.0.0.7:9, 127.0.0.8:9";
     let text = MINIMAL_SETTINGS
         .replace("[keys]", &format!("[peers]\nseeds = {seeds}\n[keys]"));
@@ -190,7 +208,7 @@
     let peers = &gateway.peers;
     assert!(peers.is_seed());
     for vm in 1..=90 {
-        hear(&gateway, &beat(vm, "hall-a", 1, 1));
+        receive(&gateway, &heartbeat(vm, "hall-a", 1, 1));
     }
     let now = gateway.clock.now();
     let own = peers.unrecorded(false, now).len();
@@ -199,45 +217,50 @@
     let (vm, record) = peers.unrecorded(true, now).remove(0);
     peers.set_record(&vm, &record);
     assert_eq!(peers.unrecorded(true, now).len(), 89);
-    assert!(peers.unrecorded(true, now + SILENT_AFTER).is_empty(), "silent");
+    assert!(
+        peers.unrecorded(true, now + HEARTBEAT_TIMEOUT).is_empty(),
+        "silent"
+    );
 }
 
 #[test]
-fn a_vm_that_is_heard_outlives_its_record() {
-    let gateway = hearing(1, &["hall-a"]);
+fn a_vm_that_sends_heartbeats_outlives_its_record() {
+    let gateway = gateway_with_peers(1, &["hall-a"]);
     let peers = &gateway.peers;
     peers.remove_record("vm-1");
     peers.sweep(gateway.clock.now());
     assert!(is_alive(&gateway, "vm-1"));
     peers.sweep(gateway.clock.now() + FORGET_AFTER);
-    assert_eq!(peers.fleet_size(), 1, "neither recorded nor heard");
+    assert_eq!(peers.fleet_size(), 1, "neither record nor heartbeat");
 }
 
 #[test]
-fn every_vm_has_its_turn_in_the_beats() {
-    let gateway = hearing(100, &["hall-a", "hall-b", "hall-c", "hall-d"]);
+fn heartbeats_reach_every_vm_in_turn() {
+    let gateway =
+        gateway_with_peers(100, &["hall-a", "hall-b", "hall-c", "hall-d"]);
     let now = gateway.clock.now();
-    let near = 25;
-    let rounds = 100_usize.div_ceil(BEATS_A_ROUND - near);
+    let local = 25;
+    let rounds = 100_usize.div_ceil(HEARTBEATS_PER_ROUND - local);
     let mut reached = HashSet::new();
     for _ in 0..rounds {
         let receivers = gateway.peers.receivers(now);
-        assert!(receivers.len() <= BEATS_A_ROUND);
+        assert!(receivers.len() <= HEARTBEATS_PER_ROUND);
         reached.extend(receivers.into_iter().map(|r| r.address));
     }
     assert_eq!(reached.len(), 100);
 }
 
 #[test]
-fn a_small_fleet_is_told_everything_each_round() {
-    let gateway = hearing(8, &["hall-a", "hall-b", "hall-c", "hall-d"]);
+fn a_small_fleet_gets_all_heartbeats_each_round() {
+    let gateway =
+        gateway_with_peers(8, &["hall-a", "hall-b", "hall-c", "hall-d"]);
     let receivers = gateway.peers.receivers(gateway.clock.now());
     assert_eq!(receivers.len(), 8);
 }
 
 const REVOKE: Duration = Duration::from_secs(5);
 
-/// What this VM does, with a proof of this age, `later` after now.
+/// Returns the role of this VM with a proof of this age, `later` after now.
 fn role(gateway: &Gateway, age_ms: u64, later: Duration) -> WatchRole {
     let age = Duration::from_millis(age_ms);
     let now = gateway.clock.now() + later;
@@ -245,23 +268,25 @@
 }
 
 #[test]
-fn a_vm_rests_only_while_others_watch_and_the_proof_is_young() {
-    let gateway = hearing(40, &["hall-a", "hall-b", "hall-c", "hall-d"]);
+fn a_vm_is_idle_only_while_others_watch_and_the_proof_is_recent() {
+    let gateway =
+        gateway_with_peers(40, &["hall-a", "hall-b", "hall-c", "hall-d"]);
     let peers = &gateway.peers;
     let now = gateway.clock.now();
     let role = |age_ms| role(&gateway, age_ms, Duration::ZERO);
     let watchers = peers.find_watchers(now);
     assert!(!watchers.iter().any(|vm| vm == peers.vm()), "it does not watch");
     assert_eq!(role(100), WatchRole::Poll, "no watcher agrees yet");
-    peers.note_agreed(&watchers[0], now);
+    peers.record_agreement(&watchers[0], now);
     assert_eq!(role(100), WatchRole::Idle);
     assert_eq!(role(3_500), WatchRole::Poll, "the proof is old");
     peers.request_poll();
-    assert_eq!(role(100), WatchRole::Poll, "told to look for itself");
+    assert_eq!(role(100), WatchRole::Poll, "a poll was requested");
 }
 
-/// Hundreds of VMs that start at once, as for the first time or after a loss
-/// of power, ask the store once each until they hear each other.
+/// Hundreds of VMs that start at once, for the first time or after a power
+/// loss, poll the store once each until they receive each other's heartbeats,
+/// instead of all watching it.
 #[test]
 fn vms_that_start_together_do_not_all_watch() {
     let record = |vm: usize| PeerRecord {
@@ -269,47 +294,45 @@
         data_hall: "hall-a".parse().unwrap(),
         link_mbps: Mbps(0),
     };
-    // The place of this VM, `vm-0`, among those of its hall is fixed.
-    let place = |vm: usize| Place::of(&format!("vm-{vm}"), Mbps(0));
+    // The rank of this VM, `vm-0`, among those of its hall is fixed.
+    let rank = |vm: usize| Rank::of(&format!("vm-{vm}"), Mbps(0));
     let (before, after): (Vec<usize>, Vec<usize>) =
-        (1..50).partition(|vm| place(*vm) < place(0));
+        (1..50).partition(|vm| rank(*vm) < rank(0));
     let gateway = gateway();
     let peers = &gateway.peers;
     let now = Duration::ZERO;
     assert_eq!(role(&gateway, 0, now), WatchRole::Watch, "it is alone");
     peers.set_record(&format!("vm-{}", after[0]), &record(after[0]));
-    assert_eq!(role(&gateway, 0, now), WatchRole::Watch, "it comes first");
+    assert_eq!(role(&gateway, 0, now), WatchRole::Watch, "it ranks first");
     peers.set_record(&format!("vm-{}", before[0]), &record(before[0]));
     assert_eq!(role(&gateway, 0, now), WatchRole::Poll);
     peers.record_poll(gateway.clock.now());
     assert_eq!(role(&gateway, 0, now), WatchRole::Idle);
-    assert!(!peers.is_first_of_hall(gateway.clock.now()), "another proves");
-    // Those before it were never heard.
-    assert_eq!(role(&gateway, 0, START_TIME), WatchRole::Watch);
-    assert!(peers.is_first_of_hall(gateway.clock.now() + START_TIME));
+    assert!(
+        !peers.is_first_of_hall(gateway.clock.now()),
+        "another ranks before it"
+    );
+    // It never received heartbeats from those before it.
+    assert_eq!(role(&gateway, 0, STARTUP_TIME), WatchRole::Watch);
+    assert!(peers.is_first_of_hall(gateway.clock.now() + STARTUP_TIME));
 }
 
-/// All VMs of a site start for the first time, none is recorded, and each took
-/// the others to follow the store for four seconds. An upstream that left in
-/// the first second was used for 3.1 s by VMs that had not heard of it:
-///
-/// ```text
-/// vm-0 E001 at …598012, E043 "leaving":true at …600258
-/// vm-1 E001 at …598010, E043 "leaving":true at …600787
-/// ```
+/// All VMs of a site start for the first time and none is recorded, so each
+/// waited four seconds for the others to follow the store. Until then, VMs
+/// kept using an upstream that had left in the first second, for up to 3.1 s.
 #[test]
-fn a_site_that_starts_follows_the_store_once_its_vms_hear_each_other() {
+fn a_starting_site_follows_the_store_once_its_vms_discover_each_other() {
     let text = MINIMAL_SETTINGS
         .replace("[keys]", "[peers]\nseeds = 127.0.0.9:1\n[keys]");
     let settings = GatewaySettings::from_ini(&text).expect("settings");
     let gateway = Gateway::new(settings, Arc::new(SystemClock));
     gateway.peers.record_poll(gateway.clock.now());
     for vm in 1..=2 {
-        hear(&gateway, &beat(vm, "hall-a", 1, 1));
+        receive(&gateway, &heartbeat(vm, "hall-a", 1, 1));
     }
     let soon = Duration::from_millis(100);
-    assert_eq!(role(&gateway, 0, soon), WatchRole::Idle, "more may come");
-    assert_eq!(role(&gateway, 0, HEAR_TIME), WatchRole::Watch);
+    assert_eq!(role(&gateway, 0, soon), WatchRole::Idle, "more may appear");
+    assert_eq!(role(&gateway, 0, DISCOVERY_TIME), WatchRole::Watch);
 }
 
 #[test]
@@ -320,5 +343,5 @@
     let gateway = Gateway::new(settings, Arc::new(SystemClock));
     gateway.peers.record_poll(gateway.clock.now());
     assert_eq!(role(&gateway, 0, Duration::ZERO), WatchRole::Idle);
-    assert_eq!(role(&gateway, 0, START_TIME), WatchRole::Watch);
+    assert_eq!(role(&gateway, 0, STARTUP_TIME), WatchRole::Watch);
 }
