--- a/src/store_sync/gossip.rs
+++ b/src/store_sync/gossip.rs
@@ -1,10 +1,10 @@
-//! What VMs before a platform tell each other: beats by datagram, and whole
-//! knowledge over a connection when one of them is behind.
+//! Messages between the VMs before a platform: heartbeats by datagram, and
+//! changes and snapshots of the store over connections.
 //!
-//! A beat tells where a VM's requests are, what it has seen of roll-outs, and
-//! how old its proof of the configuration is. Since it carries an echo of the
-//! receiver's last beat, the receiver knows that it was made after that beat
-//! was sent, whatever the network did with it.
+//! A heartbeat reports the VM's requests in flight, its observations of
+//! rollouts, and the age of its proof of the configuration. Since it echoes
+//! the receiver's last heartbeat, the receiver knows that it was made after
+//! that one was sent, however long the network delayed it.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -29,143 +29,151 @@
     task,
 };
 
-/// Longest time that another VM may take to tell all that it knows.
-const KNOWLEDGE_LIMIT: Duration = Duration::from_millis(800);
+/// Timeout of a request to another VM for its snapshot of the store.
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Longest time for which a VM that starts lets another wait that asks it for
-/// everything.
-const PROOF_WAIT: Duration = Duration::from_millis(400);
+/// Longest time for which a starting VM delays its reply to another VM that
+/// asks it for a snapshot.
+const PROOF_WAIT_LIMIT: Duration = Duration::from_millis(400);
 
-/// Time between two looks at whether it knows.
-const PROOF_LOOK: Duration = Duration::from_millis(10);
+/// Interval at which such a VM checks whether it has a proof.
+const PROOF_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Longest time for which a VM that starts asks others of its data hall for
-/// everything before it reads it itself: they start within a third of a second
-/// of it and know everything a sixth of a second later.
-const TAKE_LIMIT: Duration = Duration::from_millis(800);
+/// Longest time for which a starting VM asks others of its data hall for a
+/// snapshot before it reads the store itself. They start within a third of a
+/// second of it and know everything a sixth of a second later.
+const STARTUP_FETCH_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Time after which the second VM is asked as well; one that answers does so
-/// within it.
+/// Time after which a second VM is asked in parallel; a VM that replies does
+/// so within this time.
 const SECOND_SOURCE_AFTER: Duration = Duration::from_millis(200);
 
-/// Time after which a VM is asked again that could not tell.
-const ASK_AGAIN_AFTER: Duration = Duration::from_millis(40);
+/// Delay before a VM whose request for a snapshot failed asks again.
+const FETCH_RETRY_DELAY: Duration = Duration::from_millis(40);
 
-/// Time over which the VMs of a data hall spread when all of them take the
-/// same: 50 replies of 40 KB fill a link of 200 Mbit/s for 80 ms.
-const TAKE_SPREAD: Duration = Duration::from_millis(100);
+/// Time over which the VMs of a data hall spread their requests when all of
+/// them fetch the same snapshot: 50 replies of 40 KB fill a link of 200 Mbit/s
+/// for 80 ms.
+const FETCH_SPREAD: Duration = Duration::from_millis(100);
 
-/// Proof age from which a VM takes knowledge from others; below it, its own
-/// watch is at work.
-const BEHIND_AFTER: Duration = Duration::from_millis(1500);
+/// Proof age from which a VM fetches snapshots from others; below it, its own
+/// polls or watch keep it up to date.
+const FETCH_MIN_PROOF_AGE: Duration = Duration::from_millis(1500);
 
-/// Largest value that is told unasked, before it is deflated. A configuration
-/// may have hundreds of routes; VMs take what is larger when they can, packed
-/// once for all.
-const TOLD_BYTES: usize = 24 << 10;
+/// Largest value that is pushed, in bytes before compression. A configuration
+/// may have hundreds of routes; VMs pull larger values as a snapshot, which is
+/// packed once for all of them.
+const PUSH_LIMIT_BYTES: usize = 24 << 10;
 
-/// Longest time that telling another VM what has changed may take.
-const NEWS_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout of a request that pushes changes to another VM.
+const PUSH_CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Largest datagram read, in bytes.
+/// Largest datagram that is read, in bytes.
 const DATAGRAM_BYTES: usize = 64 << 10;
 
-/// Least time between two beats, however much there is to tell.
-const BEAT_GAP: Duration = Duration::from_millis(50);
+/// Minimum time between two rounds of heartbeats, however much there is to
+/// report.
+const MIN_HEARTBEAT_GAP: Duration = Duration::from_millis(50);
 
-/// Sends beats again and again: at every beat period, and sooner when
-/// something was begun that the others should know of.
+/// Sends a round of heartbeats at every heartbeat interval, and sooner when
+/// something has begun that other VMs should know of.
 pub(crate) async fn send_heartbeats(gateway: Arc<Gateway>, socket: UdpSocket) {
     loop {
         let jitter = 0.9 + 0.2 * rand::random::<f64>();
         let regular =
             task::sleep(gateway.settings.heartbeat_interval.mul_f64(jitter));
         let early = async {
-            task::sleep(BEAT_GAP).await;
+            task::sleep(MIN_HEARTBEAT_GAP).await;
             gateway.early_heartbeat.woken().await;
         };
         future::or(regular, early).await;
-        send_beats(&gateway, &socket).await;
+        send_round(&gateway, &socket).await;
     }
 }
 
-async fn send_beats(gateway: &Gateway, socket: &UdpSocket) {
+async fn send_round(gateway: &Gateway, socket: &UdpSocket) {
     let mut round = HeartbeatRound::new(gateway);
-    while let Some((address, beat)) = round.next_heartbeat() {
-        let frame = gateway.peers.codec.seal(beat);
+    while let Some((address, heartbeat)) = round.next_heartbeat() {
+        let frame = gateway.peers.codec.seal(heartbeat);
         let counter = gateway.metrics.peer_bytes.with_label_values(&["udp"]);
         counter.inc_by(frame.len() as u64);
-        // A datagram that cannot be sent is like one that is lost; the next
-        // beat says all of it again.
+        // A datagram that cannot be sent is treated as lost; the next
+        // heartbeat repeats its contents.
         let _ = socket.send_to(&frame, address).await;
     }
 }
 
-/// The beats of one round: one for the VMs of the own data hall and one for
-/// those of others, which differ only in their echo.
+/// One round of heartbeats. Those for the VMs of the own data hall differ from
+/// each other only in their echo, and so do those for other data halls.
 pub(crate) struct HeartbeatRound {
-    beat: Heartbeat,
-    /// What only other halls are told, until the first of them is reached.
-    for_others: Option<ForOthers>,
+    heartbeat: Heartbeat,
+    /// Fields for other halls, until the round reaches the first of them.
+    other_hall: Option<OtherHallFields>,
     receivers: std::vec::IntoIter<Receiver>,
 }
 
-/// What the VMs of other data halls are told in place of what those of the
-/// own one are.
-struct ForOthers {
+/// Fields of a heartbeat whose values differ for other data halls.
+struct OtherHallFields {
     hall_evidence: Vec<HallEvidence>,
     observations: Vec<RequestObservation>,
     rate_limits: Vec<RateLimitReport>,
 }
 
 impl HeartbeatRound {
-    /// What a VM has to tell now, and whom.
+    /// Collects what this VM has to report now, and the receivers.
     pub(crate) fn new(gateway: &Gateway) -> HeartbeatRound {
         let now = gateway.clock.now();
-        let mut beat = beat(gateway);
+        let mut heartbeat = own_heartbeat(gateway);
         let hall = ShortHash::of(gateway.settings.data_hall.as_str());
         let rollouts = &gateway.rollouts;
-        let for_others = ForOthers {
-            hall_evidence: rollouts.hall_evidence(hall, &beat.evidence, now),
+        let other_hall = OtherHallFields {
+            hall_evidence: rollouts.hall_evidence(
+                hall,
+                &heartbeat.evidence,
+                now,
+            ),
             observations: gateway
                 .crashes
                 .next_broadcasts(Audience::OtherHalls),
             rate_limits: gateway.pool.take_rate_limits(false, now),
         };
-        beat.hall_evidence = rollouts.relayed_evidence(&beat.evidence, now);
-        beat.observations = gateway.crashes.next_broadcasts(Audience::OwnHall);
+        heartbeat.hall_evidence =
+            rollouts.relayed_evidence(&heartbeat.evidence, now);
+        heartbeat.observations =
+            gateway.crashes.next_broadcasts(Audience::OwnHall);
         let receivers = gateway.peers.receivers(now);
         HeartbeatRound {
-            beat,
-            for_others: Some(for_others),
+            heartbeat,
+            other_hall: Some(other_hall),
             receivers: receivers.into_iter(),
         }
     }
 
-    /// The next beat, and the VM that it goes to.
+    /// Returns the next heartbeat and the address that it goes to.
     pub(crate) fn next_heartbeat(
         &mut self,
     ) -> Option<(SocketAddr, &Heartbeat)> {
         let receiver = self.receivers.next()?;
         if !receiver.is_same_hall
-            && let Some(told) = self.for_others.take()
+            && let Some(other_hall) = self.other_hall.take()
         {
-            self.beat.evidence = Vec::new();
-            self.beat.hall_evidence = told.hall_evidence;
-            self.beat.observations = told.observations;
-            self.beat.rate_limits = told.rate_limits;
+            self.heartbeat.evidence = Vec::new();
+            self.heartbeat.hall_evidence = other_hall.hall_evidence;
+            self.heartbeat.observations = other_hall.observations;
+            self.heartbeat.rate_limits = other_hall.rate_limits;
         }
-        self.beat.echo = receiver.echo;
-        Some((receiver.address, &self.beat))
+        self.heartbeat.echo = receiver.echo;
+        Some((receiver.address, &self.heartbeat))
     }
 }
 
-/// What a VM has to tell the others now.
-fn beat(gateway: &Gateway) -> Heartbeat {
+/// Returns this VM's heartbeat for its own data hall, without the fields that
+/// the round fills in.
+fn own_heartbeat(gateway: &Gateway) -> Heartbeat {
     let peers = &gateway.peers;
     let now = gateway.clock.now();
     let number = peers.next_number(now);
-    let old = |service: &_, target: &_| {
+    let in_flight = |service: &_, target: &_| {
         gateway.in_flight_at_other_versions(service, target)
     };
     let age = gateway.knowledge.proof_age(now);
@@ -185,7 +193,7 @@
             .table_version()
             .unwrap_or_default()
             .0,
-        // Rounded up, so that a proof never seems younger than it is.
+        // Rounded up, so that a proof never seems more recent than it is.
         proof_age_ms: age.map(|age| age.as_millis() as u32 + 1),
         can_watch: peers.can_watch(now),
         in_flight: gateway.pool.local_work(),
@@ -193,13 +201,14 @@
         failures: gateway.pool.take_failures(now),
         leaving_upstreams: gateway.pool.take_leaving(now),
         rate_limits: gateway.pool.take_rate_limits(true, now),
-        evidence: gateway.rollouts.evidence(old, now),
+        evidence: gateway.rollouts.evidence(in_flight, now),
         observations: Vec::new(),
         hall_evidence: Vec::new(),
     }
 }
 
-/// Takes in beats for as long as it is polled.
+/// Receives heartbeats for as long as it is polled. Frames that cannot be
+/// opened are counted and dropped.
 pub(crate) async fn receive_heartbeats(
     gateway: Arc<Gateway>,
     socket: UdpSocket,
@@ -211,7 +220,7 @@
             continue;
         };
         match gateway.peers.codec.open::<Heartbeat>(&buffer[..length]) {
-            Ok(beat) => receive_heartbeat(&gateway, &beat),
+            Ok(heartbeat) => receive_heartbeat(&gateway, &heartbeat),
             Err(fault) => {
                 let dropped = &gateway.metrics.frames_dropped;
                 dropped.with_label_values(&[fault.as_str()]).inc();
@@ -220,68 +229,88 @@
     }
 }
 
-/// Takes in a beat.
-pub(crate) fn receive_heartbeat(gateway: &Arc<Gateway>, beat: &Heartbeat) {
-    if beat.vm == gateway.peers.vm() {
+/// Merges the state that a heartbeat reports; fetches the sender's snapshot if
+/// this VM is behind and its own proof is old.
+pub(crate) fn receive_heartbeat(
+    gateway: &Arc<Gateway>,
+    heartbeat: &Heartbeat,
+) {
+    if heartbeat.vm == gateway.peers.vm() {
         return;
     }
     let now = gateway.clock.now();
     let knows_more =
-        gateway.peers.merge_heartbeat(beat, &gateway.knowledge, now);
-    if beat.digest == gateway.knowledge.digest() {
-        gateway.peers.record_agreement(&beat.vm, now);
+        gateway.peers.merge_heartbeat(heartbeat, &gateway.knowledge, now);
+    if heartbeat.digest == gateway.knowledge.digest() {
+        gateway.peers.record_agreement(&heartbeat.vm, now);
     }
-    gateway.pool.record_hall_heartbeat(&beat.data_hall, now);
-    gateway.pool.set_peer_work(&beat.vm, &beat.in_flight, now);
-    gateway.pool.apply_peer_loads(&beat.load_reports, now);
-    let is_same_hall = beat.data_hall == gateway.settings.data_hall;
-    gateway.merge_leaving_upstreams(&beat.vm, &beat.leaving_upstreams);
-    gateway.merge_rate_limits(&beat.vm, &beat.rate_limits, is_same_hall);
+    gateway.pool.record_hall_heartbeat(&heartbeat.data_hall, now);
+    gateway.pool.set_peer_work(&heartbeat.vm, &heartbeat.in_flight, now);
+    gateway.pool.apply_peer_loads(&heartbeat.load_reports, now);
+    let is_same_hall = heartbeat.data_hall == gateway.settings.data_hall;
+    gateway
+        .merge_leaving_upstreams(&heartbeat.vm, &heartbeat.leaving_upstreams);
+    gateway.merge_rate_limits(
+        &heartbeat.vm,
+        &heartbeat.rate_limits,
+        is_same_hall,
+    );
     if is_same_hall {
-        for unfit in gateway.pool.apply_peer_failures(&beat.failures, now) {
+        for upstream in
+            gateway.pool.apply_peer_failures(&heartbeat.failures, now)
+        {
             Event::UpstreamUnfit.record(fields(json!({
-                "upstream": unfit,
-                "told_by": beat.vm,
+                "upstream": upstream,
+                "told_by": heartbeat.vm,
             })));
         }
     }
-    hear_evidence(gateway, beat, is_same_hall);
+    merge_evidence(gateway, heartbeat, is_same_hall);
     let source =
         if is_same_hall { Source::OwnHall } else { Source::OtherHall };
-    gateway.merge_sightings(&beat.observations, source);
+    gateway.merge_sightings(&heartbeat.observations, source);
     if !knows_more {
         return;
     }
     gateway.peers.record_behind(now);
     let age = gateway.knowledge.proof_age(now);
-    if age.is_none_or(|age| age > BEHIND_AFTER) {
-        let (gateway, from) = (gateway.clone(), beat.peer_address);
+    if age.is_none_or(|age| age > FETCH_MIN_PROOF_AGE) {
+        let (gateway, from) = (gateway.clone(), heartbeat.peer_address);
         let work = async move {
-            // If it fails, the next beat says again that this VM is behind.
+            // If this fails, the next heartbeat shows again that this VM is
+            // behind.
             let _ = fetch(&gateway, from).await;
         };
         task::spawn(work).detach();
     }
 }
 
-/// Takes in what a beat tells of the roll-outs that are running.
-fn hear_evidence(gateway: &Gateway, beat: &Heartbeat, is_same_hall: bool) {
+/// Merges the evidence on running rollouts that a heartbeat reports.
+fn merge_evidence(
+    gateway: &Gateway,
+    heartbeat: &Heartbeat,
+    is_same_hall: bool,
+) {
     let now = gateway.clock.now();
     let rollouts = &gateway.rollouts;
     let own_hall = ShortHash::of(gateway.settings.data_hall.as_str());
     if is_same_hall {
-        rollouts.merge_evidence(&beat.vm, &beat.evidence, now);
+        rollouts.merge_evidence(&heartbeat.vm, &heartbeat.evidence, now);
     }
-    let way = if is_same_hall { Delivery::Relayed } else { Delivery::Direct };
-    for sum in &beat.hall_evidence {
-        // One of this hall comes from a VM that took it for another.
+    let delivery =
+        if is_same_hall { Delivery::Relayed } else { Delivery::Direct };
+    for sum in &heartbeat.hall_evidence {
+        // Evidence on this hall comes from a VM that took this hall for
+        // another one.
         if sum.data_hall != own_hall {
-            rollouts.merge_hall_evidence(sum, way, now);
+            rollouts.merge_hall_evidence(sum, delivery, now);
         }
     }
 }
 
-/// Tells the other VMs what has changed.
+/// Pushes changes to the other VMs, if this VM is a watcher.
+///
+/// `digest_before` is the digest of this VM's copy before the changes.
 pub(crate) fn push_changes(
     gateway: &Arc<Gateway>,
     digest_before: u64,
@@ -291,27 +320,27 @@
         return;
     }
     let own = gateway.settings.peer_address;
-    let request = news(digest_before, changes, own);
+    let request = push_request(digest_before, changes, own);
     for address in gateway.peers.change_receivers(gateway.clock.now()) {
         let request = request.clone();
         let gateway = gateway.clone();
         task::spawn(async move {
-            // One that does not hear it learns from the next beat that it
+            // A VM that misses the push learns from the next heartbeat that it
             // is behind.
             let client = &gateway.peers.client;
-            let _ = client.call(address, request, NEWS_LIMIT).await;
+            let _ = client.call(address, request, PUSH_CALL_TIMEOUT).await;
         })
         .detach();
     }
 }
 
-fn news(
+fn push_request(
     digest_before: u64,
     changes: &StoreItems,
     own: SocketAddr,
 ) -> PeerRequest {
     let bytes = |item: &StoreItem| item.value.as_ref().map_or(0, Vec::len);
-    if changes.items.iter().any(|item| bytes(item) > TOLD_BYTES) {
+    if changes.items.iter().any(|item| bytes(item) > PUSH_LIMIT_BYTES) {
         return PeerRequest::PullKnowledge { from: own };
     }
     let items = changes.items.iter().map(|item| ChangedItem {
@@ -326,29 +355,30 @@
     }
 }
 
-/// Waits a moment for the first proof of what this VM knows, if it has only
-/// just started and reads for the others.
+/// Waits briefly for the first proof of this VM's copy, in case it has just
+/// started and reads the store for the others.
 async fn wait_for_proof(gateway: &Gateway) {
     let proven = async {
         while gateway.knowledge.is_empty()
             || gateway.knowledge.proof_age(gateway.clock.now()).is_none()
         {
-            task::sleep(PROOF_LOOK).await;
+            task::sleep(PROOF_POLL_INTERVAL).await;
         }
     };
-    // Without one it is told that nothing is known.
-    let _ = task::within(PROOF_WAIT, proven).await;
+    // Without a proof, the caller replies that nothing is known.
+    let _ = task::within(PROOF_WAIT_LIMIT, proven).await;
 }
 
-/// Takes what the VM has that says it knows more, or else asks the store.
-async fn take_or_look(gateway: Arc<Gateway>, from: SocketAddr) {
-    task::sleep(TAKE_SPREAD.mul_f64(rand::random())).await;
+/// Fetches the snapshot of a VM that has new changes, or makes this VM poll
+/// the store if that fails.
+async fn fetch_or_poll(gateway: Arc<Gateway>, from: SocketAddr) {
+    task::sleep(FETCH_SPREAD.mul_f64(rand::random())).await;
     if !fetch(&gateway, from).await {
         gateway.peers.request_poll();
     }
 }
 
-/// Takes everything from the first of two VMs that tells it; returns whether
+/// Fetches a snapshot from the first of two VMs that replies; returns whether
 /// one did.
 pub(crate) async fn fetch_from_either(
     gateway: &Gateway,
@@ -357,7 +387,7 @@
     let [first, others @ ..] = sources else { return false };
     let ask = |from: SocketAddr| async move {
         while !fetch(gateway, from).await {
-            task::sleep(ASK_AGAIN_AFTER).await;
+            task::sleep(FETCH_RETRY_DELAY).await;
         }
     };
     let second = async {
@@ -368,15 +398,16 @@
         }
     };
     let either = future::or(ask(*first), second);
-    task::within(TAKE_LIMIT, either).await.is_some()
+    task::within(STARTUP_FETCH_TIMEOUT, either).await.is_some()
 }
 
-/// Takes over what another VM knows; returns whether it knows all that now.
+/// Fetches and applies another VM's snapshot; returns whether this VM now
+/// knows at least as much as it.
 async fn fetch(gateway: &Gateway, from: SocketAddr) -> bool {
     let asked_at = gateway.clock.now();
     let client = &gateway.peers.client;
     let reply =
-        client.call(from, PeerRequest::Knowledge, KNOWLEDGE_LIMIT).await;
+        client.call(from, PeerRequest::Knowledge, SNAPSHOT_TIMEOUT).await;
     let Ok(PeerReply::Knowledge { as_of, packed, proof_age_ms, observations }) =
         reply
     else {
@@ -396,8 +427,8 @@
     });
     let all =
         StoreItems { items: items.collect(), as_of: StoreVersion(as_of) };
-    let news = gateway.knowledge.apply_snapshot(all);
-    gateway.apply_news(news);
+    let applied = gateway.knowledge.apply_snapshot(all);
+    gateway.apply_news(applied);
     let age = Duration::from_millis(proof_age_ms.into());
     if let Some(proven_at) = asked_at.checked_sub(age) {
         gateway.knowledge.prove(proven_at);
@@ -417,7 +448,7 @@
             PeerRequest::Knowledge => {
                 wait_for_proof(&self).await;
                 let now = self.clock.now();
-                // The age is taken before the values, so that it is not
+                // The age is read before the values, so that it is never
                 // younger than they are.
                 let Some(age) = self.knowledge.proof_age(now) else {
                     return PeerReply::Refused("nothing is known".into());
@@ -438,14 +469,14 @@
                 });
                 let as_of = StoreVersion(as_of);
                 let changes = StoreItems { items: items.collect(), as_of };
-                // Whether anything is missing shows in the next beat.
-                let news =
+                // If changes are missing, the next heartbeat shows it.
+                let applied =
                     self.knowledge.merge_peer_changes(digest_before, changes);
-                self.apply_news(news);
+                self.apply_news(applied);
                 PeerReply::Done
             }
             PeerRequest::PullKnowledge { from } => {
-                task::spawn(take_or_look(self, from)).detach();
+                task::spawn(fetch_or_poll(self, from)).detach();
                 PeerReply::Done
             }
             _ => PeerReply::Refused("not a request for this VM".into()),
@@ -453,7 +484,7 @@
     }
 }
 
-/// Serves the other VMs for as long as it is polled.
+/// Serves requests of the other VMs for as long as it is polled.
 pub(crate) async fn serve(
     gateway: Arc<Gateway>,
     listener: smol::net::TcpListener,
