--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -1,9 +1,9 @@
-//! An HTTP client that knows whether a request may have left.
+//! An HTTP client that reports whether a request may have been sent.
 //!
-//! The promises about "not run" rest on one distinction: a call that failed
-//! with [`SendError::NotSent`] reached nobody, any other failure may have
-//! been carried out by the other side. Dropping an [`Exchange`] closes its
-//! connection, which cancels the work at an upstream.
+//! Whether a request can be reported as not run depends on one distinction: a
+//! call that failed with [`SendError::NotSent`] reached nobody, while any
+//! other failure may have been processed by the other side. Dropping an
+//! [`Exchange`] closes its connection, which cancels the work at an upstream.
 
 use std::{
     collections::HashMap,
@@ -29,13 +29,13 @@
     task::{self, Task, within},
 };
 
-/// Idle connections kept for each address.
+/// Largest number of idle connections that are pooled for each address.
 const IDLE_LIMIT: usize = 64;
 
 /// Time after which an idle connection is not used again.
 const IDLE_LIFETIME: Duration = Duration::from_secs(20);
 
-/// Headers that belong to a connection and are not passed on.
+/// Hop-by-hop headers, which a proxy does not forward.
 pub(crate) const HOP_BY_HOP_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -47,14 +47,14 @@
     "content-length",
 ];
 
-/// Why a call brought no whole answer.
+/// Reason why a call got no complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SendError {
-    /// Nothing of the request can have been received.
+    /// No byte of the request can have been received.
     NotSent(String),
-    /// The request may have been received.
+    /// The request may have been received and processed.
     Broken(String),
-    /// The answer is larger than allowed.
+    /// The response is larger than allowed.
     TooLarge,
 }
 
@@ -63,45 +63,46 @@
         match self {
             SendError::NotSent(reason) => write!(f, "not sent: {reason}"),
             SendError::Broken(reason) => write!(f, "broken: {reason}"),
-            SendError::TooLarge => f.write_str("answer too large"),
+            SendError::TooLarge => f.write_str("response too large"),
         }
     }
 }
 
 impl std::error::Error for SendError {}
 
-/// Whether a call may use a connection that carried another one before.
+/// Whether a call may use a pooled connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reuse {
-    /// Use an idle connection if there is one, and keep it afterwards.
+    /// Uses an idle connection if there is one, and returns it to the pool
+    /// afterwards.
     Pooled,
-    /// Open a connection for this call alone.
+    /// Opens a connection for this call alone.
     Fresh,
 }
 
-/// Whether anything takes connections at an address.
+/// Whether anything accepts connections at an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listening {
-    /// A connection was taken.
+    /// A connection was accepted.
     Yes,
-    /// The machine is there and refuses connections.
+    /// The machine is up and refuses connections.
     No,
-    /// Nothing came back in time.
+    /// The attempt timed out or failed in another way.
     Unknown,
 }
 
-/// One request to be sent.
+/// A request to be sent.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Where to.
+    /// Address to connect to.
     pub address: SocketAddr,
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// The path, with its query.
+    /// The path, including the query.
     pub path: String,
-    /// Headers, without `Host` and `Content-Length`.
+    /// Headers other than `Host` and `Content-Length`.
     pub headers: HeaderMap,
-    /// The body.
+    /// The whole body; may be empty.
     pub body: Bytes,
 }
 
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Adds a header; one whose value cannot stand in a header is left out.
+    /// Adds a header; a value that is not valid in a header is ignored.
     #[must_use]
     pub fn header(mut self, name: &'static str, value: &str) -> Call {
         if let Ok(value) = HeaderValue::from_str(value) {
@@ -160,7 +161,8 @@
     }
 }
 
-/// A connection and the task that moves its bytes; dropping it closes it.
+/// A connection and the task that drives it; dropping it closes the
+/// connection.
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
     _driver: Task<()>,
@@ -185,10 +187,10 @@
         let mut idle = self.idle.lock().expect("pool lock");
         let list = idle.get_mut(&address)?;
         while let Some(entry) = list.pop() {
-            let usable = now.saturating_duration_since(entry.since)
+            let is_usable = now.saturating_duration_since(entry.since)
                 < IDLE_LIFETIME
                 && entry.connection.sender.is_ready();
-            if usable {
+            if is_usable {
                 return Some(entry.connection);
             }
         }
@@ -212,7 +214,7 @@
     }
 }
 
-/// A client for all outgoing HTTP of the process.
+/// The client for all outgoing HTTP of the process.
 #[derive(Clone)]
 pub struct HttpClient {
     pool: Arc<Pool>,
@@ -226,7 +228,7 @@
         HttpClient { pool: Arc::default(), connect_timeout, clock }
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the head of the response.
     ///
     /// # Errors
     ///
@@ -248,8 +250,8 @@
                             self.exchange(&call, response, connection, reuse)
                         );
                     }
-                    Err(TryError::Unsent(back)) => request = *back,
-                    Err(TryError::Sent(error)) => return Err(error),
+                    Err(AttemptError::Unsent(back)) => request = *back,
+                    Err(AttemptError::Sent(error)) => return Err(error),
                 }
             }
         }
@@ -258,49 +260,50 @@
             Ok((response, connection)) => {
                 Ok(self.exchange(&call, response, connection, reuse))
             }
-            Err(TryError::Unsent(_)) => {
+            Err(AttemptError::Unsent(_)) => {
                 Err(SendError::NotSent("connection closed".to_owned()))
             }
-            Err(TryError::Sent(error)) => Err(error),
+            Err(AttemptError::Sent(error)) => Err(error),
         }
     }
 
-    /// Sends a request and reads the whole answer, all within `limit`.
+    /// Sends a request and reads the whole response, all within `limit`.
     ///
     /// # Errors
     ///
-    /// As [`HttpClient::send`]; a time-out counts as
-    /// [`SendError::Broken`].
+    /// As [`HttpClient::send`] and [`Exchange::read_to_end`]; a timeout counts
+    /// as [`SendError::Broken`].
     pub async fn fetch(
         &self,
         call: Call,
         limit: Duration,
         body_limit_bytes: u64,
     ) -> Result<FullResponse, SendError> {
-        let work = async {
+        let attempt = async {
             let exchange = self.send(call, Reuse::Pooled).await?;
             exchange.read_to_end(body_limit_bytes).await
         };
         let timed_out =
-            || Err(SendError::Broken(format!("no answer in {limit:?}")));
-        within(limit, work).await.unwrap_or_else(timed_out)
+            || Err(SendError::Broken(format!("no response within {limit:?}")));
+        within(limit, attempt).await.unwrap_or_else(timed_out)
     }
 
-    /// Sends a request if `may_send` still holds once it is connected.
+    /// Sends a request if `may_send` still returns true once it is connected.
     ///
-    /// The question is asked at the last moment before the first byte goes
-    /// out. Returns the status of the answer, all within `limit`.
+    /// `may_send` is called immediately before the first byte is sent. Returns
+    /// the status of the response; all of it must complete within `limit`.
     ///
     /// # Errors
     ///
-    /// As [`HttpClient::send`].
+    /// As [`HttpClient::send`]; [`SendError::NotSent`] too if `may_send`
+    /// returns false, and [`SendError::Broken`] on a timeout.
     pub async fn send_checked(
         &self,
         call: Call,
         limit: Duration,
         may_send: &(dyn Fn() -> bool + Sync),
     ) -> Result<u16, SendError> {
-        let work = async {
+        let attempt = async {
             let request =
                 call.request(Reuse::Fresh).map_err(SendError::NotSent)?;
             let connection = self.connect(call.address).await?;
@@ -310,18 +313,18 @@
             }
             match try_send(connection, request).await {
                 Ok((response, _)) => Ok(response.status().as_u16()),
-                Err(TryError::Unsent(_)) => {
+                Err(AttemptError::Unsent(_)) => {
                     Err(SendError::NotSent("connection closed".into()))
                 }
-                Err(TryError::Sent(error)) => Err(error),
+                Err(AttemptError::Sent(error)) => Err(error),
             }
         };
         let timed_out =
-            || Err(SendError::Broken(format!("no answer in {limit:?}")));
-        within(limit, work).await.unwrap_or_else(timed_out)
+            || Err(SendError::Broken(format!("no response within {limit:?}")));
+        within(limit, attempt).await.unwrap_or_else(timed_out)
     }
 
-    /// Whether anything takes connections at an address.
+    /// Returns whether anything accepts connections at an address.
     pub async fn probe(&self, address: SocketAddr) -> Listening {
         let connecting =
             within(self.connect_timeout, TcpStream::connect(address));
@@ -340,13 +343,13 @@
         reuse: Reuse,
     ) -> Exchange {
         let (head, body) = response.into_parts();
-        let framed = body.size_hint().exact().is_some()
+        let is_framed = body.size_hint().exact().is_some()
             || head.headers.contains_key(hyper::header::TRANSFER_ENCODING);
         Exchange {
             status: head.status.as_u16(),
             headers: head.headers,
             body,
-            framed,
+            is_framed,
             ends_at_close: false,
             address: call.address,
             connection: Some(connection),
@@ -377,7 +380,7 @@
             .await
             .map_err(|e| not_sent(&e))?;
         let driver = task::spawn(async move {
-            // A failure of the connection reaches its exchange as well.
+            // The exchange sees a failure of the connection as well.
             let _ = driver.await;
         });
         Ok(Connection { sender, _driver: driver })
@@ -388,7 +391,7 @@
     error.kind() == io::ErrorKind::ConnectionRefused
 }
 
-enum TryError {
+enum AttemptError {
     Unsent(Box<Request<Full<Bytes>>>),
     Sent(SendError),
 }
@@ -396,20 +399,20 @@
 async fn try_send(
     mut connection: Connection,
     request: Request<Full<Bytes>>,
-) -> Result<(Response<Incoming>, Connection), TryError> {
+) -> Result<(Response<Incoming>, Connection), AttemptError> {
     match connection.sender.try_send_request(request).await {
         Ok(response) => Ok((response, connection)),
         Err(mut error) => match error.take_message() {
-            Some(request) => Err(TryError::Unsent(Box::new(request))),
+            Some(request) => Err(AttemptError::Unsent(Box::new(request))),
             None => {
                 let reason = error.into_error().to_string();
-                Err(TryError::Sent(SendError::Broken(reason)))
+                Err(AttemptError::Sent(SendError::Broken(reason)))
             }
         },
     }
 }
 
-/// An answer read to its end.
+/// A response that has been read to its end.
 #[derive(Clone, Debug)]
 pub struct FullResponse {
     /// The HTTP status.
@@ -421,20 +424,20 @@
 }
 
 impl FullResponse {
-    /// A header as text.
+    /// Returns a header as text, if it is present and valid text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
-/// An answer whose head has arrived and whose body may still come.
+/// A response whose head has arrived and whose body may still be arriving.
 pub struct Exchange {
     /// The HTTP status.
     pub status: u16,
     /// The headers.
     pub headers: HeaderMap,
     body: Incoming,
-    framed: bool,
+    is_framed: bool,
     ends_at_close: bool,
     address: SocketAddr,
     connection: Option<Connection>,
@@ -443,26 +446,26 @@
 }
 
 impl Exchange {
-    /// A header as text.
+    /// Returns a header as text, if it is present and valid text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// Takes a body without a length or chunks for whole when its connection
-    /// was closed, rather than reset.
+    /// Treats a body without a length or chunked encoding as complete when its
+    /// connection is closed rather than reset.
     pub fn allow_end_at_close(&mut self) {
         self.ends_at_close = true;
     }
 
-    /// The next part of the body, or `None` at its end.
+    /// Returns the next part of the body, or `None` at its end.
     ///
     /// # Errors
     ///
-    /// [`SendError::Broken`] when the body ends before it is whole. A body
-    /// without a length or chunks cannot be told from a cut one, and counts
-    /// as broken.
+    /// [`SendError::Broken`] when the body ends early. A body without a length
+    /// or chunked encoding cannot be distinguished from a truncated one, and
+    /// counts as broken unless [`Exchange::allow_end_at_close`] was called.
     pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, SendError> {
-        if !self.framed && !self.ends_at_close {
+        if !self.is_framed && !self.ends_at_close {
             return Err(SendError::Broken("body has no framing".into()));
         }
         loop {
@@ -476,7 +479,7 @@
         }
     }
 
-    /// Reads the whole body and gives the connection back to the pool.
+    /// Reads the whole body and returns the connection to the pool.
     ///
     /// # Errors
     ///
@@ -486,26 +489,27 @@
         mut self,
         limit_bytes: u64,
     ) -> Result<FullResponse, SendError> {
-        let mut whole = BytesMut::new();
+        let mut body = BytesMut::new();
         while let Some(chunk) = self.next_chunk().await? {
-            if (whole.len() + chunk.len()) as u64 > limit_bytes {
+            if (body.len() + chunk.len()) as u64 > limit_bytes {
                 return Err(SendError::TooLarge);
             }
-            whole.extend_from_slice(&chunk);
+            body.extend_from_slice(&chunk);
         }
-        if self.framed {
+        if self.is_framed {
             self.release();
         }
         Ok(FullResponse {
             status: self.status,
             headers: std::mem::take(&mut self.headers),
-            body: whole.freeze(),
+            body: body.freeze(),
         })
     }
 
-    /// Gives the connection back to the pool after a body read to its end.
+    /// Returns the connection to the pool; the body must have been read to its
+    /// end.
     pub fn finish(mut self) {
-        if self.framed {
+        if self.is_framed {
             self.release();
         }
     }
--- a/src/store_sync/route.rs
+++ b/src/store_sync/route.rs
@@ -1,7 +1,7 @@
-//! Routes: which service answers a host and path, and on what terms.
+//! The operators' configuration: routes, services, keys and limits.
 //!
-//! A [`RouteTable`] is one whole configuration, never changed once made; a
-//! request holds on to the one it was admitted under.
+//! A [`RouteTable`] is one whole configuration and is immutable; a request
+//! keeps the one under which it was admitted.
 
 use std::{collections::HashMap, fmt, sync::Arc, time::Duration};
 
@@ -10,7 +10,7 @@
     placing::warm_up::WarmUp,
 };
 
-/// The number of a configuration; later ones are greater.
+/// The version of a configuration; later ones are greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TableVersion(pub u64);
 
@@ -23,54 +23,54 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// As often as it takes.
+    /// It may run any number of times.
     Any,
-    /// Once at most.
+    /// It may run at most once.
     Never,
 }
 
-/// A service that a route leads to, with its share of the requests.
+/// A service to which a route sends a share of its requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// The service.
     pub service: ServiceId,
-    /// Its share, relative to the other targets.
+    /// Weight relative to the other targets.
     pub weight: u32,
 }
 
-/// What holds for requests to one host and path prefix.
+/// Rules for requests to one host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: String,
-    /// The host, in lower case.
+    /// Host that it matches, in lower case.
     pub host: String,
-    /// What the path begins with; begins and ends with a slash.
+    /// Prefix of the paths that it matches; begins and ends with a slash.
     pub path_prefix: String,
     /// Whether its requests may run more than once.
     pub repeat: Repeat,
-    /// Whether it answers with a stream of events.
+    /// Whether its responses are streams of events.
     pub is_stream: bool,
-    /// Longest time a request is held.
+    /// Longest time that a request may take in all.
     pub time_limit: Duration,
-    /// Time within which the answer, or the first event, is wanted.
+    /// Target time until the response or, for a stream, its first event.
     pub latency_target: Duration,
-    /// Longest pause between events that is still in time.
+    /// Target for the longest gap between two events of a stream.
     pub event_gap_target: Option<Duration>,
-    /// Rank among requests; 0 is the most urgent.
+    /// Priority of its requests; 0 is the most urgent.
     pub priority: u8,
-    /// Upstreams that one request may be sent to.
+    /// Number of upstreams that one request may be sent to.
     pub attempts: u32,
-    /// The services that answer it, at least one.
+    /// Services that answer its requests; at least one.
     pub targets: Vec<Target>,
-    /// The models to choose from, the smallest first.
+    /// Models to choose from, the smallest first.
     pub models: Vec<ModelId>,
-    /// Whether it needs no key.
+    /// Whether its requests need no key.
     pub is_public: bool,
 }
 
 impl Route {
-    /// The class of its requests, a label of metrics.
+    /// Returns the class of its requests, a label of metrics.
     pub fn class(&self) -> &'static str {
         match (self.is_stream, self.repeat) {
             (true, _) => "stream",
@@ -79,13 +79,14 @@
         }
     }
 
-    /// The target that `draw`, in `0..1`, falls on.
+    /// Returns the service of the target that `draw`, in `0..1`, selects in
+    /// proportion to the weights.
     pub fn target(&self, draw: f64) -> &ServiceId {
         let total: u32 = self.targets.iter().map(|t| t.weight).sum();
-        let mut left = draw * f64::from(total);
+        let mut remaining = draw * f64::from(total);
         for target in &self.targets {
-            left -= f64::from(target.weight);
-            if left < 0.0 {
+            remaining -= f64::from(target.weight);
+            if remaining < 0.0 {
                 return &target.service;
             }
         }
@@ -93,37 +94,38 @@
     }
 }
 
-/// A service: upstreams that answer alike.
+/// A service: a set of interchangeable upstreams.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub id: ServiceId,
-    /// How its upstreams warm up, if they bear few requests meanwhile.
+    /// How its upstreams warm up, if they can handle only few requests
+    /// meanwhile.
     pub warm_up: Option<WarmUp>,
 }
 
-/// Who holds a key.
+/// The organisation that a key belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Organisation {
-    /// Its name.
+    /// Name of the organisation.
     pub id: OrganisationId,
-    /// Its rank, which goes before that of a route.
+    /// Priority of its requests, which overrides that of the route.
     pub priority: Option<u8>,
 }
 
-/// What a caller may send, and how slowly.
+/// Limits on what a caller may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InputLimits {
-    /// The largest head of a request, in bytes.
+    /// Largest head of a request, in bytes.
     pub head_bytes: usize,
-    /// The largest body, in bytes.
+    /// Largest body of a request, in bytes.
     pub body_bytes: usize,
-    /// Longest rest between requests on a connection.
+    /// Longest time that a connection may be idle between requests.
     pub idle_time: Duration,
 }
 
 impl Default for InputLimits {
-    /// What holds until a configuration says otherwise.
+    /// Returns the limits that apply until a configuration sets others.
     fn default() -> InputLimits {
         InputLimits {
             head_bytes: 16 << 10,
@@ -144,7 +146,7 @@
 }
 
 impl RouteTable {
-    /// Creates a table; without `keys`, its routes need none.
+    /// Creates a table; if `keys` is `None`, requests need no key.
     pub fn new(
         version: TableVersion,
         routes: Vec<Route>,
@@ -164,42 +166,42 @@
         RouteTable { version, by_host, services, keys, limits }
     }
 
-    /// Its number.
+    /// Returns the version of the configuration.
     pub fn version(&self) -> TableVersion {
         self.version
     }
 
-    /// The route of a host and path: the one with the longest prefix.
+    /// Returns the route that matches a host and path with the longest prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.split(':').next().unwrap_or(host);
         let routes = self.by_host.get(&host.to_ascii_lowercase())?;
         routes.iter().find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// Who holds a key.
+    /// Returns the organisation that a key belongs to.
     pub fn organisation(&self, key: &str) -> Option<&Organisation> {
         self.keys.as_ref()?.get(key)
     }
 
-    /// Whether requests need keys at all.
+    /// Returns whether requests need keys.
     pub fn has_keys(&self) -> bool {
         self.keys.is_some()
     }
 
-    /// How the upstreams of each service warm up, where that is bounded.
+    /// Returns the warm-up of each service that has one.
     pub fn warm_ups(&self) -> HashMap<ServiceId, WarmUp> {
-        let bounded = self.services.iter().filter_map(|service| {
+        let warm_ups = self.services.iter().filter_map(|service| {
             service.warm_up.map(|warm_up| (service.id.clone(), warm_up))
         });
-        bounded.collect()
+        warm_ups.collect()
     }
 
-    /// What callers may send.
+    /// Returns the limits on what callers may send.
     pub fn limits(&self) -> InputLimits {
         self.limits
     }
 
-    /// How many routes it has.
+    /// Returns the number of routes.
     pub fn routes_len(&self) -> usize {
         self.by_host.values().map(Vec::len).sum()
     }
