--- a/src/chains/configuration_sync.rs
+++ b/src/chains/configuration_sync.rs
@@ -1,6 +1,6 @@
 //! Keeps the configuration of this VM current, and takes edits to the store.
 //!
-//! One watch waits for the next change of the chain. AppliedItems also comes with
+//! One watch waits for the next change of the chain. News also comes with
 //! gossip, and its content from the VM that had it. A new VM starts from the
 //! store or, when that is out, from another VM.
 
