--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -391,8 +391,11 @@
     error.kind() == io::ErrorKind::ConnectionRefused
 }
 
+/// Reason why sending on a connection failed.
 enum AttemptError {
+    /// Nothing was sent; returns the request for another attempt.
     Unsent(Box<Request<Full<Bytes>>>),
+    /// The request may have been received.
     Sent(SendError),
 }
 
--- a/src/store_sync/knowledge.rs
+++ b/src/store_sync/knowledge.rs
@@ -99,9 +99,12 @@
     pub version: u64,
 }
 
+/// The keys of the store with their values and versions.
 #[derive(Debug, Default)]
 struct Mirror {
+    /// Version of the store up to which every change is known.
     as_of: StoreVersion,
+    /// Combined hash of all keys and their versions.
     digest: u64,
     items: BTreeMap<String, (Vec<u8>, StoreVersion)>,
 }
@@ -128,6 +131,7 @@
 #[derive(Debug, Default)]
 pub struct Knowledge {
     table: RwLock<Option<Arc<RouteTable>>>,
+    /// Latest time at which this copy was proven current.
     proven_at: Mutex<Option<BootInstant>>,
     mirror: Mutex<Mirror>,
     /// Cached packed snapshot, with the digest that it was made from.
--- a/src/store_sync/peers.rs
+++ b/src/store_sync/peers.rs
@@ -117,11 +117,13 @@
     }
 }
 
+/// What this VM knows of another one.
 #[derive(Clone, Debug)]
 struct Peer {
     address: SocketAddr,
     data_hall: DataHallId,
     link: Mbps,
+    /// Whether it has a record in the store.
     is_recorded: bool,
     last_heartbeat: Option<LastHeartbeat>,
 }
@@ -151,13 +153,16 @@
     }
 }
 
+/// What the last heartbeat received from a VM reported.
 #[derive(Clone, Debug)]
 struct LastHeartbeat {
+    /// When it was received.
     at: BootInstant,
     incarnation: Incarnation,
     number: u32,
     is_leaving: bool,
     can_watch: bool,
+    /// When the sender's configuration was proven current, by this VM's clock.
     proven_at: Option<BootInstant>,
 }
 
@@ -228,6 +233,7 @@
     started_at: BootInstant,
     /// Ordered by name, so that heartbeats can go round in a fixed order.
     known: Mutex<BTreeMap<String, Peer>>,
+    /// Numbers and send times of the latest heartbeats.
     sent: Mutex<Vec<(u32, BootInstant)>>,
     freshness: Mutex<Freshness>,
     /// When the store last failed to answer this VM, until it answers again.
