--- a/src/api/caller_api.rs
+++ b/src/api/caller_api.rs
@@ -230,7 +230,7 @@
     let answer = conn.cancel_on_disconnect(answer_received).await;
     match answer {
         Some(Ok(Answer::Streamed { headers, mut body })) => {
-            body.keep_presence(connected);
+            body.attach_caller_guard(connected);
             send(conn, Answer::Streamed { headers, body })
         }
         Some(Ok(answer)) => send(conn, answer),
@@ -271,7 +271,7 @@
     reason: impl Into<String>,
 ) -> Conn {
     let error = Error::new(kind).context(reason);
-    send(conn, Answer::refusal(&error, None))
+    send(conn, Answer::error_response(&error, None))
 }
 
 /// Sends a JSON answer.
--- a/src/api/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -37,7 +37,7 @@
     error::{Error, ErrorKind},
     event::Event,
     http_client::{
-        Call, Exchange, HOP_HEADERS, Reuse, SendError, WholeAnswer,
+        Call, Exchange, FullResponse, HOP_BY_HOP_HEADERS, Reuse, SendError,
     },
     id::UpstreamId,
     message::ShortHash,
@@ -274,7 +274,7 @@
         &mut self,
         step: &Step,
         permit: &mut Option<crate::api::queue::DispatchPermit>,
-    ) -> Result<WholeAnswer, Error> {
+    ) -> Result<FullResponse, Error> {
         let repeatable = self.state.repeatable;
         let mut tried: Vec<UpstreamId> = Vec::new();
         loop {
@@ -365,7 +365,7 @@
     }
 
     /// Records the status, token usage and evidence of an answer.
-    fn record_answer(&mut self, entry: &VersionEntry, answer: &WholeAnswer) {
+    fn record_answer(&mut self, entry: &VersionEntry, answer: &FullResponse) {
         let status = answer.status;
         self.context.end_attempt(AttemptOutcome::Answered { status });
         let used = serde_json::from_slice::<Value>(&answer.body)
@@ -471,7 +471,7 @@
     /// Builds the answer to the caller, with the session token if any.
     fn caller_answer(
         &self,
-        answer: WholeAnswer,
+        answer: FullResponse,
         entry: &VersionEntry,
     ) -> Answer {
         let mut passed = forwarded_answer(answer);
@@ -760,7 +760,7 @@
         &self,
         selected: &SelectedUpstream,
         outgoing: AttemptRequest,
-    ) -> Result<WholeAnswer, AttemptFault> {
+    ) -> Result<FullResponse, AttemptFault> {
         let limit = outgoing.limit;
         let most = self.vm.settings.requests.answer_limit_bytes;
         // A pooled connection may be closing, in which case it is unknown
@@ -775,7 +775,7 @@
             let sent = self.vm.http.send(call, reuse).await;
             let exchange = sent.map_err(attempt_fault)?;
             self.apply_signals(selected, exchange.status, &exchange.headers);
-            exchange.read_whole(most).await.map_err(attempt_fault)
+            exchange.read_to_end(most).await.map_err(attempt_fault)
         };
         let result = match can_cancel {
             true => self.until_cancelled(limit, work).await,
@@ -934,12 +934,12 @@
 
 /// Returns whether a header is forwarded between caller and upstream.
 pub(crate) fn is_forwarded_header(name: &str) -> bool {
-    !HOP_HEADERS.contains(&name) && name != "host" && name != "date"
+    !HOP_BY_HOP_HEADERS.contains(&name) && name != "host" && name != "date"
 }
 
 /// Converts an upstream's response to an answer, without its hop-by-hop
 /// headers.
-fn forwarded_answer(answer: WholeAnswer) -> Answer {
+fn forwarded_answer(answer: FullResponse) -> Answer {
     let headers = answer.headers.iter().filter_map(|(name, value)| {
         let value = value.to_str().ok()?;
         is_forwarded_header(name.as_str())
--- a/src/api/operators.rs
+++ b/src/api/operators.rs
@@ -408,7 +408,7 @@
         parts: &[&str],
         error: &Error,
     ) -> Conn {
-        let mut body = crate::answer::refusal_json(error, None);
+        let mut body = crate::answer::error_json(error, None);
         if error.kind() == ErrorKind::EditConflict {
             let current = match parts {
                 ["templates", name] => self.template(name),
--- a/src/api/relay.rs
+++ b/src/api/relay.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     answer::{
-        Answer, BrokenOff, Header, StreamBody, StreamPart, refusal_json,
+        Answer, BodyAborted, Header, StreamBody, StreamPart, error_json,
     },
     api::{
         chat::TokenUsage,
@@ -202,7 +202,7 @@
     exchange: Exchange,
 ) -> Option<Answer> {
     let limit = request.context.vm.settings.requests.answer_limit_bytes;
-    let answer = exchange.read_whole(limit).await.ok()?;
+    let answer = exchange.read_to_end(limit).await.ok()?;
     let status = answer.status;
     request.context.end_attempt(AttemptOutcome::Answered { status });
     let content_type = answer.header("content-type").unwrap_or("text/plain");
@@ -402,11 +402,11 @@
     async fn abort(self, error: Error) {
         let id = &self.request.context.decision.id;
         Event::AnswerBroken.log(format_args!("request {id}: {error}"));
-        let data = refusal_json(&error, Some(id));
+        let data = error_json(&error, Some(id));
         let event = format!("event: error\ndata: {}\n\n", json!(data));
         // If the caller has disconnected too, there is no one to notify.
         let _ = self.sender.send(Ok(Bytes::from(event))).await;
-        let _ = self.sender.send(Err(BrokenOff)).await;
+        let _ = self.sender.send(Err(BodyAborted)).await;
         self.request.context.settle_stream(Some(&error));
     }
 }
@@ -422,7 +422,7 @@
             self.last_id = Some(id);
         }
         self.events += 1;
-        if let Some(used) = event.token_use() {
+        if let Some(used) = event.token_usage() {
             self.used = Some(used);
         }
         if self.text.len() < RATED_TEXT_LIMIT_BYTES
--- a/src/chains/store.rs
+++ b/src/chains/store.rs
@@ -23,7 +23,7 @@
 
 use crate::{
     clock::SharedClock,
-    http_client::{Call, HttpClient, SendError, WholeAnswer},
+    http_client::{Call, FullResponse, HttpClient, SendError},
     settings::StoreSettings,
     task,
     token_bucket::TokenBucket,
@@ -284,7 +284,7 @@
         &self,
         call: Call,
         limit: Duration,
-    ) -> Result<WholeAnswer, StoreError> {
+    ) -> Result<FullResponse, StoreError> {
         let sent = self.client.fetch(call, limit, ANSWER_LIMIT_BYTES).await;
         let outcome = match sent {
             Err(SendError::NotSent(reason)) => {
@@ -312,13 +312,13 @@
         &self,
         path: String,
         limit: Duration,
-    ) -> Result<WholeAnswer, StoreError> {
+    ) -> Result<FullResponse, StoreError> {
         self.wait_for_rate_limit(&self.reads).await?;
         self.counts.reads.fetch_add(1, Ordering::Relaxed);
         self.call(Call::new(self.address, Method::GET, path), limit).await
     }
 
-    async fn write(&self, call: Call) -> Result<WholeAnswer, StoreError> {
+    async fn write(&self, call: Call) -> Result<FullResponse, StoreError> {
         self.wait_for_rate_limit(&self.writes).await?;
         self.counts.writes.fetch_add(1, Ordering::Relaxed);
         self.call(call, self.settings.deadline).await
@@ -425,7 +425,7 @@
     StoreError::OutcomeUnknown(format!("unexpected status {status}"))
 }
 
-fn parse_etag(answer: &WholeAnswer) -> Result<StoreVersion, StoreError> {
+fn parse_etag(answer: &FullResponse) -> Result<StoreVersion, StoreError> {
     let text = answer.header("etag").map(|tag| tag.trim_matches('"'));
     text.and_then(|text| text.parse().ok()).map(StoreVersion).ok_or_else(
         || StoreError::OutcomeUnknown("the response has no valid ETag".into()),
@@ -433,7 +433,7 @@
 }
 
 fn parse_value(
-    answer: WholeAnswer,
+    answer: FullResponse,
 ) -> Result<Option<VersionedValue>, StoreError> {
     match answer.status {
         200 => {
--- a/src/crashes/persistence.rs
+++ b/src/crashes/persistence.rs
@@ -91,6 +91,6 @@
     let lease = store.take_lease(CRASH_TTL).await?;
     let written = store.write_all(values, Some(lease)).await?;
     // Have this VM read the entries, whoever wrote them.
-    gateway.peers.look();
+    gateway.peers.request_poll();
     Ok(written)
 }
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -18,7 +18,6 @@
     clock::BootInstant,
     crashes::{crash_check, digest::RequestDigest},
     error::{Error, ErrorKind},
-    facts::route::{Organisation, Repeat, Route},
     gateway::{
         Gateway,
         relay_events::EventRelay,
@@ -37,6 +36,7 @@
     },
     platform::headers::{self, ResponseHead},
     rollouts::choice::VersionChoice,
+    store_sync::route::{Organisation, Repeat, Route},
     task,
 };
 
@@ -269,7 +269,7 @@
             withdrawn: &version.withdrawn,
             tried,
             max_utilization: admission::utilization_limit(
-                self.route.aim,
+                self.route.latency_target,
                 service_time,
             ),
         }
@@ -408,7 +408,8 @@
         let times = &self.gateway.prefill_times;
         let saved = times.expected(self.model.as_ref(), tokens);
         let count = u32::try_from(tokens).unwrap_or(u32::MAX);
-        let most = self.route.aim.mul_f64(CACHED_PROMPT_WAIT_FRACTION);
+        let most =
+            self.route.latency_target.mul_f64(CACHED_PROMPT_WAIT_FRACTION);
         let spared = CACHED_TOKEN_WAIT.saturating_mul(count).min(most);
         Some(PrefixAffinity { prefix_hash, cache_miss_cost: saved + spared })
     }
@@ -561,7 +562,8 @@
         let service_time = self.gateway.service_times.of(&self.service);
         let queue_wait =
             admission::queue_wait(attempt.utilization_before, service_time);
-        let patience = self.route.aim.mul_f64(RETRY_AIM_FRACTION) + queue_wait;
+        let patience =
+            self.route.latency_target.mul_f64(RETRY_AIM_FRACTION) + queue_wait;
         let limit = self.attempt_timeout(attempt, patience);
         let (mut exchange, _) = self.send(attempt, None, limit, trace).await?;
         exchange.allow_end_at_close();
@@ -569,7 +571,7 @@
         let now = self.gateway.clock.now();
         let waited = now.saturating_duration_since(attempt.began_at);
         let body_limit = self.time_left(now);
-        let read = exchange.read_whole(MAX_RESPONSE_BYTES);
+        let read = exchange.read_to_end(MAX_RESPONSE_BYTES);
         let answer = match task::within(body_limit, read).await {
             Some(Ok(answer)) => answer,
             Some(Err(error)) => {
@@ -820,7 +822,7 @@
             headers.insert(hyper::header::RETRY_AFTER, value);
         }
     }
-    let body = crate::answer::refusal_json(error, None).to_string();
+    let body = crate::answer::error_json(error, None).to_string();
     headers.insert(
         hyper::header::CONTENT_TYPE,
         hyper::header::HeaderValue::from_static("application/json"),
--- a/src/gateway/ingress.rs
+++ b/src/gateway/ingress.rs
@@ -29,7 +29,6 @@
 
 use crate::{
     error::{Error, ErrorKind},
-    facts::route::{Organisation, RouteTable},
     gateway::{
         Gateway,
         forward::{Job, Reply, ReplyBody, reject},
@@ -39,6 +38,7 @@
     },
     placing::cascade::first_model,
     platform::headers,
+    store_sync::route::{Organisation, RouteTable},
     task,
 };
 
@@ -240,7 +240,7 @@
 /// What admission has found out about a request.
 struct Admitted {
     table: Arc<RouteTable>,
-    route: Arc<crate::facts::route::Route>,
+    route: Arc<crate::store_sync::route::Route>,
     organisation: Option<Organisation>,
 }
 
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -27,10 +27,6 @@
         tracker::{CrashTracker, QuarantineChange},
     },
     event::Event,
-    facts::{
-        knowledge::{Fact, Knowledge, News, Unreadable},
-        peers::{Peers, WatchRole},
-    },
     http_client::HttpClient,
     id::{Incarnation, ServiceId, VersionId},
     metrics::Metrics,
@@ -44,6 +40,10 @@
     },
     platform::store::PlatformStore,
     rollouts::registry::Rollouts,
+    store_sync::{
+        knowledge::{AppliedItems, Knowledge, StoreUpdate, Unreadable},
+        peers::{Peers, WatchRole},
+    },
     task::Wake,
 };
 
@@ -293,9 +293,9 @@
     }
 
     /// Applies changes of the store.
-    pub(crate) fn apply_news(&self, news: News) {
+    pub(crate) fn apply_news(&self, news: AppliedItems) {
         self.note_unreadable(&news.unreadable);
-        for fact in news.facts {
+        for fact in news.updates {
             self.apply_fact(fact);
         }
     }
@@ -317,10 +317,10 @@
         }
     }
 
-    fn apply_fact(&self, fact: Fact) {
+    fn apply_fact(&self, fact: StoreUpdate) {
         let now = self.clock.now();
         match fact {
-            Fact::Configuration(table) => {
+            StoreUpdate::Configuration(table) => {
                 let version = table.version();
                 let routes = table.routes_len();
                 let warm_ups = table.warm_ups();
@@ -332,7 +332,7 @@
                     })));
                 }
             }
-            Fact::Upstream(entry) => {
+            StoreUpdate::Upstream(entry) => {
                 Event::UpstreamListed.record(fields(json!({
                     "upstream": entry.id,
                     "service": entry.service,
@@ -345,8 +345,10 @@
             }
             // An entry that cannot be read gives no address to send to,
             // whoever wrote it. Requests in flight run to their end.
-            Fact::UpstreamUnreadable(id) => self.pool.remove(&id, true, now),
-            Fact::UpstreamGone(id) => {
+            StoreUpdate::UpstreamUnreadable(id) => {
+                self.pool.remove(&id, true, now)
+            }
+            StoreUpdate::UpstreamGone(id) => {
                 let is_sure = self.is_store_healthy(now);
                 Event::UpstreamGone.record(fields(json!({
                     "upstream": id,
@@ -354,7 +356,7 @@
                 })));
                 self.pool.remove(&id, is_sure, now);
             }
-            Fact::RolloutOrdered(service, order) => {
+            StoreUpdate::RolloutOrdered(service, order) => {
                 let target = order.target.clone();
                 let allowed_ms = order.time_allowed.as_millis() as u64;
                 if self.rollouts.apply_order(service.clone(), order, now) {
@@ -365,20 +367,22 @@
                     })));
                 }
             }
-            Fact::EvacuationOrdered(hall) => {
+            StoreUpdate::EvacuationOrdered(hall) => {
                 if self.pool.evacuate(&hall) {
                     Event::EvacuationOrdered
                         .record(fields(json!({ "data_hall": hall })));
                 }
             }
-            Fact::EvacuationOver(hall) => {
+            StoreUpdate::EvacuationOrderRemoved(hall) => {
                 if self.pool.end_evacuation(&hall, now) {
                     Event::EvacuationOver
                         .record(fields(json!({ "data_hall": hall })));
                 }
             }
-            Fact::RolloutOver(service) => self.rollouts.remove(&service),
-            Fact::RolloutStatus(service, status) => {
+            StoreUpdate::RolloutOrderRemoved(service) => {
+                self.rollouts.remove(&service)
+            }
+            StoreUpdate::RolloutStatus(service, status) => {
                 self.rollouts.apply_status(&service, &status);
                 Event::RolloutRecorded.record(fields(json!({
                     "service": service,
@@ -386,18 +390,18 @@
                     "progress": status.progress.to_string(),
                 })));
             }
-            Fact::CrashingRequest(request, crashes) => {
+            StoreUpdate::CrashingRequest(request, crashes) => {
                 let observations: Vec<RequestObservation> =
                     RequestObservation::of_crashes(request, crashes).collect();
                 self.merge_observations(&observations, Source::Snapshot);
             }
-            Fact::Peer(vm, record) => {
+            StoreUpdate::Peer(vm, record) => {
                 self.pool.add_vm(&vm, &record.data_hall);
-                self.peers.learn(&vm, &record);
+                self.peers.set_record(&vm, &record);
             }
-            Fact::PeerGone(vm) => {
+            StoreUpdate::PeerGone(vm) => {
                 self.pool.remove_vm(&vm);
-                self.peers.unrecord(&vm);
+                self.peers.remove_record(&vm);
             }
         }
     }
--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -313,7 +313,7 @@
         const LIMIT_BYTES: u64 = 1 << 20;
         let status = exchange.status;
         let left = self.time_left(self.gateway.clock.now());
-        let read = exchange.read_whole(LIMIT_BYTES);
+        let read = exchange.read_to_end(LIMIT_BYTES);
         let Some(Ok(answer)) = task::within(left, read).await else {
             self.record_attempt(&attempt, AttemptOutcome::Lost, None);
             return AttemptError::Unknown(
@@ -339,11 +339,11 @@
     }
 
     fn first_event_timeout(&self) -> Duration {
-        self.stall_timeout().max(self.route.aim)
+        self.stall_timeout().max(self.route.latency_target)
     }
 
     fn stall_timeout(&self) -> Duration {
-        let aim = self.route.pause_aim;
+        let aim = self.route.event_gap_target;
         aim.map_or(STALL_TIMEOUT, |pause| pause.mul_f64(STALL_FRACTION))
     }
 }
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -23,13 +23,13 @@
     clock::SystemClock,
     crashes::persistence,
     event::Event,
-    facts::mesh,
     gateway::{
         Gateway, fields, ingress, rollout_status, settings::GatewaySettings,
         store_watch, vm_registration,
     },
     logging,
     platform::headers::READY_PATH,
+    store_sync::gossip,
     task::{self, Task},
 };
 
@@ -76,9 +76,12 @@
         task::spawn(vm_registration::run(gateway.clone())),
         task::spawn(rollout_status::run(gateway.clone())),
         task::spawn(persistence::run(gateway.clone())),
-        task::spawn(mesh::beat_loop(gateway.clone(), datagrams.clone())),
-        task::spawn(mesh::hear_loop(gateway.clone(), datagrams)),
-        task::spawn(mesh::serve(gateway.clone(), streams)),
+        task::spawn(gossip::send_heartbeats(
+            gateway.clone(),
+            datagrams.clone(),
+        )),
+        task::spawn(gossip::receive_heartbeats(gateway.clone(), datagrams)),
+        task::spawn(gossip::serve(gateway.clone(), streams)),
         task::spawn(serve_status(gateway.clone(), readiness)),
         task::spawn(serve_status(gateway.clone(), metrics)),
     ];
--- a/src/gateway/store_watch.rs
+++ b/src/gateway/store_watch.rs
@@ -14,12 +14,12 @@
     chains::store::{Backoff, StoreError},
     clock::BootInstant,
     event::Event,
-    facts::{mesh, peers::WatchRole},
     gateway::{Gateway, fields},
     platform::{
         document::{self, ALL_KEYS},
         store::{Consistency, StoreItems, WatchOutcome},
     },
+    store_sync::{gossip, peers::WatchRole},
     task,
 };
 
@@ -117,10 +117,10 @@
         // If the store does not respond, the full read that follows retries.
         let Ok(recorded) = recorded else { return false };
         for item in recorded.items {
-            gateway.apply_news(gateway.knowledge.take_item(item));
+            gateway.apply_news(gateway.knowledge.apply_item(item));
         }
-        let readers = gateway.peers.readers();
-        mesh::take_from_either(gateway, &readers).await
+        let readers = gateway.peers.snapshot_readers();
+        gossip::fetch_from_either(gateway, &readers).await
     }
 
     async fn try_read_all(
@@ -130,17 +130,17 @@
         let gateway = &self.gateway;
         let asked_at = gateway.clock.now();
         let all = gateway.store.read_all(ALL_KEYS, consistency).await?;
-        let news = gateway.knowledge.take_all(all);
+        let news = gateway.knowledge.apply_snapshot(all);
         gateway.apply_news(news);
         match consistency {
             Consistency::Linearizable => {
                 gateway.knowledge.prove(asked_at);
-                gateway.peers.note_looked(asked_at);
+                gateway.peers.record_poll(asked_at);
             }
             // Before the operators' first configuration there is nothing to
             // prove, and all VMs of a new fleet are in that state.
             Consistency::Stale if gateway.knowledge.is_empty() => {
-                gateway.peers.note_looked(asked_at);
+                gateway.peers.record_poll(asked_at);
             }
             Consistency::Stale => {
                 // If the history is lost, the watch finds that out as well.
@@ -155,11 +155,11 @@
         loop {
             let gateway = &self.gateway;
             let role = gateway.watch_role();
-            if role == WatchRole::Rest {
+            if role == WatchRole::Idle {
                 task::sleep(ROLE_CHECK_INTERVAL).await;
                 continue;
             }
-            if role == WatchRole::Look || self.is_store_lost {
+            if role == WatchRole::Poll || self.is_store_lost {
                 // A short call finds out sooner than a watch that the store
                 // is back, and renews the proof of freshness at once.
                 match revalidate(gateway).await {
@@ -180,8 +180,8 @@
                     let digest = gateway.knowledge.digest();
                     // Changes that the first watcher has already sent to all
                     // VMs are not sent again.
-                    if gateway.knowledge.lacks_any(&changes) {
-                        mesh::tell_news(gateway, digest, &changes);
+                    if gateway.knowledge.has_new(&changes) {
+                        gossip::push_changes(gateway, digest, &changes);
                     }
                     apply_changes(gateway, changes, asked_at);
                     self.note_success();
@@ -198,7 +198,7 @@
 
     fn note_success(&mut self) {
         self.backoff.reset();
-        self.gateway.peers.note_watch(None);
+        self.gateway.peers.set_store_failure(None);
         if std::mem::take(&mut self.is_store_lost) {
             Event::StoreBack.record(fields(json!({})));
         }
@@ -206,7 +206,7 @@
 
     async fn note_failure(&mut self, error: &StoreError) {
         self.gateway.note_store_failure();
-        self.gateway.peers.note_watch(Some(self.gateway.clock.now()));
+        self.gateway.peers.set_store_failure(Some(self.gateway.clock.now()));
         if !std::mem::replace(&mut self.is_store_lost, true) {
             let reason = error.to_string();
             Event::StoreLost.record(fields(json!({ "reason": reason })));
@@ -231,7 +231,7 @@
     let wait = backoff.wait();
     loop {
         let now = gateway.clock.now();
-        let limit = match gateway.peers.is_forward(now) {
+        let limit = match gateway.peers.is_outage_prober(now) {
             true => wait,
             false => wait.mul_f64(RETRY_FACTOR_STANDBY),
         };
@@ -297,7 +297,7 @@
     match store.watch(ALL_KEYS, since, Duration::ZERO).await? {
         WatchOutcome::Changes(changes) => {
             apply_changes(gateway, changes, asked_at);
-            gateway.peers.note_looked(asked_at);
+            gateway.peers.record_poll(asked_at);
             Ok(Revalidated::Everything)
         }
         WatchOutcome::HistoryLost => {
@@ -314,7 +314,7 @@
     changes: StoreItems,
     asked_at: BootInstant,
 ) {
-    let news = gateway.knowledge.take_changes(changes);
+    let news = gateway.knowledge.apply_changes(changes);
     gateway.apply_news(news);
     gateway.knowledge.prove(asked_at);
 }
@@ -324,7 +324,7 @@
     let asked_at = gateway.clock.now();
     match gateway.store.read(document::CONFIGURATION_KEY).await? {
         Some(item) => {
-            let news = gateway.knowledge.take_item(item);
+            let news = gateway.knowledge.apply_item(item);
             gateway.apply_news(news);
             gateway.knowledge.prove(asked_at);
         }
--- a/src/gateway/suspension_tests.rs
+++ b/src/gateway/suspension_tests.rs
@@ -14,15 +14,15 @@
 use crate::{
     clock::Clock,
     crashes::digest::RequestDigest,
-    facts::{
-        mesh::{self, Round},
-        route::{InputLimits, RouteTable, TableVersion},
-    },
     gateway::test_fleet::Fleet,
     http_client::Listening,
     id::UpstreamId,
     message::ShortHash,
     placing::{member::UpstreamEntry, pool::PickCriteria},
+    store_sync::{
+        gossip::{self, HeartbeatRound},
+        route::{InputLimits, RouteTable, TableVersion},
+    },
 };
 
 const REQUEST: RequestDigest = RequestDigest(1);
@@ -106,10 +106,10 @@
         }
         Input::RemoveEntry => gateway.pool.remove(&upstream(), false, now),
         Input::Heartbeat => {
-            let mut round = Round::new(&fleet.vms[OTHER]);
-            while let Some((address, heartbeat)) = round.next_beat() {
+            let mut round = HeartbeatRound::new(&fleet.vms[OTHER]);
+            while let Some((address, heartbeat)) = round.next_heartbeat() {
                 if address == gateway.settings.peer_address {
-                    mesh::hear(gateway, heartbeat);
+                    gossip::receive_heartbeat(gateway, heartbeat);
                 }
             }
         }
--- a/src/gateway/test_fleet.rs
+++ b/src/gateway/test_fleet.rs
@@ -11,11 +11,11 @@
 
 use crate::{
     clock::{BootInstant, Clock},
-    facts::{
+    gateway::{Gateway, settings::GatewaySettings, tests::MINIMAL_SETTINGS},
+    store_sync::{
+        gossip::{self, HeartbeatRound},
         knowledge::PeerRecord,
-        mesh::{self, Round},
     },
-    gateway::{Gateway, settings::GatewaySettings, tests::MINIMAL_SETTINGS},
     unit::Mbps,
 };
 
@@ -101,7 +101,7 @@
                 data_hall: self.hall_name(other).parse().unwrap(),
                 link_mbps: Mbps(20),
             };
-            vm.peers.learn(&format!("vm-{other}"), &record);
+            vm.peers.set_record(&format!("vm-{other}"), &record);
         }
         vm
     }
@@ -150,11 +150,11 @@
     fn send_heartbeats(&mut self, number: usize) {
         self.last_heartbeat_ms.insert(number, self.elapsed_ms);
         self.early.remove(&number);
-        let mut round = Round::new(&self.vms[number]);
-        while let Some((address, heartbeat)) = round.next_beat() {
+        let mut round = HeartbeatRound::new(&self.vms[number]);
+        while let Some((address, heartbeat)) = round.next_heartbeat() {
             let receiver = self.by_address[&address];
             if self.reaches(number, receiver) {
-                mesh::hear(&self.vms[receiver], heartbeat);
+                gossip::receive_heartbeat(&self.vms[receiver], heartbeat);
             }
         }
     }
--- a/src/gateway/vm_registration.rs
+++ b/src/gateway/vm_registration.rs
@@ -14,12 +14,12 @@
     chains::store::{Backoff, StoreError},
     clock::BootInstant,
     event::Event,
-    facts::knowledge::PeerRecord,
     gateway::{Gateway, fields},
     platform::{
         document,
         store::{ConditionalWrite, MAX_WRITES, WriteOutcome},
     },
+    store_sync::knowledge::PeerRecord,
     task,
 };
 
@@ -135,7 +135,7 @@
         }
         let mut records = Vec::new();
         let own = own_record(gateway);
-        if gateway.knowledge.holds(&own.key, &own.value) {
+        if gateway.knowledge.contains(&own.key, &own.value) {
             let spread = SELF_REGISTRATION_JITTER.mul_f64(rand::random());
             self.self_due_at = now + SELF_REGISTRATION_DELAY + spread;
         } else if peers.is_seed() || now >= self.self_due_at {
@@ -166,12 +166,12 @@
         };
         match store.write_all(records, Some(lease)).await? {
             WriteOutcome::Committed(_) => {
-                self.gateway.peers.look();
+                self.gateway.peers.request_poll();
                 Ok(())
             }
             // A record in the store is newer than the copy of this VM.
             WriteOutcome::Conflict => {
-                self.gateway.peers.look();
+                self.gateway.peers.request_poll();
                 Err(StoreError::NotApplied("a record has changed".to_owned()))
             }
             WriteOutcome::LeaseExpired => {
--- a/src/message.rs
+++ b/src/message.rs
@@ -22,10 +22,10 @@
         configuration::Change,
     },
     crashes::observation::RequestObservation,
-    facts::knowledge::ChangedItem,
     id::{DataHallId, Incarnation, RequestId, Revision, VmId},
     placing::health::AttemptOutcome,
     rollouts::evidence::{Evidence, HallEvidence},
+    store_sync::knowledge::ChangedItem,
     unit::{Mbps, RequestRate},
 };
 
@@ -351,7 +351,7 @@
     Knowledge {
         /// The version of the store that was read completely.
         as_of: u64,
-        /// The entries, as [`crate::facts::knowledge_pack`] packs them.
+        /// The entries, as [`crate::store_sync::knowledge_pack`] packs them.
         packed: Vec<u8>,
         /// The age of the proof that they are current, in milliseconds.
         proof_age_ms: u32,
--- a/src/placing/cascade.rs
+++ b/src/placing/cascade.rs
@@ -11,7 +11,7 @@
 use std::{collections::HashMap, sync::Mutex, time::Duration};
 
 use crate::{
-    clock::BootInstant, facts::route::Route, id::ModelId, unit::Percent,
+    clock::BootInstant, id::ModelId, store_sync::route::Route, unit::Percent,
 };
 
 /// Confidence from which the response of a smaller model is passed on.
@@ -92,7 +92,7 @@
 
 /// Returns the first model to ask if the caller names none.
 pub(crate) fn first_model(route: &Route) -> Option<ModelId> {
-    route.sizes.first().cloned()
+    route.models.first().cloned()
 }
 
 /// The input of the decision whether to escalate.
@@ -151,7 +151,7 @@
     waiting: Duration,
     now: BootInstant,
 ) -> Result<ModelId, NoEscalation> {
-    let largest = input.route.sizes.last().ok_or(NoEscalation::Largest)?;
+    let largest = input.route.models.last().ok_or(NoEscalation::Largest)?;
     if input.model == largest {
         return Err(NoEscalation::Largest);
     }
@@ -166,7 +166,8 @@
     let passed = now.saturating_duration_since(input.started_at);
     let prefill = times.expected(Some(largest), input.tokens);
     let expected = passed + waiting + prefill;
-    let used = expected.as_secs_f64() / input.route.aim.as_secs_f64();
+    let used =
+        expected.as_secs_f64() / input.route.latency_target.as_secs_f64();
     let headroom = ((1.0 - used) / (1.0 - RELAXED_SHARE)).clamp(0.0, 1.0);
     if confidence >= min_confidence * headroom {
         return Err(NoEscalation::NoTime);
--- a/src/placing/cascade/tests.rs
+++ b/src/placing/cascade/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::facts::route::{Repeat, Target};
+use crate::store_sync::route::{Repeat, Target};
 
 fn route() -> Route {
     Route {
@@ -9,12 +9,12 @@
         repeat: Repeat::Any,
         is_stream: true,
         time_limit: Duration::from_secs(20),
-        aim: Duration::from_secs(2),
-        pause_aim: None,
+        latency_target: Duration::from_secs(2),
+        event_gap_target: None,
         priority: 0,
         attempts: 3,
         targets: vec![Target { service: "w".parse().unwrap(), weight: 1 }],
-        sizes: ["small", "middle", "large"]
+        models: ["small", "middle", "large"]
             .iter()
             .map(|name| name.parse().unwrap())
             .collect(),
--- /dev/null
+++ b/src/store_sync/knowledge.rs
@@ -0,0 +1,375 @@
+//! A VM's copy of the platform's store, and how recent it is.
+//!
+//! Every value has a version that only grows. Whether it arrived by a watch,
+//! by a full read after the store lost its history, or from another VM, an
+//! older version never replaces a newer one.
+//!
+//! Keys may be revoked, so a VM accepts a key only while its copy is *proven*
+//! recent: by its own call to the store, counted from before the call was
+//! sent, or by another VM's proof, counted from before that VM was asked.
+
+use std::{
+    collections::{BTreeMap, BTreeSet},
+    net::SocketAddr,
+    sync::{Arc, Mutex, RwLock},
+    time::Duration,
+};
+
+use serde::{Deserialize, Serialize};
+
+use crate::{
+    chains::store::StoreVersion,
+    clock::BootInstant,
+    crashes::{digest::RequestDigest, observation::Crash},
+    id::{DataHallId, ServiceId, UpstreamId},
+    placing::member::UpstreamEntry,
+    platform::{
+        document,
+        store::{StoreItem, StoreItems},
+    },
+    rendezvous,
+    rollouts::rollout::{RolloutOrder, RolloutStatus},
+    store_sync::{
+        knowledge_pack,
+        route::{RouteTable, TableVersion},
+    },
+    unit::Mbps,
+};
+
+/// The record that a VM keeps of itself in the store, for the others.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct PeerRecord {
+    /// Address on which it listens for other VMs.
+    pub peers: SocketAddr,
+    /// The data hall that it is in.
+    pub data_hall: DataHallId,
+    /// Rate of its network link.
+    #[serde(default)]
+    pub link_mbps: Mbps,
+}
+
+/// A decoded change of the store.
+#[derive(Clone, Debug)]
+pub enum StoreUpdate {
+    /// The operator's configuration was set.
+    Configuration(RouteTable),
+    /// A rollout was ordered.
+    RolloutOrdered(ServiceId, RolloutOrder),
+    /// The order of a rollout was removed.
+    RolloutOrderRemoved(ServiceId),
+    /// The status of a rollout changed.
+    RolloutStatus(ServiceId, RolloutStatus),
+    /// The upstreams of a data hall are to get no more requests.
+    EvacuationOrdered(DataHallId),
+    /// The upstreams of a data hall may get requests again.
+    EvacuationOrderRemoved(DataHallId),
+    /// An upstream was added, or its record changed.
+    Upstream(UpstreamEntry),
+    /// The record of an upstream was removed.
+    UpstreamGone(UpstreamId),
+    /// The record of an upstream can no longer be read.
+    UpstreamUnreadable(UpstreamId),
+    /// Upstreams have crashed under a request.
+    CrashingRequest(RequestDigest, Vec<Crash>),
+    /// A router VM was added, or its record changed.
+    Peer(String, PeerRecord),
+    /// The record of a router VM was removed.
+    PeerGone(String),
+}
+
+/// A key and its value in the store, as sent to another VM.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct MirroredItem {
+    /// The key.
+    pub key: String,
+    /// The value, empty if it could not be decoded.
+    pub value: Vec<u8>,
+    /// Version of its last change.
+    pub version: u64,
+}
+
+/// A key that was changed or removed, as sent to another VM.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ChangedItem {
+    /// The key.
+    pub key: String,
+    /// The new value, or `None` if the key was removed.
+    pub value: Option<Vec<u8>>,
+    /// Version of the change.
+    pub version: u64,
+}
+
+/// The keys of the store with their values and versions.
+#[derive(Debug, Default)]
+struct Mirror {
+    /// Version of the store up to which every change is known.
+    as_of: StoreVersion,
+    /// Combined hash of all keys and their versions.
+    digest: u64,
+    items: BTreeMap<String, (Vec<u8>, StoreVersion)>,
+}
+
+/// A value that could not be decoded.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Unreadable {
+    /// The key.
+    pub key: String,
+    /// Description of the decoding error.
+    pub reason: String,
+}
+
+/// Result of applying items of the store.
+#[derive(Debug, Default)]
+pub struct AppliedItems {
+    /// Updates that changed this VM's copy, in the order of the items.
+    pub updates: Vec<StoreUpdate>,
+    /// Values that could not be decoded.
+    pub unreadable: Vec<Unreadable>,
+}
+
+/// This VM's copy of the platform's store.
+#[derive(Debug, Default)]
+pub struct Knowledge {
+    table: RwLock<Option<Arc<RouteTable>>>,
+    /// Latest time at which this copy was proven current.
+    proven_at: Mutex<Option<BootInstant>>,
+    mirror: Mutex<Mirror>,
+    /// Cached packed snapshot, with the digest that it was made from.
+    packed: Mutex<Option<(u64, Arc<[u8]>)>>,
+}
+
+impl Knowledge {
+    /// Returns the configuration in force, if one is known.
+    pub fn table(&self) -> Option<Arc<RouteTable>> {
+        self.table.read().expect("table lock").clone()
+    }
+
+    /// Returns the version of the configuration in force.
+    pub fn table_version(&self) -> Option<TableVersion> {
+        let table = self.table.read().expect("table lock");
+        table.as_ref().map(|table| table.version())
+    }
+
+    /// Puts a configuration in force if it is newer than the current one;
+    /// returns whether it did.
+    pub fn install(&self, table: RouteTable) -> bool {
+        let mut current = self.table.write().expect("table lock");
+        let is_newer = current
+            .as_ref()
+            .is_none_or(|current| table.version() > current.version());
+        if is_newer {
+            *current = Some(Arc::new(table));
+        }
+        is_newer
+    }
+
+    /// Records that this copy was current at `at`; an earlier time than the
+    /// latest one recorded has no effect.
+    pub fn prove(&self, at: BootInstant) {
+        let mut proven_at = self.proven_at.lock().expect("proof lock");
+        *proven_at = Some(proven_at.map_or(at, |current| current.max(at)));
+    }
+
+    /// Returns the time since this copy was last proven current, or `None` if
+    /// it never was.
+    pub fn proof_age(&self, now: BootInstant) -> Option<Duration> {
+        let proven_at = *self.proven_at.lock().expect("proof lock");
+        proven_at.map(|at| now.saturating_duration_since(at))
+    }
+
+    /// Returns the version of the store up to which every change is known.
+    pub fn as_of(&self) -> StoreVersion {
+        self.mirror.lock().expect("mirror lock").as_of
+    }
+
+    /// Returns a digest of all keys and their versions. Two VMs with the same
+    /// digest have the same copy.
+    pub fn digest(&self) -> u64 {
+        self.mirror.lock().expect("mirror lock").digest
+    }
+
+    /// Returns whether no configuration is known yet.
+    pub fn is_empty(&self) -> bool {
+        self.table.read().expect("table lock").is_none()
+    }
+
+    /// Returns whether the whole store has been read once, even if it was
+    /// empty.
+    pub fn is_read(&self) -> bool {
+        self.as_of() > StoreVersion::default()
+    }
+
+    /// Returns the version of a key, if it exists.
+    pub fn version_of(&self, key: &str) -> Option<StoreVersion> {
+        let mirror = self.mirror.lock().expect("mirror lock");
+        mirror.items.get(key).map(|(_, version)| *version)
+    }
+
+    /// Returns whether a key exists with this value.
+    pub fn contains(&self, key: &str, value: &[u8]) -> bool {
+        let mirror = self.mirror.lock().expect("mirror lock");
+        mirror.items.get(key).is_some_and(|(current, _)| current == value)
+    }
+
+    /// Returns a packed snapshot of all values for another VM, and the version
+    /// of the store that it is complete up to.
+    ///
+    /// The snapshot is cached for all VMs that ask: deflating 300 KB takes a
+    /// VM with half a core about 15 ms.
+    pub fn packed(&self) -> (StoreVersion, Arc<[u8]>) {
+        let mut packed = self.packed.lock().expect("packed lock");
+        let mirror = self.mirror.lock().expect("mirror lock");
+        let (as_of, digest) = (mirror.as_of, mirror.digest);
+        if let Some((current, bytes)) = &*packed
+            && *current == digest
+        {
+            return (as_of, bytes.clone());
+        }
+        let items = mirror.all();
+        drop(mirror);
+        let bytes: Arc<[u8]> = knowledge_pack::pack(&items).into();
+        *packed = Some((digest, bytes.clone()));
+        (as_of, bytes)
+    }
+
+    /// Applies one item that was read from the store.
+    pub fn apply_item(&self, item: StoreItem) -> AppliedItems {
+        let mut mirror = self.mirror.lock().expect("mirror lock");
+        let mut applied = AppliedItems::default();
+        mirror.apply(item, &mut applied);
+        applied
+    }
+
+    /// Returns whether any of these changes is new to this VM.
+    pub fn has_new(&self, changes: &StoreItems) -> bool {
+        let mirror = self.mirror.lock().expect("mirror lock");
+        changes.items.iter().any(|item| mirror.is_new(item))
+    }
+
+    /// Applies changes that a watch returned.
+    pub fn apply_changes(&self, changes: StoreItems) -> AppliedItems {
+        self.mirror.lock().expect("mirror lock").apply_changes(changes)
+    }
+
+    /// Merges changes that another VM pushed.
+    ///
+    /// Some of them may be known already, and changes may be missing between
+    /// them and this copy. `digest_before` is the digest of the sender's copy
+    /// before the changes; only if it equals that of this copy does the copy
+    /// become complete up to their version of the store.
+    pub fn merge_peer_changes(
+        &self,
+        digest_before: u64,
+        changes: StoreItems,
+    ) -> AppliedItems {
+        let mut mirror = self.mirror.lock().expect("mirror lock");
+        let as_of = match mirror.digest == digest_before {
+            true => changes.as_of,
+            false => mirror.as_of,
+        };
+        mirror.apply_changes(StoreItems { items: changes.items, as_of })
+    }
+
+    /// Applies a snapshot of the whole store, and removes the keys that it
+    /// does not contain.
+    ///
+    /// A snapshot that is older than this copy is ignored.
+    pub fn apply_snapshot(&self, all: StoreItems) -> AppliedItems {
+        let mut mirror = self.mirror.lock().expect("mirror lock");
+        let mut applied = AppliedItems::default();
+        if all.as_of < mirror.as_of {
+            return applied;
+        }
+        let present: BTreeSet<String> =
+            all.items.iter().map(|item| item.key.clone()).collect();
+        let removed: Vec<String> = mirror
+            .items
+            .keys()
+            .filter(|key| !present.contains(*key))
+            .cloned()
+            .collect();
+        for key in removed {
+            let version = all.as_of;
+            mirror
+                .apply(StoreItem { key, value: None, version }, &mut applied);
+        }
+        for item in all.items {
+            mirror.apply(item, &mut applied);
+        }
+        mirror.as_of = all.as_of;
+        applied
+    }
+}
+
+impl Mirror {
+    fn all(&self) -> Vec<MirroredItem> {
+        let items = self.items.iter();
+        let items = items.map(|(key, (value, version))| MirroredItem {
+            key: key.clone(),
+            value: value.clone(),
+            version: version.0,
+        });
+        items.collect()
+    }
+
+    fn apply_changes(&mut self, changes: StoreItems) -> AppliedItems {
+        let mut applied = AppliedItems::default();
+        for item in changes.items {
+            self.apply(item, &mut applied);
+        }
+        self.as_of = self.as_of.max(changes.as_of);
+        applied
+    }
+
+    /// Returns whether an item changes this copy.
+    fn is_new(&self, item: &StoreItem) -> bool {
+        let current = self.items.get(&item.key);
+        match (&item.value, current) {
+            (_, Some((_, version))) => item.version > *version,
+            // Every change up to `as_of` is known, so an unknown key at or
+            // below that version has been removed since. A delayed message
+            // must not restore it.
+            (Some(_), None) => item.version > self.as_of,
+            (None, None) => false,
+        }
+    }
+
+    fn apply(&mut self, item: StoreItem, applied: &mut AppliedItems) {
+        if !self.is_new(&item) {
+            return;
+        }
+        if let Some((_, current)) = self.items.get(&item.key) {
+            self.digest ^= digest(&item.key, *current);
+        }
+        let Some(value) = item.value else {
+            if self.items.remove(&item.key).is_some() {
+                applied.updates.extend(document::removal_fact(&item.key));
+            }
+            return;
+        };
+        self.digest ^= digest(&item.key, item.version);
+        let current = match document::decode_fact(&item.key, &value) {
+            Ok(fact) => {
+                applied.updates.extend(fact);
+                value
+            }
+            Err(error) => {
+                applied.updates.extend(document::unreadable_fact(&item.key));
+                applied.unreadable.push(Unreadable {
+                    key: item.key.clone(),
+                    reason: error.to_string(),
+                });
+                // Other VMs cannot decode it either, and it may be large.
+                Vec::new()
+            }
+        };
+        self.items.insert(item.key, (current, item.version));
+    }
+}
+
+fn digest(key: &str, version: StoreVersion) -> u64 {
+    rendezvous::mix(rendezvous::short_hash(key.as_bytes()).into(), version.0)
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/store_sync/mod.rs
@@ -0,0 +1,17 @@
+//! Keeps every VM in sync with the platform's store.
+//!
+//! A few VMs watch the store and push its changes to the others.
+//!
+//! * [`knowledge`]: this VM's copy of the store, and how recent it is.
+//! * [`knowledge_pack`]: a packed snapshot of the copy, for VMs that start.
+//! * [`peers`]: the other VMs, and which of them watch the store.
+//! * [`gossip`]: heartbeats, pushed changes and requests between VMs.
+//! * [`freshness`]: whether a VM that does not watch is up to date.
+//! * [`route`]: the operators' configuration.
+
+pub(crate) mod freshness;
+pub(crate) mod gossip;
+pub mod knowledge;
+pub(crate) mod knowledge_pack;
+pub(crate) mod peers;
+pub mod route;
