--- a/standins/src/platform_store.rs
+++ b/standins/src/platform_store.rs
@@ -25,10 +25,10 @@
 
 /// How the store treats calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mood {
+pub enum StoreMode {
     /// As it should.
     #[default]
-    Well,
+    Normal,
     /// Every connection is closed without an answer.
     Resetting,
     /// Every call gets 503.
@@ -48,7 +48,7 @@
     items: BTreeMap<String, (String, u64)>,
     events: Vec<(String, Option<String>, u64)>,
     version: u64,
-    mood: Mood,
+    mode: StoreMode,
     calls: Vec<String>,
 }
 
@@ -122,8 +122,8 @@
     }
 
     /// Changes how it treats calls.
-    pub fn set_mood(&self, mood: Mood) {
-        self.content.0.lock().unwrap().mood = mood;
+    pub fn set_mode(&self, mode: StoreMode) {
+        self.content.0.lock().unwrap().mode = mode;
         self.content.1.notify_all();
     }
 
@@ -159,19 +159,19 @@
     }
 
     fn treat(&self, request: &RawRequest) -> Option<Vec<u8>> {
-        let mood = {
+        let mode = {
             let mut content = self.content.0.lock().unwrap();
             content.calls.push(request.path.clone());
-            content.mood
+            content.mode
         };
-        match mood {
-            Mood::Resetting => return None,
-            Mood::Busy => return Some(answer(503, &[], "")),
-            Mood::Silent => {
+        match mode {
+            StoreMode::Resetting => return None,
+            StoreMode::Busy => return Some(answer(503, &[], "")),
+            StoreMode::Silent => {
                 thread::sleep(Duration::from_secs(60));
                 return None;
             }
-            Mood::Slow => thread::sleep(SLOW_TIME),
+            StoreMode::Slow => thread::sleep(SLOW_TIME),
             _ => {}
         }
         let path = request.path.split('?').next().unwrap_or("");
@@ -186,7 +186,7 @@
             _ => (404, json!({})),
         };
         let is_write = path == "/lupinseam/kv-txn";
-        if mood == Mood::LosingAnswers && is_write {
+        if mode == StoreMode::LosingAnswers && is_write {
             return None;
         }
         let kind = [("content-type", "application/json")];
@@ -238,7 +238,7 @@
         let until = Instant::now() + Duration::from_millis(wait_ms);
         let mut content = self.content.0.lock().unwrap();
         loop {
-            if content.mood == Mood::Forgetful {
+            if content.mode == StoreMode::Forgetful {
                 return (410, json!({}));
             }
             let events: Vec<Value> = content
--- a/standins/src/soak/faults.rs
+++ b/standins/src/soak/faults.rs
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::upstreams::Behaviour;
-use crate::{platform_store::Mood, proxy::Mode};
+use crate::{platform_store::StoreMode, proxy::Mode};
 
 /// A fault, or an operation, that the soak applies from outside the VMs.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -29,7 +29,7 @@
     /// The store rejects all calls of a VM.
     StoreRefuses(usize),
     /// The store treats all calls as this mood says.
-    Store(Mood),
+    Store(StoreMode),
     /// The proxy before an upstream is put into this mode.
     UpstreamWay(usize, Mode),
     /// An upstream treats requests as this behaviour says.
@@ -78,12 +78,12 @@
 const DURATION_MS: std::ops::Range<u64> = 200..4000;
 
 /// Moods of the store that a soak injects as faults.
-const MOODS: [Mood; 5] = [
-    Mood::Resetting,
-    Mood::Busy,
-    Mood::Silent,
-    Mood::LosingAnswers,
-    Mood::Forgetful,
+const MOODS: [StoreMode; 5] = [
+    StoreMode::Resetting,
+    StoreMode::Busy,
+    StoreMode::Silent,
+    StoreMode::LosingAnswers,
+    StoreMode::Forgetful,
 ];
 
 impl Fault {
--- a/standins/src/soak/inject.rs
+++ b/standins/src/soak/inject.rs
@@ -13,7 +13,7 @@
 };
 use crate::{
     gateway_site::{KEY, MODELS, PLAIN, configuration_with, route},
-    platform_store::Mood,
+    platform_store::StoreMode,
     proxy::Mode,
 };
 
@@ -93,7 +93,7 @@
             Fault::CallersWay(vm, mode) => self.entry_proxies[vm].set(mode),
             Fault::StoreWay(vm, mode) => self.store_proxies[vm].set(mode),
             Fault::StoreRefuses(vm) => self.site.vms[vm].store.refuse(true),
-            Fault::Store(mood) => self.site.store.set_mood(mood),
+            Fault::Store(mood) => self.site.store.set_mode(mood),
             Fault::UpstreamWay(at, mode) => self.workers[at].set_mode(mode),
             Fault::Upstream(at, how) => self.workers[at].set_behaviour(how),
             Fault::StartAgain(at) => self.restart_upstream(at, now + lasts),
@@ -240,7 +240,7 @@
             Fault::CallersWay(vm, _) => self.entry_proxies[vm].set(Mode::Pass),
             Fault::StoreWay(vm, _) => self.store_proxies[vm].set(Mode::Pass),
             Fault::StoreRefuses(vm) => self.site.vms[vm].store.refuse(false),
-            Fault::Store(_) => self.site.store.set_mood(Mood::Well),
+            Fault::Store(_) => self.site.store.set_mode(StoreMode::Normal),
             Fault::UpstreamWay(..) | Fault::Upstream(..) => {
                 self.reset_upstreams();
             }
--- a/standins/tests/leaving_upstreams.rs
+++ b/standins/tests/leaving_upstreams.rs
@@ -31,7 +31,7 @@
         upstream_record, wait_until,
     },
     http_raw::{answer, chunk},
-    platform_store::Mood,
+    platform_store::StoreMode,
     scripted::{Act, Script, Streamed, Upstream, answers, stamped, streams},
 };
 
@@ -149,7 +149,7 @@
         (&other, MODELS),
     ]);
     // Nobody hears of it through the store.
-    site.store.set_mood(Mood::Silent);
+    site.store.set_mode(StoreMode::Silent);
     answering.set_script(leaves(200));
     failing.set_script(leaves(500));
     declining.set_script(leaves_declining());
--- a/standins/tests/platform.rs
+++ b/standins/tests/platform.rs
@@ -16,7 +16,7 @@
         wait_until,
     },
     http_raw::{RawRequest, answer, chunk},
-    platform_store::Mood,
+    platform_store::StoreMode,
     scripted::{
         Act, Script, Streamed, Upstream, answers, declines, stamped, streams,
     },
@@ -394,12 +394,12 @@
 fn a_vm_that_cannot_know_of_a_lost_key_runs_nothing() {
     let _alone = alone();
     let upstream = Upstream::start("i-1", answers(200, "hello"));
-    for mood in [Mood::Silent, Mood::Resetting, Mood::Busy] {
+    for mood in [StoreMode::Silent, StoreMode::Resetting, StoreMode::Busy] {
         let mut site = site(2_000);
         site.list(&upstream, PLAIN, "v1");
         site.start_vm();
         wait_listed(&site.vms[0], "i-1", false);
-        site.store.set_mood(mood);
+        site.store.set_mode(mood);
         let lost_at = Instant::now();
         let ask = || site.vms[0].ask(&request("GET", "/read/x", "r", ""));
         assert_eq!(ask().status, 200, "what is known is recent enough");
@@ -409,7 +409,7 @@
         // Neither a key nor a route that is not known may be denied for good.
         let unknown = request("GET", "/none/x", "r", "").replace(KEY, "key-9");
         assert_eq!(site.vms[0].ask(&unknown).status, 503);
-        site.store.set_mood(Mood::Well);
+        site.store.set_mode(StoreMode::Normal);
         wait_until("requests are taken again", || ask().status == 200);
     }
 }
@@ -420,7 +420,7 @@
     let upstream = Upstream::start("i-1", answers(200, "hello"));
     let with_keys =
         |version, keys: &[&str]| configuration_with(version, keys, Vec::new());
-    for mood in [Mood::Silent, Mood::Resetting, Mood::Busy] {
+    for mood in [StoreMode::Silent, StoreMode::Resetting, StoreMode::Busy] {
         let mut site = site(1_000);
         site.fail_closed = false;
         site.list(&upstream, PLAIN, "v1");
@@ -431,7 +431,7 @@
         };
         site.store.put("op/config", &with_keys(2, &[KEY, "key-3"]));
         wait_until("a key is gone", || ask(&site, "key-2") == 401);
-        site.store.set_mood(mood);
+        site.store.set_mode(mood);
         site.store.put("op/config", &with_keys(3, &["key-3"]));
         // Several times as long as its knowledge counts as recent.
         let until = Instant::now() + Duration::from_secs(4);
@@ -448,7 +448,7 @@
         assert_eq!(ask(&site, KEY), 503);
         assert_eq!(ask(&site, "key-9"), 503);
         assert!(!site.vms[0].is_ready());
-        site.store.set_mood(Mood::Well);
+        site.store.set_mode(StoreMode::Normal);
         wait_until("it serves again", || ask(&site, "key-3") == 200);
         assert_eq!(ask(&site, KEY), 401, "taken away meanwhile");
     }
@@ -540,7 +540,7 @@
     let _alone = alone();
     let upstream = Upstream::start("i-1", answers(200, "hello"));
     let site = site_with(&[(&upstream, PLAIN)]);
-    site.store.set_mood(Mood::Forgetful);
+    site.store.set_mode(StoreMode::Forgetful);
     let mut more = configuration(2);
     more["routes"][0]["path_prefix"] = json!("/moved/");
     site.store.put("op/config", &more);
@@ -620,9 +620,9 @@
     site.start_vm();
     assert_eq!(ask_twenty(&site.vms[1], "started"), 0);
     // A store that is away changes nothing.
-    site.store.set_mood(Mood::Silent);
+    site.store.set_mode(StoreMode::Silent);
     assert_eq!(ask_twenty(&site.vms[0], "silent"), 0);
-    site.store.set_mood(Mood::Well);
+    site.store.set_mode(StoreMode::Normal);
     assert_eq!(near.received().len(), before);
     // With both halls evacuated, callers are told at once that nothing ran.
     site.evacuate("hall-b");
@@ -839,7 +839,7 @@
     let new = Upstream::start("i-2", streams(|_| Streamed::default()));
     let site = site_with(&[(&old, MODELS)]);
     site.list(&new, MODELS, "v2");
-    site.store.set_mood(Mood::LosingAnswers);
+    site.store.set_mode(StoreMode::LosingAnswers);
     assert_eq!(roll_out(&site), "completed");
 }
 
@@ -992,11 +992,11 @@
     };
     assert_eq!(first_answer(&mut site).0, 200);
     // Everything that a VM asks for at its start takes half a second.
-    site.store.set_mood(Mood::Slow);
+    site.store.set_mode(StoreMode::Slow);
     let (status, passed) = first_answer(&mut site);
     assert_eq!(status, 200, "refused at {passed:?}");
     assert!(passed >= Duration::from_millis(400), "after {passed:?}");
-    site.store.set_mood(Mood::Busy);
+    site.store.set_mode(StoreMode::Busy);
     let (status, passed) = first_answer(&mut site);
     assert_eq!(status, 503);
     assert!(passed >= Duration::from_millis(300), "refused at {passed:?}");
