--- a/standins/src/gateway_site.rs
+++ b/standins/src/gateway_site.rs
@@ -172,7 +172,7 @@
     ///
     /// When it does not become ready.
     pub fn start_vm(&mut self) {
-        let store = self.store.another_door();
+        let store = self.store.second_endpoint();
         let address = store.address;
         let at = self.add_vm("hall-a", store, address);
         let vm = &mut self.vms[at];
--- a/standins/src/platform_store.rs
+++ b/standins/src/platform_store.rs
@@ -76,7 +76,7 @@
     /// # Panics
     ///
     /// When no port can be bound.
-    pub fn another_door(&self) -> PlatformStore {
+    pub fn second_endpoint(&self) -> PlatformStore {
         PlatformStore::open(self.content.clone())
     }
 
--- a/standins/src/soak/world.rs
+++ b/standins/src/soak/world.rs
@@ -134,7 +134,7 @@
         let mut entry_proxies = Vec::new();
         let mut endpoints = Vec::new();
         for number in 0..plan.vms {
-            let door = site.store.another_door();
+            let door = site.store.second_endpoint();
             let store_proxy = Proxy::tcp(door.address).expect("a port");
             let hall = DATA_HALLS[number % DATA_HALLS.len()];
             let at = site.add_vm(hall, door, store_proxy.address);
