--- a/standins/src/kv.rs
+++ b/standins/src/kv.rs
@@ -154,7 +154,7 @@
             Timer::after(Duration::from_millis(faults.slow_ms)).await;
         }
         if faults.outage {
-            return web::break_off(conn);
+            return web::abort_connection(conn);
         }
         match (conn.method(), path.strip_prefix("/kv/")) {
             (Method::Get, Some(key)) => self.0.get(conn, key).await,
@@ -204,7 +204,7 @@
         if let Some(limit) = limit {
             self.wait_for(key, limit).await;
             if self.faults.lock().unwrap().outage {
-                return web::break_off(conn);
+                return web::abort_connection(conn);
             }
         }
         let value = self.content.lock().unwrap().values.get(key).cloned();
@@ -271,7 +271,7 @@
             content.put(key, text, expected, must_be_new)
         };
         if self.loses_answer() {
-            return web::break_off(conn);
+            return web::abort_connection(conn);
         }
         match written {
             Some(version) => tagged(conn, version).with_status(200).halt(),
--- a/standins/src/service.rs
+++ b/standins/src/service.rs
@@ -154,7 +154,7 @@
         }
         self.running.fetch_sub(1, Ordering::Relaxed);
         if self.loses_answer() {
-            return web::break_off(conn);
+            return web::abort_connection(conn);
         }
         let answer = json!({
             "service": self.name,
--- a/standins/src/web.rs
+++ b/standins/src/web.rs
@@ -74,7 +74,7 @@
 }
 
 /// Closes the connection without an answer.
-pub fn break_off(conn: Conn) -> Conn {
+pub fn abort_connection(conn: Conn) -> Conn {
     let body = Body::new_streaming(BrokenBody, Some(1));
     conn.with_status(200).with_body(body).halt()
 }
