--- a/standins/src/kv.rs
+++ b/standins/src/kv.rs
@@ -1,4 +1,5 @@
-//! The key-value service: conditional writes, watches, limits, faults.
+//! Stand-in for the key-value store: conditional writes, watches, rate limits
+//! and injected faults.
 
 use std::{
     collections::BTreeMap,
@@ -24,7 +25,7 @@
 
 use crate::web;
 
-/// Largest value, in bytes.
+/// Size of the largest value that a write may store, in bytes.
 const VALUE_LIMIT_BYTES: usize = 1 << 20;
 
 /// Run the key-value service.
@@ -42,30 +43,31 @@
     reads_per_s: f64,
 }
 
-/// What goes wrong at the service.
+/// Faults to inject into the store, set through `/admin/faults`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct KvFaults {
-    /// Every call is cut off without effect.
+    /// Closes the connection of every call, which then has no effect.
     pub outage: bool,
-    /// Every call takes this much longer.
+    /// Extra latency of every call, in milliseconds.
     pub slow_ms: u64,
-    /// Share of writes that take effect and are not answered.
+    /// Share of writes, from 0 to 1, that take effect but whose response is
+    /// lost.
     pub lost_answers: f64,
-    /// The next writes that take effect and are not answered.
+    /// How many of the next writes take effect but lose their response.
     pub lose_next: u32,
 }
 
-/// Calls that were made, for the store budget.
+/// Number of calls received, to check the router's budget of store calls.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize,
 )]
 pub struct KvCounts {
-    /// Writes and removals.
+    /// Writes and deletions, rate-limited ones included.
     pub writes: u64,
-    /// Reads, listings and watches.
+    /// Reads, listings and watches, rate-limited ones included.
     pub reads: u64,
-    /// Calls refused by the rate limits.
+    /// Calls rejected with 429 by the rate limits.
     pub limited: u64,
 }
 
@@ -79,23 +81,25 @@
 struct Content {
     values: BTreeMap<String, Value>,
     last_version: u64,
-    waiting: BTreeMap<String, Vec<Sender<()>>>,
+    /// Wakes the reads that wait for a key to be created.
+    watchers: BTreeMap<String, Vec<Sender<()>>>,
 }
 
-struct Rate {
+/// A token bucket that holds the tokens of one second.
+struct TokenBucket {
     per_s: f64,
     tokens: f64,
-    at: Instant,
+    refilled_at: Instant,
 }
 
-impl Rate {
-    fn new(per_s: f64) -> Rate {
-        Rate { per_s, tokens: per_s, at: Instant::now() }
+impl TokenBucket {
+    fn new(per_s: f64) -> TokenBucket {
+        TokenBucket { per_s, tokens: per_s, refilled_at: Instant::now() }
     }
 
     fn take(&mut self) -> bool {
-        let passed = self.at.elapsed().as_secs_f64();
-        self.at = Instant::now();
+        let passed = self.refilled_at.elapsed().as_secs_f64();
+        self.refilled_at = Instant::now();
         self.tokens = (self.tokens + passed * self.per_s).min(self.per_s);
         let has_one = self.tokens >= 1.0;
         if has_one {
@@ -108,21 +112,21 @@
 struct Service {
     content: Mutex<Content>,
     faults: Mutex<KvFaults>,
-    writes: Mutex<Rate>,
-    reads: Mutex<Rate>,
+    writes: Mutex<TokenBucket>,
+    reads: Mutex<TokenBucket>,
     write_count: AtomicU64,
     read_count: AtomicU64,
     limited_count: AtomicU64,
 }
 
 impl Kv {
-    /// Serves until it is ended.
+    /// Serves until the process ends.
     pub fn run(self) {
         let service = Service {
             content: Mutex::default(),
             faults: Mutex::default(),
-            writes: Mutex::new(Rate::new(self.writes_per_s)),
-            reads: Mutex::new(Rate::new(self.reads_per_s)),
+            writes: Mutex::new(TokenBucket::new(self.writes_per_s)),
+            reads: Mutex::new(TokenBucket::new(self.reads_per_s)),
             write_count: AtomicU64::new(0),
             read_count: AtomicU64::new(0),
             limited_count: AtomicU64::new(0),
@@ -178,16 +182,16 @@
     fn may_read(&self) -> bool {
         self.read_count.fetch_add(1, Ordering::Relaxed);
         let allowed = self.reads.lock().unwrap().take();
-        self.note_limited(allowed)
+        self.count_limited(allowed)
     }
 
     fn may_write(&self) -> bool {
         self.write_count.fetch_add(1, Ordering::Relaxed);
         let allowed = self.writes.lock().unwrap().take();
-        self.note_limited(allowed)
+        self.count_limited(allowed)
     }
 
-    fn note_limited(&self, allowed: bool) -> bool {
+    fn count_limited(&self, allowed: bool) -> bool {
         if !allowed {
             self.limited_count.fetch_add(1, Ordering::Relaxed);
         }
@@ -198,18 +202,18 @@
         if !self.may_read() {
             return conn.with_status(429).halt();
         }
-        let limit = parameter(&conn, "wait_ms")
+        let limit = query_parameter(&conn, "wait_ms")
             .and_then(|text| text.parse().ok())
             .map(Duration::from_millis);
         if let Some(limit) = limit {
-            self.wait_for(key, limit).await;
+            self.wait_until_created(key, limit).await;
             if self.faults.lock().unwrap().outage {
                 return web::abort_connection(conn);
             }
         }
         let value = self.content.lock().unwrap().values.get(key).cloned();
         match value {
-            Some(value) => tagged(conn, value.version)
+            Some(value) => with_etag(conn, value.version)
                 .with_status(200)
                 .with_body(value.text)
                 .halt(),
@@ -217,7 +221,8 @@
         }
     }
 
-    async fn wait_for(&self, key: &str, limit: Duration) {
+    /// Waits until `key` exists, the limit has passed or an outage begins.
+    async fn wait_until_created(&self, key: &str, limit: Duration) {
         let end = Instant::now() + limit;
         loop {
             let Some(changed) = self.watch(key) else { return };
@@ -226,12 +231,13 @@
                 Timer::at(end).await;
                 false
             };
-            // An outage cuts off the calls that wait as well.
-            let looked = async {
+            // Polls for an outage, which closes the connections of waiting
+            // calls too.
+            let poll = async {
                 Timer::after(Duration::from_millis(100)).await;
                 true
             };
-            if !woken.or(timer).or(looked).await {
+            if !woken.or(timer).or(poll).await {
                 return;
             }
             if self.faults.lock().unwrap().outage {
@@ -240,15 +246,17 @@
         }
     }
 
+    /// Returns a channel that is notified when `key` is created; `None` when it
+    /// exists already.
     fn watch(&self, key: &str) -> Option<Receiver<()>> {
         let mut content = self.content.lock().unwrap();
         if content.values.contains_key(key) {
             return None;
         }
         let (sender, receiver) = bounded(1);
-        let waiting = content.waiting.entry(key.to_owned()).or_default();
-        waiting.retain(|sender| !sender.is_closed());
-        waiting.push(sender);
+        let watchers = content.watchers.entry(key.to_owned()).or_default();
+        watchers.retain(|sender| !sender.is_closed());
+        watchers.push(sender);
         Some(receiver)
     }
 
@@ -270,16 +278,17 @@
             let mut content = self.content.lock().unwrap();
             content.put(key, text, expected, must_be_new)
         };
-        if self.loses_answer() {
+        if self.loses_response() {
             return web::abort_connection(conn);
         }
         match written {
-            Some(version) => tagged(conn, version).with_status(200).halt(),
+            Some(version) => with_etag(conn, version).with_status(200).halt(),
             None => conn.with_status(412).halt(),
         }
     }
 
-    fn loses_answer(&self) -> bool {
+    /// Whether an injected fault drops the response of the current write.
+    fn loses_response(&self) -> bool {
         let mut faults = self.faults.lock().unwrap();
         if faults.lose_next > 0 {
             faults.lose_next -= 1;
@@ -301,7 +310,7 @@
         if !self.may_read() {
             return conn.with_status(429).halt();
         }
-        let text = |name| parameter(&conn, name).unwrap_or_default();
+        let text = |name| query_parameter(&conn, name).unwrap_or_default();
         let prefix = text("prefix");
         let after = text("after");
         let limit = text("limit").parse().unwrap_or(256);
@@ -327,6 +336,7 @@
 }
 
 impl Content {
+    /// Returns the new version, or `None` when a condition does not hold.
     fn put(
         &mut self,
         key: &str,
@@ -334,27 +344,27 @@
         expected: Option<u64>,
         must_be_new: bool,
     ) -> Option<u64> {
-        let held = self.values.get(key).map(|value| value.version);
-        let conflicts = (must_be_new && held.is_some())
-            || (expected.is_some() && expected != held);
+        let current = self.values.get(key).map(|value| value.version);
+        let conflicts = (must_be_new && current.is_some())
+            || (expected.is_some() && expected != current);
         if conflicts {
             return None;
         }
         self.last_version += 1;
         let version = self.last_version;
         self.values.insert(key.to_owned(), Value { version, text });
-        for waiting in self.waiting.remove(key).unwrap_or_default() {
-            let _ = waiting.try_send(());
+        for watcher in self.watchers.remove(key).unwrap_or_default() {
+            let _ = watcher.try_send(());
         }
         Some(version)
     }
 }
 
-fn tagged(conn: Conn, version: u64) -> Conn {
+fn with_etag(conn: Conn, version: u64) -> Conn {
     conn.with_response_header(KnownHeaderName::Etag, format!("\"{version}\""))
 }
 
-fn parameter(conn: &Conn, name: &str) -> Option<String> {
+fn query_parameter(conn: &Conn, name: &str) -> Option<String> {
     conn.querystring().split('&').find_map(|pair| {
         let (found, value) = pair.split_once('=')?;
         (found == name).then(|| value.to_owned())
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,6 +1,7 @@
-//! Stand-ins for the platform, the engines and the services of a site, a
-//! launcher of small fleets of real processes, and a checker that compares
-//! what callers saw with what really ran.
+//! Stand-ins for the systems that the router talks to (key-value store,
+//! platform store, inference engines, services), a launcher for small fleets
+//! of real processes, and a checker that compares the responses that callers
+//! received with what the upstreams recorded as run.
 
 #![warn(missing_docs)]
 
--- a/standins/src/main.rs
+++ b/standins/src/main.rs
@@ -1,5 +1,5 @@
-//! The stand-ins' program: one subcommand for each stand-in, the demo and
-//! the measurements, and `vm` for the router itself.
+//! Command line of the stand-ins: one subcommand for each stand-in, for the
+//! demo, the measurements and the soak, and `vm` for the router itself.
 
 use std::process::ExitCode;
 
@@ -34,7 +34,7 @@
     process::end_with_parent();
     let arguments: Vec<String> = std::env::args().collect();
     let words: Vec<&str> = arguments.iter().map(String::as_str).collect();
-    // The router takes its own command line.
+    // The router parses its own command line.
     if words.get(1) == Some(&"vm") {
         return lupinseam::cli::run(&words[1..]);
     }
@@ -46,15 +46,15 @@
         Command::Service(service) => service.run(),
         Command::Rating(rating) => rating.run(),
         Command::Measure(measure) => {
-            return verdict(block_on(measure.run()));
+            return exit_code(block_on(measure.run()));
         }
-        Command::Soak(soak) => return verdict(soak.run()),
-        Command::Demo(demo) => return verdict(block_on(demo.run())),
+        Command::Soak(soak) => return exit_code(soak.run()),
+        Command::Demo(demo) => return exit_code(block_on(demo.run())),
     }
     ExitCode::SUCCESS
 }
 
-fn verdict(outcome: Result<bool, String>) -> ExitCode {
+fn exit_code(outcome: Result<bool, String>) -> ExitCode {
     match outcome {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
--- a/standins/src/platform_store.rs
+++ b/standins/src/platform_store.rs
@@ -1,4 +1,5 @@
-//! The platform's key-value store, as far as a VM uses it, with its faults.
+//! Stand-in for the platform's key-value store: the calls that a VM makes, and
+//! injected faults.
 
 use std::{
     collections::BTreeMap,
@@ -17,52 +18,54 @@
 
 use crate::http_raw::{RawRequest, answer, read_request};
 
-/// Entries of one transaction, conditions and writes together.
-const ENTRIES_MOST: usize = 32;
+/// Maximum entries of one transaction, conditions and writes together.
+const MAX_TRANSACTION_ENTRIES: usize = 32;
 
-/// What a slow store takes for an answer.
+/// Extra latency of each call in [`StoreMode::Slow`].
 pub const SLOW_TIME: Duration = Duration::from_millis(150);
 
-/// How the store treats calls.
+/// How the store responds to calls: normally or with an injected fault.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreMode {
-    /// As it should.
+    /// Answers every call.
     #[default]
     Normal,
-    /// Every connection is closed without an answer.
+    /// Closes every connection without a response.
     Resetting,
-    /// Every call gets 503.
+    /// Answers every call with 503.
     Busy,
-    /// Calls are never answered.
+    /// Keeps connections open without responding.
     Silent,
-    /// Writes are done and not answered.
+    /// Applies transactions and closes the connection without a response.
     LosingAnswers,
-    /// Watches are told that history is gone.
+    /// Answers watches with 410, as when the watched history was compacted.
     Forgetful,
-    /// Every answer takes [`SLOW_TIME`].
+    /// Delays every response by [`SLOW_TIME`].
     Slow,
 }
 
 #[derive(Default)]
 struct Content {
+    /// Document and version of each key.
     items: BTreeMap<String, (String, u64)>,
+    /// Key, document (`None` when deleted) and version of each change.
     events: Vec<(String, Option<String>, u64)>,
     version: u64,
     mode: StoreMode,
     calls: Vec<String>,
 }
 
-/// A running store.
+/// An address of a running store; clones share the address.
 #[derive(Clone)]
 pub struct PlatformStore {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     content: Arc<(Mutex<Content>, Condvar)>,
     refuses: Arc<AtomicBool>,
 }
 
 impl PlatformStore {
-    /// Starts an empty store on a port that the kernel chooses.
+    /// Starts an empty store on an ephemeral port of the loopback address.
     ///
     /// # Panics
     ///
@@ -71,7 +74,8 @@
         PlatformStore::open(Arc::default())
     }
 
-    /// Opens another address of the same store.
+    /// Opens another address of the same store, with its own
+    /// [`PlatformStore::refuse`].
     ///
     /// # Panics
     ///
@@ -95,7 +99,7 @@
         store
     }
 
-    /// Writes a document, as the operator or an upstream does.
+    /// Writes a document, as an operator or an upstream would.
     pub fn put(&self, key: &str, document: &Value) {
         let mut content = self.content.0.lock().unwrap();
         content.write(key, Some(document.to_string()));
@@ -109,31 +113,31 @@
         self.content.1.notify_all();
     }
 
-    /// What lies under a key.
+    /// Returns the document of a key; `None` when there is none.
     pub fn get(&self, key: &str) -> Option<Value> {
         let content = self.content.0.lock().unwrap();
         let (text, _) = content.items.get(key)?;
         serde_json::from_str(text).ok()
     }
 
-    /// The keys that are there.
+    /// Returns all keys that have a document.
     pub fn keys(&self) -> Vec<String> {
         self.content.0.lock().unwrap().items.keys().cloned().collect()
     }
 
-    /// Changes how it treats calls.
+    /// Sets how the store responds to calls, at all its addresses.
     pub fn set_mode(&self, mode: StoreMode) {
         self.content.0.lock().unwrap().mode = mode;
         self.content.1.notify_all();
     }
 
-    /// Refuses every call that comes by this door, or no longer does.
+    /// Sets whether every call to this address is answered with 503.
     pub fn refuse(&self, refuses: bool) {
         self.refuses.store(refuses, Ordering::Relaxed);
         self.content.1.notify_all();
     }
 
-    /// The paths that were called.
+    /// Returns the path and query of each call, in order of arrival.
     pub fn calls(&self) -> Vec<String> {
         self.content.0.lock().unwrap().calls.clone()
     }
@@ -143,12 +147,12 @@
         let mut reader = BufReader::new(reading);
         let mut writer = stream;
         while let Ok(Some(request)) = read_request(&mut reader) {
-            let answered = match self.refuses.load(Ordering::Relaxed) {
+            let response = match self.refuses.load(Ordering::Relaxed) {
                 true => Some(answer(503, &[], "")),
-                false => self.treat(&request),
+                false => self.respond(&request),
             };
-            let Some(bytes) = answered else {
-                // A peer that is gone already needs no farewell.
+            let Some(bytes) = response else {
+                // Fails only when the peer has closed the connection already.
                 let _ = stream.shutdown(Shutdown::Both);
                 return;
             };
@@ -158,7 +162,8 @@
         }
     }
 
-    fn treat(&self, request: &RawRequest) -> Option<Vec<u8>> {
+    /// Returns the response, or `None` to close the connection without one.
+    fn respond(&self, request: &RawRequest) -> Option<Vec<u8>> {
         let mode = {
             let mut content = self.content.0.lock().unwrap();
             content.calls.push(request.path.clone());
@@ -207,8 +212,8 @@
     }
 
     fn range(&self, request: &RawRequest) -> (u16, Value) {
-        // Small pages, so that reading the next one is tried.
-        const PAGE: usize = 3;
+        // Small pages, so that tests cover the reading of a next page.
+        const PAGE_ENTRIES: usize = 3;
         let content = self.content.0.lock().unwrap();
         let prefix = request.parameter("path_prefix");
         let after = request.parameter("since_revision");
@@ -220,12 +225,12 @@
             .collect();
         let entries: Vec<Value> = matching
             .iter()
-            .take(PAGE)
+            .take(PAGE_ENTRIES)
             .map(|(key, (text, version))| item(key, Some(text), *version))
             .collect();
         let body = json!({
             "entries": entries,
-            "has_more": matching.len() > PAGE,
+            "has_more": matching.len() > PAGE_ENTRIES,
             "timestamp": content.version,
         });
         (200, body)
@@ -265,13 +270,13 @@
             |name: &str| body[name].as_array().cloned().unwrap_or_default();
         let names = ["expected_revision", "write", "remove"];
         let entries: usize = names.iter().map(|name| rows(name).len()).sum();
-        if entries > ENTRIES_MOST {
+        if entries > MAX_TRANSACTION_ENTRIES {
             return (400, json!({}));
         }
         let holds = rows("expected_revision").iter().all(|row| {
             let key = row["key_file"].as_str().unwrap_or("");
-            let held = content.items.get(key).map_or(0, |(_, v)| *v);
-            row["revision"] == held
+            let current = content.items.get(key).map_or(0, |(_, v)| *v);
+            row["revision"] == current
         });
         if !holds {
             return (412, json!({"entries": []}));
@@ -289,6 +294,8 @@
 }
 
 impl Content {
+    /// Stores a document, or deletes it when `text` is `None`, under a new
+    /// version.
     fn write(&mut self, key: &str, text: Option<String>) {
         self.version += 1;
         let version = self.version;
