--- a/standins/src/documents.rs
+++ b/standins/src/documents.rs
@@ -1,9 +1,10 @@
-//! Templates and versions as operators of the tests write them.
+//! Builders of the templates and versions that tests configure.
 
 use lupinseam::secret::KeyHash;
 use serde_json::{Value, json};
 
-/// A template with usual limits, for organisations of the tests.
+/// Returns the template of an organisation, with the default limits of the
+/// tests. Each service comes with whether its calls may be repeated.
 pub fn template(
     organisation: &str,
     models: &[&str],
@@ -32,12 +33,13 @@
     })
 }
 
-/// The bearer key of an organisation of the tests.
+/// Returns the bearer key of an organisation of the tests.
 pub fn bearer_key(organisation: &str) -> String {
     format!("key-of-{organisation}")
 }
 
-/// A version with usual prices.
+/// Returns a model version. `price` is that of 1000 input tokens, in
+/// millionths; output tokens cost three times as much.
 pub fn version(
     model: &str,
     version: &str,
--- a/standins/src/engine.rs
+++ b/standins/src/engine.rs
@@ -1,9 +1,11 @@
-//! A model engine: continuous batching, a prefix cache, lagging load,
-//! streams that resume and cancel, orders with and without a fence.
+//! Stand-in for an inference engine: continuous batching, a prefix cache, load
+//! reports that lag, streams that can be resumed and cancelled, and orders to
+//! load or unload versions, with or without fencing by epoch.
 //!
-//! What a run is worth is decided by the strength of its version and the
-//! difficulty that the caller hid in the prompt; the engine hides the result
-//! in its answer, for the rating service and the checks to read.
+//! The quality of a response follows from the strength of the model version
+//! and the difficulty that the caller embeds in the prompt. The engine embeds
+//! the quality in its response, where the rating service and the checks read
+//! it.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -29,19 +31,19 @@
 
 use crate::web::{self, ChannelBody, Happened, Record, Records};
 
-/// Prefixes that the cache holds.
-const CACHED_PREFIXES: usize = 64;
+/// Capacity of the prefix cache, in prompt prefixes.
+const PREFIX_CACHE_CAPACITY: usize = 64;
 
-/// Part of the time to the first token that a cached prefix leaves.
-const CACHED_SHARE: f64 = 0.3;
+/// Factor on the time to the first token when the prefix is cached.
+const CACHED_PREFIX_FACTOR: f64 = 0.3;
 
-/// Bytes of a prompt that make its prefix.
+/// Length of the start of a prompt that the prefix cache keys on, in bytes.
 const PREFIX_BYTES: usize = 256;
 
-/// Tokens written when the caller names no limit.
-const USUAL_TOKENS: u64 = 24;
+/// Tokens generated for a request without `max_tokens`.
+const DEFAULT_TOKENS: u64 = 24;
 
-/// Slow-down of a full batch against a single request.
+/// Relative increase of the time between tokens when the batch is full.
 const BATCH_SLOWDOWN: f64 = 0.5;
 
 /// Run a model engine.
@@ -86,20 +88,23 @@
     records: Option<PathBuf>,
 }
 
-/// What goes wrong at the engine.
+/// Faults to inject into the engine, set through `/admin/faults`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EngineFaults {
-    /// Share of failures of a version, by name.
+    /// Share of requests that fail, from 0 to 1, by version; overrides
+    /// `--versions`.
     pub errors: HashMap<String, f64>,
-    /// Strength of a version from now on, by name.
+    /// Strength by version; overrides `--versions`.
     pub strength: HashMap<String, f64>,
-    /// The next streams break off after this many events.
+    /// Events that each of the next streams sends before its connection is
+    /// closed; the last entry applies first. Resumed streams are exempt.
     pub break_next: Vec<u64>,
 }
 
+/// What `--versions` says of a version.
 #[derive(Clone, Copy, Debug)]
-struct Quality {
+struct VersionTraits {
     strength: f64,
     error_share: f64,
 }
@@ -107,8 +112,10 @@
 #[derive(Default)]
 struct Batch {
     running: usize,
+    /// Queued requests by priority and order of arrival; the lowest is next.
     waiting: BTreeMap<(i64, u64), Sender<()>>,
     next_number: u64,
+    /// The cached prefixes' hashes, least recently used first.
     prefixes: VecDeque<u64>,
 }
 
@@ -120,28 +127,35 @@
     token: Duration,
     load_order: Duration,
     unfenced: bool,
-    known: HashMap<String, Quality>,
+    known: HashMap<String, VersionTraits>,
     loaded: Mutex<Vec<String>>,
     batch: Mutex<Batch>,
     faults: Mutex<EngineFaults>,
+    /// The load that `/load` answers with, which lags behind the real one.
     reported: Mutex<Value>,
+    /// The highest epoch of the orders accepted so far.
     epoch: AtomicU64,
+    /// Milliseconds since the Unix epoch; zero when the engine isn't leaving.
     leaving_since: AtomicU64,
     is_loading: AtomicBool,
     records: Records,
 }
 
 impl Engine {
-    /// Serves until it is ended.
+    /// Serves until the process ends.
     ///
     /// # Panics
     ///
-    /// When `--versions` cannot be read.
+    /// When `--versions` cannot be parsed.
     pub fn run(self) {
-        let known: HashMap<String, Quality> = self
+        let known: HashMap<String, VersionTraits> = self
             .versions
             .split(',')
-            .map(|text| read_version(text).expect("NAME:STRENGTH[:ERRORS]"))
+            .map(|text| {
+                parse_version(text).expect(
+                    "--versions has the form NAME:STRENGTH[:ERROR_SHARE],…",
+                )
+            })
             .collect();
         let loaded = match self.loaded.is_empty() {
             true => known.keys().cloned().collect(),
@@ -180,7 +194,7 @@
     }
 }
 
-fn read_version(text: &str) -> Option<(String, Quality)> {
+fn parse_version(text: &str) -> Option<(String, VersionTraits)> {
     let mut parts = text.split(':');
     let name = parts.next()?.to_owned();
     let strength = parts.next()?.parse().ok()?;
@@ -188,7 +202,7 @@
         Some(text) => text.parse().ok()?,
         None => 0.0,
     };
-    Some((name, Quality { strength, error_share }))
+    Some((name, VersionTraits { strength, error_share }))
 }
 
 struct Shared(Arc<State>);
@@ -220,7 +234,7 @@
     }
 }
 
-/// One request as the engine reads it.
+/// A parsed chat request.
 struct Job {
     request: String,
     attempt: u32,
@@ -235,10 +249,10 @@
     resume_after: Option<u64>,
 }
 
-/// A place in the batch, given back when it is dropped.
-struct Place(Arc<State>);
+/// A slot in the batch. Dropping it hands the slot to the next queued request.
+struct Slot(Arc<State>);
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
         let mut batch = self.0.batch.lock().unwrap();
         batch.running -= 1;
@@ -269,43 +283,45 @@
         let Some(body) = web::read_json::<Value>(&mut conn).await else {
             return conn.with_status(400).halt();
         };
-        let Some(job) = self.read(&conn, &body) else {
+        let Some(job) = self.parse_job(&conn, &body) else {
             return conn.with_status(400).halt();
         };
         if !self.loaded.lock().unwrap().contains(&job.version) {
             let reason = json!({ "error": "version not loaded" });
             return web::json(conn, 409, &reason);
         }
-        let place = self.clone().enter(job.priority).await;
-        self.write(&job, Happened::Run);
+        let slot = self.clone().acquire_slot(job.priority).await;
+        self.write_record(&job, Happened::Run);
         if self.fails(&job.version) {
-            drop(place);
+            drop(slot);
             let reason = json!({ "error": "the model failed" });
             return web::json(conn, 500, &reason);
         }
         let first = self.time_to_first_token(job.prefix);
         if body["stream"] == true {
-            return self.stream(conn, job, place, first);
+            return self.stream(conn, job, slot, first);
         }
         Timer::after(first).await;
-        let rest = self.token_time() * (job.tokens.saturating_sub(1)) as u32;
-        let answered = conn
+        let remaining =
+            self.token_time() * (job.tokens.saturating_sub(1)) as u32;
+        let completed = conn
             .cancel_on_disconnect(async {
-                Timer::after(rest).await;
+                Timer::after(remaining).await;
             })
             .await;
-        drop(place);
-        if answered.is_none() {
+        drop(slot);
+        if completed.is_none() {
             return conn;
         }
-        self.write(&job, Happened::Done);
-        let words: String = (1..=job.tokens).map(|n| job.word(n)).collect();
+        self.write_record(&job, Happened::Done);
+        let text: String =
+            (1..=job.tokens).map(|n| job.token_text(n)).collect();
         let answer = json!({
             "object": "chat.completion",
             "model": format!("{}@{}", self.model, job.version),
             "choices": [{
                 "index": 0,
-                "message": { "role": "assistant", "content": words },
+                "message": { "role": "assistant", "content": text },
                 "finish_reason": "stop",
             }],
             "usage": job.usage(),
@@ -313,7 +329,8 @@
         web::json(conn, 200, &answer)
     }
 
-    fn read(&self, conn: &Conn, body: &Value) -> Option<Job> {
+    /// Returns `None` for a malformed request or an unknown model or version.
+    fn parse_job(&self, conn: &Conn, body: &Value) -> Option<Job> {
         let model = body["model"].as_str()?;
         let (model, version) = model.split_once('@')?;
         if model != self.model {
@@ -340,7 +357,7 @@
             nonce: hidden_number(&prompt, "nonce=").unwrap_or(0.0) as u64,
             prompt_tokens: prompt.len() as u64 / 4 + 1,
             prefix: hasher.finish(),
-            tokens: body["max_tokens"].as_u64().unwrap_or(USUAL_TOKENS),
+            tokens: body["max_tokens"].as_u64().unwrap_or(DEFAULT_TOKENS),
             priority: body["priority"].as_i64().unwrap_or(0),
             resume_after: web::header(conn, "last-event-id")
                 .and_then(|text| text.parse().ok()),
@@ -350,17 +367,18 @@
     fn strength(&self, version: &str) -> Option<f64> {
         let changed =
             self.faults.lock().unwrap().strength.get(version).copied();
-        changed.or(self.known.get(version).map(|q| q.strength))
+        changed.or(self.known.get(version).map(|v| v.strength))
     }
 
     fn fails(&self, version: &str) -> bool {
         let changed = self.faults.lock().unwrap().errors.get(version).copied();
-        let usual = self.known.get(version).map(|q| q.error_share);
+        let usual = self.known.get(version).map(|v| v.error_share);
         let share = changed.or(usual).unwrap_or(0.0);
         share > 0.0 && rand::random::<f64>() < share
     }
 
-    async fn enter(self: Arc<State>, priority: i64) -> Place {
+    /// Waits for a slot in the batch, by priority and then order of arrival.
+    async fn acquire_slot(self: Arc<State>, priority: i64) -> Slot {
         let woken = {
             let mut batch = self.batch.lock().unwrap();
             if batch.running < self.slots {
@@ -377,36 +395,37 @@
         if let Some(woken) = woken {
             let _ = woken.recv().await;
         }
-        Place(self)
+        Slot(self)
     }
 
+    /// Returns the time to the first token, and caches the prefix.
     fn time_to_first_token(&self, prefix: u64) -> Duration {
         let mut batch = self.batch.lock().unwrap();
-        let held = batch.prefixes.iter().position(|held| *held == prefix);
-        if let Some(at) = held {
-            batch.prefixes.remove(at);
+        let cached = batch.prefixes.iter().position(|p| *p == prefix);
+        if let Some(index) = cached {
+            batch.prefixes.remove(index);
         }
         batch.prefixes.push_back(prefix);
-        if batch.prefixes.len() > CACHED_PREFIXES {
+        if batch.prefixes.len() > PREFIX_CACHE_CAPACITY {
             batch.prefixes.pop_front();
         }
-        match held {
-            Some(_) => self.first_token.mul_f64(CACHED_SHARE),
+        match cached {
+            Some(_) => self.first_token.mul_f64(CACHED_PREFIX_FACTOR),
             None => self.first_token,
         }
     }
 
     fn token_time(&self) -> Duration {
         let running = self.batch.lock().unwrap().running;
-        let fill = running as f64 / self.slots as f64;
-        self.token.mul_f64(1.0 + BATCH_SLOWDOWN * fill)
+        let utilization = running as f64 / self.slots as f64;
+        self.token.mul_f64(1.0 + BATCH_SLOWDOWN * utilization)
     }
 
     fn stream(
         self: Arc<State>,
         conn: Conn,
         job: Job,
-        place: Place,
+        slot: Slot,
         first: Duration,
     ) -> Conn {
         let (sender, receiver) = bounded(16);
@@ -416,11 +435,11 @@
             (!resumed).then(|| faults.break_next.pop()).flatten()
         };
         async_global_executor::spawn(async move {
-            let _place = place;
+            let _slot = slot;
             let sent =
                 self.send_events(&job, first, breaks_after, &sender).await;
             if sent.is_ok() {
-                self.write(&job, Happened::Done);
+                self.write_record(&job, Happened::Done);
             }
         })
         .detach();
@@ -434,7 +453,8 @@
             .halt()
     }
 
-    /// Sends the events; fails when the caller has gone or it breaks off.
+    /// Sends the events of a stream; fails when the client has disconnected or
+    /// an injected fault closes the connection.
     async fn send_events(
         &self,
         job: &Job,
@@ -454,7 +474,7 @@
                 "model": format!("{}@{}", self.model, job.version),
                 "choices": [{
                     "index": 0,
-                    "delta": { "content": job.word(number) },
+                    "delta": { "content": job.token_text(number) },
                 }],
             });
             if number == job.tokens {
@@ -485,13 +505,14 @@
         self.epoch.fetch_max(epoch, Ordering::Relaxed);
         self.write_order(Happened::Order, epoch, what);
         if action == "unload" {
-            self.loaded.lock().unwrap().retain(|held| *held != version);
+            self.loaded.lock().unwrap().retain(|loaded| *loaded != version);
         } else if self.known.contains_key(&version) {
             self.start_loading(version);
         }
         conn.ok("")
     }
 
+    /// Loads a version after the load time; ignored while another one loads.
     fn start_loading(self: Arc<State>, version: String) {
         if self.is_loading.swap(true, Ordering::Relaxed) {
             return;
@@ -507,7 +528,7 @@
         .detach();
     }
 
-    fn write(&self, job: &Job, happened: Happened) {
+    fn write_record(&self, job: &Job, happened: Happened) {
         self.records.write(&Record {
             request: job.request.clone(),
             attempt: job.attempt,
@@ -540,9 +561,9 @@
 }
 
 impl Job {
-    /// The text of one token; the first also holds the hidden quality and
-    /// the caller's nonce.
-    fn word(&self, number: u64) -> String {
+    /// Returns the text of token `number`. The first one also carries the
+    /// quality and the caller's nonce.
+    fn token_text(&self, number: u64) -> String {
         match number {
             1 => {
                 format!("quality={:.3} nonce={} w1", self.quality, self.nonce)
@@ -559,16 +580,16 @@
     }
 }
 
-/// The quality of an answer: a strong version does well on hard prompts
-/// too, a weak one only on easy ones.
+/// Returns the quality of a response, from 0 to 1: a strong version does well
+/// on hard prompts too, a weak one only on easy ones.
 pub fn quality(strength: f64, difficulty: f64) -> f64 {
     let margin = strength - difficulty;
     1.0 / (1.0 + (-8.0 * margin - 1.0).exp())
 }
 
-/// The number that follows a mark in a text.
-pub fn hidden_number(text: &str, mark: &str) -> Option<f64> {
-    let (_, after) = text.split_once(mark)?;
+/// Returns the number that follows `marker` in a text; `None` without one.
+pub fn hidden_number(text: &str, marker: &str) -> Option<f64> {
+    let (_, after) = text.split_once(marker)?;
     let digits: String = after
         .chars()
         .take_while(|c| c.is_ascii_digit() || *c == '.')
--- a/standins/src/http_raw.rs
+++ b/standins/src/http_raw.rs
@@ -1,5 +1,5 @@
-//! Requests read byte by byte, and answers written as given, so that a
-//! stand-in can say anything a faulty upstream might.
+//! A minimal HTTP/1.1 parser, and responses whose bytes are written as given,
+//! so that a stand-in can send whatever a faulty upstream might.
 
 use std::{
     collections::BTreeMap,
@@ -7,26 +7,26 @@
     net::TcpStream,
 };
 
-/// A request as it arrived.
+/// A parsed HTTP request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RawRequest {
-    /// The method.
+    /// Method as sent, such as `GET`.
     pub method: String,
-    /// The path with its query.
+    /// Path with its query.
     pub path: String,
-    /// The headers, names in lower case.
+    /// Headers by lower-case name; the last of a repeated header counts.
     pub headers: BTreeMap<String, String>,
-    /// The body.
+    /// Body; empty without a `Content-Length`.
     pub body: Vec<u8>,
 }
 
 impl RawRequest {
-    /// A header, or nothing.
+    /// Returns a header by its lower-case name; empty when absent.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 
-    /// A parameter of the query, or nothing.
+    /// Returns a parameter of the query, not decoded; empty when absent.
     pub fn parameter(&self, name: &str) -> &str {
         let query = self.path.split_once('?').map_or("", |(_, query)| query);
         let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -34,11 +34,11 @@
     }
 }
 
-/// Reads the next request of a connection, `None` when it is closed.
+/// Reads the next request of a connection; `None` when the peer has closed it.
 ///
 /// # Errors
 ///
-/// When the connection breaks or does not carry a request with a length.
+/// When reading fails or the connection closes within a body.
 pub fn read_request(
     stream: &mut BufReader<TcpStream>,
 ) -> io::Result<Option<RawRequest>> {
@@ -64,7 +64,7 @@
     Ok(Some(RawRequest { method, path, headers, body }))
 }
 
-/// A whole answer with a length.
+/// Returns a complete response with a `Content-Length`.
 pub fn answer(status: u16, headers: &[(&str, &str)], body: &str) -> Vec<u8> {
     let mut text = format!("HTTP/1.1 {status} X\r\n");
     for (name, value) in headers {
@@ -74,7 +74,7 @@
     text.into_bytes()
 }
 
-/// One chunk of a body.
+/// Returns one chunk of a body with chunked transfer encoding.
 pub fn chunk(text: &str) -> Vec<u8> {
     format!("{:x}\r\n{text}\r\n", text.len()).into_bytes()
 }
--- a/standins/src/kv.rs
+++ b/standins/src/kv.rs
@@ -246,8 +246,8 @@
         }
     }
 
-    /// Returns a channel that is notified when `key` is created; `None` when it
-    /// exists already.
+    /// Returns a channel that is notified when `key` is created; `None` when
+    /// it exists already.
     fn watch(&self, key: &str) -> Option<Receiver<()>> {
         let mut content = self.content.lock().unwrap();
         if content.values.contains_key(key) {
--- a/standins/src/list.rs
+++ b/standins/src/list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of VMs, which lags behind what is.
+//! Stand-in for the platform's list of VMs, which shows changes with a delay.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -26,18 +26,19 @@
     lag_ms: u64,
 }
 
-/// A new content of the list.
+/// Content of the list, set through `/admin/set`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ListContent {
-    /// The VMs, as the list shows them.
+    /// The entries of the VMs.
     pub vms: Vec<Value>,
-    /// For a viewer, other addresses by the address of the entry: paths
-    /// through proxies that inject faults.
+    /// By the VM that reads the list, the addresses to show it in place of
+    /// the entries' own, such as those of fault-injecting proxies.
     #[serde(default)]
     pub paths: HashMap<String, HashMap<String, String>>,
 }
 
 struct Shown {
+    /// Version of the content, sent as the `ETag`.
     number: u64,
     content: Arc<ListContent>,
 }
@@ -45,16 +46,17 @@
 struct Service {
     lag: Duration,
     shown: Mutex<Shown>,
-    coming: Mutex<VecDeque<(Instant, ListContent)>>,
+    /// Contents that are not shown yet, with the time from which they are.
+    pending: Mutex<VecDeque<(Instant, ListContent)>>,
 }
 
 impl List {
-    /// Serves until it is ended.
+    /// Serves until the process ends.
     pub fn run(self) {
         let service = Service {
             lag: Duration::from_millis(self.lag_ms),
             shown: Mutex::new(Shown { number: 1, content: Arc::default() }),
-            coming: Mutex::default(),
+            pending: Mutex::default(),
         };
         web::run(self.port, service);
     }
@@ -67,7 +69,7 @@
         if path == "/admin/set" {
             if let Some(content) = web::read_json(&mut conn).await {
                 let at = Instant::now() + self.lag;
-                self.coming.lock().unwrap().push_back((at, content));
+                self.pending.lock().unwrap().push_back((at, content));
             }
             return conn.ok("");
         }
@@ -90,7 +92,7 @@
             .vms
             .iter()
             .map(|vm| match paths {
-                Some(paths) => seen_through(vm, paths),
+                Some(paths) => with_path(vm, paths),
                 None => vm.clone(),
             })
             .collect();
@@ -98,11 +100,12 @@
         web::json(conn, 200, &vms)
     }
 
+    /// Returns the content that is due, with its version.
     fn current(&self) -> (u64, Arc<ListContent>) {
         let mut shown = self.shown.lock().unwrap();
-        let mut coming = self.coming.lock().unwrap();
-        while coming.front().is_some_and(|(at, _)| *at <= Instant::now()) {
-            if let Some((_, content)) = coming.pop_front() {
+        let mut pending = self.pending.lock().unwrap();
+        while pending.front().is_some_and(|(at, _)| *at <= Instant::now()) {
+            if let Some((_, content)) = pending.pop_front() {
                 shown.number += 1;
                 shown.content = Arc::new(content);
             }
@@ -111,7 +114,8 @@
     }
 }
 
-fn seen_through(vm: &Value, paths: &HashMap<String, String>) -> Value {
+/// Returns the entry of a VM with its address replaced as `paths` says.
+fn with_path(vm: &Value, paths: &HashMap<String, String>) -> Value {
     let mut vm = vm.clone();
     let address = vm["address"].as_str().unwrap_or_default().to_owned();
     if let Some(path) = paths.get(&address) {
--- a/standins/src/platform_store.rs
+++ b/standins/src/platform_store.rs
@@ -34,7 +34,7 @@
     Resetting,
     /// Answers every call with 503.
     Busy,
-    /// Keeps connections open without responding.
+    /// Keeps each connection open for a minute without responding.
     Silent,
     /// Applies transactions and closes the connection without a response.
     LosingAnswers,
@@ -85,8 +85,10 @@
     }
 
     fn open(content: Arc<(Mutex<Content>, Condvar)>) -> PlatformStore {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("a bound port");
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .expect("a loopback port can be bound");
+        let address =
+            listener.local_addr().expect("a bound listener has an address");
         let refuses = Arc::default();
         let store = PlatformStore { address, content, refuses };
         let served = store.clone();
--- a/standins/src/process.rs
+++ b/standins/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes that are started, paused, stopped and ended from here.
+//! Child processes that tests start, pause, stop and kill.
 
 use std::{
     io::{BufRead, BufReader},
@@ -16,24 +16,25 @@
 
 use crate::web;
 
-/// Threads of each process; entry VMs are small.
+/// Executor threads of each process: few, since entry VMs are small.
 const THREADS: &str = "2";
 
-/// What can go wrong when a fleet is made or asked.
+/// Result of starting a fleet or calling it; the error is a message for the
+/// reader of the test's output.
 pub type FleetResult<T> = Result<T, String>;
 
-/// Set for the processes of a fleet.
+/// Environment variable that is set for the processes of a fleet.
 pub(crate) const FLEET_VARIABLE: &str = "STANDINS_FLEET";
 
-/// Lets a process of a fleet end with the one that started it, however that
-/// ends, so that a test that is killed leaves nothing behind.
+/// Has the kernel kill this process when the one that started it ends, if it
+/// belongs to a fleet, so that a test that is killed leaves no processes.
 pub fn end_with_parent() {
     if std::env::var_os(FLEET_VARIABLE).is_some() {
         let _ = set_parent_process_death_signal(Some(Signal::KILL));
     }
 }
 
-/// A process that this one started, and ends.
+/// A child process, killed when this is dropped.
 pub struct Process {
     name: String,
     child: Child,
@@ -42,11 +43,12 @@
 }
 
 impl Process {
-    /// Starts this program anew with other arguments.
+    /// Starts the program of [`set_program`], by default this one, and waits
+    /// for the first line that it prints.
     ///
     /// # Errors
     ///
-    /// When it does not start or says nothing.
+    /// When it does not start, or ends without printing a line.
     pub fn start(name: &str, arguments: &[String]) -> FleetResult<Process> {
         let program = program()?;
         let mut child = Command::new(program)
@@ -56,59 +58,63 @@
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
             .spawn()
-            .map_err(|error| format!("starting {name}: {error}"))?;
-        let out = child.stdout.take().ok_or("no standard output")?;
+            .map_err(|error| format!("cannot start {name}: {error}"))?;
+        let out =
+            child.stdout.take().ok_or("the process has no standard output")?;
         let mut first_line = String::new();
-        BufReader::new(out)
-            .read_line(&mut first_line)
-            .map_err(|error| format!("reading from {name}: {error}"))?;
+        BufReader::new(out).read_line(&mut first_line).map_err(|error| {
+            format!("cannot read the output of {name}: {error}")
+        })?;
         if first_line.is_empty() {
             let _ = child.kill();
             let status = child.wait();
-            return Err(format!("{name} ended at once: {status:?}"));
+            return Err(format!(
+                "{name} ended before it printed a line: {status:?}"
+            ));
         }
         let name = name.to_owned();
         Ok(Process { name, child, first_line, is_paused: false })
     }
 
-    /// An address in the line that it printed.
+    /// Returns an address from the JSON line that the process printed first.
     ///
     /// # Errors
     ///
-    /// When there is none.
+    /// When the line is no JSON or `field` holds no address.
     pub fn address(&self, field: &str) -> FleetResult<SocketAddr> {
-        web::announced(self.first_line.trim(), field)
+        web::printed_address(self.first_line.trim(), field)
     }
 
-    /// The process's id.
+    /// Returns the operating system's id of the process.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Freezes it.
+    /// Suspends the process with `SIGSTOP`.
     pub fn pause(&mut self) {
         self.signal(Signal::STOP);
         self.is_paused = true;
     }
 
-    /// Lets it go on.
+    /// Resumes the process with `SIGCONT`.
     pub fn resume(&mut self) {
         self.signal(Signal::CONT);
         self.is_paused = false;
     }
 
-    /// Asks it to stop as planned.
+    /// Asks for a graceful shutdown with `SIGTERM`.
     pub fn terminate(&mut self) {
         self.signal(Signal::TERM);
     }
 
-    /// Kills it.
+    /// Kills the process with `SIGKILL` and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Waits for its end; `None` when that takes longer than `limit`.
+    /// Waits for the process to end and returns its exit code; `None` when it
+    /// takes longer than `limit` or a signal ended it.
     pub async fn wait(&mut self, limit: Duration) -> Option<i32> {
         let end = Instant::now() + limit;
         while Instant::now() < end {
@@ -145,10 +151,10 @@
 
 static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
 
-/// Sets the program that processes are started of; tests name it, being
-/// another one.
+/// Sets the program that [`Process::start`] runs. Tests must call it, since
+/// their own binary is not the program.
 pub fn set_program(path: impl Into<PathBuf>) {
-    // The first word holds; all tests of one binary say the same.
+    // The first call wins; all tests of one binary set the same program.
     let _ = PROGRAM.set(path.into());
 }
 
@@ -159,14 +165,14 @@
     }
 }
 
-/// Starts a stand-in with these further words.
+/// Starts the stand-in of subcommand `name` with further arguments.
 pub(crate) fn stand_in(name: &str, more: &[&str]) -> FleetResult<Process> {
     let mut arguments = strings(&[name]);
     arguments.extend(strings(more));
     Process::start(name, &arguments)
 }
 
-/// Words of a command line.
+/// Returns owned copies of command-line arguments.
 pub(crate) fn strings(texts: &[&str]) -> Vec<String> {
     texts.iter().map(|text| (*text).to_owned()).collect()
 }
--- a/standins/src/proxy.rs
+++ b/standins/src/proxy.rs
@@ -16,47 +16,49 @@
     net::{TcpListener, TcpStream, UdpSocket},
 };
 
-/// Time between two looks at the mode by idle connections.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval at which idle connections poll the mode.
+const MODE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What the proxy does with what passes.
+/// How the proxy treats connections and datagrams.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Mode {
-    /// Passes everything.
+    /// Forwards everything.
     #[default]
     Pass,
-    /// Closes all connections, old and new, drops datagrams.
+    /// Closes open and new connections, and drops datagrams.
     Cut,
-    /// Closes all connections and listens no more, as if it had ended.
+    /// Closes all connections and stops listening, as if the target's process
+    /// had ended; drops datagrams.
     Gone,
-    /// Keeps connections and passes nothing.
+    /// Keeps connections open but forwards nothing; drops datagrams.
     Stall,
-    /// Passes everything later.
+    /// Delays each read or datagram by this long.
     Delay(Duration),
-    /// Passes requests, and closes instead of passing answers.
+    /// Forwards requests, and closes the connection when the response begins.
     DropAnswers,
-    /// Passes requests, and swallows answers without a word.
+    /// Forwards requests, and drops responses with the connection left open.
     MuteAnswers,
-    /// Passes this many bytes of each answer, then closes.
+    /// Forwards this many response bytes of each connection, then closes it.
     Truncate(usize),
-    /// Drops, doubles and reorders a share of the datagrams.
+    /// Drops, reorders and duplicates datagrams, each with this probability;
+    /// forwards TCP.
     Lossy(f64),
 }
 
 type SharedMode = Arc<Mutex<Mode>>;
 
-/// A proxy on a port of its own.
+/// A running proxy; dropping it stops the listening.
 pub struct Proxy {
-    /// Where the proxy listens.
+    /// The address on which the proxy listens.
     pub address: SocketAddr,
-    /// Where it leads.
+    /// The address that it forwards to.
     pub target: SocketAddr,
     mode: SharedMode,
     _tasks: Vec<Task<()>>,
 }
 
 impl Proxy {
-    /// Starts a proxy of a TCP port.
+    /// Starts a proxy for a TCP address.
     ///
     /// # Errors
     ///
@@ -69,15 +71,17 @@
         Ok(Proxy { address, target, mode, _tasks: vec![task] })
     }
 
-    /// Starts a proxy of a port for both TCP and UDP.
+    /// Starts a proxy for an address that serves both TCP and UDP. The seed is
+    /// for the random choices of [`Mode::Lossy`].
     ///
     /// # Errors
     ///
     /// When no port can be bound for both.
     pub fn both(target: SocketAddr, seed: u64) -> io::Result<Proxy> {
-        const TRIES: u32 = 16;
+        // The UDP port of the same number may be taken.
+        const ATTEMPTS: u32 = 16;
         let mut last = io::ErrorKind::AddrInUse.into();
-        for _ in 0..TRIES {
+        for _ in 0..ATTEMPTS {
             let listener = StdTcpListener::bind(("127.0.0.1", 0))?;
             let address = listener.local_addr()?;
             let socket = match std::net::UdpSocket::bind(address) {
@@ -89,7 +93,8 @@
             };
             let mode = SharedMode::default();
             let tcp = spawn(accept(listener, target, mode.clone()));
-            let udp = spawn(forward(socket, target, mode.clone(), seed));
+            let udp =
+                spawn(forward_datagrams(socket, target, mode.clone(), seed));
             return Ok(Proxy {
                 address,
                 target,
@@ -100,16 +105,16 @@
         Err(last)
     }
 
-    /// Changes what the proxy does, also for open connections.
+    /// Sets the mode, also for open connections.
     pub fn set(&self, mode: Mode) {
         *self.mode.lock().unwrap() = mode;
         if mode == Mode::Gone {
-            // Wakes what listens, so that it ends at once.
+            // Wakes the accept loop, so that it stops listening at once.
             drop(std::net::TcpStream::connect(self.address));
         }
     }
 
-    /// What the proxy does.
+    /// Returns the current mode.
     pub fn mode(&self) -> Mode {
         *self.mode.lock().unwrap()
     }
@@ -136,13 +141,13 @@
     }
 }
 
-/// Listens at an address once more when it is no longer to be gone.
+/// Waits until the mode is no longer [`Mode::Gone`], and listens again.
 async fn listen_again(
     address: SocketAddr,
     mode: &SharedMode,
 ) -> Option<TcpListener> {
     loop {
-        Timer::after(LOOK).await;
+        Timer::after(MODE_POLL_INTERVAL).await;
         if current(mode) != Mode::Gone
             && let Ok(listener) = TcpListener::bind(address).await
         {
@@ -156,27 +161,27 @@
     let _ = client.set_nodelay(true);
     let _ = server.set_nodelay(true);
     let requests = copy(client.clone(), server.clone(), mode.clone(), false);
-    let answers = copy(server, client, mode, true);
-    requests.or(answers).await;
+    let responses = copy(server, client, mode, true);
+    requests.or(responses).await;
 }
 
-/// Copies one direction until it ends or the mode ends it.
+/// Copies one direction of a connection until it closes or the mode closes it.
 async fn copy(
     mut from: TcpStream,
     mut to: TcpStream,
     mode: SharedMode,
-    is_answer: bool,
+    is_response: bool,
 ) {
     let mut buffer = vec![0; 16 * 1024];
-    let mut passed = 0;
+    let mut forwarded = 0;
     loop {
         let read = async { Some(from.read(&mut buffer).await) };
         let timer = async {
-            Timer::after(LOOK).await;
+            Timer::after(MODE_POLL_INTERVAL).await;
             None
         };
         let length = match read.or(timer).await {
-            None if is_closed(&mode) => return,
+            None if closes_connections(&mode) => return,
             None => continue,
             Some(Ok(0) | Err(_)) => return,
             Some(Ok(length)) => length,
@@ -185,22 +190,22 @@
         match current(&mode) {
             Mode::Pass | Mode::Lossy(_) => {}
             Mode::Cut | Mode::Gone => return,
-            Mode::Stall => wait_out_stall(&mode).await,
+            Mode::Stall => wait_until_unstalled(&mode).await,
             Mode::Delay(time) => {
                 Timer::after(time).await;
             }
-            Mode::DropAnswers if is_answer => return,
+            Mode::DropAnswers if is_response => return,
             Mode::DropAnswers => {}
-            Mode::MuteAnswers if is_answer => continue,
+            Mode::MuteAnswers if is_response => continue,
             Mode::MuteAnswers => {}
-            Mode::Truncate(limit) if is_answer => {
-                let left = limit.saturating_sub(passed);
+            Mode::Truncate(limit) if is_response => {
+                let left = limit.saturating_sub(forwarded);
                 part = &part[..part.len().min(left)];
                 let _ = to.write_all(part).await;
                 if part.len() < length {
                     return;
                 }
-                passed += length;
+                forwarded += length;
                 continue;
             }
             Mode::Truncate(_) => {}
@@ -208,21 +213,22 @@
         if to.write_all(part).await.is_err() {
             return;
         }
-        passed += length;
+        forwarded += length;
     }
 }
 
-fn is_closed(mode: &SharedMode) -> bool {
+fn closes_connections(mode: &SharedMode) -> bool {
     matches!(current(mode), Mode::Cut | Mode::Gone)
 }
 
-async fn wait_out_stall(mode: &SharedMode) {
+async fn wait_until_unstalled(mode: &SharedMode) {
     while current(mode) == Mode::Stall {
-        Timer::after(LOOK).await;
+        Timer::after(MODE_POLL_INTERVAL).await;
     }
 }
 
-async fn forward(
+/// Forwards the datagrams that arrive on a socket.
+async fn forward_datagrams(
     socket: std::net::UdpSocket,
     target: SocketAddr,
     mode: SharedMode,
@@ -231,7 +237,7 @@
     let Ok(socket) = UdpSocket::try_from(socket) else { return };
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut buffer = vec![0; 65_536];
-    let mut held: Option<Vec<u8>> = None;
+    let mut delayed: Option<Vec<u8>> = None;
     while let Ok((length, _)) = socket.recv_from(&mut buffer).await {
         let datagram = &buffer[..length];
         let share = match current(&mode) {
@@ -247,15 +253,15 @@
             continue;
         }
         if rng.random_bool(share) {
-            // Held back until after the next one.
-            held = Some(datagram.to_vec());
+            // Reordered: sent after the next datagram.
+            delayed = Some(datagram.to_vec());
             continue;
         }
         let _ = socket.send_to(datagram, target).await;
         if rng.random_bool(share) {
             let _ = socket.send_to(datagram, target).await;
         }
-        if let Some(late) = held.take() {
+        if let Some(late) = delayed.take() {
             let _ = socket.send_to(&late, target).await;
         }
     }
--- a/standins/src/rating.rs
+++ b/standins/src/rating.rs
@@ -1,5 +1,5 @@
-//! The rating service: reads the quality that an engine hid in its answer,
-//! and blurs it.
+//! Stand-in for the rating service: returns the quality that the engine's
+//! stand-in embedded in its response, with random noise.
 
 use std::sync::Mutex;
 
@@ -33,7 +33,7 @@
 }
 
 impl Rating {
-    /// Serves until it is ended.
+    /// Serves until the process ends.
     pub fn run(self) {
         let rng = Mutex::new(ChaCha8Rng::seed_from_u64(self.seed));
         web::run(self.port, Service { noise: self.noise, rng });
--- a/standins/src/scripted.rs
+++ b/standins/src/scripted.rs
@@ -1,4 +1,4 @@
-//! An upstream of the platform that does what a script says.
+//! An upstream of the platform that handles each request as a script says.
 
 use std::{
     collections::HashMap,
@@ -14,55 +14,57 @@
 
 use crate::http_raw::{RawRequest, answer, chunk, read_request};
 
-/// One thing that the upstream does with a request.
+/// One step in the handling of a request.
 #[derive(Clone, Debug)]
 pub enum Act {
-    /// Sends these bytes.
+    /// Sends these bytes as given.
     Send(Vec<u8>),
-    /// Waits.
+    /// Waits this long.
     Wait(Duration),
     /// Closes the connection.
     Close,
-    /// Ends the whole upstream: it listens no more, and all connections are
-    /// closed.
+    /// Crashes the upstream: stops listening and closes all its connections.
     Crash,
 }
 
-/// What the upstream does with a request.
+/// Returns the steps with which the upstream handles a request.
 pub type Script = Box<dyn Fn(&RawRequest) -> Vec<Act> + Send + Sync>;
 
 struct Shared {
     script: Mutex<Script>,
     received: Mutex<Vec<RawRequest>>,
-    gone: Mutex<Vec<String>>,
-    /// Connections that are open, by number.
+    /// Ids of the attempts whose connection closed before the response ended.
+    abandoned: Mutex<Vec<String>>,
+    /// Open connections by number, to close them on a crash.
     open: Mutex<HashMap<u64, TcpStream>>,
     has_crashed: AtomicBool,
 }
 
-/// A running upstream.
+/// A running upstream; clones control the same one.
 #[derive(Clone)]
 pub struct Upstream {
-    /// Its name.
+    /// The upstream's id in the platform's documents.
     pub id: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl Upstream {
-    /// Starts an upstream on a port that the kernel chooses.
+    /// Starts an upstream on an ephemeral port of the loopback address.
     ///
     /// # Panics
     ///
     /// When no port can be bound.
     pub fn start(id: &str, script: Script) -> Upstream {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("a bound port");
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .expect("a loopback port can be bound");
+        let address =
+            listener.local_addr().expect("a bound listener has an address");
         let shared = Arc::new(Shared {
             script: Mutex::new(script),
             received: Mutex::default(),
-            gone: Mutex::default(),
+            abandoned: Mutex::default(),
             open: Mutex::default(),
             has_crashed: AtomicBool::new(false),
         });
@@ -71,7 +73,8 @@
             let streams = listener.incoming().flatten();
             for (number, stream) in (0..).zip(streams) {
                 if served.has_crashed.load(Ordering::SeqCst) {
-                    // Dropping the listener refuses whoever comes next.
+                    // Returning drops the listener, so that further
+                    // connections are refused.
                     return;
                 }
                 if let Ok(copy) = stream.try_clone() {
@@ -80,7 +83,7 @@
                 let served = served.clone();
                 thread::spawn(move || {
                     serve(&served, &stream, address);
-                    // The connection closes with its last copy.
+                    // The connection closes when its last handle is dropped.
                     served.open.lock().unwrap().remove(&number);
                 });
             }
@@ -88,39 +91,41 @@
         Upstream { id: id.to_owned(), address, shared }
     }
 
-    /// Gives it another script.
+    /// Replaces the script for the requests that follow.
     pub fn set_script(&self, script: Script) {
         *self.shared.script.lock().unwrap() = script;
     }
 
-    /// What it has received, but for questions about its health.
+    /// Returns the requests received so far, in order of arrival.
     pub fn received(&self) -> Vec<RawRequest> {
         self.shared.received.lock().unwrap().clone()
     }
 
-    /// Whether a request has ended it.
+    /// Whether the upstream has crashed, by a script or by
+    /// [`Upstream::crash`].
     pub fn has_crashed(&self) -> bool {
         self.shared.has_crashed.load(Ordering::SeqCst)
     }
 
-    /// Ends it, as a crash does.
+    /// Crashes the upstream: stops listening and closes its connections.
     pub fn crash(&self) {
         self.shared.crash(self.address);
     }
 
-    /// Ids of requests whose connection was closed while it worked on them.
+    /// Returns the ids of the attempts whose connection the router closed
+    /// before the response was sent whole.
     pub fn abandoned(&self) -> Vec<String> {
-        self.shared.gone.lock().unwrap().clone()
+        self.shared.abandoned.lock().unwrap().clone()
     }
 }
 
 impl Shared {
     fn crash(&self, address: SocketAddr) {
         self.has_crashed.store(true, Ordering::SeqCst);
-        // Wakes the thread that listens, so that it ends.
+        // Wakes the listening thread, so that it sees the flag and ends.
         drop(TcpStream::connect(address));
         for (_, stream) in self.open.lock().unwrap().drain() {
-            // A peer that is gone already needs no farewell.
+            // Fails only when the peer has closed the connection already.
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
@@ -138,13 +143,13 @@
                 Act::Send(bytes) => {
                     if writer.write_all(&bytes).is_err() {
                         let id = request.header("lupinseam-attempt-id");
-                        shared.gone.lock().unwrap().push(id.to_owned());
+                        shared.abandoned.lock().unwrap().push(id.to_owned());
                         return;
                     }
                 }
                 Act::Wait(time) => thread::sleep(time),
                 Act::Close => {
-                    // A peer that is gone already needs no farewell.
+                    // Fails only when the peer has closed it already.
                     let _ = stream.shutdown(Shutdown::Both);
                     return;
                 }
@@ -157,7 +162,8 @@
     }
 }
 
-/// The headers that every answer carries: the request's id and a seal.
+/// Returns the headers that every response must carry (the attempt's id and a
+/// seal), followed by `more`.
 pub fn stamped<'a>(
     request: &'a RawRequest,
     more: &[(&'a str, &'a str)],
@@ -169,14 +175,14 @@
     headers
 }
 
-/// A script that answers every request whole.
+/// A script that answers every request with one complete response.
 pub fn answers(status: u16, body: &'static str) -> Script {
     Box::new(move |request| {
         vec![Act::Send(answer(status, &stamped(request, &[]), body))]
     })
 }
 
-/// A script that declines every request as not run.
+/// A script that answers every request with 503, marked as not executed.
 pub fn declines() -> Script {
     Box::new(|request| {
         let more = [("Lupinseam-Not-Executed", "1")];
@@ -184,16 +190,18 @@
     })
 }
 
-/// How a streamed answer goes.
+/// Plan of a streamed response.
 #[derive(Clone, Copy, Debug)]
 pub struct Streamed {
-    /// The last event.
+    /// Id of the last event; ids count from 1.
     pub last: u64,
-    /// The event after which it breaks off, within the next one.
+    /// Id of the last event that is sent whole: the connection closes in the
+    /// middle of the next one. `None` to send all.
     pub breaks_after: Option<u64>,
-    /// The pause before each event.
+    /// Delay before each event.
     pub pause: Duration,
-    /// What the model thinks of its answer.
+    /// Value of the `Lupinseam-Confidence` header: the model's confidence in
+    /// its response.
     pub confidence: u8,
 }
 
@@ -208,7 +216,8 @@
     }
 }
 
-/// A script that streams events, from the one asked for on.
+/// A script that streams events, from the one after the `Last-Event-ID` that
+/// the request names.
 pub fn streams(
     plan: impl Fn(&RawRequest) -> Streamed + Send + Sync + 'static,
 ) -> Script {
--- a/standins/src/service.rs
+++ b/standins/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts every run.
+//! Stand-in for a plain service that counts the calls it runs.
 
 use std::{
     path::PathBuf,
@@ -36,20 +36,21 @@
     records: Option<PathBuf>,
 }
 
-/// What goes wrong at the service.
+/// Faults to inject into the service, set through `/admin/faults`.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ServiceFaults {
-    /// The next calls that run and are not answered.
+    /// How many of the next calls run but lose their response.
     pub lose_next: u32,
-    /// Each call takes this much longer.
+    /// Extra latency of each call, in milliseconds.
     pub slow_ms: u64,
-    /// Each call is turned away, and this much rest asked for; zero for none.
+    /// Rejects each call with 503 and this `Retry-After`, in seconds; zero for
+    /// never.
     pub rest_s: u32,
-    /// Says in each answer that it leaves, and nowhere else.
+    /// Signals in each response that it is leaving, but not in `/load`.
     pub says_leaving: bool,
-    /// Names in each answer that it takes so many requests a second from all
-    /// VMs together; zero for no limit.
+    /// Rate limit that each response signals, in requests a second from all
+    /// VMs together; zero for none.
     pub rate_limit_per_s: u32,
 }
 
@@ -60,12 +61,13 @@
     faults: Mutex<ServiceFaults>,
     running: AtomicU32,
     runs: AtomicU64,
-    turned_away: AtomicU64,
+    rejected: AtomicU64,
+    /// Milliseconds since the Unix epoch; zero when the service isn't leaving.
     leaving_since: AtomicU64,
 }
 
 impl Service {
-    /// Serves until it is ended.
+    /// Serves until the process ends.
     pub fn run(self) {
         let state = State {
             name: self.name,
@@ -74,7 +76,7 @@
             faults: Mutex::default(),
             running: AtomicU32::new(0),
             runs: AtomicU64::new(0),
-            turned_away: AtomicU64::new(0),
+            rejected: AtomicU64::new(0),
             leaving_since: AtomicU64::new(0),
         };
         web::run(self.port, Shared(Arc::new(state)));
@@ -100,7 +102,7 @@
             "/admin/counts" => {
                 let counts = json!({
                     "runs": state.runs.load(Ordering::Relaxed),
-                    "turned_away": state.turned_away.load(Ordering::Relaxed),
+                    "turned_away": state.rejected.load(Ordering::Relaxed),
                 });
                 web::json(conn, 200, &counts)
             }
@@ -124,7 +126,7 @@
     async fn call(&self, mut conn: Conn) -> Conn {
         let body = match web::body(&mut conn).await {
             Ok(body) => body,
-            // A request that did not arrive whole does not run.
+            // A request whose body is incomplete does not run.
             Err(_) => return conn.with_status(400).halt(),
         };
         let faults = *self.faults.lock().unwrap();
@@ -137,10 +139,13 @@
             headers.insert("lupinseam-rate-limit", rate);
         }
         if faults.rest_s > 0 {
-            self.turned_away.fetch_add(1, Ordering::Relaxed);
-            let rest = faults.rest_s.to_string();
+            self.rejected.fetch_add(1, Ordering::Relaxed);
+            let retry_after_s = faults.rest_s.to_string();
             return conn
-                .with_response_header(KnownHeaderName::RetryAfter, rest)
+                .with_response_header(
+                    KnownHeaderName::RetryAfter,
+                    retry_after_s,
+                )
                 .with_status(503)
                 .halt();
         }
@@ -153,7 +158,7 @@
             Timer::after(time).await;
         }
         self.running.fetch_sub(1, Ordering::Relaxed);
-        if self.loses_answer() {
+        if self.loses_response() {
             return web::abort_connection(conn);
         }
         let answer = json!({
@@ -184,7 +189,8 @@
         }
     }
 
-    fn loses_answer(&self) -> bool {
+    /// Whether an injected fault drops the response of the current call.
+    fn loses_response(&self) -> bool {
         let mut faults = self.faults.lock().unwrap();
         let loses = faults.lose_next > 0;
         faults.lose_next = faults.lose_next.saturating_sub(1);
--- a/standins/src/site.rs
+++ b/standins/src/site.rs
@@ -1,4 +1,5 @@
-//! The usual small site: two organisations, three models, plain services.
+//! The default site of the tests: two organisations, three models and plain
+//! services.
 
 use std::collections::HashSet;
 
@@ -12,14 +13,15 @@
     traffic::{ONCE_SERVICES, ORGANISATIONS, READ_SERVICE},
 };
 
-/// The models, with the versions that engines can load.
+/// The models, with the `NAME:STRENGTH` of the versions that engines can load.
 const MODELS: [(&str, &str); 3] = [
     ("tiny", "v1:0.35"),
     ("writer", "v1:0.62,v2:0.66"),
     ("scholar", "v1:0.92"),
 ];
 
-/// A plan of the usual site in these halls.
+/// Returns the fleet plan of the default site, with every model and service in
+/// each of these data halls.
 pub fn plan(halls: &[&str], vms_each: usize, seed: u64) -> FleetPlan {
     let mut plan =
         FleetPlan { seed, ..FleetPlan::default() }.with_vms(halls, vms_each);
@@ -53,11 +55,13 @@
     ONCE_SERVICES.into_iter().chain([READ_SERVICE])
 }
 
-/// Puts the templates and versions of the usual site.
+/// Writes the templates and versions of the default site, and waits until all
+/// VMs have the same revision.
 ///
 /// # Errors
 ///
-/// When an edit is refused.
+/// When a write is rejected, a VM cannot be reached or revisions still differ
+/// at the time limit.
 pub async fn configure(fleet: &Fleet) -> FleetResult<()> {
     let vm = fleet.plan.vms[0].0.clone();
     let serving = || json!("serving");
@@ -70,8 +74,8 @@
         fleet.put_version(&vm, entry).await?;
     }
     let models = ["tiny", "writer", "scholar"];
-    for (at, organisation) in ORGANISATIONS.into_iter().enumerate() {
-        let services = [(ONCE_SERVICES[at], false), (READ_SERVICE, true)];
+    for (index, organisation) in ORGANISATIONS.into_iter().enumerate() {
+        let services = [(ONCE_SERVICES[index], false), (READ_SERVICE, true)];
         let template = template(organisation, &models, &services);
         fleet.put_template(&vm, &template).await?;
     }
@@ -79,7 +83,7 @@
     Ok(())
 }
 
-/// What must hold at the usual site.
+/// Returns the rules that the checks apply to the default site.
 pub fn rules() -> Rules {
     let all: HashSet<String> =
         ["tiny@v1", "writer@v1", "writer@v2", "scholar@v1"]
--- a/standins/src/web.rs
+++ b/standins/src/web.rs
@@ -1,4 +1,5 @@
-//! What all stand-ins share: serving HTTP, breaking off, and records.
+//! Code that the stand-ins share: serving HTTP, closing connections without a
+//! response, and records of what ran.
 
 use std::{
     fs::{File, OpenOptions},
@@ -17,34 +18,39 @@
 use smol::channel::Receiver;
 use trillium::{Body, Conn, Handler, KnownHeaderName};
 
-/// Largest body that a stand-in reads.
+/// Size of the largest request body that a stand-in reads, in bytes.
 const BODY_LIMIT_BYTES: u64 = 4 << 20;
 
-/// Runs a stand-in on a port that the kernel chooses, and prints it.
+/// Serves a stand-in on a loopback port (zero for an ephemeral one) and prints
+/// its address as a line of JSON.
 ///
 /// # Panics
 ///
-/// When no port can be bound; a stand-in is of no use then.
+/// When the port cannot be bound, without which a stand-in is useless.
 pub fn run(port: u16, handler: impl Handler) {
-    let listener = TcpListener::bind(("127.0.0.1", port)).expect("a port");
-    let address = listener.local_addr().expect("a bound port");
-    listener.set_nonblocking(true).expect("a listener");
+    let listener = TcpListener::bind(("127.0.0.1", port))
+        .expect("the loopback port can be bound");
+    let address =
+        listener.local_addr().expect("a bound listener has an address");
+    listener
+        .set_nonblocking(true)
+        .expect("a listener can be made non-blocking");
     println!("{}", serde_json::json!({ "address": address.to_string() }));
-    let listener =
-        smol::net::TcpListener::try_from(listener).expect("a usable listener");
+    let listener = smol::net::TcpListener::try_from(listener)
+        .expect("the executor accepts the listener");
     trillium_smol::config()
         .with_nodelay()
         .with_prebound_server(listener)
         .run(handler);
 }
 
-/// Milliseconds since the Unix epoch.
+/// Returns the current time in milliseconds since the Unix epoch.
 pub fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.unwrap_or_default().as_millis() as u64
 }
 
-/// Answers with JSON.
+/// Sets a JSON response.
 pub fn json(conn: Conn, status: u16, value: &impl Serialize) -> Conn {
     let text = serde_json::to_string(value).unwrap_or_default();
     conn.with_status(status)
@@ -53,32 +59,34 @@
         .halt()
 }
 
-/// Reads the body of a request.
+/// Reads the whole body of a request.
 ///
 /// # Errors
 ///
-/// What the library says when the body cannot be read.
+/// When the body cannot be read whole or exceeds the size limit.
 pub async fn body(conn: &mut Conn) -> Result<Vec<u8>, trillium::Error> {
     let body = conn.request_body().await.with_max_len(BODY_LIMIT_BYTES);
     body.read_bytes().await
 }
 
-/// Reads the body of a request as JSON.
+/// Reads the body of a request as JSON; `None` when it cannot be parsed.
 pub async fn read_json<T: DeserializeOwned>(conn: &mut Conn) -> Option<T> {
     serde_json::from_slice(&body(conn).await.ok()?).ok()
 }
 
-/// A header of a request.
+/// Returns a header of a request.
 pub fn header(conn: &Conn, name: &'static str) -> Option<String> {
     conn.request_headers().get_str(name).map(str::to_owned)
 }
 
-/// Closes the connection without an answer.
+/// Aborts the connection before the response is complete.
 pub fn abort_connection(conn: Conn) -> Conn {
     let body = Body::new_streaming(BrokenBody, Some(1));
     conn.with_status(200).with_body(body).halt()
 }
 
+/// A body that fails on its first read, so that the server closes the
+/// connection.
 struct BrokenBody;
 
 impl AsyncRead for BrokenBody {
@@ -91,16 +99,17 @@
     }
 }
 
-/// A body whose parts come through a channel; `None` breaks it off.
+/// A response body whose chunks arrive through a channel; `None` closes the
+/// connection before the body is complete.
 pub struct ChannelBody {
-    parts: Pin<Box<Receiver<Option<Bytes>>>>,
+    chunks: Pin<Box<Receiver<Option<Bytes>>>>,
     current: Bytes,
 }
 
 impl ChannelBody {
-    /// Creates a body of what the channel brings.
-    pub fn new(parts: Receiver<Option<Bytes>>) -> ChannelBody {
-        ChannelBody { parts: Box::pin(parts), current: Bytes::new() }
+    /// Creates a body of the chunks that the channel receives.
+    pub fn new(chunks: Receiver<Option<Bytes>>) -> ChannelBody {
+        ChannelBody { chunks: Box::pin(chunks), current: Bytes::new() }
     }
 }
 
@@ -111,10 +120,10 @@
         buf: &mut [u8],
     ) -> Poll<io::Result<usize>> {
         while self.current.is_empty() {
-            match self.parts.as_mut().poll_next(cx) {
+            match self.chunks.as_mut().poll_next(cx) {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(None) => return Poll::Ready(Ok(0)),
-                Poll::Ready(Some(Some(part))) => self.current = part,
+                Poll::Ready(Some(Some(chunk))) => self.current = chunk,
                 Poll::Ready(Some(None)) => {
                     let error = io::ErrorKind::ConnectionAborted.into();
                     return Poll::Ready(Err(error));
@@ -122,83 +131,91 @@
             }
         }
         let length = self.current.len().min(buf.len());
-        let part = self.current.split_to(length);
-        buf[..length].copy_from_slice(&part);
+        let head = self.current.split_to(length);
+        buf[..length].copy_from_slice(&head);
         Poll::Ready(Ok(length))
     }
 }
 
-/// What happened at an upstream.
+/// Kind of an upstream's [`Record`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Happened {
-    /// It began to work on a request.
+    /// The upstream started to process a request.
     Run,
-    /// It ended that work with a whole answer.
+    /// The upstream completed the response to a request.
     Done,
-    /// It carried out an order.
+    /// The engine accepted an order.
     Order,
-    /// It refused an order with an old epoch.
+    /// The engine rejected an order with an old epoch.
     OrderRefused,
 }
 
-/// One line of an upstream's records: what really ran.
+/// One line of an upstream's records, which the checks compare with the
+/// responses that callers received.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// When, in milliseconds since the Unix epoch.
+    /// Time of the event, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: String,
-    /// What happened.
+    /// Kind of the event.
     pub happened: Happened,
-    /// The request, by the router's id.
+    /// The request's id as the router sent it; empty for orders.
     pub request: String,
-    /// The attempt.
+    /// The attempt's number as the router sent it; zero without one.
     pub attempt: u32,
-    /// The caller's key, if any.
+    /// The request's idempotency key, if it has one.
     pub key: Option<String>,
-    /// The version, or the method and path of a service call.
+    /// The `model@version`, the method and path of a service call, or the
+    /// order's action, version and issuer.
     pub what: String,
-    /// Since when the upstream had been leaving, if it was.
+    /// When the upstream began to leave, in milliseconds since the Unix epoch;
+    /// `None` when it was not leaving.
     pub leaving_since_unix_ms: Option<u64>,
-    /// The epoch, for orders.
+    /// The epoch of an order; `None` for requests.
     pub epoch: Option<u64>,
-    /// Whether it went on with a stream begun elsewhere.
+    /// Whether the request resumed a stream that was interrupted earlier.
     pub resumed: bool,
 }
 
-/// Records of one stand-in, in a file that outlives its process.
+/// Writer of a stand-in's records to a file, which remains after the process
+/// is killed.
 pub struct Records(Option<Mutex<File>>);
 
 impl Records {
-    /// Opens the file, or keeps no records without one.
+    /// Opens the file to append to it; without a path, no records are kept.
     ///
     /// # Panics
     ///
-    /// When the file cannot be opened: nothing could be proved then.
+    /// When the file cannot be opened, since checks would pass for lack of
+    /// records.
     pub fn open(path: Option<&Path>) -> Records {
         let open = |path: &Path| {
             let file = OpenOptions::new().create(true).append(true).open(path);
-            Mutex::new(file.expect("a file for records"))
+            Mutex::new(file.expect("the file for records can be opened"))
         };
         Records(path.map(open))
     }
 
-    /// Writes a record before anything else happens.
+    /// Writes a record straight to the file, so that it is kept even when the
+    /// process is killed right afterwards.
     pub fn write(&self, record: &Record) {
         let Some(file) = &self.0 else { return };
-        let mut line = serde_json::to_vec(record).expect("a record");
+        let mut line =
+            serde_json::to_vec(record).expect("a record serializes to JSON");
         line.push(b'\n');
-        let mut file = file.lock().expect("records lock");
-        file.write_all(&line).expect("a record is written");
+        let mut file =
+            file.lock().expect("the lock of the records is not poisoned");
+        file.write_all(&line).expect("the record can be written to its file");
     }
 }
 
-/// Reads the records of a file.
+/// Reads the records of a file; a missing file has none.
 ///
 /// # Errors
 ///
-/// When the file cannot be read or a line is no record.
+/// When the file cannot be read or a line cannot be parsed as a record.
 pub fn read_records(path: &Path) -> io::Result<Vec<Record>> {
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
@@ -211,16 +228,16 @@
     lines.map(|line| Ok(serde_json::from_str(line)?)).collect()
 }
 
-/// The address in the line that a stand-in prints.
+/// Parses the address in a field of the JSON line that a process prints.
 ///
 /// # Errors
 ///
-/// When the line has none.
-pub fn announced(line: &str, field: &str) -> Result<SocketAddr, String> {
+/// When the line is no JSON or the field holds no address.
+pub fn printed_address(line: &str, field: &str) -> Result<SocketAddr, String> {
     let value: serde_json::Value = serde_json::from_str(line)
-        .map_err(|error| format!("`{line}`: {error}"))?;
+        .map_err(|error| format!("cannot parse `{line}` as JSON: {error}"))?;
     value[field]
         .as_str()
         .and_then(|text| text.parse().ok())
-        .ok_or_else(|| format!("`{line}` has no {field}"))
+        .ok_or_else(|| format!("no address in field `{field}` of `{line}`"))
 }
