--- a/standins/src/engine.rs
+++ b/standins/src/engine.rs
@@ -151,11 +151,7 @@
         let known: HashMap<String, VersionTraits> = self
             .versions
             .split(',')
-            .map(|text| {
-                parse_version(text).expect(
-                    "--versions has the form NAME:STRENGTH[:ERROR_SHARE],…",
-                )
-            })
+            .map(|text| parse_version(text).expect("NAME:STRENGTH[:ERRORS]"))
             .collect();
         let loaded = match self.loaded.is_empty() {
             true => known.keys().cloned().collect(),
--- a/standins/src/list.rs
+++ b/standins/src/list.rs
@@ -46,7 +46,7 @@
 struct Service {
     lag: Duration,
     shown: Mutex<Shown>,
-    /// Contents that are not shown yet, with the time from which they are.
+    /// Contents that are not shown yet, each with the time at which it will be.
     pending: Mutex<VecDeque<(Instant, ListContent)>>,
 }
 
--- a/standins/src/process.rs
+++ b/standins/src/process.rs
@@ -62,9 +62,9 @@
         let out =
             child.stdout.take().ok_or("the process has no standard output")?;
         let mut first_line = String::new();
-        BufReader::new(out).read_line(&mut first_line).map_err(|error| {
-            format!("cannot read the output of {name}: {error}")
-        })?;
+        BufReader::new(out)
+            .read_line(&mut first_line)
+            .map_err(|error| format!("cannot read from {name}: {error}"))?;
         if first_line.is_empty() {
             let _ = child.kill();
             let status = child.wait();
