--- a/standins/src/check.rs
+++ b/standins/src/check.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     caller::{Ask, CallRecord, CameBack},
-    web::{Happened, Record},
+    web::{Record, RecordKind},
 };
 
 /// Time after which an upstream known as leaving must get no new work.
@@ -97,7 +97,7 @@
     evidence: &Evidence<'a>,
 ) -> impl Iterator<Item = &'a Record> + use<'a> {
     let records = evidence.records.iter();
-    records.filter(|record| record.happened == Happened::Run)
+    records.filter(|record| record.happened == RecordKind::Run)
 }
 
 /// Runs of calls that may run once, by key where there is one.
@@ -298,7 +298,7 @@
     let mut highest: HashMap<&str, u64> = HashMap::new();
     let mut found = Vec::new();
     for record in evidence.records {
-        let (Happened::Order, Some(epoch)) = (record.happened, record.epoch)
+        let (RecordKind::Order, Some(epoch)) = (record.happened, record.epoch)
         else {
             continue;
         };
--- a/standins/src/engine.rs
+++ b/standins/src/engine.rs
@@ -29,7 +29,7 @@
 };
 use trillium::{Body, Conn, Handler, KnownHeaderName};
 
-use crate::web::{self, ChannelBody, Happened, Record, Records};
+use crate::web::{self, ChannelBody, Record, RecordKind, Records};
 
 /// Capacity of the prefix cache, in prompt prefixes.
 const PREFIX_CACHE_CAPACITY: usize = 64;
@@ -287,7 +287,7 @@
             return web::json(conn, 409, &reason);
         }
         let slot = self.clone().acquire_slot(job.priority).await;
-        self.write_record(&job, Happened::Run);
+        self.write_record(&job, RecordKind::Run);
         if self.fails(&job.version) {
             drop(slot);
             let reason = json!({ "error": "the model failed" });
@@ -309,7 +309,7 @@
         if completed.is_none() {
             return conn;
         }
-        self.write_record(&job, Happened::Done);
+        self.write_record(&job, RecordKind::Done);
         let text: String =
             (1..=job.tokens).map(|n| job.token_text(n)).collect();
         let answer = json!({
@@ -435,7 +435,7 @@
             let sent =
                 self.send_events(&job, first, breaks_after, &sender).await;
             if sent.is_ok() {
-                self.write_record(&job, Happened::Done);
+                self.write_record(&job, RecordKind::Done);
             }
         })
         .detach();
@@ -495,11 +495,11 @@
         let what = format!("{action} {version} by {}", order["steward"]);
         let is_old = epoch < self.epoch.load(Ordering::Relaxed);
         if is_old && !self.unfenced {
-            self.write_order(Happened::OrderRefused, epoch, what);
+            self.write_order(RecordKind::OrderRefused, epoch, what);
             return conn.with_status(409).halt();
         }
         self.epoch.fetch_max(epoch, Ordering::Relaxed);
-        self.write_order(Happened::Order, epoch, what);
+        self.write_order(RecordKind::Order, epoch, what);
         if action == "unload" {
             self.loaded.lock().unwrap().retain(|loaded| *loaded != version);
         } else if self.known.contains_key(&version) {
@@ -524,7 +524,7 @@
         .detach();
     }
 
-    fn write_record(&self, job: &Job, happened: Happened) {
+    fn write_record(&self, job: &Job, happened: RecordKind) {
         self.records.write(&Record {
             request: job.request.clone(),
             attempt: job.attempt,
@@ -534,12 +534,12 @@
         });
     }
 
-    fn write_order(&self, happened: Happened, epoch: u64, what: String) {
+    fn write_order(&self, happened: RecordKind, epoch: u64, what: String) {
         let record = self.record(happened, what);
         self.records.write(&Record { epoch: Some(epoch), ..record });
     }
 
-    fn record(&self, happened: Happened, what: String) -> Record {
+    fn record(&self, happened: RecordKind, what: String) -> Record {
         let leaving = self.leaving_since.load(Ordering::Relaxed);
         Record {
             at_unix_ms: web::unix_ms(),
--- a/standins/src/service.rs
+++ b/standins/src/service.rs
@@ -16,7 +16,7 @@
 use smol::Timer;
 use trillium::{Conn, Handler, KnownHeaderName};
 
-use crate::web::{self, Happened, Record, Records};
+use crate::web::{self, Record, RecordKind, Records};
 
 /// Run a plain service.
 #[derive(FromArgs)]
@@ -175,7 +175,7 @@
         Record {
             at_unix_ms: web::unix_ms(),
             upstream: self.name.clone(),
-            happened: Happened::Run,
+            happened: RecordKind::Run,
             request: web::header(conn, "lupinseam-request")
                 .unwrap_or_default(),
             attempt: web::header(conn, "lupinseam-attempt")
--- a/standins/src/web.rs
+++ b/standins/src/web.rs
@@ -140,7 +140,7 @@
 /// Kind of an upstream's [`Record`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Happened {
+pub enum RecordKind {
     /// The upstream started to process a request.
     Run,
     /// The upstream completed the response to a request.
@@ -160,7 +160,7 @@
     /// Name of the upstream.
     pub upstream: String,
     /// Kind of the event.
-    pub happened: Happened,
+    pub happened: RecordKind,
     /// The request's id as the router sent it; empty for orders.
     pub request: String,
     /// The attempt's number as the router sent it; zero without one.
--- a/standins/tests/checker.rs
+++ b/standins/tests/checker.rs
@@ -8,7 +8,7 @@
     caller::{Ask, CallRecord, CameBack, Request},
     check::{Evidence, Rules, Violation, check},
     site,
-    web::{Happened, Record},
+    web::{Record, RecordKind},
 };
 
 /// Everything that happened, to be spoilt in one way.
@@ -23,7 +23,7 @@
     Record {
         at_unix_ms: 1000,
         upstream: "u1".to_owned(),
-        happened: Happened::Run,
+        happened: RecordKind::Run,
         request: request.to_owned(),
         attempt: 1,
         key: key.map(str::to_owned),
@@ -154,7 +154,7 @@
     assert_finds!(StaleOrder, |world: &mut World| {
         for epoch in [2, 1] {
             world.records.push(Record {
-                happened: Happened::Order,
+                happened: RecordKind::Order,
                 epoch: Some(epoch),
                 ..record("", "load v1", None)
             });
--- a/standins/tests/upstreams.rs
+++ b/standins/tests/upstreams.rs
@@ -246,7 +246,7 @@
         let exposed = records
             .iter()
             .filter(|r| r.what == "writer@v2")
-            .filter(|r| r.happened == web::Happened::Run);
+            .filter(|r| r.happened == web::RecordKind::Run);
         assert!(exposed.count() < 100);
     });
 }
@@ -283,7 +283,7 @@
         let records = fleet.records().unwrap();
         let orders = records
             .iter()
-            .filter(|r| r.happened == web::Happened::Order)
+            .filter(|r| r.happened == web::RecordKind::Order)
             .count();
         assert!(orders >= 2, "{orders} orders");
         assert_kept(&fleet, &[]).await;
