--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -410,8 +410,8 @@
             return Ok(());
         }
         let seed = self.plan.seed ^ self.paths.len() as u64;
-        let proxy =
-            Proxy::both(target, seed).map_err(|error| error.to_string())?;
+        let proxy = Proxy::tcp_and_udp(target, seed)
+            .map_err(|error| error.to_string())?;
         self.paths.insert(key, proxy);
         Ok(())
     }
--- a/standins/src/proxy.rs
+++ b/standins/src/proxy.rs
@@ -77,7 +77,7 @@
     /// # Errors
     ///
     /// When no port can be bound for both.
-    pub fn both(target: SocketAddr, seed: u64) -> io::Result<Proxy> {
+    pub fn tcp_and_udp(target: SocketAddr, seed: u64) -> io::Result<Proxy> {
         // The UDP port of the same number may be taken.
         const ATTEMPTS: u32 = 16;
         let mut last = io::ErrorKind::AddrInUse.into();
