--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -22,7 +22,7 @@
 use crate::{
     kv::{KvCounts, KvFaults},
     list::ListContent,
-    process::{FleetResult, Process, stand_in, strings},
+    process::{FleetResult, Process, start_stand_in, strings},
     proxy::{Mode, Proxy},
     web::{self, Record},
 };
@@ -177,9 +177,9 @@
     /// When anything does not start, or not in time.
     pub async fn start(plan: FleetPlan) -> FleetResult<Fleet> {
         let dir = TempDir::new().map_err(|error| error.to_string())?;
-        let kv = stand_in("kv", &[])?;
-        let list = stand_in("list", &[])?;
-        let rating = stand_in("rating", &["--seed", "7"])?;
+        let kv = start_stand_in("kv", &[])?;
+        let list = start_stand_in("list", &[])?;
+        let rating = start_stand_in("rating", &["--seed", "7"])?;
         let mut fleet = Fleet {
             kv_address: kv.address("address")?,
             _kv: kv,
--- a/standins/src/process.rs
+++ b/standins/src/process.rs
@@ -166,7 +166,10 @@
 }
 
 /// Starts the stand-in of subcommand `name` with further arguments.
-pub(crate) fn stand_in(name: &str, more: &[&str]) -> FleetResult<Process> {
+pub(crate) fn start_stand_in(
+    name: &str,
+    more: &[&str],
+) -> FleetResult<Process> {
     let mut arguments = strings(&[name]);
     arguments.extend(strings(more));
     Process::start(name, &arguments)
