--- a/standins/src/engine.rs
+++ b/standins/src/engine.rs
@@ -232,16 +232,20 @@
 
 /// A parsed chat request.
 struct Job {
+    /// The router's id of the request.
     request: String,
     attempt: u32,
     key: Option<String>,
     version: String,
     quality: f64,
+    /// The nonce in the prompt, repeated in the response for the caller.
     nonce: u64,
     prompt_tokens: u64,
+    /// Hash of the prompt's first [`PREFIX_BYTES`].
     prefix: u64,
     tokens: u64,
     priority: i64,
+    /// Id of the last event that the client has, when it resumes a stream.
     resume_after: Option<u64>,
 }
 
@@ -361,15 +365,16 @@
     }
 
     fn strength(&self, version: &str) -> Option<f64> {
-        let changed =
+        let overridden =
             self.faults.lock().unwrap().strength.get(version).copied();
-        changed.or(self.known.get(version).map(|v| v.strength))
+        overridden.or(self.known.get(version).map(|v| v.strength))
     }
 
     fn fails(&self, version: &str) -> bool {
-        let changed = self.faults.lock().unwrap().errors.get(version).copied();
-        let usual = self.known.get(version).map(|v| v.error_share);
-        let share = changed.or(usual).unwrap_or(0.0);
+        let overridden =
+            self.faults.lock().unwrap().errors.get(version).copied();
+        let configured = self.known.get(version).map(|v| v.error_share);
+        let share = overridden.or(configured).unwrap_or(0.0);
         share > 0.0 && rand::random::<f64>() < share
     }
 
@@ -411,6 +416,7 @@
         }
     }
 
+    /// Returns the time between tokens at the current utilization.
     fn token_time(&self) -> Duration {
         let running = self.batch.lock().unwrap().running;
         let utilization = running as f64 / self.slots as f64;
--- a/standins/src/list.rs
+++ b/standins/src/list.rs
@@ -46,7 +46,7 @@
 struct Service {
     lag: Duration,
     shown: Mutex<Shown>,
-    /// Contents that are not shown yet, each with the time at which it will be.
+    /// Contents that are not shown yet, each with the time to show it.
     pending: Mutex<VecDeque<(Instant, ListContent)>>,
 }
 
