--- a/standins/src/platform_store.rs
+++ b/standins/src/platform_store.rs
@@ -61,7 +61,7 @@
     /// The address on which it listens.
     pub address: SocketAddr,
     content: Arc<(Mutex<Content>, Condvar)>,
-    refuses: Arc<AtomicBool>,
+    is_rejecting: Arc<AtomicBool>,
 }
 
 impl PlatformStore {
@@ -75,7 +75,7 @@
     }
 
     /// Opens another address of the same store, with its own
-    /// [`PlatformStore::refuse`].
+    /// [`PlatformStore::set_rejecting`].
     ///
     /// # Panics
     ///
@@ -89,8 +89,8 @@
             .expect("a loopback port can be bound");
         let address =
             listener.local_addr().expect("a bound listener has an address");
-        let refuses = Arc::default();
-        let store = PlatformStore { address, content, refuses };
+        let is_rejecting = Arc::default();
+        let store = PlatformStore { address, content, is_rejecting };
         let served = store.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -134,8 +134,8 @@
     }
 
     /// Sets whether every call to this address is answered with 503.
-    pub fn refuse(&self, refuses: bool) {
-        self.refuses.store(refuses, Ordering::Relaxed);
+    pub fn set_rejecting(&self, is_rejecting: bool) {
+        self.is_rejecting.store(is_rejecting, Ordering::Relaxed);
         self.content.1.notify_all();
     }
 
@@ -149,7 +149,7 @@
         let mut reader = BufReader::new(reading);
         let mut writer = stream;
         while let Ok(Some(request)) = read_request(&mut reader) {
-            let response = match self.refuses.load(Ordering::Relaxed) {
+            let response = match self.is_rejecting.load(Ordering::Relaxed) {
                 true => Some(answer(503, &[], "")),
                 false => self.respond(&request),
             };
--- a/standins/src/soak/inject.rs
+++ b/standins/src/soak/inject.rs
@@ -92,7 +92,9 @@
             Fault::StopVm(vm) => self.begin_shutdown(vm, trouble),
             Fault::CallersWay(vm, mode) => self.entry_proxies[vm].set(mode),
             Fault::StoreWay(vm, mode) => self.store_proxies[vm].set(mode),
-            Fault::StoreRefuses(vm) => self.site.vms[vm].store.refuse(true),
+            Fault::StoreRefuses(vm) => {
+                self.site.vms[vm].store.set_rejecting(true)
+            }
             Fault::Store(mood) => self.site.store.set_mode(mood),
             Fault::UpstreamWay(at, mode) => self.workers[at].set_mode(mode),
             Fault::Upstream(at, how) => self.workers[at].set_behaviour(how),
@@ -239,7 +241,9 @@
             Fault::PauseVm(vm) => self.site.vms[vm].signal(Signal::CONT),
             Fault::CallersWay(vm, _) => self.entry_proxies[vm].set(Mode::Pass),
             Fault::StoreWay(vm, _) => self.store_proxies[vm].set(Mode::Pass),
-            Fault::StoreRefuses(vm) => self.site.vms[vm].store.refuse(false),
+            Fault::StoreRefuses(vm) => {
+                self.site.vms[vm].store.set_rejecting(false)
+            }
             Fault::Store(_) => self.site.store.set_mode(StoreMode::Normal),
             Fault::UpstreamWay(..) | Fault::Upstream(..) => {
                 self.reset_upstreams();
