--- a/standins/src/platform_store.rs
+++ b/standins/src/platform_store.rs
@@ -75,7 +75,7 @@
     }
 
     /// Opens another address of the same store, with its own
-    /// [`PlatformStore::set_rejecting`].
+    /// [`PlatformStore::reject`].
     ///
     /// # Panics
     ///
@@ -134,7 +134,7 @@
     }
 
     /// Sets whether every call to this address is answered with 503.
-    pub fn set_rejecting(&self, is_rejecting: bool) {
+    pub fn reject(&self, is_rejecting: bool) {
         self.is_rejecting.store(is_rejecting, Ordering::Relaxed);
         self.content.1.notify_all();
     }
--- a/standins/src/soak/inject.rs
+++ b/standins/src/soak/inject.rs
@@ -92,9 +92,7 @@
             Fault::StopVm(vm) => self.begin_shutdown(vm, trouble),
             Fault::CallersWay(vm, mode) => self.entry_proxies[vm].set(mode),
             Fault::StoreWay(vm, mode) => self.store_proxies[vm].set(mode),
-            Fault::StoreRefuses(vm) => {
-                self.site.vms[vm].store.set_rejecting(true)
-            }
+            Fault::StoreRefuses(vm) => self.site.vms[vm].store.reject(true),
             Fault::Store(mood) => self.site.store.set_mode(mood),
             Fault::UpstreamWay(at, mode) => self.workers[at].set_mode(mode),
             Fault::Upstream(at, how) => self.workers[at].set_behaviour(how),
@@ -241,9 +239,7 @@
             Fault::PauseVm(vm) => self.site.vms[vm].signal(Signal::CONT),
             Fault::CallersWay(vm, _) => self.entry_proxies[vm].set(Mode::Pass),
             Fault::StoreWay(vm, _) => self.store_proxies[vm].set(Mode::Pass),
-            Fault::StoreRefuses(vm) => {
-                self.site.vms[vm].store.set_rejecting(false)
-            }
+            Fault::StoreRefuses(vm) => self.site.vms[vm].store.reject(false),
             Fault::Store(_) => self.site.store.set_mode(StoreMode::Normal),
             Fault::UpstreamWay(..) | Fault::Upstream(..) => {
                 self.reset_upstreams();
--- a/standins/tests/platform.rs
+++ b/standins/tests/platform.rs
@@ -853,7 +853,7 @@
     site.start_vm();
     wait_listed(&site.vms[1], "i-1", false);
     thread::sleep(Duration::from_millis(800));
-    site.vms[1].store.set_rejecting(true);
+    site.vms[1].store.reject(true);
     // Longer than a VM on its own could go on.
     let until = Instant::now() + Duration::from_secs(4);
     while Instant::now() < until {
