--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -60,7 +60,7 @@
 
 /// What came back.
 #[derive(Clone, Debug, PartialEq)]
-pub enum CameBack {
+pub enum CallOutcome {
     /// A whole answer.
     Whole,
     /// A refusal, with its code and what it says about running.
@@ -96,7 +96,7 @@
     /// Whether it is the recorded answer of an earlier request.
     pub repeated: bool,
     /// What came back.
-    pub came_back: CameBack,
+    pub outcome: CallOutcome,
     /// Time until the first part.
     pub first_part: Option<Duration>,
     /// Time until the end.
@@ -106,21 +106,21 @@
 impl CallRecord {
     /// Whether a whole answer came back.
     pub fn is_whole(&self) -> bool {
-        self.came_back == CameBack::Whole
+        self.outcome == CallOutcome::Whole
     }
 
     /// The code of a refusal.
     pub fn code(&self) -> Option<&str> {
-        match &self.came_back {
-            CameBack::Refused { code, .. } => Some(code),
+        match &self.outcome {
+            CallOutcome::Refused { code, .. } => Some(code),
             _ => None,
         }
     }
 
     /// What a refusal says about running.
     pub fn run(&self) -> Option<&str> {
-        match &self.came_back {
-            CameBack::Refused { run, .. } => Some(run),
+        match &self.outcome {
+            CallOutcome::Refused { run, .. } => Some(run),
             _ => None,
         }
     }
@@ -142,7 +142,7 @@
         answered_by: None,
         quality: None,
         repeated: false,
-        came_back: CameBack::Broken("no answer in time".to_owned()),
+        outcome: CallOutcome::Broken("no answer in time".to_owned()),
         first_part: None,
         took: Duration::ZERO,
     };
@@ -171,7 +171,7 @@
     let exchange = match client.send(call, reuse).await {
         Ok(exchange) => exchange,
         Err(error) => {
-            record.came_back = CameBack::Broken(error.to_string());
+            record.outcome = CallOutcome::Broken(error.to_string());
             return;
         }
     };
@@ -246,7 +246,7 @@
     let answer = match exchange.read_whole(LIMIT_BYTES).await {
         Ok(answer) => answer,
         Err(error) => {
-            record.came_back = CameBack::Broken(error.to_string());
+            record.outcome = CallOutcome::Broken(error.to_string());
             return;
         }
     };
@@ -254,16 +254,18 @@
         serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
     if let Some(code) = value["error"]["code"].as_str() {
         let run = value["error"]["run"].as_str().unwrap_or_default();
-        record.came_back =
-            CameBack::Refused { code: code.to_owned(), run: run.to_owned() };
+        record.outcome = CallOutcome::Refused {
+            code: code.to_owned(),
+            run: run.to_owned(),
+        };
         return;
     }
     if answer.status != 200 {
         let reason = format!("status {}", answer.status);
-        record.came_back = CameBack::Broken(reason);
+        record.outcome = CallOutcome::Broken(reason);
         return;
     }
-    record.came_back = match &request.ask {
+    record.outcome = match &request.ask {
         Ask::Chat { tokens, .. } => {
             record.answered_by = value["model"].as_str().map(str::to_owned);
             let text = value["choices"][0]["message"]["content"]
@@ -275,11 +277,11 @@
     };
 }
 
-fn judge_service(value: &Value, key: Option<&str>) -> CameBack {
+fn judge_service(value: &Value, key: Option<&str>) -> CallOutcome {
     if value["run"].as_u64().is_none() || value["key"].as_str() != key {
-        return CameBack::Wrong(format!("another's answer: {value}"));
+        return CallOutcome::Wrong(format!("another's answer: {value}"));
     }
-    CameBack::Whole
+    CallOutcome::Whole
 }
 
 /// Checks that a text is the whole answer to this request.
@@ -288,22 +290,22 @@
     tokens: u64,
     nonce: u64,
     record: &mut CallRecord,
-) -> CameBack {
+) -> CallOutcome {
     record.quality = hidden_number(text, "quality=");
     let found = hidden_number(text, "nonce=").map(|n| n as u64);
     if found != Some(nonce) {
-        return CameBack::Wrong(format!("nonce {found:?} for {nonce}"));
+        return CallOutcome::Wrong(format!("nonce {found:?} for {nonce}"));
     }
     let words: Vec<&str> =
         text.split_whitespace().filter(|word| word.starts_with('w')).collect();
     let expected = (1..=tokens).map(|n| format!("w{n}"));
     if words.iter().map(|w| (*w).to_owned()).ne(expected) {
-        return CameBack::Wrong(format!(
+        return CallOutcome::Wrong(format!(
             "{} words of {tokens}, or out of order",
             words.len()
         ));
     }
-    CameBack::Whole
+    CallOutcome::Whole
 }
 
 async fn read_stream(
@@ -326,7 +328,7 @@
             }
             Ok(None) => break,
             Err(error) => {
-                record.came_back = CameBack::Broken(error.to_string());
+                record.outcome = CallOutcome::Broken(error.to_string());
                 return;
             }
         }
@@ -343,13 +345,13 @@
         }
     }
     let Ask::Chat { tokens, .. } = &request.ask else {
-        record.came_back = CameBack::Wrong("a stream".to_owned());
+        record.outcome = CallOutcome::Wrong("a stream".to_owned());
         return;
     };
-    record.came_back = match failed {
-        Some(event) => CameBack::Broken(event),
+    record.outcome = match failed {
+        Some(event) => CallOutcome::Broken(event),
         None if !is_done => {
-            CameBack::Wrong("closed as whole without its end".to_owned())
+            CallOutcome::Wrong("closed as whole without its end".to_owned())
         }
         None => judge_text(&text, *tokens, request.nonce, record),
     };
--- a/standins/src/check.rs
+++ b/standins/src/check.rs
@@ -12,7 +12,7 @@
 use serde_json::Value;
 
 use crate::{
-    caller::{Ask, CallRecord, CameBack},
+    caller::{Ask, CallOutcome, CallRecord},
     web::{Happened, Record},
 };
 
@@ -186,7 +186,7 @@
             .calls
             .iter()
             .find(|call| call.decision.as_deref() == Some(request));
-        let seen = call.map(|call| &call.came_back);
+        let seen = call.map(|call| &call.outcome);
         let reason = format!("{request}: its caller saw {seen:?}");
         found.push(Violation::LostBill(reason));
     }
@@ -204,8 +204,8 @@
     evidence
         .calls
         .iter()
-        .filter_map(|call| match &call.came_back {
-            CameBack::Wrong(reason) => Some(Violation::BrokenAsWhole(
+        .filter_map(|call| match &call.outcome {
+            CallOutcome::Wrong(reason) => Some(Violation::BrokenAsWhole(
                 format!("{:?}: {reason}", call.decision),
             )),
             _ => None,
--- a/standins/src/demo.rs
+++ b/standins/src/demo.rs
@@ -8,7 +8,7 @@
 use smol::Timer;
 
 use crate::{
-    caller::{Ask, CallRecord, CameBack},
+    caller::{Ask, CallOutcome, CallRecord},
     check::{Evidence, Violation, check},
     documents::{bearer_key, version},
     fleet::Fleet,
@@ -191,11 +191,13 @@
     fn other_answers(&self) -> Vec<String> {
         let mut counts: BTreeMap<String, usize> = BTreeMap::new();
         for call in &self.calls {
-            let name = match &call.came_back {
-                CameBack::Whole => continue,
-                CameBack::Refused { code, run } => format!("{code} ({run})"),
-                CameBack::Broken(reason) => format!("broken: {reason}"),
-                CameBack::Wrong(reason) => format!("wrong: {reason}"),
+            let name = match &call.outcome {
+                CallOutcome::Whole => continue,
+                CallOutcome::Refused { code, run } => {
+                    format!("{code} ({run})")
+                }
+                CallOutcome::Broken(reason) => format!("broken: {reason}"),
+                CallOutcome::Wrong(reason) => format!("wrong: {reason}"),
             };
             *counts.entry(name).or_default() += 1;
         }
@@ -233,7 +235,7 @@
         let refused = self.count(|call| call.run() == Some("not_run"));
         let unknown = self.count(|call| {
             call.run() == Some("outcome_unknown")
-                || matches!(call.came_back, CameBack::Broken(_))
+                || matches!(call.outcome, CallOutcome::Broken(_))
         });
         let violations: Vec<String> =
             self.violations.iter().map(Violation::to_string).collect();
--- a/standins/tests/checker.rs
+++ b/standins/tests/checker.rs
@@ -5,7 +5,7 @@
 use hyper::Method;
 use serde_json::{Value, json};
 use standins::{
-    caller::{Ask, CallRecord, CameBack, Request},
+    caller::{Ask, CallOutcome, CallRecord, Request},
     check::{Evidence, Rules, Violation, check},
     site,
     web::{Happened, Record},
@@ -49,7 +49,7 @@
         answered_by: None,
         quality: None,
         repeated: false,
-        came_back: CameBack::Whole,
+        outcome: CallOutcome::Whole,
         first_part: None,
         took: Duration::ZERO,
     }
@@ -135,7 +135,7 @@
         world.records.push(record("r3", "POST /do/3", None));
     });
     assert_finds!(FalseNotRun, |world: &mut World| {
-        world.calls[2].came_back = CameBack::Refused {
+        world.calls[2].outcome = CallOutcome::Refused {
             code: "no_upstream".to_owned(),
             run: "not_run".to_owned(),
         };
@@ -175,7 +175,7 @@
         world.bills.push(json!({ "request": "r9" }));
     });
     assert_finds!(BrokenAsWhole, |world: &mut World| {
-        world.calls[0].came_back = CameBack::Wrong("cut".to_owned());
+        world.calls[0].outcome = CallOutcome::Wrong("cut".to_owned());
     });
     assert_finds!(SessionChanged, |world: &mut World| {
         world.calls[3].answered_by = Some("writer@v2".to_owned());
--- a/standins/tests/upstreams.rs
+++ b/standins/tests/upstreams.rs
@@ -9,8 +9,8 @@
 use serde_json::json;
 use smol::Timer;
 use standins::{
-    caller::CameBack, documents::version, engine::EngineFaults, fleet::Fleet,
-    service::ServiceFaults, site, web,
+    caller::CallOutcome, documents::version, engine::EngineFaults,
+    fleet::Fleet, service::ServiceFaults, site, web,
 };
 
 const VM: &str = "vm-hall-a-1";
@@ -55,7 +55,7 @@
         fleet.kill_upstream("writer-hall-a");
         fleet.kill_upstream("writer-hall-b");
         let call = stream.await;
-        assert!(matches!(call.came_back, CameBack::Broken(_)), "{call:?}");
+        assert!(matches!(call.outcome, CallOutcome::Broken(_)), "{call:?}");
         let next = ask(&fleet, VM, &chat(2, 3, false)).await;
         assert_eq!(next.run(), Some("not_run"), "{next:?}");
     });
