--- a/standins/src/gateway_site.rs
+++ b/standins/src/gateway_site.rs
@@ -92,7 +92,7 @@
     /// which ones were taken away.
     pub fail_closed: bool,
     /// Time between two beats of VMs that are added, in milliseconds.
-    pub beat_ms: u64,
+    pub heartbeat_ms: u64,
     /// The rate of the links of VMs that are added.
     pub link_mbps: u32,
     /// Attempts beyond the first that VMs may make, as a share of requests.
@@ -113,7 +113,7 @@
             store,
             vms: Vec::new(),
             fail_closed: true,
-            beat_ms: 100,
+            heartbeat_ms: 100,
             link_mbps: 0,
             retry_share: 1.0,
             retry_extra: 50,
@@ -210,7 +210,7 @@
              [retries]\nshare = {}\nextra = {}\nwindow_s = 10\n\
              [stop]\ngrace_s = 6\n",
             self.link_mbps,
-            self.beat_ms,
+            self.heartbeat_ms,
             self.revoke_ms,
             self.fail_closed,
             self.retry_share,
--- a/standins/tests/platform.rs
+++ b/standins/tests/platform.rs
@@ -947,7 +947,7 @@
     let upstream =
         Upstream::start("i-1", streams_after(Duration::from_secs(2)));
     let mut site = site(REVOKE_MS);
-    site.beat_ms = 1_500;
+    site.heartbeat_ms = 1_500;
     site.list(&upstream, MODELS, "v1");
     site.start_vm();
     site.start_vm();
