--- a/standins/src/gateway_site.rs
+++ b/standins/src/gateway_site.rs
@@ -443,7 +443,7 @@
 
 /// The same, with a prompt that no other one shares, so that each goes where
 /// there is least to read.
-pub fn lone_stream_request(path: &str, id: &str) -> String {
+pub fn unique_prompt_stream_request(path: &str, id: &str) -> String {
     let subject = id.bytes().fold(7_u32, |sum, byte| {
         sum.wrapping_mul(31).wrapping_add(byte.into())
     });
--- a/standins/tests/leaving_upstreams.rs
+++ b/standins/tests/leaving_upstreams.rs
@@ -27,7 +27,7 @@
 use serde_json::json;
 use standins::{
     gateway_site::{
-        Got, MODELS, PLAIN, Site, lone_stream_request, request,
+        Got, MODELS, PLAIN, Site, request, unique_prompt_stream_request,
         upstream_record, wait_until,
     },
     http_raw::{answer, chunk},
@@ -114,7 +114,7 @@
 /// that turns it away, so not all are served.
 fn ask(site: &Site, id: &str) -> [Got; 2] {
     let plain = request("GET", "/read/x", id, "");
-    let stream = lone_stream_request("/write/x", &format!("{id}-s"));
+    let stream = unique_prompt_stream_request("/write/x", &format!("{id}-s"));
     [plain, stream].map(|text| site.vms[0].ask(&text))
 }
 
@@ -219,7 +219,8 @@
     let _alone = alone();
     let only = Upstream::start("m-1", leaves_streaming("10"));
     let site = site_with(&[(&only, MODELS)]);
-    let got = site.vms[0].ask(&lone_stream_request("/write/x", "r-1"));
+    let got =
+        site.vms[0].ask(&unique_prompt_stream_request("/write/x", "r-1"));
     assert_eq!((got.status, got.whole), (200, true), "{got:?}");
     assert_eq!(got.body, "id: 1\ndata: e1\n\n");
 }
--- a/standins/tests/platform.rs
+++ b/standins/tests/platform.rs
@@ -12,8 +12,8 @@
 use standins::{
     gateway_site::{
         KEY, MODELS, PLAIN, Site, SiteVm, configuration, configuration_with,
-        lone_stream_request, request, stream_request, upstream_record,
-        wait_until,
+        request, stream_request, unique_prompt_stream_request,
+        upstream_record, wait_until,
     },
     http_raw::{RawRequest, answer, chunk},
     platform_store::Mood,
@@ -275,7 +275,8 @@
     site.list(&failing, MODELS, "v1");
     wait_listed(&site.vms[0], "i-2", false);
     // The one whose stream broke is asked last.
-    let got = site.vms[0].ask(&lone_stream_request("/write/x", "r-2"));
+    let got =
+        site.vms[0].ask(&unique_prompt_stream_request("/write/x", "r-2"));
     assert_eq!(with_id(&[&failing], "r-2"), 1);
     assert_eq!(got.body, events(1, 6), "it is tried again: {got:?}");
 }
@@ -719,7 +720,7 @@
         let before = bad.received().len();
         for number in 0..40 {
             let id = format!("{name}-{number}");
-            let text = lone_stream_request("/write/x", &id);
+            let text = unique_prompt_stream_request("/write/x", &id);
             assert_eq!(site.vms[0].ask(&text).status, 200);
         }
         assert_eq!(bad.received().len(), before, "{name}");
@@ -743,7 +744,7 @@
     wait_until("it is tried again", || {
         number += 1;
         let id = format!("again-{number}");
-        site.vms[0].ask(&lone_stream_request("/write/x", &id));
+        site.vms[0].ask(&unique_prompt_stream_request("/write/x", &id));
         bad.received().len() > before
     });
 }
