--- a/standins/src/gateway_site.rs
+++ b/standins/src/gateway_site.rs
@@ -40,7 +40,7 @@
 
 /// What a caller got.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Got {
+pub struct HttpReply {
     /// The status; 0 when the connection closed without an answer.
     pub status: u16,
     /// The head.
@@ -51,7 +51,7 @@
     pub whole: bool,
 }
 
-impl Got {
+impl HttpReply {
     /// A header of the answer, or nothing.
     pub fn header(&self, name: &str) -> String {
         let name = format!("{}:", name.to_ascii_lowercase());
@@ -297,7 +297,7 @@
     }
 
     /// Sends a request and reads the answer.
-    pub fn ask(&self, text: &str) -> Got {
+    pub fn ask(&self, text: &str) -> HttpReply {
         exchange(self.callers, text.as_bytes())
     }
 
@@ -452,18 +452,22 @@
 }
 
 /// Sends bytes and reads the answer to its end.
-pub fn exchange(address: SocketAddr, bytes: &[u8]) -> Got {
+pub fn exchange(address: SocketAddr, bytes: &[u8]) -> HttpReply {
     exchange_within(address, bytes, LIMIT)
 }
 
 /// The same, waiting at most `limit` for each part of the answer.
-fn exchange_within(address: SocketAddr, bytes: &[u8], limit: Duration) -> Got {
+fn exchange_within(
+    address: SocketAddr,
+    bytes: &[u8],
+    limit: Duration,
+) -> HttpReply {
     let Ok(mut stream) = TcpStream::connect(address) else {
-        return Got::default();
+        return HttpReply::default();
     };
     stream.set_read_timeout(Some(limit)).expect("a time limit");
     if stream.write_all(bytes).is_err() {
-        return Got::default();
+        return HttpReply::default();
     }
     let mut all = Vec::new();
     // What came before a break counts; `whole` tells the rest.
@@ -471,12 +475,12 @@
     read_answer(&String::from_utf8_lossy(&all))
 }
 
-fn read_answer(text: &str) -> Got {
+fn read_answer(text: &str) -> HttpReply {
     let Some((head, rest)) = text.split_once("\r\n\r\n") else {
-        return Got::default();
+        return HttpReply::default();
     };
     let status = head.split(' ').nth(1).and_then(|word| word.parse().ok());
-    let mut got = Got {
+    let mut got = HttpReply {
         status: status.unwrap_or(0),
         head: head.to_owned(),
         body: rest.to_owned(),
--- a/standins/src/soak/callers.rs
+++ b/standins/src/soak/callers.rs
@@ -20,7 +20,7 @@
     evidence::{Call, Kind},
     upstreams::{EVENTS, event, plain_body},
 };
-use crate::gateway_site::{Got, KEY};
+use crate::gateway_site::{HttpReply, KEY};
 
 /// Deadline of a request, which the request states to the VM. The caller waits
 /// only a little longer.
@@ -243,7 +243,7 @@
 
 /// Returns whether a response body is exactly what an upstream generates for
 /// this call.
-fn is_own(kind: Kind, id: &str, response: &Got) -> bool {
+fn is_own(kind: Kind, id: &str, response: &HttpReply) -> bool {
     match kind {
         Kind::Write | Kind::Tell => {
             let events = (1..=EVENTS).map(|number| event(id, number));
--- a/standins/src/soak/client.rs
+++ b/standins/src/soak/client.rs
@@ -7,7 +7,7 @@
     time::{Duration, Instant},
 };
 
-use crate::gateway_site::Got;
+use crate::gateway_site::HttpReply;
 
 /// Time limit for opening a connection.
 const CONNECT_TIME: Duration = Duration::from_secs(1);
@@ -36,9 +36,13 @@
     /// time limit.
     ///
     /// Returns the response, and whether the connection can be reused.
-    pub fn send(&mut self, request: &str, limit: Duration) -> (Got, bool) {
+    pub fn send(
+        &mut self,
+        request: &str,
+        limit: Duration,
+    ) -> (HttpReply, bool) {
         let deadline = Instant::now() + limit;
-        let mut response = Got::default();
+        let mut response = HttpReply::default();
         let read = self.exchange(request, deadline, &mut response);
         response.whole = read.is_ok();
         let is_reusable =
@@ -50,7 +54,7 @@
         &mut self,
         request: &str,
         deadline: Instant,
-        response: &mut Got,
+        response: &mut HttpReply,
     ) -> io::Result<()> {
         self.reader.get_mut().write_all(request.as_bytes())?;
         let status_line = self.read_line_until(deadline)?;
--- a/standins/tests/crashing_requests.rs
+++ b/standins/tests/crashing_requests.rs
@@ -22,7 +22,7 @@
 };
 
 use standins::{
-    gateway_site::{Got, PLAIN, Site, request, wait_until},
+    gateway_site::{HttpReply, PLAIN, Site, request, wait_until},
     http_raw::answer,
     scripted::{Act, Script, Upstream, stamped},
 };
@@ -118,7 +118,7 @@
     }
 
     /// Asks the VMs in turn, each time under a new id.
-    fn ask(&mut self, what: &str) -> Got {
+    fn ask(&mut self, what: &str) -> HttpReply {
         self.asked += 1;
         let id = format!("r-{}", self.asked);
         let path = format!("/read/{what}");
--- a/standins/tests/leaving_upstreams.rs
+++ b/standins/tests/leaving_upstreams.rs
@@ -27,7 +27,7 @@
 use serde_json::json;
 use standins::{
     gateway_site::{
-        Got, MODELS, PLAIN, Site, request, unique_prompt_stream_request,
+        HttpReply, MODELS, PLAIN, Site, request, unique_prompt_stream_request,
         upstream_record, wait_until,
     },
     http_raw::{answer, chunk},
@@ -112,7 +112,7 @@
 ///
 /// Both attempts of the plain one may go to an upstream that fails and one
 /// that turns it away, so not all are served.
-fn ask(site: &Site, id: &str) -> [Got; 2] {
+fn ask(site: &Site, id: &str) -> [HttpReply; 2] {
     let plain = request("GET", "/read/x", id, "");
     let stream = unique_prompt_stream_request("/write/x", &format!("{id}-s"));
     [plain, stream].map(|text| site.vms[0].ask(&text))
--- a/standins/tests/limited_upstreams.rs
+++ b/standins/tests/limited_upstreams.rs
@@ -12,7 +12,7 @@
 };
 
 use standins::{
-    gateway_site::{Got, PLAIN, Site, request, wait_until},
+    gateway_site::{HttpReply, PLAIN, Site, request, wait_until},
     http_raw::answer,
     scripted::{Act, Script, Upstream, answers, stamped},
 };
@@ -97,7 +97,11 @@
 
     /// Has all VMs asked for some time, and hands over each answer with the
     /// time that it took.
-    fn ask_for(&self, time: Duration, check: impl Fn(Got, Duration) + Sync) {
+    fn ask_for(
+        &self,
+        time: Duration,
+        check: impl Fn(HttpReply, Duration) + Sync,
+    ) {
         let until = Instant::now() + time;
         thread::scope(|scope| {
             for vm in &self.site.vms {
@@ -123,7 +127,7 @@
         &self,
         upstreams: &[&Upstream],
         time: Duration,
-        check: impl Fn(Got, Duration) + Sync,
+        check: impl Fn(HttpReply, Duration) + Sync,
     ) -> Vec<Arrivals> {
         let began_at = Instant::now();
         thread::scope(|scope| {
@@ -175,7 +179,7 @@
     (per_s * WINDOW.as_secs_f64() * 1.5 + 5.0) as usize
 }
 
-fn ignore(_: Got, _: Duration) {}
+fn ignore(_: HttpReply, _: Duration) {}
 
 /// Guards against upstreams in need that get a multiple of what they take.
 #[test]
--- a/standins/tests/resting_upstreams.rs
+++ b/standins/tests/resting_upstreams.rs
@@ -22,7 +22,7 @@
 };
 
 use standins::{
-    gateway_site::{Got, PLAIN, Site, request, wait_until},
+    gateway_site::{HttpReply, PLAIN, Site, request, wait_until},
     http_raw::answer,
     scripted::{Act, Script, Upstream, answers, stamped},
 };
@@ -73,7 +73,7 @@
     })
 }
 
-fn ask(site: &Site, id: &str) -> Got {
+fn ask(site: &Site, id: &str) -> HttpReply {
     site.vms[0].ask(&request("GET", "/read/x", id, ""))
 }
 
