--- a/standins/src/check.rs
+++ b/standins/src/check.rs
@@ -1,7 +1,9 @@
-//! The checker: compares what callers and bills say with what really ran.
+//! The invariant checker: compares what callers and bills report with what
+//! the upstreams really ran.
 //!
-//! It reads only the stand-ins' records, the callers' records and the bills,
-//! and knows nothing of how the router works.
+//! It is a black-box check: it reads only the records of the stand-in
+//! upstreams, the records of the callers and the bills, and doesn't depend on
+//! how the router works.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap, HashSet},
@@ -16,34 +18,37 @@
     web::{Happened, Record},
 };
 
-/// Time after which an upstream known as leaving must get no new work.
+/// How long after an upstream started to leave it may still get new requests,
+/// in milliseconds: VMs learn that it is leaving with a delay.
 pub const LEAVING_GRACE_MS: u64 = 2500;
 
-/// What must hold and did not.
+/// An invariant that was violated, with details for the reader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Violation {
-    /// Something that may run once ran more often.
+    /// A request that must run at most once ran more than once.
     DoubleRun(String),
-    /// A refusal said `not_run`, and it ran.
+    /// A request ran although its error response said `not_run`.
     FalseNotRun(String),
-    /// A request or key was billed more than once.
+    /// A request or an idempotency key was billed more than once.
     DoubleBill(String),
-    /// Something ran and nobody is billed.
+    /// A request ran and there is no bill for it.
     LostBill(String),
-    /// Something that was not whole, or another's, looked like an answer.
+    /// A caller got a response that looked complete but was truncated, or
+    /// belonged to another request.
     BrokenAsWhole(String),
-    /// A version ran that the template does not allow.
+    /// A model version ran that the organisation's template doesn't allow.
     VersionNotAllowed(String),
-    /// A version ran after it was withdrawn.
+    /// A model version ran after it was withdrawn.
     WithdrawnRan(String),
-    /// A session changed its version.
+    /// Two responses of one session came from different model versions.
     SessionChanged(String),
-    /// A leaving upstream got new work.
+    /// An upstream got a new request after [`LEAVING_GRACE_MS`] of leaving.
     LeavingGotWork(String),
-    /// A VM went back to an older configuration.
+    /// A VM went back to an older configuration revision.
     ConfigurationReverted(String),
-    /// An upstream took an order of an old steward.
+    /// An upstream accepted an order with a lower epoch than one before, so
+    /// from a steward that had been replaced.
     StaleOrder(String),
 }
 
@@ -53,42 +58,44 @@
     }
 }
 
-/// What the checker needs to know beside the records.
+/// Expectations that the checker can't derive from the records.
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
-    /// The versions that each organisation may use, as `model@version`.
+    /// The versions that each organisation may use, as `model@version`. An
+    /// organisation without an entry isn't checked.
     pub allowed: HashMap<String, HashSet<String>>,
-    /// Services whose calls other than GET must not run twice.
+    /// Services whose calls, except GET, must run at most once.
     pub once: HashSet<String>,
-    /// From when a version must not run any more.
+    /// Time from which a withdrawn version, as `model@version`, must not run.
     pub withdrawn_at_unix_ms: HashMap<String, u64>,
-    /// Revisions seen at each life of a VM, in order.
+    /// The configuration revisions that each incarnation of a VM reported, in
+    /// the order in which they were sampled.
     pub revisions: Vec<(String, Vec<u64>)>,
 }
 
-/// Everything that is checked.
+/// The input of [`check`].
 pub struct Evidence<'a> {
-    /// What really ran.
+    /// What the upstreams ran, by their own records.
     pub records: &'a [Record],
-    /// What callers saw.
+    /// What the callers sent and got.
     pub calls: &'a [CallRecord],
-    /// What is billed.
+    /// The bills in the ledger, as a VM lists them.
     pub bills: &'a [Value],
-    /// The rules.
+    /// The expectations to check against.
     pub rules: &'a Rules,
 }
 
-/// Finds everything that must hold and did not.
+/// Checks all invariants and returns every violation.
 pub fn check(evidence: &Evidence<'_>) -> Vec<Violation> {
     let mut found = Vec::new();
     found.extend(double_runs(evidence));
     found.extend(false_not_runs(evidence));
-    found.extend(bills(evidence));
+    found.extend(billing_errors(evidence));
     found.extend(broken_as_whole(evidence));
-    found.extend(versions(evidence));
-    found.extend(sessions(evidence));
-    found.extend(leaving(evidence));
-    found.extend(reverts(evidence));
+    found.extend(version_violations(evidence));
+    found.extend(session_changes(evidence));
+    found.extend(leaving_got_work(evidence));
+    found.extend(configuration_reverts(evidence));
     found.extend(stale_orders(evidence));
     found
 }
@@ -100,27 +107,28 @@
     records.filter(|record| record.happened == Happened::Run)
 }
 
-/// Runs of calls that may run once, by key where there is one.
+/// Finds calls that must run at most once and ran more often. Runs are grouped
+/// by idempotency key where there is one, otherwise by request.
 fn double_runs(evidence: &Evidence<'_>) -> Vec<Violation> {
-    let once: HashSet<u64> = evidence
+    let once_nonces: HashSet<u64> = evidence
         .calls
         .iter()
-        .filter(|call| is_once(call, evidence.rules))
+        .filter(|call| is_at_most_once(call, evidence.rules))
         .map(|call| call.request.nonce)
         .collect();
     let mut by_subject: BTreeMap<String, Vec<&Record>> = BTreeMap::new();
     for record in runs(evidence) {
         let subject = match (&record.key, nonce_of(&record.what)) {
             (Some(key), _) => format!("key {key}"),
-            (None, Some(nonce)) if once.contains(&nonce) => {
+            (None, Some(nonce)) if once_nonces.contains(&nonce) => {
                 format!("request {}", record.request)
             }
             _ => continue,
         };
         by_subject.entry(subject).or_default().push(record);
     }
-    let doubled = by_subject.into_iter().filter(|(_, runs)| runs.len() > 1);
-    doubled
+    let repeated = by_subject.into_iter().filter(|(_, runs)| runs.len() > 1);
+    repeated
         .map(|(subject, runs)| {
             let at: Vec<String> = runs
                 .iter()
@@ -131,7 +139,7 @@
         .collect()
 }
 
-fn is_once(call: &CallRecord, rules: &Rules) -> bool {
+fn is_at_most_once(call: &CallRecord, rules: &Rules) -> bool {
     match &call.request.ask {
         Ask::Service { service, method, .. } => {
             rules.once.contains(service) && *method != hyper::Method::GET
@@ -140,11 +148,12 @@
     }
 }
 
-/// The nonce in the path of a service call.
+/// Returns the nonce at the end of a service call's path.
 fn nonce_of(what: &str) -> Option<u64> {
     what.rsplit('/').next()?.parse().ok()
 }
 
+/// Finds requests that ran although the caller was told `not_run`.
 fn false_not_runs(evidence: &Evidence<'_>) -> Vec<Violation> {
     let ran: HashSet<&str> =
         runs(evidence).map(|record| record.request.as_str()).collect();
@@ -157,7 +166,8 @@
         .collect()
 }
 
-fn bills(evidence: &Evidence<'_>) -> Vec<Violation> {
+/// Finds runs without a bill, and requests or keys that were billed twice.
+fn billing_errors(evidence: &Evidence<'_>) -> Vec<Violation> {
     let mut found = Vec::new();
     let mut billed: HashMap<&str, u32> = HashMap::new();
     for bill in evidence.bills {
@@ -200,6 +210,7 @@
     found
 }
 
+/// Finds responses that looked complete to the caller and weren't.
 fn broken_as_whole(evidence: &Evidence<'_>) -> Vec<Violation> {
     evidence
         .calls
@@ -213,7 +224,8 @@
         .collect()
 }
 
-fn versions(evidence: &Evidence<'_>) -> Vec<Violation> {
+/// Finds runs of versions that aren't allowed or were already withdrawn.
+fn version_violations(evidence: &Evidence<'_>) -> Vec<Violation> {
     let organisations: HashMap<&str, &str> = evidence
         .calls
         .iter()
@@ -244,9 +256,9 @@
     found
 }
 
-/// A session's answers come from one version; each answer's token leads to
-/// the next request of the session.
-fn sessions(evidence: &Evidence<'_>) -> Vec<Violation> {
+/// Finds sessions whose responses come from more than one version. Each
+/// response carries the token that the session's next request sends.
+fn session_changes(evidence: &Evidence<'_>) -> Vec<Violation> {
     let mut version_of: HashMap<&str, &str> = HashMap::new();
     let mut found = Vec::new();
     for call in evidence.calls.iter().filter(|call| call.is_whole()) {
@@ -266,7 +278,8 @@
     found
 }
 
-fn leaving(evidence: &Evidence<'_>) -> Vec<Violation> {
+/// Finds runs at an upstream that began too long after it started to leave.
+fn leaving_got_work(evidence: &Evidence<'_>) -> Vec<Violation> {
     runs(evidence)
         .filter_map(|record| {
             let since = record.leaving_since_unix_ms?;
@@ -281,19 +294,23 @@
         .collect()
 }
 
-fn reverts(evidence: &Evidence<'_>) -> Vec<Violation> {
+/// Finds VM incarnations whose configuration revision decreased.
+fn configuration_reverts(evidence: &Evidence<'_>) -> Vec<Violation> {
     evidence
         .rules
         .revisions
         .iter()
         .filter(|(_, seen)| seen.windows(2).any(|pair| pair[1] < pair[0]))
-        .map(|(life, seen)| {
-            Violation::ConfigurationReverted(format!("{life}: {seen:?}"))
+        .map(|(incarnation, seen)| {
+            Violation::ConfigurationReverted(format!(
+                "{incarnation}: {seen:?}"
+            ))
         })
         .collect()
 }
 
-/// Orders that an upstream took with a lower epoch than one before.
+/// Finds orders that an upstream accepted with a lower epoch than an earlier
+/// one.
 fn stale_orders(evidence: &Evidence<'_>) -> Vec<Violation> {
     let mut highest: HashMap<&str, u64> = HashMap::new();
     let mut found = Vec::new();
@@ -302,14 +319,14 @@
         else {
             continue;
         };
-        let before = highest.entry(&record.upstream).or_insert(epoch);
-        if epoch < *before {
+        let highest_seen = highest.entry(&record.upstream).or_insert(epoch);
+        if epoch < *highest_seen {
             found.push(Violation::StaleOrder(format!(
-                "{}: epoch {epoch} after {before}",
+                "{}: epoch {epoch} after {highest_seen}",
                 record.upstream
             )));
         }
-        *before = epoch.max(*before);
+        *highest_seen = epoch.max(*highest_seen);
     }
     found
 }
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A small fleet of real processes on loopback: stand-ins, entry VMs, and
-//! fault-injecting proxies between them.
+//! A small fleet of real processes on loopback: stand-ins of the platform and
+//! the upstreams, entry VMs, and fault-injecting proxies between them.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -27,73 +27,79 @@
     web::{self, Record},
 };
 
-/// The secret of all fleets made here.
+/// The cluster key of every fleet; VMs authenticate each other with it.
 const CLUSTER_KEY: &str =
     "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f";
 
-/// Longest wait for a fleet to be ready, generous for a busy machine.
+/// Longest wait for a fleet to be ready; generous, since a busy machine starts
+/// processes slowly.
 const READY_LIMIT: Duration = Duration::from_secs(60);
 
-const CALL_LIMIT: Duration = Duration::from_secs(10);
-const ANSWER_LIMIT_BYTES: u64 = 256 << 20;
+/// Timeout of one call to a process of the fleet.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Largest response body that is read.
+const MAX_RESPONSE_BYTES: u64 = 256 << 20;
 
-/// An engine to be started.
+/// How to start an inference engine.
 #[derive(Clone, Debug)]
 pub struct EnginePlan {
-    /// Its name.
+    /// The id of the upstream.
     pub name: String,
     /// Its data hall.
     pub hall: String,
-    /// The model.
+    /// The model that it serves.
     pub model: String,
-    /// Versions, as the engine's option takes them.
+    /// The versions that it can serve, in the format of the engine's
+    /// `--versions` option.
     pub versions: String,
-    /// Versions loaded at the start; empty for all.
+    /// Versions that are loaded at the start; all if empty.
     pub loaded: String,
-    /// Requests worked on at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u16,
-    /// Whether it checks the epoch of orders.
+    /// Whether it rejects orders with an outdated epoch (a fencing token).
     pub fenced: bool,
-    /// Time to the first token.
+    /// Time to the first token, in milliseconds.
     pub first_token_ms: u64,
-    /// Time between tokens.
+    /// Time between two tokens, in milliseconds.
     pub token_ms: u64,
 }
 
-/// A plain service to be started.
+/// How to start a replica of a plain service.
 #[derive(Clone, Debug)]
 pub struct ServicePlan {
-    /// Its name.
+    /// The id of the upstream.
     pub name: String,
     /// The service it is a replica of.
     pub service: String,
     /// Its data hall.
     pub hall: String,
-    /// Time of one call.
+    /// Response time of one call, in milliseconds.
     pub latency_ms: u64,
 }
 
-/// A fleet to be started.
+/// How to start a fleet.
 #[derive(Clone, Debug, Default)]
 pub struct FleetPlan {
-    /// Entry VMs, by name and hall.
+    /// Entry VMs, as name and data hall.
     pub vms: Vec<(String, String)>,
-    /// Engines.
+    /// Inference engines.
     pub engines: Vec<EnginePlan>,
-    /// Plain services.
+    /// Replicas of plain services.
     pub services: Vec<ServicePlan>,
-    /// Settings beyond the usual, as section, key and value.
+    /// Settings that are added to the fleet's defaults or override them, as
+    /// section, key and value.
     pub settings: Vec<(String, String, String)>,
-    /// Whether upstreams keep records of what ran.
+    /// Whether upstreams keep no records of what they ran.
     pub without_records: bool,
-    /// Whether VMs reach each other and the platform without proxies.
+    /// Whether VMs connect to each other and to the platform directly, without
+    /// fault-injecting proxies.
     pub without_proxies: bool,
-    /// Seed of the proxies.
+    /// Seed of the proxies' random faults.
     pub seed: u64,
 }
 
 impl FleetPlan {
-    /// Adds entry VMs `vm-HALL-N` to each hall.
+    /// Adds `each` entry VMs, named `vm-HALL-N`, to each hall.
     #[must_use]
     pub fn with_vms(mut self, halls: &[&str], each: usize) -> FleetPlan {
         for hall in halls {
@@ -105,7 +111,7 @@
         self
     }
 
-    /// Adds a setting.
+    /// Adds or overrides a setting of all VMs.
     #[must_use]
     pub fn with_setting(
         mut self,
@@ -121,16 +127,17 @@
 
 /// An entry VM of a fleet.
 pub struct FleetVm {
-    /// Its name.
+    /// Its VM id.
     pub name: String,
     /// Its data hall.
     pub hall: String,
-    /// Its process; `None` while it is down.
+    /// Its process; `None` while it is killed.
     pub process: Option<Process>,
-    /// Where it listens for callers.
+    /// Its listener for callers.
     pub callers: SocketAddr,
-    /// Where it listens for operators.
+    /// Its listener for the operators' API.
     pub operators: SocketAddr,
+    /// Its listener for other VMs.
     peers: SocketAddr,
     store: Option<Proxy>,
     list: Option<Proxy>,
@@ -139,25 +146,26 @@
 
 /// An upstream of a fleet.
 pub struct FleetUpstream {
-    /// Its process; `None` while it is down.
+    /// Its process; `None` while it is killed.
     pub process: Option<Process>,
-    /// Where it listens.
+    /// Its listener.
     pub address: SocketAddr,
     /// Its data hall.
     pub hall: String,
-    listed: Value,
+    /// Its entry in the platform's list, without the state.
+    list_entry: Value,
     is_leaving: bool,
 }
 
 /// A running fleet.
 pub struct Fleet {
-    /// The plan that it was made by.
+    /// The plan that it was started from.
     pub plan: FleetPlan,
     /// Its entry VMs, by name.
     pub vms: BTreeMap<String, FleetVm>,
     /// Its upstreams, by name.
     pub upstreams: BTreeMap<String, FleetUpstream>,
-    /// A client for everything.
+    /// The HTTP client for all calls to the fleet's processes.
     pub client: HttpClient,
     _kv: Process,
     kv_address: SocketAddr,
@@ -165,16 +173,18 @@
     rating_address: SocketAddr,
     _list: Process,
     list_address: SocketAddr,
+    /// The proxies between VMs, by names of the sending and the receiving VM.
     paths: HashMap<(String, String), Proxy>,
     dir: TempDir,
 }
 
 impl Fleet {
-    /// Starts a fleet and waits until every VM is ready and sees all of it.
+    /// Starts a fleet and waits until every VM is ready and knows all upstreams
+    /// and the other VMs.
     ///
     /// # Errors
     ///
-    /// When anything does not start, or not in time.
+    /// When a process doesn't start, or the fleet isn't ready in time.
     pub async fn start(plan: FleetPlan) -> FleetResult<Fleet> {
         let dir = TempDir::new().map_err(|error| error.to_string())?;
         let kv = stand_in("kv", &[])?;
@@ -211,11 +221,11 @@
         Ok(fleet)
     }
 
-    /// Starts an engine and adds it to what is listed next.
+    /// Starts an engine. VMs learn of it with the next [`Fleet::publish`].
     ///
     /// # Errors
     ///
-    /// When it does not start.
+    /// When it doesn't start.
     pub fn start_engine(&mut self, plan: &EnginePlan) -> FleetResult<()> {
         let mut arguments = strings(&[
             "engine",
@@ -247,11 +257,12 @@
         self.start_upstream(&plan.name, &plan.hall, arguments, role)
     }
 
-    /// Starts a plain service and adds it to what is listed next.
+    /// Starts a replica of a plain service. VMs learn of it with the next
+    /// [`Fleet::publish`].
     ///
     /// # Errors
     ///
-    /// When it does not start.
+    /// When it doesn't start.
     pub fn start_service(&mut self, plan: &ServicePlan) -> FleetResult<()> {
         let arguments = strings(&[
             "service",
@@ -282,7 +293,7 @@
         }
         let process = Process::start(name, &arguments)?;
         let address = process.address("address")?;
-        let listed = json!({
+        let list_entry = json!({
             "role": role,
             "data_hall": hall,
             "address": address.to_string(),
@@ -291,18 +302,18 @@
             process: Some(process),
             address,
             hall: hall.to_owned(),
-            listed,
+            list_entry,
             is_leaving: false,
         };
         self.upstreams.insert(name.to_owned(), upstream);
         Ok(())
     }
 
-    /// Starts a VM, or a new life of one, and its proxies.
+    /// Starts a VM, or a new incarnation of it, and its proxies.
     ///
     /// # Errors
     ///
-    /// When it does not start.
+    /// When it doesn't start.
     pub fn start_vm(&mut self, name: &str, hall: &str) -> FleetResult<()> {
         let proxied = !self.plan.without_proxies;
         let proxy = |target: SocketAddr| -> FleetResult<Option<Proxy>> {
@@ -338,7 +349,7 @@
         };
         self.vms.insert(name.to_owned(), vm);
         if proxied {
-            self.make_paths(name)?;
+            self.create_peer_paths(name)?;
         }
         Ok(())
     }
@@ -380,8 +391,8 @@
         ini_text(usual.chain(more))
     }
 
-    /// Makes the proxies between a VM and all others, both ways.
-    fn make_paths(&mut self, name: &str) -> FleetResult<()> {
+    /// Creates the proxies between a VM and all others, in both directions.
+    fn create_peer_paths(&mut self, name: &str) -> FleetResult<()> {
         let others: Vec<(String, SocketAddr)> = self
             .vms
             .values()
@@ -390,16 +401,17 @@
             .collect();
         let own = self.vms[name].peers;
         for (other, address) in others {
-            self.make_path(name, &other, address)?;
-            self.make_path(&other, name, own)?;
+            self.create_peer_path(name, &other, address)?;
+            self.create_peer_path(&other, name, own)?;
         }
         Ok(())
     }
 
-    /// Makes the path between two VMs, unless it leads there already: a VM
-    /// that is restarted reads the list before it says so itself, and finds
-    /// the paths to the others as they were.
-    fn make_path(
+    /// Creates the proxy from one VM to another, unless the existing one has
+    /// the same target. It is kept in that case, because a restarted VM reads
+    /// the platform's list before its new address is published, and so still
+    /// uses the old proxies to the other VMs.
+    fn create_peer_path(
         &mut self,
         from: &str,
         to: &str,
@@ -416,11 +428,11 @@
         Ok(())
     }
 
-    /// Publishes what runs now on the platform's list.
+    /// Writes the current VMs and upstreams to the platform's list.
     ///
     /// # Errors
     ///
-    /// When the list cannot be reached.
+    /// When the list can't be reached.
     pub async fn publish(&self) -> FleetResult<()> {
         let mut content = ListContent::default();
         for vm in self.vms.values().filter(|vm| vm.is_listed) {
@@ -432,10 +444,10 @@
             }));
         }
         for upstream in self.upstreams.values() {
-            let mut listed = upstream.listed.clone();
+            let mut entry = upstream.list_entry.clone();
             let state = if upstream.is_leaving { "leaving" } else { "live" };
-            listed["state"] = json!(state);
-            content.vms.push(listed);
+            entry["state"] = json!(state);
+            content.vms.push(entry);
         }
         for ((from, to), proxy) in &self.paths {
             let target = self.vms[to].peers.to_string();
@@ -445,18 +457,19 @@
         self.post(self.list_address, "/admin/set", &content).await
     }
 
-    /// Waits until all VMs are ready and know all others and all loads.
+    /// Waits until all running VMs are ready, have load reports of all
+    /// upstreams and see the VMs of their own data hall alive.
     ///
     /// # Errors
     ///
-    /// When that takes too long.
+    /// When the fleet isn't ready in time.
     pub async fn wait_ready(&self) -> FleetResult<()> {
         let end = Instant::now() + READY_LIMIT;
         loop {
             match self.find_unready().await {
                 None => return Ok(()),
-                Some(why) if Instant::now() > end => {
-                    return Err(format!("the fleet is not ready: {why}"));
+                Some(reason) if Instant::now() > end => {
+                    return Err(format!("the fleet is not ready: {reason}"));
                 }
                 Some(_) => {
                     Timer::after(Duration::from_millis(50)).await;
@@ -465,10 +478,11 @@
         }
     }
 
+    /// Returns the first reason why the fleet isn't ready, if there is one.
     async fn find_unready(&self) -> Option<String> {
         for vm in self.vms.values().filter(|vm| vm.process.is_some()) {
             let Ok(status) = self.status(&vm.name).await else {
-                return Some(format!("{} does not answer", vm.name));
+                return Some(format!("{} does not respond", vm.name));
             };
             if status["ready"] != true {
                 return Some(format!("{} is not ready", vm.name));
@@ -481,7 +495,10 @@
                 known.count()
             });
             if known < self.upstreams.len() {
-                return Some(format!("{} lacks loads", vm.name));
+                return Some(format!(
+                    "{} has no load report of some upstream",
+                    vm.name
+                ));
             }
             let peers = status["peers"].as_array()?;
             let silent = peers.iter().find(|peer| {
@@ -489,28 +506,31 @@
                     && peer["life"] != "alive"
             });
             if let Some(silent) = silent {
-                return Some(format!("{} does not hear {silent}", vm.name));
+                return Some(format!(
+                    "{} does not see this VM alive: {silent}",
+                    vm.name
+                ));
             }
         }
         None
     }
 
-    /// What a VM says of itself.
+    /// Returns the `/status` document of a VM.
     ///
     /// # Errors
     ///
-    /// When it does not answer.
+    /// When it doesn't respond.
     pub async fn status(&self, vm: &str) -> FleetResult<Value> {
         let address = self.vms[vm].operators;
         let answer = self.get(address, "/status").await?;
         serde_json::from_slice(&answer.body).map_err(|e| e.to_string())
     }
 
-    /// Puts a template through a VM.
+    /// Writes a template through a VM's operators' API.
     ///
     /// # Errors
     ///
-    /// When the edit is refused.
+    /// When the VM rejects the edit.
     pub async fn put_template(
         &self,
         vm: &str,
@@ -521,11 +541,11 @@
         self.edit(vm, Method::PUT, path, template).await
     }
 
-    /// Puts a version through a VM.
+    /// Writes a model version through a VM's operators' API.
     ///
     /// # Errors
     ///
-    /// When the edit is refused.
+    /// When the VM rejects the edit.
     pub async fn put_version(
         &self,
         vm: &str,
@@ -537,11 +557,11 @@
         self.edit(vm, Method::PUT, path, entry).await
     }
 
-    /// Moves a version to another state through a VM.
+    /// Changes the state of a model version through a VM's operators' API.
     ///
     /// # Errors
     ///
-    /// When the edit is refused.
+    /// When the VM rejects the edit.
     pub async fn set_version_state(
         &self,
         vm: &str,
@@ -574,13 +594,13 @@
         }
     }
 
-    /// Waits until all live VMs have the newest revision in force.
+    /// Waits until all running VMs use the same configuration revision.
     ///
     /// Returns how long that took.
     ///
     /// # Errors
     ///
-    /// When it takes too long.
+    /// When that takes too long, or a VM doesn't respond.
     pub async fn wait_in_force(&self) -> FleetResult<Duration> {
         let begun = Instant::now();
         loop {
@@ -593,36 +613,38 @@
                 return Ok(begun.elapsed());
             }
             if begun.elapsed() > READY_LIMIT {
-                return Err(format!("revisions stay apart: {revisions:?}"));
+                return Err(format!(
+                    "the VMs' revisions still differ: {revisions:?}"
+                ));
             }
             Timer::after(Duration::from_millis(5)).await;
         }
     }
 
-    /// Sets what goes wrong at the key-value service.
+    /// Sets the faults that the key-value store injects.
     ///
     /// # Errors
     ///
-    /// When it cannot be reached.
+    /// When it can't be reached.
     pub async fn set_kv_faults(&self, faults: KvFaults) -> FleetResult<()> {
         self.post(self.kv_address, "/admin/faults", &faults).await
     }
 
-    /// The calls that the key-value service has had.
+    /// Returns how many calls the key-value store has received.
     ///
     /// # Errors
     ///
-    /// When it cannot be reached.
+    /// When it can't be reached.
     pub async fn kv_counts(&self) -> FleetResult<KvCounts> {
         let answer = self.get(self.kv_address, "/admin/counts").await?;
         serde_json::from_slice(&answer.body).map_err(|e| e.to_string())
     }
 
-    /// Sets what goes wrong at an upstream.
+    /// Sets the faults that an upstream injects.
     ///
     /// # Errors
     ///
-    /// When it cannot be reached.
+    /// When it can't be reached.
     pub async fn set_upstream_faults(
         &self,
         upstream: &str,
@@ -632,22 +654,24 @@
         self.post(address, "/admin/faults", faults).await
     }
 
-    /// How many calls a plain service has run and turned away, by name.
+    /// Returns how many calls a plain service has run and rejected, by counter
+    /// name.
     ///
     /// # Errors
     ///
-    /// When it cannot be reached.
+    /// When it can't be reached.
     pub async fn service_counts(&self, upstream: &str) -> FleetResult<Value> {
         let address = self.upstreams[upstream].address;
         let answer = self.get(address, "/admin/counts").await?;
         serde_json::from_slice(&answer.body).map_err(|error| error.to_string())
     }
 
-    /// Lets an upstream leave, on the list and by its own word.
+    /// Marks an upstream as leaving, both in the platform's list and at the
+    /// upstream itself, which then reports it to the VMs.
     ///
     /// # Errors
     ///
-    /// When the list cannot be reached.
+    /// When the list can't be reached.
     pub async fn leave(&mut self, upstream: &str) -> FleetResult<()> {
         if let Some(leaving) = self.upstreams.get_mut(upstream) {
             leaving.is_leaving = true;
@@ -657,42 +681,42 @@
         self.publish().await
     }
 
-    /// Kills an upstream; the list does not know.
+    /// Kills an upstream; the platform's list still shows it.
     pub fn kill_upstream(&mut self, upstream: &str) {
         if let Some(killed) = self.upstreams.get_mut(upstream) {
             killed.process = None;
         }
     }
 
-    /// Removes an upstream from the list as well.
+    /// Kills an upstream and removes it from the platform's list.
     ///
     /// # Errors
     ///
-    /// When the list cannot be reached.
+    /// When the list can't be reached.
     pub async fn remove_upstream(&mut self, name: &str) -> FleetResult<()> {
         self.upstreams.remove(name);
         self.publish().await
     }
 
-    /// Kills a VM; the list still shows it.
+    /// Kills a VM; the platform's list still shows it.
     pub fn kill_vm(&mut self, vm: &str) {
         if let Some(killed) = self.vms.get_mut(vm) {
             killed.process = None;
         }
     }
 
-    /// Starts a new life of a VM and lists it.
+    /// Starts a new incarnation of a VM and publishes its addresses.
     ///
     /// # Errors
     ///
-    /// When it does not start.
+    /// When it doesn't start.
     pub async fn restart_vm(&mut self, name: &str) -> FleetResult<()> {
         let hall = self.vms[name].hall.clone();
         self.start_vm(name, &hall)?;
         self.publish().await
     }
 
-    /// Freezes a VM.
+    /// Pauses a VM's process.
     pub fn pause_vm(&mut self, vm: &str) {
         let process = self.vms.get_mut(vm).and_then(|v| v.process.as_mut());
         if let Some(process) = process {
@@ -700,7 +724,7 @@
         }
     }
 
-    /// Lets a frozen VM go on.
+    /// Resumes a paused VM.
     pub fn resume_vm(&mut self, vm: &str) {
         let process = self.vms.get_mut(vm).and_then(|v| v.process.as_mut());
         if let Some(process) = process {
@@ -708,28 +732,28 @@
         }
     }
 
-    /// Sets what happens between one VM and the store.
+    /// Sets the fault mode of the connection from a VM to the store.
     pub fn set_store_path(&self, vm: &str, mode: Mode) {
         if let Some(proxy) = &self.vms[vm].store {
             proxy.set(mode);
         }
     }
 
-    /// Sets what happens between one VM and the platform's list.
+    /// Sets the fault mode of the connection from a VM to the platform's list.
     pub fn set_list_path(&self, vm: &str, mode: Mode) {
         if let Some(proxy) = &self.vms[vm].list {
             proxy.set(mode);
         }
     }
 
-    /// Sets what happens between all VMs and the store.
+    /// Sets the fault mode of the connections from all VMs to the store.
     pub fn set_all_store_paths(&self, mode: Mode) {
         for name in self.vms.keys() {
             self.set_store_path(name, mode);
         }
     }
 
-    /// Sets what happens on the way from one VM to another.
+    /// Sets the fault mode of the path from one VM to another.
     pub fn set_peer_path(&self, from: &str, to: &str, mode: Mode) {
         let key = (from.to_owned(), to.to_owned());
         if let Some(proxy) = self.paths.get(&key) {
@@ -737,24 +761,25 @@
         }
     }
 
-    /// Sets what happens on all ways between VMs.
+    /// Sets the fault mode of all paths between VMs.
     pub fn set_all_peer_paths(&self, mode: Mode) {
         for proxy in self.paths.values() {
             proxy.set(mode);
         }
     }
 
-    /// Cuts a hall off from the other halls, and from the platform too.
+    /// Partitions a data hall from the other halls and, with `from_platform`,
+    /// from the platform too.
     pub fn cut_hall(&self, hall: &str, from_platform: bool) {
-        self.set_hall(hall, Mode::Cut, from_platform);
+        self.set_hall_mode(hall, Mode::Cut, from_platform);
     }
 
-    /// Heals a hall that was cut off.
+    /// Ends the partition of a data hall.
     pub fn heal_hall(&self, hall: &str) {
-        self.set_hall(hall, Mode::Pass, true);
+        self.set_hall_mode(hall, Mode::Pass, true);
     }
 
-    fn set_hall(&self, hall: &str, mode: Mode, platform: bool) {
+    fn set_hall_mode(&self, hall: &str, mode: Mode, platform: bool) {
         let is_in = |vm: &str| self.vms[vm].hall == hall;
         for ((from, to), proxy) in &self.paths {
             if is_in(from) != is_in(to) {
@@ -770,17 +795,17 @@
         }
     }
 
-    /// The names of the VMs of a hall.
+    /// Returns the names of the VMs of a data hall.
     pub fn hall_vms(&self, hall: &str) -> Vec<String> {
-        let there = self.vms.values().filter(|vm| vm.hall == hall);
-        there.map(|vm| vm.name.clone()).collect()
+        let hall_vms = self.vms.values().filter(|vm| vm.hall == hall);
+        hall_vms.map(|vm| vm.name.clone()).collect()
     }
 
-    /// What ran at the upstreams, by their own records.
+    /// Returns what the upstreams ran, by their own records, ordered by time.
     ///
     /// # Errors
     ///
-    /// When records cannot be read.
+    /// When a record file can't be read.
     pub fn records(&self) -> FleetResult<Vec<Record>> {
         let mut records = Vec::new();
         let dir = self.dir.path().join("records");
@@ -797,11 +822,11 @@
         Ok(records)
     }
 
-    /// All bills in the ledger, read through a VM.
+    /// Returns all bills in the ledger, read through a VM.
     ///
     /// # Errors
     ///
-    /// When they cannot be read.
+    /// When the VM doesn't respond or its response has no bills.
     pub async fn bills(&self, vm: &str) -> FleetResult<Vec<Value>> {
         let address = self.vms[vm].operators;
         let answer = self.get(address, "/bills").await?;
@@ -810,14 +835,15 @@
         value["bills"]
             .as_array()
             .cloned()
-            .ok_or_else(|| format!("no bills: {value}"))
+            .ok_or_else(|| format!("no bills in {value}"))
     }
 
-    /// Waits until no live VM holds bills that the store has not.
+    /// Waits until no running VM has requests in flight or bills that aren't
+    /// committed to the store.
     ///
     /// # Errors
     ///
-    /// When that takes too long.
+    /// When that takes too long, or a VM doesn't respond.
     pub async fn wait_bills_committed(&self) -> FleetResult<()> {
         let end = Instant::now() + READY_LIMIT;
         loop {
@@ -831,23 +857,25 @@
                 return Ok(());
             }
             if Instant::now() > end {
-                return Err(format!("{waiting} bills still wait"));
+                return Err(format!(
+                    "{waiting} bills or requests are still uncommitted"
+                ));
             }
             Timer::after(Duration::from_millis(50)).await;
         }
     }
 
-    /// The log of a VM.
+    /// Returns the log of a VM; empty if it has none.
     pub fn log(&self, vm: &str) -> String {
         let path = self.dir.path().join(format!("{vm}.log"));
         std::fs::read_to_string(path).unwrap_or_default()
     }
 
-    /// Reads from any process of the fleet.
+    /// Sends a GET request to a process of the fleet.
     ///
     /// # Errors
     ///
-    /// When it does not answer.
+    /// When it doesn't respond.
     pub async fn get(
         &self,
         address: SocketAddr,
@@ -856,15 +884,15 @@
         self.fetch(Call::new(address, Method::GET, path)).await
     }
 
-    /// Calls any process of the fleet.
+    /// Sends a call to a process of the fleet.
     ///
     /// # Errors
     ///
-    /// When it does not answer.
+    /// When it doesn't respond.
     pub async fn fetch(&self, call: Call) -> FleetResult<WholeAnswer> {
         let address = call.address;
         self.client
-            .fetch(call, CALL_LIMIT, ANSWER_LIMIT_BYTES)
+            .fetch(call, CALL_TIMEOUT, MAX_RESPONSE_BYTES)
             .await
             .map_err(|error| format!("{address}: {error}"))
     }
@@ -887,13 +915,14 @@
         dir.join(format!("{name}.jsonl"))
     }
 
-    /// The directory of the fleet's files.
+    /// Returns the directory of the fleet's settings, logs and records.
     pub fn dir(&self) -> &Path {
         self.dir.path()
     }
 }
 
-/// Writes settings, each section once; a later value replaces an earlier.
+/// Formats settings as an INI file with each section once. A later value of
+/// a key overrides an earlier one.
 fn ini_text<'a>(
     settings: impl Iterator<Item = (&'a str, &'a str, &'a str)>,
 ) -> String {
