--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: sends requests to entry VMs and keeps record of what came back.
+//! A caller: sends requests to entry VMs and records the outcome of each.
 
 use std::{
     net::SocketAddr,
@@ -14,102 +14,106 @@
 use crate::{documents::bearer_key, engine::hidden_number};
 use futures_lite::FutureExt;
 
-/// What a caller asks for.
+/// What a request asks for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Ask {
-    /// A chat answer.
+    /// A chat completion.
     Chat {
-        /// The model; `None` leaves it to the router.
+        /// The model; `None` lets the router choose.
         model: Option<String>,
-        /// The task.
+        /// The kind of task, such as `summary`, sent as a header and in the
+        /// prompt.
         task: String,
-        /// How hard it is, from 0 to 1.
+        /// The difficulty that the prompt states, from 0 to 1; together with
+        /// the strength of the model it decides the quality of the answer.
         difficulty: f64,
-        /// Tokens of the answer.
+        /// Number of tokens to generate.
         tokens: u64,
-        /// Whether it is streamed.
+        /// Whether the response is streamed.
         stream: bool,
-        /// `new`, or the token of a session.
+        /// `new` to start a session, or the token of an open one.
         session: Option<String>,
-        /// `interactive` or `batch`, if named.
+        /// `interactive` or `batch`; `None` sends no priority.
         priority: Option<String>,
     },
-    /// A call of a plain service.
+    /// A call to a plain service.
     Service {
-        /// The service.
+        /// The name of the service.
         service: String,
-        /// The method.
+        /// The HTTP method.
         method: Method,
-        /// The key under which it must not run twice.
+        /// The idempotency key, if any: calls with one key run at most once.
         key: Option<String>,
     },
 }
 
-/// A request of a caller.
+/// A request that a caller sends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// The organisation.
+    /// The organisation that sends it.
     pub organisation: String,
-    /// A number that the answer must repeat.
+    /// A number that identifies the request; a chat answer must repeat it.
     pub nonce: u64,
-    /// What is asked.
+    /// What it asks for.
     pub ask: Ask,
-    /// The longest that the caller waits.
+    /// The caller's timeout for the whole request.
     pub limit: Duration,
 }
 
-/// What came back.
+/// How a call ended, as its caller saw it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallOutcome {
-    /// A whole answer.
+    /// A complete and correct response.
     Whole,
-    /// A refusal, with its code and what it says about running.
+    /// The router rejected it or reported a failure.
     Refused {
-        /// The code.
+        /// The error code.
         code: String,
-        /// `not_run`, `outcome_unknown` or `ran`.
+        /// Whether the request ran: `not_run`, `outcome_unknown` or `ran`.
         run: String,
     },
-    /// Something that was visibly broken, or nothing.
+    /// No response, or one that is recognisably broken; with the reason.
     Broken(String),
-    /// An answer that looked whole and was not, or was another's.
+    /// A response that looked complete but was truncated, or belonged to
+    /// another request; with the reason.
     Wrong(String),
 }
 
-/// A call and what came of it.
+/// A call and its outcome.
 #[derive(Clone, Debug)]
 pub struct CallRecord {
     /// The request.
     pub request: Request,
     /// When it was sent, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
-    /// The HTTP status, if any came.
+    /// The HTTP status; `None` without a response.
     pub status: Option<u16>,
-    /// The decision id, if any came.
+    /// The id of the routing decision, from the response's headers.
     pub decision: Option<String>,
-    /// The session token, if any came.
+    /// The session token for the next request, from the response's headers.
     pub session: Option<String>,
-    /// The model and version that answered, if it says so.
+    /// The model and version that answered, if the response names them.
     pub answered_by: Option<String>,
-    /// The hidden quality of the answer.
+    /// The quality that the engine encoded in its answer.
     pub quality: Option<f64>,
-    /// Whether it is the recorded answer of an earlier request.
+    /// Whether the response is the recorded one of an earlier request with the
+    /// same idempotency key.
     pub repeated: bool,
-    /// What came back.
+    /// How the call ended.
     pub outcome: CallOutcome,
-    /// Time until the first part.
+    /// Time until the first chunk of a stream.
     pub first_part: Option<Duration>,
-    /// Time until the end.
+    /// Time until the end of the response, or the timeout.
     pub took: Duration,
 }
 
 impl CallRecord {
-    /// Whether a whole answer came back.
+    /// Returns whether a complete and correct response came back.
     pub fn is_whole(&self) -> bool {
         self.outcome == CallOutcome::Whole
     }
 
-    /// The code of a refusal.
+    /// Returns the error code, if the router reported an error.
     pub fn code(&self) -> Option<&str> {
         match &self.outcome {
             CallOutcome::Refused { code, .. } => Some(code),
@@ -117,7 +121,8 @@
         }
     }
 
-    /// What a refusal says about running.
+    /// Returns what the router's error response says about whether the request
+    /// ran.
     pub fn run(&self) -> Option<&str> {
         match &self.outcome {
             CallOutcome::Refused { run, .. } => Some(run),
@@ -126,7 +131,8 @@
     }
 }
 
-/// Sends a request to an entry VM.
+/// Sends a request to an entry VM and waits for the end of the response, at
+/// most for the request's timeout.
 pub async fn send(
     client: &HttpClient,
     vm: SocketAddr,
@@ -142,15 +148,17 @@
         answered_by: None,
         quality: None,
         repeated: false,
-        outcome: CallOutcome::Broken("no answer in time".to_owned()),
+        outcome: CallOutcome::Broken(
+            "no response before the timeout".to_owned(),
+        ),
         first_part: None,
         took: Duration::ZERO,
     };
-    let work = exchange(client, vm, request, &mut record, begun);
+    let call = exchange(client, vm, request, &mut record, begun);
     let timer = async {
         Timer::after(request.limit).await;
     };
-    work.or(timer).await;
+    call.or(timer).await;
     record.took = begun.elapsed();
     record
 }
@@ -163,7 +171,8 @@
     begun: Instant,
 ) {
     let call = to_call(vm, request);
-    // A caller whose connection breaks cannot know, so it uses its own.
+    // When a pooled connection breaks, the caller can't know whether the
+    // request ran, so anything but a GET uses a fresh connection.
     let reuse = match &request.ask {
         Ask::Service { method, .. } if *method == Method::GET => Reuse::Pooled,
         _ => Reuse::Fresh,
@@ -237,6 +246,7 @@
     call.header("authorization", &key)
 }
 
+/// Reads a response that isn't streamed and records its outcome.
 async fn read_whole(
     exchange: Exchange,
     request: &Request,
@@ -271,21 +281,27 @@
             let text = value["choices"][0]["message"]["content"]
                 .as_str()
                 .unwrap_or_default();
-            judge_text(text, *tokens, request.nonce, record)
+            check_answer_text(text, *tokens, request.nonce, record)
+        }
+        Ask::Service { key, .. } => {
+            check_service_response(&value, key.as_deref())
         }
-        Ask::Service { key, .. } => judge_service(&value, key.as_deref()),
     };
 }
 
-fn judge_service(value: &Value, key: Option<&str>) -> CallOutcome {
+/// Checks that a service's response belongs to the call with this key.
+fn check_service_response(value: &Value, key: Option<&str>) -> CallOutcome {
     if value["run"].as_u64().is_none() || value["key"].as_str() != key {
-        return CallOutcome::Wrong(format!("another's answer: {value}"));
+        return CallOutcome::Wrong(format!(
+            "not the response to this call: {value}"
+        ));
     }
     CallOutcome::Whole
 }
 
-/// Checks that a text is the whole answer to this request.
-fn judge_text(
+/// Checks that a text is the complete answer to this request: it has the
+/// nonce, and the words `w1` to `wN` in order, one for each token.
+fn check_answer_text(
     text: &str,
     tokens: u64,
     nonce: u64,
@@ -294,20 +310,23 @@
     record.quality = hidden_number(text, "quality=");
     let found = hidden_number(text, "nonce=").map(|n| n as u64);
     if found != Some(nonce) {
-        return CallOutcome::Wrong(format!("nonce {found:?} for {nonce}"));
+        return CallOutcome::Wrong(format!(
+            "nonce {found:?} instead of {nonce}"
+        ));
     }
     let words: Vec<&str> =
         text.split_whitespace().filter(|word| word.starts_with('w')).collect();
     let expected = (1..=tokens).map(|n| format!("w{n}"));
     if words.iter().map(|w| (*w).to_owned()).ne(expected) {
         return CallOutcome::Wrong(format!(
-            "{} words of {tokens}, or out of order",
+            "{} words instead of {tokens}, or out of order",
             words.len()
         ));
     }
     CallOutcome::Whole
 }
 
+/// Reads a stream of server-sent events and records its outcome.
 async fn read_stream(
     mut exchange: Exchange,
     request: &Request,
@@ -341,23 +360,25 @@
                 failed = Some(event.clone());
             }
             is_done |= event.contains("[DONE]");
-            take_event(&event, &mut text, record);
+            append_event(&event, &mut text, record);
         }
     }
     let Ask::Chat { tokens, .. } = &request.ask else {
-        record.outcome = CallOutcome::Wrong("a stream".to_owned());
+        record.outcome =
+            CallOutcome::Wrong("a service sent a stream".to_owned());
         return;
     };
     record.outcome = match failed {
         Some(event) => CallOutcome::Broken(event),
         None if !is_done => {
-            CallOutcome::Wrong("closed as whole without its end".to_owned())
+            CallOutcome::Wrong("the stream ended without [DONE]".to_owned())
         }
-        None => judge_text(&text, *tokens, request.nonce, record),
+        None => check_answer_text(&text, *tokens, request.nonce, record),
     };
 }
 
-fn take_event(event: &str, text: &mut String, record: &mut CallRecord) {
+/// Adds the text of a server-sent event and records the model that it names.
+fn append_event(event: &str, text: &mut String, record: &mut CallRecord) {
     let data = event.lines().find_map(|line| line.strip_prefix("data: "));
     let value: Value = data
         .and_then(|data| serde_json::from_str(data).ok())
--- a/standins/src/traffic.rs
+++ b/standins/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Mixed traffic of two organisations, drawn from a seed.
+//! Mixed traffic of two organisations, generated from a seed.
 
 use std::{
     collections::VecDeque,
@@ -19,37 +19,40 @@
 
 use crate::caller::{Ask, CallRecord, Request, send};
 
-/// The organisations of the usual fleet.
+/// The organisations of the default site.
 pub const ORGANISATIONS: [&str; 2] = ["collectif", "frachtwacht"];
 
-/// The service whose calls must not run twice, of each organisation.
+/// The service of each organisation whose calls must run at most once, in the
+/// order of [`ORGANISATIONS`].
 pub const ONCE_SERVICES: [&str; 2] = ["signatures", "alerts"];
 
-/// The service that only reads.
+/// The service whose calls are idempotent reads.
 pub const READ_SERVICE: &str = "positions";
 
-/// Sessions that are kept to go on with.
-const OPEN_SESSIONS: usize = 16;
+/// Number of newest session tokens from which a session is continued.
+const MAX_OPEN_SESSIONS: usize = 16;
 
-/// Keys that are kept to be repeated.
-const OPEN_KEYS: usize = 32;
+/// Number of newest idempotency keys from which a request is repeated.
+const MAX_RECENT_KEYS: usize = 32;
 
-/// Longest time that a caller waits for an answer.
-const CALLER_LIMIT: Duration = Duration::from_secs(30);
+/// Longest time that a caller waits for a response.
+const CALLER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A source of requests.
-pub struct Mix {
+/// A generator of random requests.
+pub struct RequestGenerator {
     rng: ChaCha8Rng,
     next_nonce: u64,
+    /// Organisation and token of sessions that can be continued.
     sessions: VecDeque<(String, String)>,
+    /// Organisation, nonce and key of requests that can be repeated.
     keys: VecDeque<(String, u64, String)>,
 }
 
-impl Mix {
-    /// Creates a source whose requests depend on the seed alone, but for
-    /// the tokens of sessions.
-    pub fn new(seed: u64) -> Mix {
-        Mix {
+impl RequestGenerator {
+    /// Creates a generator whose requests depend only on the seed, except for
+    /// session tokens, which come from responses.
+    pub fn new(seed: u64) -> RequestGenerator {
+        RequestGenerator {
             rng: ChaCha8Rng::seed_from_u64(seed),
             next_nonce: seed.wrapping_mul(1_000_000) % (1 << 40) + 1,
             sessions: VecDeque::new(),
@@ -57,8 +60,8 @@
         }
     }
 
-    /// The next request.
-    pub fn draw(&mut self) -> Request {
+    /// Generates the next request.
+    pub fn generate(&mut self) -> Request {
         let at = self.rng.random_range(0..ORGANISATIONS.len());
         let organisation = ORGANISATIONS[at].to_owned();
         let nonce = self.next_nonce;
@@ -68,26 +71,26 @@
             organisation: organisation.clone(),
             nonce,
             ask,
-            limit: CALLER_LIMIT,
+            limit: CALLER_TIMEOUT,
         };
         match kind {
             0..25 => request(nonce, self.chat(None, false)),
             25..40 => request(nonce, self.chat(None, true)),
             40..55 => {
                 let stream = self.rng.random_bool(0.5);
-                let session = self.session(&organisation);
+                let session = self.choose_session(&organisation);
                 request(nonce, self.chat(Some(session), stream))
             }
             55..75 => request(nonce, read_call()),
             75..80 => request(nonce, once_call(at, None)),
             80..85 => self
-                .repeat(&organisation)
+                .repeat_request(&organisation)
                 .unwrap_or_else(|| request(nonce, once_call(at, None))),
             _ => {
                 let key = format!("k{nonce}");
                 let kept = (organisation.clone(), nonce, key.clone());
                 self.keys.push_back(kept);
-                if self.keys.len() > OPEN_KEYS {
+                if self.keys.len() > MAX_RECENT_KEYS {
                     self.keys.pop_front();
                 }
                 request(nonce, once_call(at, Some(key)))
@@ -95,12 +98,12 @@
         }
     }
 
-    /// Takes in what came back, to go on with its session.
-    pub fn take(&mut self, record: &CallRecord) {
+    /// Records the session token of a response, to continue its session.
+    pub fn record_session(&mut self, record: &CallRecord) {
         let Some(token) = &record.session else { return };
         let organisation = record.request.organisation.clone();
         self.sessions.push_back((organisation, token.clone()));
-        if self.sessions.len() > OPEN_SESSIONS {
+        if self.sessions.len() > MAX_OPEN_SESSIONS {
             self.sessions.pop_front();
         }
     }
@@ -108,7 +111,7 @@
     fn chat(&mut self, session: Option<String>, stream: bool) -> Ask {
         let tasks = ["draft", "summary", "tags"];
         let task = tasks.choose(&mut self.rng).copied().unwrap_or("draft");
-        // Streams and sessions ask for a model; the rest is left open.
+        // Streams and sessions name a model; the router chooses for the rest.
         let named = stream || session.is_some();
         Ask::Chat {
             model: named.then(|| "writer".to_owned()),
@@ -121,20 +124,23 @@
         }
     }
 
-    fn session(&mut self, organisation: &str) -> String {
+    /// Returns the token of an open session of the organisation, or `new`.
+    fn choose_session(&mut self, organisation: &str) -> String {
         let own: Vec<&(String, String)> = self
             .sessions
             .iter()
             .filter(|(owner, _)| owner == organisation)
             .collect();
-        let goes_on = self.rng.random_bool(0.7);
+        let continues = self.rng.random_bool(0.7);
         match own.choose(&mut self.rng) {
-            Some((_, token)) if goes_on => token.clone(),
+            Some((_, token)) if continues => token.clone(),
             _ => "new".to_owned(),
         }
     }
 
-    fn repeat(&mut self, organisation: &str) -> Option<Request> {
+    /// Returns an earlier request of the organisation again, with the same
+    /// idempotency key.
+    fn repeat_request(&mut self, organisation: &str) -> Option<Request> {
         let own: Vec<&(String, u64, String)> = self
             .keys
             .iter()
@@ -146,12 +152,12 @@
             organisation: organisation.to_owned(),
             nonce: *nonce,
             ask: once_call(at, Some(key.clone())),
-            limit: CALLER_LIMIT,
+            limit: CALLER_TIMEOUT,
         })
     }
 }
 
-/// A call that only reads.
+/// Returns an idempotent read call.
 pub fn read_call() -> Ask {
     Ask::Service {
         service: READ_SERVICE.to_owned(),
@@ -160,7 +166,8 @@
     }
 }
 
-/// A call that must not run twice, of the organisation at a position.
+/// Returns a call that must run at most once, of the organisation with this
+/// index in [`ORGANISATIONS`].
 pub fn once_call(organisation: usize, key: Option<String>) -> Ask {
     Ask::Service {
         service: ONCE_SERVICES[organisation].to_owned(),
@@ -169,13 +176,13 @@
     }
 }
 
-/// Sends a mix of requests from several callers at once.
+/// Sends generated requests from several concurrent callers.
 pub struct Traffic {
     client: HttpClient,
     vms: Arc<Mutex<Vec<SocketAddr>>>,
-    mix: Arc<Mutex<Mix>>,
+    generator: Arc<Mutex<RequestGenerator>>,
     records: Arc<Mutex<Vec<CallRecord>>>,
-    left: Arc<AtomicU64>,
+    remaining: Arc<AtomicU64>,
     is_ended: Arc<AtomicBool>,
 }
 
@@ -188,14 +195,15 @@
                 Arc::new(SystemClock),
             ),
             vms: Arc::new(Mutex::new(vms)),
-            mix: Arc::new(Mutex::new(Mix::new(seed))),
+            generator: Arc::new(Mutex::new(RequestGenerator::new(seed))),
             records: Arc::default(),
-            left: Arc::new(AtomicU64::new(requests)),
+            remaining: Arc::new(AtomicU64::new(requests)),
             is_ended: Arc::default(),
         }
     }
 
-    /// Starts callers, each with one request at a time and a pause between.
+    /// Starts callers. Each has one request in flight at a time and waits for
+    /// `pause` between two.
     pub fn start(
         &self,
         callers: usize,
@@ -204,22 +212,23 @@
         (0..callers).map(|n| spawn(self.caller(n, pause).run())).collect()
     }
 
-    /// Changes the VMs that are asked, as a balancer would.
+    /// Replaces the VMs that requests are sent to, as a load balancer in front
+    /// of them would.
     pub fn set_vms(&self, vms: Vec<SocketAddr>) {
         *self.vms.lock().unwrap() = vms;
     }
 
-    /// Ends the traffic after the requests under way.
+    /// Stops new requests; those in flight are completed.
     pub fn end(&self) {
         self.is_ended.store(true, Ordering::Relaxed);
     }
 
-    /// The number of requests that have come back.
+    /// Returns the number of completed requests.
     pub fn done(&self) -> usize {
         self.records.lock().unwrap().len()
     }
 
-    /// What has come back.
+    /// Returns the records of the completed requests.
     pub fn records(&self) -> Vec<CallRecord> {
         self.records.lock().unwrap().clone()
     }
@@ -230,37 +239,38 @@
             pause,
             client: self.client.clone(),
             vms: self.vms.clone(),
-            mix: self.mix.clone(),
+            generator: self.generator.clone(),
             records: self.records.clone(),
-            left: self.left.clone(),
+            remaining: self.remaining.clone(),
             is_ended: self.is_ended.clone(),
         }
     }
 }
 
+/// One of the concurrent callers; it rotates through the VMs.
 struct Caller {
     number: usize,
     pause: Duration,
     client: HttpClient,
     vms: Arc<Mutex<Vec<SocketAddr>>>,
-    mix: Arc<Mutex<Mix>>,
+    generator: Arc<Mutex<RequestGenerator>>,
     records: Arc<Mutex<Vec<CallRecord>>>,
-    left: Arc<AtomicU64>,
+    remaining: Arc<AtomicU64>,
     is_ended: Arc<AtomicBool>,
 }
 
 impl Caller {
     async fn run(self) {
-        let mut turn = self.number;
-        while self.take_one() {
+        let mut next_vm = self.number;
+        while self.claim_request() {
             let vm = {
                 let vms = self.vms.lock().unwrap();
-                vms[turn % vms.len()]
+                vms[next_vm % vms.len()]
             };
-            turn += 1;
-            let request = self.mix.lock().unwrap().draw();
+            next_vm += 1;
+            let request = self.generator.lock().unwrap().generate();
             let record = send(&self.client, vm, &request).await;
-            self.mix.lock().unwrap().take(&record);
+            self.generator.lock().unwrap().record_session(&record);
             self.records.lock().unwrap().push(record);
             if !self.pause.is_zero() {
                 Timer::after(self.pause).await;
@@ -268,15 +278,16 @@
         }
     }
 
-    fn take_one(&self) -> bool {
+    /// Returns whether another request may be sent, and counts it.
+    fn claim_request(&self) -> bool {
         if self.is_ended.load(Ordering::Relaxed) {
             return false;
         }
-        let taken = self.left.fetch_update(
+        let claimed = self.remaining.fetch_update(
             Ordering::Relaxed,
             Ordering::Relaxed,
-            |left| left.checked_sub(1),
+            |remaining| remaining.checked_sub(1),
         );
-        taken.is_ok()
+        claimed.is_ok()
     }
 }
