--- a/standins/src/demo.rs
+++ b/standins/src/demo.rs
@@ -1,4 +1,5 @@
-//! The demo: a whole small site under mixed traffic, checked at the end.
+//! The demo: runs a whole small site under mixed traffic and checks the
+//! invariants at the end.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -19,14 +20,15 @@
 
 const HALLS: [&str; 2] = ["hall-a", "hall-b"];
 
-/// Callers at once.
+/// Number of concurrent callers.
 const CALLERS: usize = 24;
 
-/// Longest time that a call is shown to take, in microseconds.
-const LONGEST_US: u64 = 3_600_000_000;
+/// Upper bound of the latency histograms, in microseconds; longer calls are
+/// counted as this long.
+const MAX_LATENCY_US: u64 = 3_600_000_000;
 
-/// Longest time that the traffic of the demo may take.
-const TRAFFIC_LIMIT: Duration = Duration::from_secs(300);
+/// Longest time until all requests of the demo must be done.
+const TRAFFIC_TIMEOUT: Duration = Duration::from_secs(300);
 
 /// Run a whole small site and check what it did.
 #[derive(FromArgs)]
@@ -44,11 +46,12 @@
 }
 
 impl Demo {
-    /// Runs the demo; true when nothing was violated.
+    /// Runs the demo; returns true if no invariant was violated.
     ///
     /// # Errors
     ///
-    /// When the site does not start or cannot be checked.
+    /// When the site doesn't start, the requests take too long, or the bills
+    /// and records can't be read.
     pub async fn run(self) -> FleetResult<bool> {
         eprintln!("starting stand-ins and three entry VMs …");
         let mut plan = site::plan(&HALLS, 1, self.seed);
@@ -58,7 +61,7 @@
         let vms = fleet.vms.values().map(|vm| vm.callers).collect();
         let traffic = Traffic::new(self.seed, self.requests, vms);
         let callers = traffic.start(CALLERS, Duration::ZERO);
-        self.drive(&mut fleet, &traffic).await?;
+        self.run_steps(&mut fleet, &traffic).await?;
         for caller in callers {
             caller.await;
         }
@@ -67,44 +70,46 @@
         let report = Report::make(&fleet, &traffic).await?;
         report.print();
         if self.keep {
-            print_tries(&fleet, &traffic.records());
+            print_examples(&fleet, &traffic.records());
             wait_for_end().await;
         }
         Ok(report.violations.is_empty())
     }
 
-    /// Rolls a version out and lets an engine leave while traffic flows.
-    async fn drive(
+    /// Rolls a version out and lets an engine leave, each after a fixed share of
+    /// the requests.
+    async fn run_steps(
         &self,
         fleet: &mut Fleet,
         traffic: &Traffic,
     ) -> FleetResult<()> {
         let vm = fleet.plan.vms[0].0.clone();
-        let steps = [0.2, 0.4, 0.6];
+        let step_shares = [0.2, 0.4, 0.6];
         let mut next = 0;
         let begun = std::time::Instant::now();
-        let mut shown = 0;
+        let mut reported = 0;
         while traffic.done() < self.requests as usize {
             let done = traffic.done();
-            if done >= shown + 100 {
-                shown = done;
+            if done >= reported + 100 {
+                reported = done;
                 eprintln!("  {done} of {} requests", self.requests);
             }
             let share = done as f64 / self.requests as f64;
-            if next < steps.len() && share >= steps[next] {
-                self.step(fleet, &vm, next).await?;
+            if next < step_shares.len() && share >= step_shares[next] {
+                self.run_step(fleet, &vm, next).await?;
                 next += 1;
             }
-            if begun.elapsed() > TRAFFIC_LIMIT {
+            if begun.elapsed() > TRAFFIC_TIMEOUT {
                 traffic.end();
-                return Err("the traffic takes too long".to_owned());
+                return Err("the requests were not done in time".to_owned());
             }
             Timer::after(Duration::from_millis(10)).await;
         }
         Ok(())
     }
 
-    async fn step(
+    /// Makes the change with this number, from 0.
+    async fn run_step(
         &self,
         fleet: &mut Fleet,
         vm: &str,
@@ -130,10 +135,12 @@
     }
 }
 
-/// What the demo found.
+/// The results of the demo.
 struct Report {
     calls: Vec<CallRecord>,
+    /// Number of bills.
     billed: usize,
+    /// Number of decisions whose reasons a VM could give.
     explained: usize,
     violations: Vec<Violation>,
 }
@@ -162,10 +169,13 @@
         println!("{}", self.json());
     }
 
-    fn count(&self, what: impl Fn(&CallRecord) -> bool) -> usize {
-        self.calls.iter().filter(|call| what(call)).count()
+    /// Returns the number of calls that match.
+    fn count(&self, matches: impl Fn(&CallRecord) -> bool) -> usize {
+        self.calls.iter().filter(|call| matches(call)).count()
     }
 
+    /// Returns counts and latencies by organisation and kind of request, and
+    /// the number of calls by error.
     fn table(&self) -> String {
         let head = format!(
             "{:<12} {:<16} {:>5} {:>7} {:>7} {:>8} {:>8}",
@@ -183,12 +193,12 @@
                 lines.push(self.line(organisation, kind));
             }
         }
-        lines.extend(self.other_answers());
+        lines.extend(self.count_failures());
         lines.join("\n")
     }
 
-    /// Everything but whole answers, by code.
-    fn other_answers(&self) -> Vec<String> {
+    /// Counts the calls without a complete response, by error code or reason.
+    fn count_failures(&self) -> Vec<String> {
         let mut counts: BTreeMap<String, usize> = BTreeMap::new();
         for call in &self.calls {
             let name = match &call.outcome {
@@ -207,30 +217,33 @@
             .collect()
     }
 
+    /// Returns the line of the table for one organisation and kind.
     fn line(&self, organisation: &str, kind: &str) -> String {
-        let mine: Vec<&CallRecord> = self
+        let calls: Vec<&CallRecord> = self
             .calls
             .iter()
             .filter(|call| call.request.organisation == organisation)
             .filter(|call| kind_of(call) == kind)
             .collect();
-        let whole = mine.iter().filter(|call| call.is_whole()).count();
-        let refused = mine.iter().filter(|call| call.code().is_some()).count();
+        let whole = calls.iter().filter(|call| call.is_whole()).count();
+        let refused =
+            calls.iter().filter(|call| call.code().is_some()).count();
         let mut took =
-            Histogram::<u64>::new_with_max(LONGEST_US, 3).expect("bounds");
-        for call in &mine {
+            Histogram::<u64>::new_with_max(MAX_LATENCY_US, 3).expect("bounds");
+        for call in &calls {
             took.saturating_record(call.took.as_micros() as u64);
         }
         let ms = |quantile| took.value_at_quantile(quantile) as f64 / 1000.0;
         format!(
             "{organisation:<12} {kind:<16} {:>5} {whole:>7} {refused:>7} \
              {:>8.1} {:>8.1}",
-            mine.len(),
+            calls.len(),
             ms(0.5),
             ms(0.99)
         )
     }
 
+    /// Returns the summary that is printed as the last line.
     fn json(&self) -> Value {
         let refused = self.count(|call| call.run() == Some("not_run"));
         let unknown = self.count(|call| {
@@ -251,6 +264,7 @@
     }
 }
 
+/// The kinds of requests that the table tells apart.
 const KINDS: [&str; 5] =
     ["chat", "chat streamed", "chat in session", "reading call", "once call"];
 
@@ -266,7 +280,8 @@
     }
 }
 
-/// Asks a VM for the reasons of every decision, whichever VM made it.
+/// Counts the routing decisions whose reasons can be read. Each is read from
+/// the next VM in turn, which need not be the one that made it.
 async fn count_explained(
     fleet: &Fleet,
     calls: &[CallRecord],
@@ -283,7 +298,8 @@
     Ok(explained)
 }
 
-fn print_tries(fleet: &Fleet, calls: &[CallRecord]) {
+/// Prints example commands for the running site.
+fn print_examples(fleet: &Fleet, calls: &[CallRecord]) {
     let Some(vm) = fleet.vms.values().next() else { return };
     let key = bearer_key(ORGANISATIONS[0]);
     println!("\nTry, until you press Ctrl-C:\n");
@@ -306,7 +322,7 @@
     }
 }
 
-/// Waits until the user ends the demo.
+/// Waits for SIGINT or SIGTERM.
 async fn wait_for_end() {
     use async_signal::{Signal, Signals};
     use futures_lite::StreamExt;
--- a/standins/src/gateway_site.rs
+++ b/standins/src/gateway_site.rs
@@ -1,5 +1,5 @@
-//! A small site before the platform: its store, scripted upstreams, and VMs
-//! as real processes.
+//! A small site in front of a stand-in platform: its store, scripted
+//! upstreams, and VMs as real processes.
 
 use std::{
     fs::File,
@@ -19,40 +19,40 @@
     platform_store::PlatformStore, process::FLEET_VARIABLE, scripted::Upstream,
 };
 
-/// The service of plain upstreams.
+/// The service of the plain upstreams.
 pub const PLAIN: &str = "portal";
 
-/// The service of model replicas.
+/// The service of the model replicas.
 pub const MODELS: &str = "writers";
 
-/// The key that the usual configuration knows.
+/// An API key that the default configuration accepts.
 pub const KEY: &str = "key-1";
 
-/// Longest that anything is waited for.
-const LIMIT: Duration = Duration::from_secs(30);
+/// Timeout of reads and of [`wait_until`].
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Name of a VM's settings file in its directory.
+/// Name of the settings file in a VM's directory.
 const SETTINGS_FILE: &str = "vm.ini";
 
-/// Frames between the VMs of a site are keyed with this.
+/// The key that authenticates messages between the VMs of a site.
 const CLUSTER_KEY: &str =
     "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f";
 
-/// What a caller got.
+/// The HTTP response that a caller got.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HttpReply {
-    /// The status; 0 when the connection closed without an answer.
+    /// The status code; 0 if the connection closed before a response.
     pub status: u16,
-    /// The head.
+    /// The status line and headers.
     pub head: String,
-    /// The body, without the marks of chunks.
+    /// The body, with chunked encoding removed.
     pub body: String,
-    /// Whether the body was whole.
+    /// Whether the body was complete, by its length or its last chunk.
     pub whole: bool,
 }
 
 impl HttpReply {
-    /// A header of the answer, or nothing.
+    /// Returns the last value of a header; empty if there is none.
     pub fn header(&self, name: &str) -> String {
         let name = format!("{}:", name.to_ascii_lowercase());
         let lines = self.head.lines();
@@ -63,48 +63,50 @@
     }
 }
 
-/// One VM of the site; its addresses stay the same over restarts.
+/// A VM of the site. Its addresses stay the same when it restarts.
 pub struct SiteVm {
-    /// Its name.
+    /// Its VM id.
     pub name: String,
     /// Its data hall.
     pub hall: String,
-    /// Where callers connect.
+    /// Its listener for callers.
     pub callers: SocketAddr,
-    /// Where the platform asks.
+    /// Its listener for the platform's readiness checks.
     pub readiness: SocketAddr,
-    /// Its own way to the store.
+    /// The store, at an address that only this VM uses.
     pub store: PlatformStore,
     program: (PathBuf, Vec<String>),
     child: Option<Child>,
     directory: TempDir,
 }
 
-/// A small site.
+/// A small site of VMs with one store.
 pub struct Site {
-    /// The program that runs a VM, and its first words.
+    /// The program that runs a VM, and its leading arguments.
     program: (PathBuf, Vec<String>),
-    /// The store.
+    /// The platform's store.
     pub store: PlatformStore,
-    /// The VMs.
+    /// The VMs, in the order in which they were added.
     pub vms: Vec<SiteVm>,
-    /// Whether VMs that are added refuse every key once they cannot know
-    /// which ones were taken away.
+    /// Whether VMs that are added from now on reject all API keys when they
+    /// can't tell any more which ones were revoked.
     pub fail_closed: bool,
-    /// Time between two beats of VMs that are added, in milliseconds.
+    /// Heartbeat interval of VMs that are added from now on, in milliseconds.
     pub heartbeat_ms: u64,
-    /// The rate of the links of VMs that are added.
+    /// Link rate that is set for VMs that are added from now on, in Mbit/s.
     pub link_mbps: u32,
-    /// Attempts beyond the first that VMs may make, as a share of requests.
+    /// The retry budget of VMs that are added from now on, as a share of the
+    /// requests.
     pub retry_share: f64,
-    /// Attempts besides.
+    /// Number of retries that they may make in addition to the share.
     pub retry_extra: u32,
     first_port: u16,
     revoke_ms: u64,
 }
 
 impl Site {
-    /// Creates a site without VMs, with the usual configuration.
+    /// Creates a site without VMs, with the default configuration. `words` are
+    /// the leading arguments of the program.
     pub fn new(program: PathBuf, words: &[&str], revoke_ms: u64) -> Site {
         let store = PlatformStore::start();
         store.put("op/config", &configuration(1));
@@ -122,12 +124,12 @@
         }
     }
 
-    /// Records an upstream in the store.
+    /// Registers an upstream in the store, in the state `ready`.
     pub fn list(&self, upstream: &Upstream, service: &str, version: &str) {
         self.list_as(upstream, service, version, "ready");
     }
 
-    /// Records an upstream in the store, in a state.
+    /// Registers an upstream in the store, in the given state.
     pub fn list_as(
         &self,
         upstream: &Upstream,
@@ -140,8 +142,8 @@
         self.store.put(&format!("servers/{}", upstream.id), &record);
     }
 
-    /// Records an upstream in the store, in a data hall and with the time for
-    /// which it is still cold.
+    /// Registers an upstream in the store, in a data hall and with its
+    /// remaining warm-up time.
     pub fn list_in(
         &self,
         upstream: &Upstream,
@@ -156,21 +158,21 @@
         self.store.put(&format!("servers/{}", upstream.id), &record);
     }
 
-    /// Asks that the upstreams of a data hall get no requests.
+    /// Orders the evacuation of a data hall: its upstreams get no requests.
     pub fn evacuate(&self, hall: &str) {
         self.store.put(&format!("op/evacuate/{hall}"), &json!({}));
     }
 
-    /// Takes that back.
+    /// Ends the evacuation of a data hall.
     pub fn end_evacuation(&self, hall: &str) {
         self.store.remove(&format!("op/evacuate/{hall}"));
     }
 
-    /// Starts another VM and waits until it is ready.
+    /// Adds a VM in `hall-a`, starts it and waits until it is ready.
     ///
     /// # Panics
     ///
-    /// When it does not become ready.
+    /// When it doesn't become ready in time.
     pub fn start_vm(&mut self) {
         let store = self.store.another_door();
         let address = store.address;
@@ -180,18 +182,19 @@
         wait_until("the VM is ready", || vm.is_ready());
     }
 
-    /// Adds a VM, which is not started yet; returns its place.
+    /// Adds a VM without starting it; returns its index in [`Site::vms`].
     ///
-    /// It finds the store at `store_way`, which leads to `store`.
+    /// It connects to the store at `store_address`, which may be a proxy in
+    /// front of `store`.
     ///
     /// # Panics
     ///
-    /// When its settings cannot be written.
+    /// When its settings can't be written.
     pub fn add_vm(
         &mut self,
         hall: &str,
         store: PlatformStore,
-        store_way: SocketAddr,
+        store_address: SocketAddr,
     ) -> usize {
         let at = self.vms.len();
         let ip = IpAddr::V4(Ipv4Addr::new(127, 0, 0, 10 + at as u8));
@@ -204,7 +207,7 @@
              [listen]\ncallers = {callers}\nreadiness = {readiness}\n\
              peers = {peers}\nmetrics = {metrics}\n\
              [cluster]\nkey = {CLUSTER_KEY}\n\
-             [platform]\nstore = {store_way}\n\
+             [platform]\nstore = {store_address}\n\
              [peers]\nseeds = 127.0.0.10:1, 127.0.0.11:1\nbeat_ms = {}\n\
              [keys]\nrevoke_ms = {}\nfail_closed = {}\n\
              [retries]\nshare = {}\nextra = {}\nwindow_s = 10\n\
@@ -233,7 +236,7 @@
     }
 }
 
-/// An upstream's record, as it writes it to the store.
+/// Returns an upstream's registration, as it writes it to the store.
 pub fn upstream_record(
     address: SocketAddr,
     service: &str,
@@ -253,11 +256,12 @@
 }
 
 impl SiteVm {
-    /// Starts its process; what it logs is added to what earlier ones did.
+    /// Starts its process. The log of earlier processes is kept, and the new
+    /// one appends to it.
     ///
     /// # Panics
     ///
-    /// When it cannot be started.
+    /// When it can't be started.
     pub fn start(&mut self) {
         let log = File::options()
             .create(true)
@@ -269,7 +273,8 @@
             .arg("gateway")
             .arg("--settings")
             .arg(self.directory.path().join(SETTINGS_FILE))
-            // It ends with the process that started it, however that ends.
+            // With this variable the VM ends when the process that started it
+            // ends, also if that one is killed.
             .env(FLEET_VARIABLE, "1")
             .stdin(Stdio::null())
             .stdout(log)
@@ -278,47 +283,48 @@
         self.child = Some(child);
     }
 
-    /// Whether it says that it is ready.
+    /// Returns whether its readiness check succeeds.
     pub fn is_ready(&self) -> bool {
-        self.is_ready_within(LIMIT)
+        self.is_ready_within(TIMEOUT)
     }
 
-    /// Whether it says so within a time.
+    /// Returns whether its readiness check succeeds within a time.
     pub fn is_ready_within(&self, limit: Duration) -> bool {
         let text = "GET /lupinseam/readyz HTTP/1.1\r\nHost: x\r\n\
                     Connection: close\r\n\r\n";
         exchange_within(self.readiness, text.as_bytes(), limit).status == 200
     }
 
-    /// Whether its process has been started and not been killed or waited
+    /// Returns whether its process was started, and neither killed nor waited
     /// for since.
     pub fn is_started(&self) -> bool {
         self.child.is_some()
     }
 
-    /// Sends a request and reads the answer.
+    /// Sends a request to the listener for callers and reads the response.
     pub fn ask(&self, text: &str) -> HttpReply {
         exchange(self.callers, text.as_bytes())
     }
 
-    /// Sends a signal.
+    /// Sends a signal to its process, if that is started.
     pub fn signal(&self, signal: Signal) {
         if let Some(child) = &self.child {
-            // A VM that has ended already needs no signal.
+            // Fails if the process has ended already.
             let _ = kill_process(Pid::from_child(child), signal);
         }
     }
 
-    /// Kills its process.
+    /// Kills its process, if that is started.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It may have ended already.
+            // Fails if the process has ended already.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Waits for its end, and says whether that was a good one.
+    /// Waits until its process has ended; returns whether it exited with
+    /// success.
     pub fn has_ended_well(&mut self) -> bool {
         let child = self.child.take();
         child.is_some_and(|mut child| {
@@ -326,18 +332,18 @@
         })
     }
 
-    /// Whether its process has ended by itself.
+    /// Returns whether its process has ended without being waited for.
     pub fn has_ended(&mut self) -> bool {
         let child = self.child.as_mut();
         child.is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))))
     }
 
-    /// Where its processes log.
+    /// Returns the file that its processes log to.
     pub fn log_path(&self) -> PathBuf {
         self.directory.path().join("log")
     }
 
-    /// Its log lines of this event.
+    /// Returns its log lines of this event.
     pub fn lines(&self, event: &str) -> Vec<Value> {
         let log = std::fs::read_to_string(self.log_path());
         let log = log.unwrap_or_default();
@@ -352,18 +358,19 @@
     }
 }
 
-/// The usual configuration, with a version.
+/// Returns the default configuration, with this version.
 pub fn configuration(version: u64) -> Value {
     configuration_with(version, &[KEY, "key-2"], Vec::new())
 }
 
-/// The usual configuration with these keys and further routes.
+/// Returns the default configuration with these API keys and additional
+/// routes.
 pub fn configuration_with(
     version: u64,
     keys: &[&str],
     mut more: Vec<Value>,
 ) -> Value {
-    let mut configuration = usual_configuration(version);
+    let mut configuration = default_configuration(version);
     configuration["tenants"][0]["api_keys"] = json!(keys);
     if let Some(routes) = configuration["routes"].as_array_mut() {
         routes.append(&mut more);
@@ -371,7 +378,7 @@
     configuration
 }
 
-fn usual_configuration(version: u64) -> Value {
+fn default_configuration(version: u64) -> Value {
     json!({
         "version": version,
         "routes": [
@@ -408,7 +415,8 @@
     })
 }
 
-/// A route of plain requests that needs a key.
+/// Returns a route that requires an API key. `kind` is the route's type, such
+/// as `idempotent`.
 pub fn route(
     name: &str,
     kind: &str,
@@ -424,7 +432,8 @@
     })
 }
 
-/// A request with the usual headers, and more of them.
+/// Returns a request with an attempt id, a deadline and an API key. `more` are
+/// additional header lines, each ended by CRLF.
 pub fn request(method: &str, path: &str, id: &str, more: &str) -> String {
     format!(
         "{method} {path} HTTP/1.1\r\nHost: site.example\r\n\
@@ -433,7 +442,7 @@
     )
 }
 
-/// A request for a stream of a model that the router chooses.
+/// Returns a streaming request whose model the router chooses.
 pub fn stream_request(path: &str, id: &str) -> String {
     let more = "Lupinseam-Model: *\r\nLupinseam-Token-Count: 100,50\r\n\
                 Lupinseam-Prefix-Hash: a1:40,b2:40,c3:20\r\n\
@@ -441,22 +450,23 @@
     request("POST", path, id, more)
 }
 
-/// The same, with a prompt that no other one shares, so that each goes where
-/// there is least to read.
+/// Like [`stream_request`], with a prompt that differs from those of other ids
+/// after its first block. No upstream has the rest cached, so each request goes
+/// where the least prefill is needed.
 pub fn unique_prompt_stream_request(path: &str, id: &str) -> String {
-    let subject = id.bytes().fold(7_u32, |sum, byte| {
+    let prefix_hash = id.bytes().fold(7_u32, |sum, byte| {
         sum.wrapping_mul(31).wrapping_add(byte.into())
     });
     let text = stream_request(path, id);
-    text.replace("b2:40", &format!("{subject:x}:40"))
+    text.replace("b2:40", &format!("{prefix_hash:x}:40"))
 }
 
-/// Sends bytes and reads the answer to its end.
+/// Sends bytes over a new connection and reads the response to its end.
 pub fn exchange(address: SocketAddr, bytes: &[u8]) -> HttpReply {
-    exchange_within(address, bytes, LIMIT)
+    exchange_within(address, bytes, TIMEOUT)
 }
 
-/// The same, waiting at most `limit` for each part of the answer.
+/// Like [`exchange`], with `limit` as the timeout of each read.
 fn exchange_within(
     address: SocketAddr,
     bytes: &[u8],
@@ -470,32 +480,35 @@
         return HttpReply::default();
     }
     let mut all = Vec::new();
-    // What came before a break counts; `whole` tells the rest.
+    // A response that is cut off is read as far as it came; `whole` is false
+    // then.
     let _ = stream.read_to_end(&mut all);
-    read_answer(&String::from_utf8_lossy(&all))
+    parse_response(&String::from_utf8_lossy(&all))
 }
 
-fn read_answer(text: &str) -> HttpReply {
+/// Parses a response; a status of 0 stands for an incomplete head.
+fn parse_response(text: &str) -> HttpReply {
     let Some((head, rest)) = text.split_once("\r\n\r\n") else {
         return HttpReply::default();
     };
     let status = head.split(' ').nth(1).and_then(|word| word.parse().ok());
-    let mut got = HttpReply {
+    let mut reply = HttpReply {
         status: status.unwrap_or(0),
         head: head.to_owned(),
         body: rest.to_owned(),
         whole: false,
     };
-    if got.header("transfer-encoding") == "chunked" {
-        (got.body, got.whole) = join_chunks(rest);
+    if reply.header("transfer-encoding") == "chunked" {
+        (reply.body, reply.whole) = decode_chunks(rest);
     } else {
-        let length = got.header("content-length").parse::<usize>();
-        got.whole = length.is_ok_and(|length| length == rest.len());
+        let length = reply.header("content-length").parse::<usize>();
+        reply.whole = length.is_ok_and(|length| length == rest.len());
     }
-    got
+    reply
 }
 
-fn join_chunks(mut rest: &str) -> (String, bool) {
+/// Decodes a chunked body; returns it and whether its last chunk arrived.
+fn decode_chunks(mut rest: &str) -> (String, bool) {
     let mut body = String::new();
     while let Some((size, after)) = rest.split_once("\r\n") {
         let Ok(size) = usize::from_str_radix(size, 16) else { break };
@@ -509,26 +522,27 @@
     (body, false)
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds. `what` names it in the panic message.
 ///
 /// # Panics
 ///
-/// When it does not within half a minute.
-pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + LIMIT;
-    while !holds() {
+/// When it doesn't hold within 30 seconds.
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let until = Instant::now() + TIMEOUT;
+    while !condition() {
         assert!(Instant::now() < until, "not in time: {what}");
         thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Ports that each VM of a site has.
+/// Number of ports of each VM.
 const PORTS: u16 = 4;
 
-/// The first of the ports of a site, on every address alike.
+/// Finds free consecutive ports for a site and returns the first. VMs use the
+/// same ports, each on its own address.
 ///
-/// They lie below those that the kernel gives out, which could be one of the
-/// site's own by the time that a VM binds it.
+/// They are below the kernel's ephemeral ports: an ephemeral port could be
+/// taken by another connection of the site before a VM binds it.
 fn free_ports() -> u16 {
     let ip = IpAddr::V4(Ipv4Addr::new(127, 0, 0, 10));
     let is_free = |port| TcpListener::bind((ip, port)).is_ok();
--- a/standins/src/measure.rs
+++ b/standins/src/measure.rs
@@ -1,5 +1,6 @@
-//! Measurements: what an entry VM adds, what control costs as the fleet
-//! grows, and whether every promise holds under random faults.
+//! Measurements: the latency that an entry VM adds, the cost of gossip, store
+//! and list traffic as the fleet grows, and whether all invariants hold under
+//! random faults.
 
 use std::{
     collections::BTreeMap,
@@ -39,18 +40,19 @@
 #[argh(subcommand, name = "measure")]
 pub struct Measure {
     #[argh(subcommand)]
-    what: What,
+    kind: Kind,
 }
 
 #[derive(FromArgs)]
 #[argh(subcommand)]
-enum What {
+enum Kind {
     Overhead(Overhead),
     Slopes(Slopes),
     Faults(Faults),
 }
 
-/// What an entry VM adds to a plain call, and what it needs.
+/// Latency that an entry VM adds to a plain call, and its use of CPU and
+/// memory.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "overhead")]
 struct Overhead {
@@ -62,7 +64,7 @@
     streams: u32,
 }
 
-/// What control costs a VM as the fleet grows.
+/// Cost of gossip, store and list traffic for a VM as the fleet grows.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "slopes")]
 struct Slopes {
@@ -71,7 +73,7 @@
     seconds: u64,
 }
 
-/// Whether every promise holds under a random schedule of faults.
+/// Check all invariants under a random schedule of faults.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "faults")]
 struct Faults {
@@ -84,16 +86,16 @@
 }
 
 impl Measure {
-    /// Runs the measurement; true when nothing was violated.
+    /// Runs the measurement; returns true if no invariant was violated.
     ///
     /// # Errors
     ///
-    /// When the fleet does not start or cannot be asked.
+    /// When the fleet doesn't start, or one of its processes doesn't respond.
     pub async fn run(self) -> FleetResult<bool> {
-        match self.what {
-            What::Overhead(overhead) => overhead.run().await,
-            What::Slopes(slopes) => slopes.run().await,
-            What::Faults(faults) => faults.run().await,
+        match self.kind {
+            Kind::Overhead(overhead) => overhead.run().await,
+            Kind::Slopes(slopes) => slopes.run().await,
+            Kind::Faults(faults) => faults.run().await,
         }
     }
 }
@@ -115,15 +117,15 @@
         let vm = &fleet.vms["vm-hall-a-1"];
         let pid = vm.process.as_ref().map(|process| process.id());
         let pid = pid.ok_or("the VM is down")?;
-        let rest_kb = memory_kb(pid)?;
+        let idle_kb = memory_kb(pid)?;
         let service =
             fleet.upstreams[&format!("{READ_SERVICE}-hall-a")].address;
         let (through, direct) =
-            self.pairs(&fleet, vm.callers, service).await?;
+            self.measure_pairs(&fleet, vm.callers, service).await?;
         let per_core = throughput(&fleet, vm.callers, pid).await?;
         let streams = self.open_streams(&fleet, vm.callers).await;
         let open_kb = memory_kb(pid)?;
-        let held = streams.len();
+        let stream_count = streams.len();
         drop(streams);
         let us = |h: &Histogram<u64>, q| h.value_at_quantile(q);
         let added = |q| us(&through, q).saturating_sub(us(&direct, q));
@@ -138,15 +140,17 @@
                 "added_p50_us": added(0.5),
                 "added_p99_us": added(0.99),
                 "requests_per_core_s": per_core.round(),
-                "memory_rest_kb": rest_kb,
-                "streams_open": held,
+                "memory_rest_kb": idle_kb,
+                "streams_open": stream_count,
                 "memory_streams_kb": open_kb,
             })
         );
         Ok(true)
     }
 
-    async fn pairs(
+    /// Makes calls alternately through the VM and directly to the service;
+    /// returns both latencies, in microseconds.
+    async fn measure_pairs(
         &self,
         fleet: &Fleet,
         vm: SocketAddr,
@@ -170,18 +174,19 @@
         Ok((through, direct))
     }
 
-    /// Opens streams and waits for the first part of each.
+    /// Opens streams and waits for the first chunk of each. Returns those that
+    /// opened.
     async fn open_streams(
         &self,
         fleet: &Fleet,
         vm: SocketAddr,
     ) -> Vec<lupinseam::http_client::Exchange> {
-        // More at once would overflow the listeners' queues and measure
-        // the kernel's retries.
-        const AT_ONCE: usize = 64;
+        // Opening more at once would overflow the listen backlogs and measure
+        // the kernel's connection retries.
+        const BATCH: usize = 64;
         let numbers: Vec<u32> = (0..self.streams).collect();
         let mut open = Vec::new();
-        for batch in numbers.chunks(AT_ONCE) {
+        for batch in numbers.chunks(BATCH) {
             let opening: Vec<_> = batch
                 .iter()
                 .map(|number| {
@@ -200,6 +205,7 @@
     }
 }
 
+/// Opens a stream and waits for its first chunk; `None` if that fails.
 async fn open_stream(
     client: &HttpClient,
     vm: SocketAddr,
@@ -225,7 +231,7 @@
     Call::new(address, Method::GET, path).header("authorization", &key)
 }
 
-/// Requests that the VM answers for each second of its processor time.
+/// Returns how many requests the VM answers per second of its CPU time.
 async fn throughput(
     fleet: &Fleet,
     vm: SocketAddr,
@@ -270,12 +276,13 @@
             self.measure_fleet("changes", 4, 1, changes_per_s).await?;
         }
         for replicas in [60, 120, 300, 600] {
-            println!("{}", measure_choice(replicas));
+            println!("{}", measure_selection(replicas));
         }
         println!("{}", json!({ "done": true }));
         Ok(true)
     }
 
+    /// Measures a fleet of this size and prints a line of JSON.
     async fn measure_fleet(
         &self,
         axis: &str,
@@ -308,6 +315,8 @@
         Ok(())
     }
 
+    /// Changes the configuration at this rate for the time of a measurement;
+    /// returns the number of changes.
     async fn make_changes(
         &self,
         fleet: &Fleet,
@@ -331,8 +340,8 @@
     }
 }
 
-/// A fleet of one hall with settings as shipped, so that slopes are those
-/// of the defaults and not of the tests' shorter times.
+/// Starts a fleet in one data hall with the router's default intervals. The
+/// shorter ones of the tests would show higher costs than a real fleet has.
 async fn slope_fleet(vms: usize, engines: usize) -> FleetResult<Fleet> {
     let mut plan = site::plan(&["hall-a"], vms, 1);
     plan.without_records = true;
@@ -360,9 +369,10 @@
     Fleet::start(plan).await
 }
 
-/// What the VMs of a fleet have used so far.
+/// Resources that all VMs of a fleet together have used so far.
 struct Sample {
     at: Instant,
+    /// Number of running VMs.
     vms: f64,
     cpu_s: f64,
     bytes: f64,
@@ -371,7 +381,8 @@
     memory_kb: f64,
 }
 
-/// What one VM used a second between two samples.
+/// Average use of one VM between two samples; memory is that of the second
+/// sample.
 struct PerVm {
     seconds: f64,
     cpu_percent: f64,
@@ -410,25 +421,30 @@
         Ok(sample)
     }
 
+    /// Returns the average use per VM since an earlier sample.
     fn since(&self, before: &Sample) -> PerVm {
         let seconds = (self.at - before.at).as_secs_f64();
-        let share = self.vms * seconds;
+        let vm_seconds = self.vms * seconds;
         PerVm {
             seconds: round(seconds),
-            cpu_percent: round((self.cpu_s - before.cpu_s) / share * 100.0),
-            bytes_per_s: round((self.bytes - before.bytes) / share),
-            reads_per_s: round((self.reads - before.reads) / share),
-            writes_per_s: round((self.writes - before.writes) / share),
+            cpu_percent: round(
+                (self.cpu_s - before.cpu_s) / vm_seconds * 100.0,
+            ),
+            bytes_per_s: round((self.bytes - before.bytes) / vm_seconds),
+            reads_per_s: round((self.reads - before.reads) / vm_seconds),
+            writes_per_s: round((self.writes - before.writes) / vm_seconds),
             memory_kb: round(self.memory_kb / self.vms),
         }
     }
 }
 
+/// Rounds to three decimals.
 fn round(value: f64) -> f64 {
     (value * 1000.0).round() / 1000.0
 }
 
-/// The sum of the samples of a metric, by the beginning of their lines.
+/// Returns the sum of the samples whose line starts with `name`, which may
+/// include labels.
 fn sum_of(metrics: &str, name: &str) -> f64 {
     metrics
         .lines()
@@ -437,11 +453,11 @@
         .sum()
 }
 
-/// Times the choice among replicas of one model.
-fn measure_choice(replicas: u32) -> Value {
+/// Measures how long the selection among replicas of one model takes.
+fn measure_selection(replicas: u32) -> Value {
     const ROUNDS: u32 = 20_000;
     let version = ShortHash(7);
-    let facts: Vec<UpstreamSnapshot> = (0..replicas)
+    let upstreams: Vec<UpstreamSnapshot> = (0..replicas)
         .map(|n| UpstreamSnapshot {
             id: format!("u{n}").parse().expect("a name"),
             short_hash: ShortHash(n.wrapping_mul(2_654_435_761)),
@@ -457,12 +473,12 @@
         .collect();
     let begun = Instant::now();
     for round in 0..ROUNDS {
-        let wish = UpstreamCriteria {
+        let criteria = UpstreamCriteria {
             version: Some(version),
             prefix: Some(u64::from(round) << 20),
             tried: &[],
         };
-        let _ = black_box(pick_upstream(&facts, wish, round.into()));
+        let _ = black_box(pick_upstream(&upstreams, criteria, round.into()));
     }
     let each = begun.elapsed() / ROUNDS;
     json!({
@@ -474,18 +490,28 @@
 
 const FAULT_HALLS: [&str; 2] = ["hall-a", "hall-b"];
 
-/// A fault that is on, and how it is taken off.
+/// A fault that is active, with what is needed to end it.
 #[derive(Clone, Debug, PartialEq)]
 enum Fault {
+    /// A VM was killed.
     Killed(String),
+    /// A VM's process was paused.
     Paused(String),
+    /// A data hall was partitioned.
     CutHall(String),
+    /// A VM was cut off from the store.
     CutStore(String),
+    /// The store drops every call without effect.
     StoreOut,
+    /// The store responds slowly.
     StoreSlow,
+    /// The store applies some writes without responding to them.
     LostAnswers,
+    /// Connections between VMs lose messages.
     LossyPeers,
+    /// An upstream left as announced.
     UpstreamLeft(String),
+    /// An upstream was killed.
     UpstreamDied(String),
 }
 
@@ -505,25 +531,28 @@
         let mut watch = RevisionWatch::default();
         let mut count = 0;
         while begun.elapsed() < time {
-            // One fault, or two together, now and then the same twice.
-            let together = 1 + usize::from(rng.random_bool(0.4));
-            let mut on = Vec::new();
-            for _ in 0..together {
-                on.extend(begin_fault(&mut fleet, &mut rng).await?);
+            // One fault, or two at once, which may be the same one twice.
+            let fault_count = 1 + usize::from(rng.random_bool(0.4));
+            let mut active = Vec::new();
+            for _ in 0..fault_count {
+                active.extend(begin_fault(&mut fleet, &mut rng).await?);
             }
-            count += on.len();
+            count += active.len();
             let at = begun.elapsed().as_secs_f64();
-            eprintln!("{at:.1} s (unix ms {}): {on:?}", crate::web::unix_ms());
-            let lasts = rng.random_range(300..2500);
-            Timer::after(Duration::from_millis(lasts)).await;
-            watch.look(&fleet).await;
-            for fault in on.into_iter().rev() {
+            eprintln!(
+                "{at:.1} s (unix ms {}): {active:?}",
+                crate::web::unix_ms()
+            );
+            let fault_ms = rng.random_range(300..2500);
+            Timer::after(Duration::from_millis(fault_ms)).await;
+            watch.sample(&fleet).await;
+            for fault in active.into_iter().rev() {
                 end_fault(&mut fleet, fault).await?;
             }
             traffic.set_vms(fleet.vms.values().map(|vm| vm.callers).collect());
-            let rests = rng.random_range(200..1200);
-            Timer::after(Duration::from_millis(rests)).await;
-            watch.look(&fleet).await;
+            let pause_ms = rng.random_range(200..1200);
+            Timer::after(Duration::from_millis(pause_ms)).await;
+            watch.sample(&fleet).await;
         }
         let seconds = begun.elapsed().as_secs_f64();
         let used = fleet.kv_counts().await?;
@@ -534,13 +563,13 @@
         let found = self.check(&fleet, &traffic, watch).await?;
         let calls = traffic.records();
         let answered = calls.iter().filter(|c| c.is_whole()).count();
-        let of = |kind: fn(&Violation) -> bool| {
+        let count_of = |kind: fn(&Violation) -> bool| {
             found.iter().filter(|violation| kind(violation)).count()
         };
         for violation in &found {
             eprintln!("violated: {violation}");
         }
-        let version = |v: &Violation| {
+        let is_version_violation = |v: &Violation| {
             matches!(
                 v,
                 Violation::VersionNotAllowed(_)
@@ -557,22 +586,22 @@
                 "answered_share":
                     round(answered as f64 / calls.len().max(1) as f64),
                 "double_runs":
-                    of(|v| matches!(v, Violation::DoubleRun(_))),
+                    count_of(|v| matches!(v, Violation::DoubleRun(_))),
                 "false_not_run":
-                    of(|v| matches!(v, Violation::FalseNotRun(_))),
+                    count_of(|v| matches!(v, Violation::FalseNotRun(_))),
                 "double_bills":
-                    of(|v| matches!(v, Violation::DoubleBill(_))),
+                    count_of(|v| matches!(v, Violation::DoubleBill(_))),
                 "lost_bills":
-                    of(|v| matches!(v, Violation::LostBill(_))),
+                    count_of(|v| matches!(v, Violation::LostBill(_))),
                 "broken_as_whole":
-                    of(|v| matches!(v, Violation::BrokenAsWhole(_))),
-                "version_violations": of(version),
+                    count_of(|v| matches!(v, Violation::BrokenAsWhole(_))),
+                "version_violations": count_of(is_version_violation),
                 "config_reverts":
-                    of(|v| matches!(v, Violation::ConfigurationReverted(_))),
+                    count_of(|v| matches!(v, Violation::ConfigurationReverted(_))),
                 "leaving_got_work":
-                    of(|v| matches!(v, Violation::LeavingGotWork(_))),
+                    count_of(|v| matches!(v, Violation::LeavingGotWork(_))),
                 "stale_orders":
-                    of(|v| matches!(v, Violation::StaleOrder(_))),
+                    count_of(|v| matches!(v, Violation::StaleOrder(_))),
                 "store_writes_per_s":
                     round((used.writes - counts.writes) as f64 / seconds),
                 "store_reads_per_s":
@@ -582,7 +611,8 @@
         Ok(found.is_empty())
     }
 
-    /// Checks all, once what can still be billed has had the time for it.
+    /// Checks all invariants. Repeats the check while bills are missing, since
+    /// the bills of a VM that was killed are committed later by others.
     async fn check(
         &self,
         fleet: &Fleet,
@@ -604,9 +634,9 @@
                 bills: &bills,
                 rules: &rules,
             });
-            let waits =
+            let has_missing_bill =
                 found.iter().any(|v| matches!(v, Violation::LostBill(_)));
-            if !waits {
+            if !has_missing_bill {
                 break;
             }
             Timer::after(Duration::from_secs(1)).await;
@@ -615,7 +645,8 @@
     }
 }
 
-/// Gives each hall a second replica of what may leave or die.
+/// Adds a second replica, named `NAME-2`, of each engine. Only these leave
+/// or are killed, so that each model stays available in both halls.
 fn spare_upstreams(plan: &mut FleetPlan) {
     let mut spares = plan.engines.clone();
     for spare in &mut spares {
@@ -624,6 +655,7 @@
     plan.engines.extend(spares);
 }
 
+/// Starts a random fault; `None` if the one drawn isn't possible now.
 async fn begin_fault(
     fleet: &mut Fleet,
     rng: &mut ChaCha8Rng,
@@ -642,12 +674,14 @@
         .filter(|name| name.ends_with("-2"))
         .cloned()
         .collect();
-    // Bills that only two VMs know are lost with both; that is no promise.
-    let has_mate = live.iter().any(|other| {
+    // A bill that isn't committed yet is known to two VMs of a data hall, and
+    // is lost if both are killed. That is no violation, so a VM is killed only
+    // while another one of its hall is running.
+    let has_hall_peer = live.iter().any(|other| {
         *other != vm && fleet.vms[other].hall == fleet.vms[&vm].hall
     });
     let fault = match rng.random_range(0..10) {
-        0 | 1 if has_mate => {
+        0 | 1 if has_hall_peer => {
             fleet.kill_vm(&vm);
             Fault::Killed(vm)
         }
@@ -694,6 +728,7 @@
     Ok(Some(fault))
 }
 
+/// Sets the store's faults to the defaults with this change.
 async fn set_kv(
     fleet: &Fleet,
     change: impl FnOnce(&mut KvFaults),
@@ -703,6 +738,7 @@
     fleet.set_kv_faults(faults).await
 }
 
+/// Ends a fault and restores what it took away.
 async fn end_fault(fleet: &mut Fleet, fault: Fault) -> FleetResult<()> {
     match fault {
         Fault::Killed(vm) => fleet.restart_vm(&vm).await?,
@@ -726,14 +762,18 @@
     Ok(())
 }
 
-/// The revisions seen at each life of each VM.
+/// The configuration revisions that each incarnation of each VM reported, in
+/// the order of the samples.
 #[derive(Default)]
 struct RevisionWatch {
+    /// Revisions by VM name and incarnation.
     seen: BTreeMap<String, Vec<u64>>,
 }
 
 impl RevisionWatch {
-    async fn look(&mut self, fleet: &Fleet) {
+    /// Records the current revision of each VM that responds in time; paused
+    /// and killed ones don't.
+    async fn sample(&mut self, fleet: &Fleet) {
         let names: Vec<String> = fleet.vms.keys().cloned().collect();
         for name in names {
             let status = async { fleet.status(&name).await.ok() };
@@ -743,20 +783,21 @@
             };
             let status = futures_lite::future::or(status, limit).await;
             let Some(status) = status else { continue };
-            let life = format!("{name} {}", status["incarnation"]);
+            let incarnation = format!("{name} {}", status["incarnation"]);
             if let Some(revision) = status["revision"].as_u64() {
-                self.seen.entry(life).or_default().push(revision);
+                self.seen.entry(incarnation).or_default().push(revision);
             }
         }
     }
 }
 
+/// Creates a histogram of latencies in microseconds.
 fn histogram() -> Histogram<u64> {
-    const LONGEST_US: u64 = 60_000_000;
-    Histogram::new_with_max(LONGEST_US, 3).expect("bounds")
+    const MAX_LATENCY_US: u64 = 60_000_000;
+    Histogram::new_with_max(MAX_LATENCY_US, 3).expect("bounds")
 }
 
-/// Processor time that a process has used, in seconds.
+/// Returns the CPU time that a process has used, in seconds.
 fn cpu_s(pid: u32) -> FleetResult<f64> {
     const TICKS_PER_S: f64 = 100.0;
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat"))
@@ -769,12 +810,12 @@
     Ok((ticks(11) + ticks(12)) / TICKS_PER_S)
 }
 
-/// Memory that a process holds, in kilobytes.
+/// Returns the resident memory of a process, in kilobytes.
 fn memory_kb(pid: u32) -> FleetResult<u64> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/status"))
         .map_err(|error| error.to_string())?;
     text.lines()
         .find_map(|line| line.strip_prefix("VmRSS:"))
         .and_then(|rest| rest.split_whitespace().next()?.parse().ok())
-        .ok_or_else(|| "no memory figure".to_owned())
+        .ok_or_else(|| "the process's status has no VmRSS".to_owned())
 }
