--- a/standins/src/demo.rs
+++ b/standins/src/demo.rs
@@ -76,8 +76,8 @@
         Ok(report.violations.is_empty())
     }
 
-    /// Rolls a version out and lets an engine leave, each after a fixed share of
-    /// the requests.
+    /// Rolls a version out and lets an engine leave, each after a fixed share
+    /// of the requests.
     async fn run_steps(
         &self,
         fleet: &mut Fleet,
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -179,8 +179,8 @@
 }
 
 impl Fleet {
-    /// Starts a fleet and waits until every VM is ready and knows all upstreams
-    /// and the other VMs.
+    /// Starts a fleet and waits until every VM is ready and knows all
+    /// upstreams and the other VMs.
     ///
     /// # Errors
     ///
--- a/standins/src/gateway_site.rs
+++ b/standins/src/gateway_site.rs
@@ -105,13 +105,20 @@
 }
 
 impl Site {
-    /// Creates a site without VMs, with the default configuration. `words` are
-    /// the leading arguments of the program.
-    pub fn new(program: PathBuf, words: &[&str], revoke_ms: u64) -> Site {
+    /// Creates a site without VMs, with the default configuration.
+    /// `leading_args` come before the program's other arguments.
+    pub fn new(
+        program: PathBuf,
+        leading_args: &[&str],
+        revoke_ms: u64,
+    ) -> Site {
         let store = PlatformStore::start();
         store.put("op/config", &configuration(1));
         Site {
-            program: (program, words.iter().map(|w| (*w).into()).collect()),
+            program: (
+                program,
+                leading_args.iter().map(|arg| (*arg).into()).collect(),
+            ),
             store,
             vms: Vec::new(),
             fail_closed: true,
@@ -451,8 +458,8 @@
 }
 
 /// Like [`stream_request`], with a prompt that differs from those of other ids
-/// after its first block. No upstream has the rest cached, so each request goes
-/// where the least prefill is needed.
+/// after its first block. No upstream has the rest cached, so each request
+/// goes where the least prefill is needed.
 pub fn unique_prompt_stream_request(path: &str, id: &str) -> String {
     let prefix_hash = id.bytes().fold(7_u32, |sum, byte| {
         sum.wrapping_mul(31).wrapping_add(byte.into())
--- a/standins/src/measure.rs
+++ b/standins/src/measure.rs
@@ -563,7 +563,7 @@
         let found = self.check(&fleet, &traffic, watch).await?;
         let calls = traffic.records();
         let answered = calls.iter().filter(|c| c.is_whole()).count();
-        let count_of = |kind: fn(&Violation) -> bool| {
+        let num = |kind: fn(&Violation) -> bool| {
             found.iter().filter(|violation| kind(violation)).count()
         };
         for violation in &found {
@@ -586,22 +586,22 @@
                 "answered_share":
                     round(answered as f64 / calls.len().max(1) as f64),
                 "double_runs":
-                    count_of(|v| matches!(v, Violation::DoubleRun(_))),
+                    num(|v| matches!(v, Violation::DoubleRun(_))),
                 "false_not_run":
-                    count_of(|v| matches!(v, Violation::FalseNotRun(_))),
+                    num(|v| matches!(v, Violation::FalseNotRun(_))),
                 "double_bills":
-                    count_of(|v| matches!(v, Violation::DoubleBill(_))),
+                    num(|v| matches!(v, Violation::DoubleBill(_))),
                 "lost_bills":
-                    count_of(|v| matches!(v, Violation::LostBill(_))),
+                    num(|v| matches!(v, Violation::LostBill(_))),
                 "broken_as_whole":
-                    count_of(|v| matches!(v, Violation::BrokenAsWhole(_))),
-                "version_violations": count_of(is_version_violation),
+                    num(|v| matches!(v, Violation::BrokenAsWhole(_))),
+                "version_violations": num(is_version_violation),
                 "config_reverts":
-                    count_of(|v| matches!(v, Violation::ConfigurationReverted(_))),
+                    num(|v| matches!(v, Violation::ConfigurationReverted(_))),
                 "leaving_got_work":
-                    count_of(|v| matches!(v, Violation::LeavingGotWork(_))),
+                    num(|v| matches!(v, Violation::LeavingGotWork(_))),
                 "stale_orders":
-                    count_of(|v| matches!(v, Violation::StaleOrder(_))),
+                    num(|v| matches!(v, Violation::StaleOrder(_))),
                 "store_writes_per_s":
                     round((used.writes - counts.writes) as f64 / seconds),
                 "store_reads_per_s":
