--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -1,12 +1,13 @@
-//! The command line of the shipped program.
+//! Runs the `lupinseam` binary and checks help, `check` and error output.
 
 use std::process::{Command, Output};
 
+/// Runs the binary with these arguments until it exits.
 fn lupinseam(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_lupinseam"))
         .args(arguments)
         .output()
-        .expect("the program runs")
+        .expect("the lupinseam binary starts")
 }
 
 #[test]
@@ -25,14 +26,17 @@
     ];
     for arguments in commands {
         let output = lupinseam(arguments);
-        assert!(output.status.success(), "{arguments:?}");
+        assert!(output.status.success(), "{arguments:?} failed");
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
-        assert!(text.contains("Usage:"), "{arguments:?}: {text}");
+        assert!(
+            text.contains("Usage:"),
+            "{arguments:?} printed no usage: {text}"
+        );
     }
 }
 
 #[test]
-fn check_reports_every_fault_and_fails() {
+fn check_reports_all_settings_errors_and_exits_with_1() {
     let path = std::env::temp_dir()
         .join(format!("lupinseam-check-{}.ini", std::process::id()));
     std::fs::write(&path, "[vm]\nid = A B\ncolour = blue\n").unwrap();
@@ -46,14 +50,17 @@
         "[vm] data_hall: must be given",
         "[cluster] key: must be given",
     ] {
-        assert!(text.contains(expected), "{expected} is not in {text}");
+        assert!(
+            text.contains(expected),
+            "{expected:?} is not reported in {text}"
+        );
     }
 }
 
 #[test]
-fn a_vm_that_is_not_there_is_named() {
+fn status_of_an_unreachable_vm_names_its_address() {
     let output = lupinseam(&["status", "--operators", "127.0.0.1:1"]);
     assert_eq!(output.status.code(), Some(1));
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(text.contains("127.0.0.1:1"), "{text}");
+    assert!(text.contains("127.0.0.1:1"), "address is missing: {text}");
 }
--- a/tests/deploy.rs
+++ b/tests/deploy.rs
@@ -1,11 +1,12 @@
-//! The deploy files fit the program: what the platform makes of the template
-//! of settings is accepted, and every gap in it is one that is filled.
+//! Checks that the files in `deploy/` match the program: the settings template
+//! parses once the platform has filled it in, and it has no placeholder that
+//! the platform does not fill.
 
 use std::{fs, path::PathBuf, time::Duration};
 
 use lupinseam::{gateway::settings::GatewaySettings, unit::Mbps};
 
-/// The platform's fields that the template uses, as they may look.
+/// Placeholders of the settings template, each with a sample value.
 const FIELDS: &[(&str, &str)] = &[
     ("node_name", "edge-plateau-1"),
     ("zone", "plateau"),
@@ -27,20 +28,26 @@
     ("bounds.session_s", "8.5"),
 ];
 
+/// Reads a file of `deploy/`.
 fn file(name: &str) -> String {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
-    fs::read_to_string(root.join("deploy").join(name)).expect("a deploy file")
+    fs::read_to_string(root.join("deploy").join(name))
+        .expect("the deploy file is readable")
 }
 
+/// Fills in the settings template as the platform does, with these seeds.
 fn rendered(seeds: &str) -> String {
     let mut text = file("lupinseam.ini");
     for (field, value) in FIELDS {
         let value = if *field == "seed_nodes" { seeds } else { *value };
-        let gap = format!("{{{{{field}}}}}");
-        assert!(text.contains(&gap), "{field} is not used any more");
-        text = text.replace(&gap, value);
+        let placeholder = format!("{{{{{field}}}}}");
+        assert!(
+            text.contains(&placeholder),
+            "the template no longer uses {field}"
+        );
+        text = text.replace(&placeholder, value);
     }
-    assert!(!text.contains("{{"), "a gap is left: {text}");
+    assert!(!text.contains("{{"), "a placeholder is left unfilled: {text}");
     text
 }
 
@@ -53,30 +60,31 @@
     assert_eq!(settings.link_rate, Mbps(20));
     let seeds: Vec<String> =
         settings.seeds.iter().map(ToString::to_string).collect();
-    // Other VMs listen for each other on the same port as this one.
+    // The seeds get the peer port of this VM, since all VMs of a fleet use
+    // the same one.
     assert_eq!(seeds, ["10.1.0.40:7340", "10.2.0.29:7340"]);
-    assert!(!settings.fail_closed, "the operators' word counts");
+    assert!(!settings.fail_closed, "fail_closed = false must be kept");
 }
 
 #[test]
-fn keys_fail_closed_where_nothing_is_said_of_them() {
+fn fail_closed_defaults_to_true() {
     let text = rendered("");
-    let unsaid = text.replace("fail_closed = false", "fail_closed = ");
-    assert_ne!(text, unsaid);
-    let settings = GatewaySettings::from_ini(&unsaid).expect("no fault");
+    let unset = text.replace("fail_closed = false", "fail_closed = ");
+    assert_ne!(text, unset);
+    let settings = GatewaySettings::from_ini(&unset).expect("no fault");
     assert!(settings.fail_closed);
 }
 
 #[test]
-fn a_session_lasts_for_as_long_as_the_operators_say() {
+fn the_session_timeout_is_configurable() {
     let text = rendered("");
     let session_time = |text: &str| {
         let settings = GatewaySettings::from_ini(text).expect("no fault");
         settings.session_timeout
     };
     assert_eq!(session_time(&text), Duration::from_millis(8_500));
-    let unsaid = text.replace("session_s = 8.5", "session_s = ");
-    assert_eq!(session_time(&unsaid), Duration::from_secs(5));
+    let unset = text.replace("session_s = 8.5", "session_s = ");
+    assert_eq!(session_time(&unset), Duration::from_secs(5));
 }
 
 #[test]
@@ -86,18 +94,18 @@
 }
 
 #[test]
-fn every_fault_of_the_settings_is_reported() {
+fn all_settings_errors_are_reported() {
     let text = rendered("here").replace("grace_s = 8", "grace = 8");
-    let faults = GatewaySettings::from_ini(&text).unwrap_err();
+    let errors = GatewaySettings::from_ini(&text).unwrap_err();
     let names: Vec<&str> =
-        faults.iter().map(|fault| fault.key.as_str()).collect();
+        errors.iter().map(|fault| fault.key.as_str()).collect();
     for name in ["grace", "seeds", "grace_s"] {
-        assert!(names.contains(&name), "{name} is missing in {names:?}");
+        assert!(names.contains(&name), "{name} is not reported in {names:?}");
     }
 }
 
 #[test]
-fn the_metrics_address_is_the_one_that_is_named() {
+fn the_metrics_port_matches_system_toml() {
     let port = "9464";
     assert!(file("system.toml").contains(&format!("\"{port}/metrics\"")));
     let text = rendered("");
--- a/tests/one_clock.rs
+++ b/tests/one_clock.rs
@@ -1,24 +1,25 @@
-//! Every age that decides goes by one clock.
+//! Checks that `std::time::Instant` is used in `src/clock.rs` only.
 //!
-//! While a VM is suspended, the steady clock that `std` reads stands still.
-//! Ten seconds later a key that was taken away would still seem proven, a lease
-//! held, and another VM alive: the proof, the lease and the beat are believed
-//! ten seconds younger than they are.
+//! `std::time::Instant` stops while a VM is suspended. After a suspension of
+//! ten seconds, a VM that used it would consider key freshness proofs, leases
+//! and heartbeats ten seconds younger than they are: it would accept a revoked
+//! key, believe that it still holds a lease and that a dead VM is alive.
 
 use std::{
     fs,
     path::{Path, PathBuf},
 };
 
-/// The module that reads the clocks of the operating system.
+/// The only module that may read the clocks of the operating system.
 const CLOCK: &str = "src/clock.rs";
 
-/// How the clock that stands still is read, or named.
-const STEADY: &[&str] = &["Instant::now()", "time::Instant", " Instant,"];
+/// Texts in the source that read or name `std::time::Instant`.
+const STD_INSTANT: &[&str] = &["Instant::now()", "time::Instant", " Instant,"];
 
+/// Collects all files below a folder.
 fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
-    for entry in fs::read_dir(folder).expect("a folder of sources") {
-        let path = entry.expect("an entry").path();
+    for entry in fs::read_dir(folder).expect("the source folder is readable") {
+        let path = entry.expect("the folder entry is readable").path();
         match path.is_dir() {
             true => sources(&path, found),
             false => found.push(path),
@@ -26,29 +27,30 @@
     }
 }
 
-/// Whether a line reads or names the steady clock; the type of the one clock
-/// has a name of its own.
-fn is_steady(line: &str) -> bool {
+/// Returns whether a line reads or names `std::time::Instant`. `BootInstant`,
+/// the type of the project's own clock, is allowed.
+fn uses_std_instant(line: &str) -> bool {
     let line = line.replace("BootInstant", "");
-    STEADY.iter().any(|text| line.contains(text))
+    STD_INSTANT.iter().any(|text| line.contains(text))
 }
 
 #[test]
-fn nothing_decides_by_a_clock_that_stands_still_while_a_vm_is_suspended() {
+fn no_source_uses_a_clock_that_stops_during_suspension() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut files = Vec::new();
     for folder in ["src", "platform"] {
         sources(&root.join(folder), &mut files);
     }
-    assert!(files.len() > 50, "only {} sources were found", files.len());
-    let mut faults = Vec::new();
+    assert!(files.len() > 50, "only {} source files were found", files.len());
+    let mut uses = Vec::new();
     for path in files.iter().filter(|path| !path.ends_with(CLOCK)) {
-        let text = fs::read_to_string(path).expect("a source");
+        let text =
+            fs::read_to_string(path).expect("the source file is readable");
         let lines = text.lines().enumerate();
-        let steady = lines.filter(|(_, line)| is_steady(line));
-        faults.extend(
-            steady.map(|(at, line)| format!("{path:?}:{}: {line}", at + 1)),
+        let found = lines.filter(|(_, line)| uses_std_instant(line));
+        uses.extend(
+            found.map(|(at, line)| format!("{path:?}:{}: {line}", at + 1)),
         );
     }
-    assert!(faults.is_empty(), "{}", faults.join("\n"));
+    assert!(uses.is_empty(), "{}", uses.join("\n"));
 }
--- a/tests/wire_names.rs
+++ b/tests/wire_names.rs
@@ -1,13 +1,16 @@
-//! The platform's names stand in `platform/` and nowhere else.
+//! Checks that names of the platform's protocol (headers, paths, JSON keys)
+//! appear in the adapter under `platform/` only, and not in `src/`.
 
 use std::{
     fs,
     path::{Path, PathBuf},
 };
 
-/// Names that only the platform uses. Ordinary words of the router, such as
-/// `version`, tell nothing, and neither do names that its own interface had
-/// before: the header with the deadline, and claims in progress.
+/// Names that only the platform's protocol uses, in lower case.
+///
+/// Names that the router uses too are left out, since finding them proves
+/// nothing: ordinary words such as `version`, and names that its own API had
+/// first (the header with the deadline, and claims in progress).
 const WIRE_NAMES: &[&str] = &[
     "lupinseam-attempt-id",
     "lupinseam-prefix-hash",
@@ -46,9 +49,10 @@
     "tenants",
 ];
 
+/// Collects the Rust files below a folder, without `tests.rs` modules.
 fn sources(folder: &Path, into: &mut Vec<PathBuf>) {
-    for entry in fs::read_dir(folder).expect("a folder") {
-        let path = entry.expect("an entry").path();
+    for entry in fs::read_dir(folder).expect("the source folder is readable") {
+        let path = entry.expect("the folder entry is readable").path();
         let is_tests = path.file_name().is_some_and(|n| n == "tests.rs");
         if path.is_dir() {
             sources(&path, into);
@@ -58,14 +62,16 @@
     }
 }
 
-fn found(folder: &str) -> Vec<String> {
+/// Returns each occurrence of a wire name below a folder, as `file: name`.
+fn wire_names_in(folder: &str) -> Vec<String> {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
     let mut files = Vec::new();
     sources(&root.join(folder), &mut files);
-    assert!(!files.is_empty(), "nothing to search in {folder}");
+    assert!(!files.is_empty(), "no source files in {folder}");
     let mut found = Vec::new();
     for file in files {
-        let text = fs::read_to_string(&file).expect("a source file");
+        let text =
+            fs::read_to_string(&file).expect("the source file is readable");
         let text = text.to_ascii_lowercase();
         for name in WIRE_NAMES.iter().filter(|name| text.contains(**name)) {
             found.push(format!("{}: {name}", file.display()));
@@ -75,12 +81,12 @@
 }
 
 #[test]
-fn no_wire_name_stands_outside_the_adapter() {
-    let found = found("src");
+fn no_wire_name_appears_outside_the_adapter() {
+    let found = wire_names_in("src");
     assert!(found.is_empty(), "{found:#?}");
 }
 
 #[test]
-fn the_search_finds_the_names_where_they_belong() {
-    assert!(found("platform").len() > WIRE_NAMES.len() / 2);
+fn the_search_finds_the_names_in_the_adapter() {
+    assert!(wire_names_in("platform").len() > WIRE_NAMES.len() / 2);
 }
