--- a/standins/tests/at_most_once.rs
+++ b/standins/tests/at_most_once.rs
@@ -23,7 +23,7 @@
     nonce: u64,
 ) -> Vec<CallRecord> {
     let key = format!("key-{nonce}");
-    let request = once(nonce, Some(&key));
+    let request = non_idempotent_call(nonce, Some(&key));
     let (mut a, b) = futures_lite::future::zip(
         ask_until_settled(fleet, first, &request),
         ask_until_settled(fleet, second, &request),
@@ -37,7 +37,8 @@
 async fn give_slots_owners(fleet: &Fleet) -> Vec<CallRecord> {
     let mut calls = Vec::new();
     for nonce in 1..=40 {
-        let request = once(nonce, Some(&format!("key-{nonce}")));
+        let request =
+            non_idempotent_call(nonce, Some(&format!("key-{nonce}")));
         let vm = ALL[nonce as usize % 4];
         calls.extend(ask_until_settled(fleet, vm, &request).await);
     }
@@ -61,7 +62,7 @@
             assert_eq!(runs_of_key(&fleet, &format!("key-{nonce}")), 1);
             calls.extend(raced);
         }
-        assert_kept(&fleet, &calls).await;
+        assert_no_violations(&fleet, &calls).await;
     });
 }
 
@@ -75,7 +76,7 @@
         for nonce in 1..=20 {
             let vm = ALL[nonce as usize % 4];
             let key = format!("key-{nonce}");
-            let request = once(nonce, Some(&key));
+            let request = non_idempotent_call(nonce, Some(&key));
             calls.extend(ask_until_settled(&fleet, vm, &request).await);
             let other = ALL[(nonce as usize + 1) % 4];
             calls.extend(ask_until_settled(&fleet, other, &request).await);
@@ -84,7 +85,7 @@
         let answered = calls.iter().filter(|call| call.is_whole()).count();
         assert!(answered >= 30, "{answered} of 40");
         fleet.set_kv_faults(KvFaults::default()).await.unwrap();
-        assert_kept(&fleet, &calls).await;
+        assert_no_violations(&fleet, &calls).await;
     });
 }
 
@@ -96,7 +97,7 @@
             let lose = ServiceFaults { lose_next: 1, ..Default::default() };
             fleet.set_upstream_faults(upstream, &lose).await.unwrap();
         }
-        let request = once(1, Some("key-1"));
+        let request = non_idempotent_call(1, Some("key-1"));
         let first = ask(&fleet, "vm-hall-a-1", &request).await;
         assert_eq!(first.code(), Some("upstream_failed"));
         assert_eq!(first.run(), Some("outcome_unknown"));
@@ -106,11 +107,12 @@
             let last = calls.last().unwrap();
             assert_eq!(last.code(), Some("outcome_unknown"));
         }
-        let keyless = ask(&fleet, "vm-hall-b-1", &once(2, None)).await;
+        let keyless =
+            ask(&fleet, "vm-hall-b-1", &non_idempotent_call(2, None)).await;
         assert_eq!(keyless.run(), Some("outcome_unknown"));
         calls.push(keyless);
         assert_eq!(fleet.records().unwrap().len(), 2);
-        assert_kept(&fleet, &calls).await;
+        assert_no_violations(&fleet, &calls).await;
     });
 }
 
@@ -126,7 +128,7 @@
             for nonce in 1..=40 {
                 let nonce = round * 1000 + nonce;
                 let key = format!("key-{nonce}");
-                let request = once(nonce, Some(&key));
+                let request = non_idempotent_call(nonce, Some(&key));
                 let vm = ALL[nonce as usize % 4];
                 let first = ask(&fleet, vm, &request).await;
                 answered += usize::from(first.is_whole());
@@ -141,7 +143,7 @@
             fleet.set_kv_faults(KvFaults::default()).await.unwrap();
             Timer::after(Duration::from_millis(500)).await;
         }
-        assert_kept(&fleet, &calls).await;
+        assert_no_violations(&fleet, &calls).await;
     });
 }
 
@@ -154,7 +156,7 @@
         fleet.set_kv_faults(out).await.unwrap();
         for nonce in 101..=120 {
             let key = format!("key-{nonce}");
-            let request = once(nonce, Some(&key));
+            let request = non_idempotent_call(nonce, Some(&key));
             let vm = ALL[nonce as usize % 4];
             calls.push(ask(&fleet, vm, &request).await);
         }
@@ -162,13 +164,18 @@
         for nonce in 101..=120 {
             let key = format!("key-{nonce}");
             calls.push(
-                ask(&fleet, "vm-hall-a-2", &once(nonce, Some(&key))).await,
+                ask(
+                    &fleet,
+                    "vm-hall-a-2",
+                    &non_idempotent_call(nonce, Some(&key)),
+                )
+                .await,
             );
         }
         fleet.set_kv_faults(KvFaults::default()).await.unwrap();
         for nonce in 101..=120 {
             let key = format!("key-{nonce}");
-            let request = once(nonce, Some(&key));
+            let request = non_idempotent_call(nonce, Some(&key));
             let again =
                 ask_until_settled(&fleet, "vm-hall-b-1", &request).await;
             calls.extend(again);
@@ -176,7 +183,7 @@
         }
         fleet.restart_vm("vm-hall-a-1").await.unwrap();
         Timer::after(Duration::from_secs(5)).await;
-        assert_kept(&fleet, &calls).await;
+        assert_no_violations(&fleet, &calls).await;
     });
 }
 
@@ -193,7 +200,10 @@
             let under_way: Vec<_> = (1..=8)
                 .map(|n| {
                     let nonce = round * 1000 + n;
-                    let request = once(nonce, Some(&format!("key-{nonce}")));
+                    let request = non_idempotent_call(
+                        nonce,
+                        Some(&format!("key-{nonce}")),
+                    );
                     let client = fleet.client.clone();
                     let address = fleet.vms[paused].callers;
                     async_global_executor::spawn(async move {
@@ -206,7 +216,8 @@
             fleet.pause_vm(paused);
             for n in 1..=8 {
                 let nonce = round * 1000 + n;
-                let request = once(nonce, Some(&format!("key-{nonce}")));
+                let request =
+                    non_idempotent_call(nonce, Some(&format!("key-{nonce}")));
                 let vm = others[n as usize % 3];
                 calls.extend(ask_until_settled(&fleet, vm, &request).await);
             }
@@ -220,7 +231,7 @@
             }
         }
         Timer::after(Duration::from_secs(1)).await;
-        assert_kept(&fleet, &calls).await;
+        assert_no_violations(&fleet, &calls).await;
     });
 }
 
@@ -234,12 +245,17 @@
             let mut answered = 0;
             for n in 1..=10 {
                 let nonce = round * 1000 + n;
-                let request = once(nonce, Some(&format!("key-{nonce}")));
+                let request =
+                    non_idempotent_call(nonce, Some(&format!("key-{nonce}")));
                 for vm in ["vm-hall-a-1", "vm-hall-b-1"] {
                     calls.push(ask(&fleet, vm, &request).await);
                 }
-                let keyless =
-                    ask(&fleet, "vm-hall-a-2", &once(nonce + 500, None)).await;
+                let keyless = ask(
+                    &fleet,
+                    "vm-hall-a-2",
+                    &non_idempotent_call(nonce + 500, None),
+                )
+                .await;
                 assert!(keyless.is_whole(), "{keyless:?}");
                 let chat = chat(nonce + 700, 3, false);
                 let chat = ask(&fleet, "vm-hall-a-1", &chat).await;
@@ -253,14 +269,15 @@
             fleet.heal_hall("hall-a");
             for n in 1..=10 {
                 let nonce = round * 1000 + n;
-                let request = once(nonce, Some(&format!("key-{nonce}")));
+                let request =
+                    non_idempotent_call(nonce, Some(&format!("key-{nonce}")));
                 let vm = ALL[n as usize % 4];
                 calls.extend(ask_until_settled(&fleet, vm, &request).await);
                 let key = format!("key-{nonce}");
                 assert!(runs_of_key(&fleet, &key) <= 1, "{key}");
             }
         }
-        assert_kept(&fleet, &calls).await;
+        assert_no_violations(&fleet, &calls).await;
     });
 }
 
@@ -280,9 +297,12 @@
                 .map(|n| {
                     let nonce = round * 100 + n;
                     let request = match n % 3 {
-                        0 => once(nonce, Some(&format!("key-{nonce}"))),
-                        1 => once(nonce, None),
-                        _ => read(nonce),
+                        0 => non_idempotent_call(
+                            nonce,
+                            Some(&format!("key-{nonce}")),
+                        ),
+                        1 => non_idempotent_call(nonce, None),
+                        _ => read_call(nonce),
                     };
                     let client = fleet.client.clone();
                     let address = fleet.vms["vm-hall-a-1"].callers;
@@ -301,7 +321,7 @@
             fleet.wait_ready().await.unwrap();
         }
         // The open bills of the dead lives are settled after a while.
-        eventually_kept(&fleet, &calls).await;
+        wait_for_no_violations(&fleet, &calls).await;
     });
 }
 
@@ -315,9 +335,9 @@
         let calls: Vec<_> = (1..=12)
             .map(|nonce| {
                 let request = match nonce % 3 {
-                    0 => once(nonce, None),
+                    0 => non_idempotent_call(nonce, None),
                     1 => chat(nonce, 20, nonce % 2 == 0),
-                    _ => read(nonce),
+                    _ => read_call(nonce),
                 };
                 let client = fleet.client.clone();
                 let address = fleet.vms["vm-hall-a-1"].callers;
@@ -335,7 +355,7 @@
         fleet.set_all_peer_paths(Mode::Pass);
         fleet.restart_vm("vm-hall-a-1").await.unwrap();
         fleet.wait_ready().await.unwrap();
-        eventually_kept(&fleet, &ended).await;
+        wait_for_no_violations(&fleet, &ended).await;
     });
 }
 
@@ -352,7 +372,7 @@
             if fleet.vms[vm].process.is_none() {
                 continue;
             }
-            calls.push(ask(&fleet, vm, &read(nonce)).await);
+            calls.push(ask(&fleet, vm, &read_call(nonce)).await);
             if nonce == 30 {
                 fleet.kill_vm("vm-hall-a-2");
             }
@@ -361,6 +381,6 @@
         fleet.set_all_peer_paths(Mode::Lossy(0.2));
         Timer::after(Duration::from_secs(4)).await;
         fleet.set_all_peer_paths(Mode::Pass);
-        eventually_kept(&fleet, &calls).await;
+        wait_for_no_violations(&fleet, &calls).await;
     });
 }
--- a/standins/tests/common/mod.rs
+++ b/standins/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! What all integration tests share: fleets, callers and checks.
+//! Helpers shared by the integration tests: fleets, callers and checks.
 
-#![allow(dead_code, reason = "each test binary uses a part")]
+#![allow(dead_code, reason = "each test binary uses only some of the helpers")]
 
 use std::{
     future::Future,
@@ -20,46 +20,48 @@
     traffic::{ONCE_SERVICES, ORGANISATIONS},
 };
 
-/// Halls of the usual fleet.
-pub const HALLS: [&str; 2] = ["hall-a", "hall-b"];
+/// Data halls of the default fleet.
+pub const DATA_HALLS: [&str; 2] = ["hall-a", "hall-b"];
 
-/// Longest that a caller waits; generous for a busy machine.
-pub const CALLER_LIMIT: Duration = Duration::from_secs(30);
+/// Timeout of a caller; long enough for a busy machine.
+pub const CALLER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Longest that anything is waited for.
-pub const LIMIT: Duration = Duration::from_secs(60);
+/// Timeout of everything that a test waits for.
+pub const TIMEOUT: Duration = Duration::from_secs(60);
 
-static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
+static FLEET_LOCK: Mutex<()> = Mutex::new(());
 
-/// Keeps the fleets of one test binary from running at once.
-pub fn alone() -> MutexGuard<'static, ()> {
-    ONE_AT_A_TIME.lock().unwrap_or_else(|failed| failed.into_inner())
+/// Serializes the tests of one binary, so that one fleet runs at a time.
+pub fn lock_fleet() -> MutexGuard<'static, ()> {
+    FLEET_LOCK.lock().unwrap_or_else(|failed| failed.into_inner())
 }
 
-/// Runs a test on the executor.
+/// Runs a test on the executor, one test at a time.
 pub fn run(test: impl Future<Output = ()>) {
-    let _guard = alone();
+    let _guard = lock_fleet();
     set_program(env!("CARGO_BIN_EXE_standins"));
     async_global_executor::block_on(test);
 }
 
-/// Starts and configures the usual site with changes to its plan.
+/// Starts and configures the default fleet, with `change` applied to its
+/// plan.
 pub async fn start(
     vms_each: usize,
     change: impl FnOnce(FleetPlan) -> FleetPlan,
 ) -> Fleet {
-    let plan = change(site::plan(&HALLS, vms_each, 1));
-    let fleet = Fleet::start(plan).await.expect("a fleet");
-    site::configure(&fleet).await.expect("a configuration");
+    let plan = change(site::plan(&DATA_HALLS, vms_each, 1));
+    let fleet = Fleet::start(plan).await.expect("the fleet starts");
+    site::configure(&fleet).await.expect("the fleet is configured");
     fleet
 }
 
-/// A chat request of the first organisation.
+/// Returns a chat request of the first organisation to the `writer` model.
 pub fn chat(nonce: u64, tokens: u64, stream: bool) -> Request {
     chat_of("writer", nonce, tokens, stream, None)
 }
 
-/// A chat request for a model, maybe of a session.
+/// Returns a chat request of the first organisation to this model, within a
+/// session if one is given.
 pub fn chat_of(
     model: &str,
     nonce: u64,
@@ -79,12 +81,13 @@
             session: session.map(str::to_owned),
             priority: None,
         },
-        limit: CALLER_LIMIT,
+        limit: CALLER_TIMEOUT,
     }
 }
 
-/// A call of the first organisation that must not run twice.
-pub fn once(nonce: u64, key: Option<&str>) -> Request {
+/// Returns a non-idempotent call of the first organisation, with an
+/// idempotency key if one is given.
+pub fn non_idempotent_call(nonce: u64, key: Option<&str>) -> Request {
     Request {
         organisation: ORGANISATIONS[0].to_owned(),
         nonce,
@@ -93,36 +96,37 @@
             method: Method::POST,
             key: key.map(str::to_owned),
         },
-        limit: CALLER_LIMIT,
+        limit: CALLER_TIMEOUT,
     }
 }
 
-/// A call of the first organisation that only reads.
-pub fn read(nonce: u64) -> Request {
+/// Returns a read-only call of the first organisation.
+pub fn read_call(nonce: u64) -> Request {
     Request {
         organisation: ORGANISATIONS[0].to_owned(),
         nonce,
         ask: standins::traffic::read_call(),
-        limit: CALLER_LIMIT,
+        limit: CALLER_TIMEOUT,
     }
 }
 
-/// Sends a request through a VM.
+/// Sends a request once through a VM, without retries.
 pub async fn ask(fleet: &Fleet, vm: &str, request: &Request) -> CallRecord {
     send(&fleet.client, fleet.vms[vm].callers, request).await
 }
 
-/// Sends a request until it is answered or refused for good.
+/// Sends a request until it is answered or finally rejected, and returns every
+/// attempt.
 ///
-/// Refusals that say `not_run` with a way out, and keys in progress, are
-/// tried again, as a caller's library would.
+/// Retries transient rejections and keys in progress, as a client library
+/// would.
 pub async fn ask_until_settled(
     fleet: &Fleet,
     vm: &str,
     request: &Request,
 ) -> Vec<CallRecord> {
-    let begun = Instant::now();
-    let end = begun + LIMIT;
+    let started_at = Instant::now();
+    let end = started_at + TIMEOUT;
     let mut records = Vec::new();
     loop {
         let record = ask(fleet, vm, request).await;
@@ -137,9 +141,10 @@
                     | "overloaded"
             )
         );
-        // The outcome of a VM that died stays open for long.
+        // A key that a dead VM had claimed stays in progress for long, so
+        // this does not wait for its outcome.
         let stays_open = record.code() == Some("key_in_progress")
-            && begun.elapsed() > Duration::from_secs(3);
+            && started_at.elapsed() > Duration::from_secs(3);
         records.push(record);
         if !again || stays_open || Instant::now() > end {
             return records;
@@ -148,36 +153,37 @@
     }
 }
 
-/// The runs that stand-ins recorded of a key.
+/// Returns how often upstreams ran requests with this idempotency key.
 pub fn runs_of_key(fleet: &Fleet, key: &str) -> usize {
     let records = fleet.records().expect("records");
     let runs = records.iter().filter(|r| r.key.as_deref() == Some(key));
     runs.count()
 }
 
-/// Waits until something holds.
+/// Polls a condition until it is true.
 ///
 /// # Panics
 ///
-/// When it does not in time.
-pub async fn eventually<F>(what: &str, mut holds: impl FnMut() -> F)
+/// If that takes longer than `TIMEOUT`; the message contains `what`.
+pub async fn eventually<F>(what: &str, mut condition: impl FnMut() -> F)
 where
     F: Future<Output = bool>,
 {
-    let end = Instant::now() + LIMIT;
-    while !holds().await {
-        assert!(Instant::now() < end, "not in time: {what}");
+    let end = Instant::now() + TIMEOUT;
+    while !condition().await {
+        assert!(Instant::now() < end, "timed out waiting until {what}");
         Timer::after(Duration::from_millis(50)).await;
     }
 }
 
-/// Waits until every run of a fleet is billed and nothing else is violated.
+/// Waits until the checker finds no violation, which includes that every run
+/// has been billed.
 ///
 /// # Panics
 ///
-/// When it is not so in time, with what is violated.
-pub async fn eventually_kept(fleet: &Fleet, calls: &[CallRecord]) {
-    let end = Instant::now() + LIMIT;
+/// If violations remain after `TIMEOUT`; the message lists them.
+pub async fn wait_for_no_violations(fleet: &Fleet, calls: &[CallRecord]) {
+    let end = Instant::now() + TIMEOUT;
     loop {
         let found = violations(fleet, calls, &site::rules()).await;
         if found.is_empty() {
@@ -187,33 +193,36 @@
             for vm in fleet.vms.values() {
                 println!("log of {}:\n{}", vm.name, fleet.log(&vm.name));
             }
-            panic!("not in time: {found:#?}");
+            panic!("violations remain: {found:#?}");
         }
         Timer::after(Duration::from_millis(50)).await;
     }
 }
 
-/// Checks everything that happened in a fleet.
+/// Runs the checker on all records, calls and bills of a fleet.
 pub async fn violations(
     fleet: &Fleet,
     calls: &[CallRecord],
     rules: &Rules,
 ) -> Vec<Violation> {
-    fleet.wait_bills_committed().await.expect("committed bills");
-    let vm =
-        fleet.vms.values().find(|vm| vm.process.is_some()).expect("a live VM");
-    let bills = fleet.bills(&vm.name).await.expect("bills");
+    fleet.wait_bills_committed().await.expect("all bills are committed");
+    let vm = fleet
+        .vms
+        .values()
+        .find(|vm| vm.process.is_some())
+        .expect("at least one VM is alive");
+    let bills = fleet.bills(&vm.name).await.expect("the bills are readable");
     let records = fleet.records().expect("records");
     check(&Evidence { records: &records, calls, bills: &bills, rules })
 }
 
-/// Asserts that nothing was violated.
-pub async fn assert_kept(fleet: &Fleet, calls: &[CallRecord]) {
+/// Asserts that the checker finds no violation.
+pub async fn assert_no_violations(fleet: &Fleet, calls: &[CallRecord]) {
     let found = violations(fleet, calls, &site::rules()).await;
     assert!(found.is_empty(), "{found:#?}");
 }
 
-/// Callers' addresses of all live VMs.
+/// Returns the caller-facing addresses of all live VMs.
 pub fn live_callers(fleet: &Fleet) -> Vec<SocketAddr> {
     let live = fleet.vms.values().filter(|vm| vm.process.is_some());
     live.map(|vm| vm.callers).collect()
--- a/standins/tests/crashing_requests.rs
+++ b/standins/tests/crashing_requests.rs
@@ -1,11 +1,11 @@
-//! Requests that crash the upstreams that run them.
+//! Checks that a request which crashes upstreams is quarantined by all VMs.
 //!
-//! One request of one organisation came again and again, at any VM and under
-//! a new id each time, and ended every upstream that began to run it. An
-//! attempt that breaks was counted against its upstream only, so each VM, and
-//! each new try, began at zero with the same content: under one such request
-//! 58 upstreams ended, with most of what ran beside it. What was settled by
-//! the lines of the VMs, two seconds apart and at three of them:
+//! A client that retries such a request, through any VM and under a new id
+//! each time, crashes one upstream per attempt, along with most requests that
+//! run there. If VMs count failed attempts per upstream only, each VM and each
+//! retry starts from zero with the same content: one such request crashed 58
+//! upstreams. The VMs' logs then show one content crash several upstreams
+//! through different VMs within two seconds:
 //!
 //! ```text
 //! 39.299 edge-medina-3   r-faq2bit pura680 1841 tokens, i-90aa028f78 broken
@@ -27,86 +27,89 @@
     scripted::{Act, Script, Upstream, stamped},
 };
 
-/// Long enough that no test meets the bound.
+/// Time within which a revoked key must be rejected everywhere; long enough
+/// that no test reaches it.
 const REVOKE_MS: u64 = 8_000;
 
-/// VMs of a site.
+/// Number of VMs of a site.
 const VMS: usize = 3;
 
-/// Upstreams that are there at any time.
+/// Number of upstreams that run at any time.
 const UPSTREAMS: usize = 4;
 
-/// What crashes each upstream that runs it.
-const DEADLY: &str = "deadly";
+/// Path segment of requests that crash every upstream that runs them.
+const CRASHING: &str = "deadly";
 
-/// What each upstream cuts off.
-const CUT: &str = "cut";
+/// Path segment of requests whose connection every upstream closes.
+const CLOSING: &str = "cut";
 
-/// Time that every request works.
-const WORK: Duration = Duration::from_millis(15);
+/// Time that an upstream spends on every request.
+const WORK_TIME: Duration = Duration::from_millis(15);
 
-/// Time in which all VMs are to know what they need, as operators state it.
-const CONTACT: Duration = Duration::from_secs(3);
+/// Time within which all VMs must have learned of the crashes, as specified by
+/// the operators.
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
-/// Times that a request may still reach upstreams after that, once it has
-/// ended three.
-const SENDS_MOST: usize = 3;
+/// Number of times that a request may still reach upstreams from
+/// `PROPAGATION_TIME` after its crash number `CRASHES` on.
+const MAX_SENDS: usize = 3;
 
-/// Upstreams from whose end that time is counted.
-const ENDS: usize = 3;
+/// Number of crashes from which on `PROPAGATION_TIME` is counted.
+const CRASHES: usize = 3;
 
-static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
+static SITE_LOCK: Mutex<()> = Mutex::new(());
 
-/// The VMs of a site have fixed addresses, so one site runs at a time.
-fn alone() -> MutexGuard<'static, ()> {
-    ONE_AT_A_TIME.lock().unwrap_or_else(|failed| failed.into_inner())
+/// Serializes the tests, since the VMs of a site have fixed addresses.
+fn lock_site() -> MutexGuard<'static, ()> {
+    SITE_LOCK.lock().unwrap_or_else(|failed| failed.into_inner())
 }
 
+/// Crashes, closes the connection or answers, depending on the path.
 fn script() -> Script {
     Box::new(|request| {
         let well = || Act::Send(answer(200, &stamped(request, &[]), "well"));
         let act = match request.path.rsplit('/').next() {
-            Some(DEADLY) => Act::Crash,
-            Some(CUT) => Act::Close,
+            Some(CRASHING) => Act::Crash,
+            Some(CLOSING) => Act::Close,
             _ => well(),
         };
-        vec![Act::Wait(WORK), act]
+        vec![Act::Wait(WORK_TIME), act]
     })
 }
 
-/// A site whose upstreams are replaced when they have ended, each under a new
-/// name.
-struct Crashes {
+/// A site whose crashed upstreams are replaced by ones with new ids.
+struct CrashSite {
     site: Site,
     upstreams: Vec<Upstream>,
     asked: usize,
 }
 
-impl Crashes {
-    fn start() -> Crashes {
+impl CrashSite {
+    fn start() -> CrashSite {
         let program = PathBuf::from(env!("CARGO_BIN_EXE_standins"));
         let site = Site::new(program, &["vm"], REVOKE_MS);
-        let mut crashes = Crashes { site, upstreams: Vec::new(), asked: 0 };
-        crashes.replace();
+        let mut crash_site =
+            CrashSite { site, upstreams: Vec::new(), asked: 0 };
+        crash_site.replace_crashed();
         for _ in 0..VMS {
-            crashes.site.start_vm();
+            crash_site.site.start_vm();
         }
-        crashes.wait_served();
-        crashes
+        crash_site.wait_until_served();
+        crash_site
     }
 
-    /// Waits until every VM knows upstreams that answer.
-    fn wait_served(&mut self) {
+    /// Waits until every VM has an upstream that answers.
+    fn wait_until_served(&mut self) {
         wait_until("every VM serves", || {
             (0..VMS).all(|_| self.ask("well").status == 200)
         });
     }
 
-    /// Starts a new upstream for each that has ended, and removes the records
-    /// of those.
-    fn replace(&mut self) {
-        for ended in self.upstreams.iter().filter(|u| u.has_crashed()) {
-            self.site.store.remove(&format!("servers/{}", ended.id));
+    /// Starts a new upstream for each crashed one, and removes the records of
+    /// the crashed ones.
+    fn replace_crashed(&mut self) {
+        for crashed in self.upstreams.iter().filter(|u| u.has_crashed()) {
+            self.site.store.remove(&format!("servers/{}", crashed.id));
         }
         let living = |u: &&Upstream| !u.has_crashed();
         while self.upstreams.iter().filter(living).count() < UPSTREAMS {
@@ -117,7 +120,7 @@
         }
     }
 
-    /// Asks the VMs in turn, each time under a new id.
+    /// Sends a request to the next VM in turn, under a new id.
     fn ask(&mut self, what: &str) -> Got {
         self.asked += 1;
         let id = format!("r-{}", self.asked);
@@ -126,27 +129,31 @@
         vm.ask(&request("GET", &path, &id, ""))
     }
 
-    /// Sends the deadly request until every VM refuses it.
-    fn hold_back(&mut self) {
-        let until = Instant::now() + CONTACT;
-        let mut refusals = 0;
-        while refusals < VMS {
-            assert!(Instant::now() < until, "it is held back everywhere");
-            let got = self.ask(DEADLY);
-            let is_refused = got.body.contains("crashes_upstreams");
-            refusals = if is_refused { refusals + 1 } else { 0 };
-            self.replace();
+    /// Sends the crashing request until every VM rejects it.
+    fn quarantine(&mut self) {
+        let until = Instant::now() + PROPAGATION_TIME;
+        let mut rejections = 0;
+        while rejections < VMS {
+            assert!(
+                Instant::now() < until,
+                "not all VMs have quarantined the request in time"
+            );
+            let got = self.ask(CRASHING);
+            let is_rejected = got.body.contains("crashes_upstreams");
+            rejections = if is_rejected { rejections + 1 } else { 0 };
+            self.replace_crashed();
             thread::sleep(Duration::from_millis(50));
         }
-        // Those that have ended are replaced by ones to be heard of first.
-        self.wait_served();
+        // The VMs must first learn of the replacements.
+        self.wait_until_served();
     }
 
-    fn ended(&self) -> usize {
+    /// Returns how many upstreams have crashed.
+    fn crashed_upstreams(&self) -> usize {
         self.upstreams.iter().filter(|u| u.has_crashed()).count()
     }
 
-    /// How often a request has reached upstreams.
+    /// Returns how often a request has reached upstreams.
     fn sends(&self, what: &str) -> usize {
         let path = format!("/read/{what}");
         let received = self.upstreams.iter().flat_map(|u| u.received());
@@ -155,86 +162,91 @@
 }
 
 #[test]
-fn a_request_that_has_ended_three_upstreams_is_sent_no_more() {
-    let _alone = alone();
-    let mut crashes = Crashes::start();
+fn a_request_that_crashed_three_upstreams_is_sent_no_more() {
+    let _guard = lock_site();
+    let mut crash_site = CrashSite::start();
     let mut third_at = None;
     let mut sends_before = 0;
-    let until = Instant::now() + CONTACT * 3;
+    let until = Instant::now() + PROPAGATION_TIME * 3;
     while Instant::now() < until {
-        crashes.ask(DEADLY);
-        crashes.replace();
+        crash_site.ask(CRASHING);
+        crash_site.replace_crashed();
         thread::sleep(Duration::from_millis(100));
-        if crashes.ended() >= ENDS {
+        if crash_site.crashed_upstreams() >= CRASHES {
             third_at.get_or_insert(Instant::now());
         }
-        if third_at.is_none_or(|at| at.elapsed() < CONTACT) {
-            sends_before = crashes.sends(DEADLY);
+        if third_at.is_none_or(|at| at.elapsed() < PROPAGATION_TIME) {
+            sends_before = crash_site.sends(CRASHING);
         }
     }
-    assert!(third_at.is_some(), "nothing has ended");
-    let later = crashes.sends(DEADLY) - sends_before;
+    assert!(third_at.is_some(), "fewer than {CRASHES} upstreams have crashed");
+    let later = crash_site.sends(CRASHING) - sends_before;
     assert!(
-        later <= SENDS_MOST,
-        "sent {later} times more; {} ended in all",
-        crashes.ended()
+        later <= MAX_SENDS,
+        "sent {later} times more; {} upstreams crashed in total",
+        crash_site.crashed_upstreams()
     );
 }
 
 #[test]
-fn it_is_refused_at_once_for_what_it_did() {
-    let _alone = alone();
-    let mut crashes = Crashes::start();
-    crashes.hold_back();
-    let sends = crashes.sends(DEADLY);
+fn a_quarantined_request_is_rejected_immediately() {
+    let _guard = lock_site();
+    let mut crash_site = CrashSite::start();
+    crash_site.quarantine();
+    let sends = crash_site.sends(CRASHING);
     for _ in 0..VMS {
         let begun = Instant::now();
-        let got = crashes.ask(DEADLY);
+        let got = crash_site.ask(CRASHING);
         assert!(begun.elapsed() < Duration::from_millis(500), "{got:?}");
         assert_eq!(got.status, 502, "{got:?}");
         assert!(got.body.contains("crashes_upstreams"), "{got:?}");
-        assert_eq!(crashes.ask("well").status, 200, "others are served");
+        assert_eq!(crash_site.ask("well").status, 200, "others are served");
     }
-    assert_eq!(crashes.sends(DEADLY), sends);
+    assert_eq!(crash_site.sends(CRASHING), sends);
 }
 
-/// Nothing that a VM has in its memory is left, and a caller that comes again
-/// would end three more.
+/// Guards against a quarantine that VMs keep in memory only: after a restart
+/// of all VMs, a client that retries would crash three more upstreams.
 #[test]
-fn it_is_still_held_back_after_all_vms_have_gone() {
-    let _alone = alone();
-    let mut crashes = Crashes::start();
-    crashes.hold_back();
-    wait_until("it is written to the store", || {
-        let keys = crashes.site.store.keys();
+fn a_quarantine_survives_a_restart_of_all_vms() {
+    let _guard = lock_site();
+    let mut crash_site = CrashSite::start();
+    crash_site.quarantine();
+    wait_until("the quarantine is written to the store", || {
+        let keys = crash_site.site.store.keys();
         keys.iter().any(|key| key.contains("crashing"))
     });
-    for vm in &mut crashes.site.vms {
+    for vm in &mut crash_site.site.vms {
         vm.kill();
     }
-    for vm in &mut crashes.site.vms {
+    for vm in &mut crash_site.site.vms {
         vm.start();
     }
-    for vm in &crashes.site.vms {
+    for vm in &crash_site.site.vms {
         wait_until("the VM is ready", || vm.is_ready());
     }
-    let sends = crashes.sends(DEADLY);
+    let sends = crash_site.sends(CRASHING);
     for _ in 0..VMS * 2 {
-        assert_eq!(crashes.ask(DEADLY).status, 502);
+        assert_eq!(crash_site.ask(CRASHING).status, 502);
     }
-    assert_eq!(crashes.sends(DEADLY), sends);
+    assert_eq!(crash_site.sends(CRASHING), sends);
 }
 
-/// Upstreams that cut the connection of each request are well.
+/// Guards against taking closed connections for crashes: an upstream that
+/// closes the connection of each request goes on running.
 #[test]
-fn connections_that_break_hold_nothing_back() {
-    let _alone = alone();
-    let mut crashes = Crashes::start();
+fn closed_connections_quarantine_nothing() {
+    let _guard = lock_site();
+    let mut crash_site = CrashSite::start();
     let asked = 12;
     for _ in 0..asked {
-        crashes.ask(CUT);
+        crash_site.ask(CLOSING);
     }
-    let got = crashes.ask(CUT);
+    let got = crash_site.ask(CLOSING);
     assert!(!got.body.contains("crashes_upstreams"), "{got:?}");
-    assert!(crashes.sends(CUT) > asked, "{}", crashes.sends(CUT));
+    assert!(
+        crash_site.sends(CLOSING) > asked,
+        "{} sends",
+        crash_site.sends(CLOSING)
+    );
 }
--- a/standins/tests/leaving_upstreams.rs
+++ b/standins/tests/leaving_upstreams.rs
@@ -1,12 +1,11 @@
-//! Upstreams that say in their answers that they leave.
+//! Checks that a VM stops sending to an upstream whose responses say that it
+//! is leaving.
 //!
-//! An upstream said in each of its answers that it leaves while the platform's
-//! store was silent, so that its record came twelve seconds later. A VM passed
-//! such an answer on, and sent it further requests nine and eleven seconds
-//! after that: nothing read what an answer says of its upstream, and the
-//! record in the store was the only way by which anybody heard of it. What
-//! settled it, of one VM that writes down what answers say and does not heed
-//! it; its store stays silent, so no record disturbs:
+//! Guards against learning of it from the store only: while the store did not
+//! answer, the upstream's record arrived twelve seconds late, and a VM that
+//! had forwarded such a response sent further requests nine and eleven seconds
+//! after it. The log of a VM that records these signals but ignores them,
+//! while its store does not answer:
 //!
 //! ```text
 //! 0.000 vm-0 i-1 answered, says_leaving
@@ -35,22 +34,26 @@
     scripted::{Act, Script, Streamed, Upstream, answers, stamped, streams},
 };
 
-/// Long enough that no test meets the bound.
+/// Time within which a revoked key must be rejected everywhere; long enough
+/// that no test reaches it.
 const REVOKE_MS: u64 = 30_000;
 
-/// Time after which an upstream that has said that it leaves is to get
-/// nothing, as operators state it.
-const DRAIN: Duration = Duration::from_secs(2);
+/// Time after which an upstream that said that it is leaving must get no more
+/// requests, as specified by the operators.
+const DRAIN_TIME: Duration = Duration::from_secs(2);
 
+/// Header by which a response says that its upstream is leaving.
 const LEAVING: (&str, &str) = ("Server-Leaving", "1");
 
-static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
+static SITE_LOCK: Mutex<()> = Mutex::new(());
 
-/// The VMs of a site have fixed addresses, so one site runs at a time.
-fn alone() -> MutexGuard<'static, ()> {
-    ONE_AT_A_TIME.lock().unwrap_or_else(|failed| failed.into_inner())
+/// Serializes the tests, since the VMs of a site have fixed addresses.
+fn lock_site() -> MutexGuard<'static, ()> {
+    SITE_LOCK.lock().unwrap_or_else(|failed| failed.into_inner())
 }
 
+/// Starts a site with one VM, and waits until it knows these upstreams, each
+/// given with its service.
 fn site_with(upstreams: &[(&Upstream, &str)]) -> Site {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_standins"));
     let mut site = Site::new(program, &["vm"], REVOKE_MS);
@@ -64,33 +67,34 @@
     site
 }
 
-/// Waits until the VM has heard so many records of an upstream.
+/// Waits until the VM has read at least this many records of an upstream.
 fn wait_listed(site: &Site, upstream: &str, records: usize) {
-    wait_until("the VM has heard of the upstream", || {
+    wait_until("the VM has read the upstream's records", || {
         let lines = site.vms[0].lines("E043");
         let of_it = lines.iter().filter(|line| line["upstream"] == upstream);
         of_it.count() >= records
     });
 }
 
-/// Answers with this status, and says that it leaves.
-fn leaves(status: u16) -> Script {
+/// Answers with this status and says that the upstream is leaving.
+fn leaving_answers(status: u16) -> Script {
     Box::new(move |request| {
         let more = [LEAVING];
         vec![Act::Send(answer(status, &stamped(request, &more), "x"))]
     })
 }
 
-/// Turns requests away, and says that it leaves.
-fn leaves_declining() -> Script {
+/// Declines requests and says that the upstream is leaving.
+fn leaving_declines() -> Script {
     Box::new(|request| {
         let more = [("Lupinseam-Not-Executed", "1"), LEAVING];
         vec![Act::Send(answer(503, &stamped(request, &more), ""))]
     })
 }
 
-/// Streams one event of this confidence, and says that it leaves.
-fn leaves_streaming(confidence: &'static str) -> Script {
+/// Streams one event, states this confidence and says that the upstream is
+/// leaving.
+fn leaving_streams(confidence: &'static str) -> Script {
     Box::new(move |request| {
         let more = [
             ("content-type", "text/event-stream"),
@@ -108,17 +112,18 @@
     })
 }
 
-/// Asks for a plain answer and a stream.
+/// Sends one plain request and one request for a stream.
 ///
-/// Both attempts of the plain one may go to an upstream that fails and one
-/// that turns it away, so not all are served.
+/// Not all of them succeed: both attempts of the plain one may reach upstreams
+/// that fail or decline it.
 fn ask(site: &Site, id: &str) -> [Got; 2] {
     let plain = request("GET", "/read/x", id, "");
     let stream = lone_stream_request("/write/x", &format!("{id}-s"));
     [plain, stream].map(|text| site.vms[0].ask(&text))
 }
 
-/// Asks so many times for both, which those that stay serve.
+/// Sends both requests this many times, and asserts that the remaining
+/// upstreams serve them.
 fn ask_served(site: &Site, name: &str, times: usize) {
     for number in 0..times {
         for got in ask(site, &format!("{name}-{number}")) {
@@ -127,13 +132,15 @@
     }
 }
 
+/// Returns how many requests each upstream has received.
 fn received(upstreams: &[&Upstream]) -> Vec<usize> {
     upstreams.iter().map(|upstream| upstream.received().len()).collect()
 }
 
 #[test]
-fn one_that_says_so_in_any_answer_gets_no_more_requests() {
-    let _alone = alone();
+fn an_upstream_that_says_it_is_leaving_in_any_response_gets_no_more_requests()
+{
+    let _guard = lock_site();
     let answering = Upstream::start("i-1", answers(200, "x"));
     let failing = Upstream::start("i-2", answers(200, "x"));
     let declining = Upstream::start("i-3", answers(200, "x"));
@@ -148,76 +155,96 @@
         (&streaming, MODELS),
         (&other, MODELS),
     ]);
-    // Nobody hears of it through the store.
+    // The VM can't learn of it from the store.
     site.store.set_mood(Mood::Silent);
-    answering.set_script(leaves(200));
-    failing.set_script(leaves(500));
-    declining.set_script(leaves_declining());
-    streaming.set_script(leaves_streaming("100"));
+    answering.set_script(leaving_answers(200));
+    failing.set_script(leaving_answers(500));
+    declining.set_script(leaving_declines());
+    streaming.set_script(leaving_streams("100"));
     let leaving = [&answering, &failing, &declining, &streaming];
     let before = received(&leaving);
     let mut round = 0;
-    wait_until("each has said that it leaves", || {
+    wait_until("each has said that it is leaving", || {
         ask(&site, &format!("before-{round}"));
         round += 1;
         let now = received(&leaving);
         now.iter().zip(&before).all(|(now, before)| now > before)
     });
-    thread::sleep(DRAIN);
-    let told = received(&leaving);
+    thread::sleep(DRAIN_TIME);
+    let received_by_leaving = received(&leaving);
     ask_served(&site, "after", 40);
-    assert_eq!(received(&leaving), told, "sent there after it was told");
+    assert_eq!(
+        received(&leaving),
+        received_by_leaving,
+        "sent to a leaving upstream"
+    );
     assert!(staying.received().len() >= 40 && !other.received().is_empty());
 }
 
-/// Its record says `ready` until the store has taken its leave, and may lapse
-/// and be written again meanwhile; only a later start brings it back.
+/// Guards against records of the same incarnation that bring a leaving
+/// upstream back: its record says `ready` until the store has the change, and
+/// may expire and be written again before that. Only a later incarnation gets
+/// requests again.
 #[test]
-fn no_record_of_the_same_life_brings_it_back() {
-    let _alone = alone();
+fn no_record_of_the_same_incarnation_brings_a_leaving_upstream_back() {
+    let _guard = lock_site();
     let leaving = Upstream::start("i-1", answers(200, "x"));
     let staying = Upstream::start("i-2", answers(200, "x"));
     let model = Upstream::start("m-1", streams(|_| Streamed::default()));
     let site = site_with(&[(&staying, PLAIN), (&model, MODELS)]);
-    let write = |start_ms: u64, cold_ms: u64| {
+    let write = |start_ms: u64, warmup_ms: u64| {
         let mut record =
             upstream_record(leaving.address, PLAIN, "v1", "ready");
         record["born"] = json!(start_ms);
-        record["warmup_left_ms"] = json!(cold_ms);
+        record["warmup_left_ms"] = json!(warmup_ms);
         site.store.put("servers/i-1", &record);
     };
     write(1_000, 0);
     wait_listed(&site, "i-1", 1);
-    leaving.set_script(leaves(200));
+    leaving.set_script(leaving_answers(200));
     let before = received(&[&leaving]);
-    wait_until("it has said that it leaves", || {
+    wait_until("it has said that it is leaving", || {
         ask(&site, "before");
         received(&[&leaving]) > before
     });
-    thread::sleep(DRAIN);
-    let told = received(&[&leaving]);
+    thread::sleep(DRAIN_TIME);
+    let received_by_leaving = received(&[&leaving]);
     write(1_000, 1);
     wait_listed(&site, "i-1", 2);
     ask_served(&site, "read-again", 20);
-    assert_eq!(received(&[&leaving]), told, "after its record was changed");
+    assert_eq!(
+        received(&[&leaving]),
+        received_by_leaving,
+        "sent there after its record changed"
+    );
     site.store.remove("servers/i-1");
-    wait_until("its record is gone", || !site.vms[0].lines("E044").is_empty());
+    wait_until("its record is removed", || {
+        !site.vms[0].lines("E044").is_empty()
+    });
     write(1_000, 0);
     wait_listed(&site, "i-1", 3);
     ask_served(&site, "back", 20);
-    assert_eq!(received(&[&leaving]), told, "after its record was back");
+    assert_eq!(
+        received(&[&leaving]),
+        received_by_leaving,
+        "sent there after its record was written again"
+    );
     leaving.set_script(answers(200, "x"));
     write(2_000, 0);
     wait_listed(&site, "i-1", 4);
     ask_served(&site, "again", 20);
-    assert!(received(&[&leaving]) > told, "a later life gets requests");
+    assert!(
+        received(&[&leaving]) > received_by_leaving,
+        "a later incarnation gets requests"
+    );
 }
 
-/// The answer at hand would be dropped for one that nobody can give.
+/// Guards against dropping a low-confidence answer when no other upstream can
+/// give a better one, since the only one is leaving.
 #[test]
-fn a_doubtful_answer_is_kept_where_nobody_else_can_be_asked() {
-    let _alone = alone();
-    let only = Upstream::start("m-1", leaves_streaming("10"));
+fn a_low_confidence_answer_is_kept_without_another_upstream() {
+    let _guard = lock_site();
+    let only = Upstream::start("m-1", leaving_streams("10"));
     let site = site_with(&[(&only, MODELS)]);
     let got = site.vms[0].ask(&lone_stream_request("/write/x", "r-1"));
     assert_eq!((got.status, got.whole), (200, true), "{got:?}");
--- a/standins/tests/upstreams.rs
+++ b/standins/tests/upstreams.rs
@@ -31,7 +31,7 @@
         }
         let records = fleet.records().unwrap();
         assert!(records.iter().any(|record| record.resumed));
-        assert_kept(&fleet, &calls).await;
+        assert_no_violations(&fleet, &calls).await;
     });
 }
 
@@ -73,13 +73,13 @@
             let nonce = calls.len() as u64 + 1;
             let request = match nonce % 2 {
                 0 => chat(nonce, 3, false),
-                _ => once(nonce, None),
+                _ => non_idempotent_call(nonce, None),
             };
             let call = ask(&fleet, VM, &request).await;
             assert!(call.is_whole(), "{call:?}");
             calls.push(call);
         }
-        assert_kept(&fleet, &calls).await;
+        assert_no_violations(&fleet, &calls).await;
     });
 }
 
@@ -103,7 +103,8 @@
         let mut nonce = 0;
         while web::unix_ms() < begun + u64::from(REST_S) * 1000 - 200 {
             nonce += 1;
-            let call = ask(&fleet, VM, &once(nonce, None)).await;
+            let call =
+                ask(&fleet, VM, &non_idempotent_call(nonce, None)).await;
             if nonce > 1 {
                 assert!(call.is_whole(), "{call:?}");
             }
@@ -118,7 +119,7 @@
             let waited = web::unix_ms() - begun;
             assert!(waited < 10_000, "it gets no calls again");
             nonce += 1;
-            ask(&fleet, VM, &once(nonce, None)).await;
+            ask(&fleet, VM, &non_idempotent_call(nonce, None)).await;
         }
     });
 }
@@ -134,7 +135,8 @@
             ServiceFaults { says_leaving: true, ..Default::default() };
         fleet.set_upstream_faults(near, &faults).await.unwrap();
         for nonce in 1..=20 {
-            let call = ask(&fleet, VM, &once(nonce, None)).await;
+            let call =
+                ask(&fleet, VM, &non_idempotent_call(nonce, None)).await;
             assert!(call.is_whole(), "{call:?}");
         }
         assert_eq!(counts(&fleet, near).await[0], 1);
@@ -162,7 +164,8 @@
         while web::unix_ms() < begun + CONTACT_MS + 2 * WINDOW_MS {
             for vm in fleet.vms.keys() {
                 nonce += 1;
-                let call = ask(&fleet, vm, &once(nonce, None)).await;
+                let call =
+                    ask(&fleet, vm, &non_idempotent_call(nonce, None)).await;
                 assert!(call.is_whole(), "the other one serves: {call:?}");
             }
             let [run, _] = counts(&fleet, needy).await;
@@ -286,7 +289,7 @@
             .filter(|r| r.happened == web::Happened::Order)
             .count();
         assert!(orders >= 2, "{orders} orders");
-        assert_kept(&fleet, &[]).await;
+        assert_no_violations(&fleet, &[]).await;
     });
 }
 
--- a/standins/tests/whole_path.rs
+++ b/standins/tests/whole_path.rs
@@ -26,9 +26,9 @@
         for request in [
             chat(1, 5, false),
             chat(2, 9, true),
-            once(3, Some("key-3")),
-            once(4, None),
-            read(5),
+            non_idempotent_call(3, Some("key-3")),
+            non_idempotent_call(4, None),
+            read_call(5),
         ] {
             let call = ask(&fleet, VM, &request).await;
             assert!(call.is_whole(), "{call:?}");
@@ -44,7 +44,7 @@
             assert!(text.contains("answered"), "{text}");
             assert!(text.contains("configuration revision 5"), "{text}");
         }
-        assert_kept(&fleet, &calls).await;
+        assert_no_violations(&fleet, &calls).await;
     });
 }
 
@@ -235,7 +235,7 @@
             let call =
                 ask(&fleet, vm, &chat_of("tiny", 2, 2, false, None)).await;
             assert_eq!(call.code(), Some("not_allowed"), "{vm}");
-            let call = ask(&fleet, vm, &once(3, None)).await;
+            let call = ask(&fleet, vm, &non_idempotent_call(3, None)).await;
             assert_eq!(call.code(), Some("not_allowed"), "{vm}");
         }
     });
@@ -261,7 +261,7 @@
                 })
             })
             .collect();
-        let keyed = once(200, Some("key-200"));
+        let keyed = non_idempotent_call(200, Some("key-200"));
         let mut calls = vec![ask(&fleet, VM, &keyed).await];
         Timer::after(Duration::from_millis(500)).await;
         let vm = fleet.vms.get_mut(VM).unwrap();
@@ -272,7 +272,7 @@
             assert!(call.is_whole(), "{call:?}");
             calls.push(call);
         }
-        assert_eq!(process.wait(LIMIT).await, Some(0));
+        assert_eq!(process.wait(TIMEOUT).await, Some(0));
         calls.extend(ask_until_settled(&fleet, OTHER_VM, &keyed).await);
         let last = calls.last().unwrap();
         let id = last.decision.as_deref().unwrap_or_default();
@@ -281,7 +281,7 @@
         let why = fleet.get(operators, &path).await.unwrap();
         let why = String::from_utf8_lossy(&why.body).into_owned();
         assert!(last.repeated, "the outcome outlives the VM: {why}");
-        assert_kept(&fleet, &calls).await;
+        assert_no_violations(&fleet, &calls).await;
     });
 }
 
