--- a/standins/tests/checker.rs
+++ b/standins/tests/checker.rs
@@ -1,4 +1,5 @@
-//! The checker can fail: it is fed each violation, and a clean record.
+//! Checks that the checker reports each kind of violation, and none for clean
+//! evidence.
 
 use std::time::Duration;
 
@@ -11,14 +12,15 @@
     web::{Happened, Record},
 };
 
-/// Everything that happened, to be spoilt in one way.
-struct World {
+/// Evidence of a run without violations, which a test changes in one way.
+struct TestEvidence {
     records: Vec<Record>,
     calls: Vec<CallRecord>,
     bills: Vec<Value>,
     rules: Rules,
 }
 
+/// Returns an upstream's record of running a request.
 fn record(request: &str, what: &str, key: Option<&str>) -> Record {
     Record {
         at_unix_ms: 1000,
@@ -34,6 +36,7 @@
     }
 }
 
+/// Returns a successful call with this decision id.
 fn call(nonce: u64, decision: &str, ask: Ask) -> CallRecord {
     CallRecord {
         request: Request {
@@ -67,6 +70,7 @@
     }
 }
 
+/// Returns a non-idempotent call, with an idempotency key if one is given.
 fn signature(key: Option<&str>) -> Ask {
     Ask::Service {
         service: "signatures".to_owned(),
@@ -75,13 +79,14 @@
     }
 }
 
-fn world() -> World {
+/// Returns evidence without violations.
+fn evidence() -> TestEvidence {
     let mut first = call(1, "r1", chat(Some("new")));
     first.answered_by = Some("writer@v1".to_owned());
     first.session = Some("token-1".to_owned());
     let mut second = call(4, "r4", chat(Some("token-1")));
     second.answered_by = Some("writer@v1".to_owned());
-    World {
+    TestEvidence {
         records: vec![
             record("r1", "writer@v1", None),
             record("r2", "POST /do/2", Some("k2")),
@@ -101,59 +106,63 @@
     }
 }
 
-fn found(world: &World) -> Vec<Violation> {
+/// Runs the checker.
+fn violations(evidence: &TestEvidence) -> Vec<Violation> {
     check(&Evidence {
-        records: &world.records,
-        calls: &world.calls,
-        bills: &world.bills,
-        rules: &world.rules,
+        records: &evidence.records,
+        calls: &evidence.calls,
+        bills: &evidence.bills,
+        rules: &evidence.rules,
     })
 }
 
-/// Spoils a clean world and returns what is found then.
-fn spoil(change: impl FnOnce(&mut World)) -> Vec<Violation> {
-    let mut world = world();
-    assert_eq!(found(&world), []);
-    change(&mut world);
-    found(&world)
+/// Returns the violations that the checker finds after `change` was applied to
+/// clean evidence.
+fn violations_after(change: impl FnOnce(&mut TestEvidence)) -> Vec<Violation> {
+    let mut evidence = evidence();
+    assert_eq!(violations(&evidence), []);
+    change(&mut evidence);
+    violations(&evidence)
 }
 
+/// Asserts that the checker finds this violation after a change.
 macro_rules! assert_finds {
     ($kind:ident, $change:expr) => {
-        let found = spoil($change);
-        let is_found = found.iter().any(|v| matches!(v, Violation::$kind(_)));
-        assert!(is_found, "{found:?}");
+        let violations = violations_after($change);
+        let is_found =
+            violations.iter().any(|v| matches!(v, Violation::$kind(_)));
+        assert!(is_found, "only found {violations:?}");
     };
 }
 
 #[test]
-fn runs_that_must_not_be_are_found() {
-    assert_finds!(DoubleRun, |world: &mut World| {
-        world.records.push(record("r9", "POST /do/2", Some("k2")));
+fn forbidden_runs_are_found() {
+    assert_finds!(DoubleRun, |evidence: &mut TestEvidence| {
+        evidence.records.push(record("r9", "POST /do/2", Some("k2")));
     });
-    assert_finds!(DoubleRun, |world: &mut World| {
-        world.records.push(record("r3", "POST /do/3", None));
+    assert_finds!(DoubleRun, |evidence: &mut TestEvidence| {
+        evidence.records.push(record("r3", "POST /do/3", None));
     });
-    assert_finds!(FalseNotRun, |world: &mut World| {
-        world.calls[2].came_back = CameBack::Refused {
+    assert_finds!(FalseNotRun, |evidence: &mut TestEvidence| {
+        evidence.calls[2].came_back = CameBack::Refused {
             code: "no_upstream".to_owned(),
             run: "not_run".to_owned(),
         };
     });
-    assert_finds!(VersionNotAllowed, |world: &mut World| {
-        world.records[0].what = "secret@v1".to_owned();
+    assert_finds!(VersionNotAllowed, |evidence: &mut TestEvidence| {
+        evidence.records[0].what = "secret@v1".to_owned();
     });
-    assert_finds!(WithdrawnRan, |world: &mut World| {
-        let withdrawn = &mut world.rules.withdrawn_at_unix_ms;
+    assert_finds!(WithdrawnRan, |evidence: &mut TestEvidence| {
+        let withdrawn = &mut evidence.rules.withdrawn_at_unix_ms;
         withdrawn.insert("writer@v1".to_owned(), 999);
     });
-    assert_finds!(LeavingGotWork, |world: &mut World| {
-        world.records[0].at_unix_ms = 10_000;
-        world.records[0].leaving_since_unix_ms = Some(1000);
+    assert_finds!(LeavingGotWork, |evidence: &mut TestEvidence| {
+        evidence.records[0].at_unix_ms = 10_000;
+        evidence.records[0].leaving_since_unix_ms = Some(1000);
     });
-    assert_finds!(StaleOrder, |world: &mut World| {
+    assert_finds!(StaleOrder, |evidence: &mut TestEvidence| {
         for epoch in [2, 1] {
-            world.records.push(Record {
+            evidence.records.push(Record {
                 happened: Happened::Order,
                 epoch: Some(epoch),
                 ..record("", "load v1", None)
@@ -163,24 +172,24 @@
 }
 
 #[test]
-fn bills_and_answers_that_must_not_be_are_found() {
-    assert_finds!(LostBill, |world: &mut World| {
-        world.bills.remove(1);
+fn wrong_bills_and_responses_are_found() {
+    assert_finds!(LostBill, |evidence: &mut TestEvidence| {
+        evidence.bills.remove(1);
     });
-    assert_finds!(DoubleBill, |world: &mut World| {
-        world.bills.push(json!({ "request": "r1" }));
+    assert_finds!(DoubleBill, |evidence: &mut TestEvidence| {
+        evidence.bills.push(json!({ "request": "r1" }));
     });
-    assert_finds!(DoubleBill, |world: &mut World| {
-        world.records.push(record("r9", "POST /do/2", Some("k2")));
-        world.bills.push(json!({ "request": "r9" }));
+    assert_finds!(DoubleBill, |evidence: &mut TestEvidence| {
+        evidence.records.push(record("r9", "POST /do/2", Some("k2")));
+        evidence.bills.push(json!({ "request": "r9" }));
     });
-    assert_finds!(BrokenAsWhole, |world: &mut World| {
-        world.calls[0].came_back = CameBack::Wrong("cut".to_owned());
+    assert_finds!(BrokenAsWhole, |evidence: &mut TestEvidence| {
+        evidence.calls[0].came_back = CameBack::Wrong("cut".to_owned());
     });
-    assert_finds!(SessionChanged, |world: &mut World| {
-        world.calls[3].answered_by = Some("writer@v2".to_owned());
+    assert_finds!(SessionChanged, |evidence: &mut TestEvidence| {
+        evidence.calls[3].answered_by = Some("writer@v2".to_owned());
     });
-    assert_finds!(ConfigurationReverted, |world: &mut World| {
-        world.rules.revisions.push(("vm 1".to_owned(), vec![3, 2]));
+    assert_finds!(ConfigurationReverted, |evidence: &mut TestEvidence| {
+        evidence.rules.revisions.push(("vm 1".to_owned(), vec![3, 2]));
     });
 }
--- a/standins/tests/limited_upstreams.rs
+++ b/standins/tests/limited_upstreams.rs
@@ -1,5 +1,5 @@
-//! Upstreams that name how many requests a second they take from all VMs
-//! together.
+//! Checks that all VMs together keep to the rate limit, in requests per
+//! second, that an upstream states in its responses.
 
 use std::{
     path::PathBuf,
@@ -17,37 +17,40 @@
     scripted::{Act, Script, Upstream, answers, stamped},
 };
 
-/// Long enough that no test meets the bound.
+/// Time within which a revoked key must be rejected everywhere; long enough
+/// that no test reaches it.
 const REVOKE_MS: u64 = 30_000;
 
+/// Number of VMs of a site.
 const VMS: usize = 4;
 
-/// Time between two requests of a VM's callers.
-const ASK_PERIOD: Duration = Duration::from_millis(50);
+/// Time that the caller of a VM waits between two requests.
+const REQUEST_PAUSE: Duration = Duration::from_millis(50);
 
-/// Time after which all VMs are to keep to a limit, as operators state it.
-const CONTACT: Duration = Duration::from_secs(3);
+/// Time after which all VMs must keep to a limit, as specified by the
+/// operators.
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
-/// The span over which requests are counted.
+/// Length of the sliding window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// Time for which it is watched whether a limit is kept.
-const WATCHED: Duration = Duration::from_secs(10);
+/// Time for which a test observes whether a limit is kept.
+const OBSERVATION_TIME: Duration = Duration::from_secs(10);
 
-/// Part of what a limit allows that is to be used.
-const LEAST_USED: f64 = 0.8;
+/// Smallest fraction of a rate limit that must be used.
+const MIN_UTILIZATION: f64 = 0.8;
 
-/// Longest time that a refusal may take that needs no upstream.
-const AT_ONCE: Duration = Duration::from_millis(500);
+/// Longest time that a rejection without a request to an upstream may take.
+const REJECTION_TIME: Duration = Duration::from_millis(500);
 
-static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
+static SITE_LOCK: Mutex<()> = Mutex::new(());
 
-/// The VMs of a site have fixed addresses, so one site runs at a time.
-fn alone() -> MutexGuard<'static, ()> {
-    ONE_AT_A_TIME.lock().unwrap_or_else(|failed| failed.into_inner())
+/// Serializes the tests, since the VMs of a site have fixed addresses.
+fn lock_site() -> MutexGuard<'static, ()> {
+    SITE_LOCK.lock().unwrap_or_else(|failed| failed.into_inner())
 }
 
-/// A site whose VMs know these upstreams and each other.
+/// Starts a site whose VMs know these upstreams and each other.
 fn site_with(upstreams: &[&Upstream]) -> Site {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_standins"));
     let mut site = Site::new(program, &["vm"], REVOKE_MS);
@@ -65,7 +68,7 @@
     site
 }
 
-/// Answers, and names this rate.
+/// Answers every request and states this rate limit.
 fn limited(per_s: f64) -> Script {
     let per_s = per_s.to_string();
     Box::new(move |request| {
@@ -74,7 +77,7 @@
     })
 }
 
-/// Turns every request away, and names this rate.
+/// Declines every request and states this rate limit.
 fn limited_declining(per_s: f64) -> Script {
     let per_s = per_s.to_string();
     Box::new(move |request| {
@@ -84,9 +87,10 @@
     })
 }
 
-/// The callers of all VMs, each of which asks again and again.
+/// One caller for each VM, which sends requests in a loop.
 struct Callers<'a> {
     site: &'a Site,
+    /// Number of requests sent, for their ids.
     asked: AtomicUsize,
 }
 
@@ -95,8 +99,8 @@
         Callers { site, asked: AtomicUsize::new(0) }
     }
 
-    /// Has all VMs asked for some time, and hands over each answer with the
-    /// time that it took.
+    /// Sends requests to all VMs for some time, and passes each response and
+    /// its latency to `check`.
     fn ask_for(&self, time: Duration, check: impl Fn(Got, Duration) + Sync) {
         let until = Instant::now() + time;
         thread::scope(|scope| {
@@ -110,51 +114,53 @@
                         let asked_at = Instant::now();
                         let got = vm.ask(&request("GET", "/read/x", &id, ""));
                         check(got, asked_at.elapsed());
-                        thread::sleep(ASK_PERIOD);
+                        thread::sleep(REQUEST_PAUSE);
                     }
                 });
             }
         });
     }
 
-    /// The same, and how often each upstream was asked in that time, by the
-    /// time since the beginning.
-    fn watch(
+    /// Does the same as `ask_for`, and returns how many requests reached each
+    /// upstream over that time.
+    fn observe(
         &self,
         upstreams: &[&Upstream],
         time: Duration,
         check: impl Fn(Got, Duration) + Sync,
     ) -> Vec<Arrivals> {
-        let began_at = Instant::now();
+        let started_at = Instant::now();
         thread::scope(|scope| {
-            let watched = scope.spawn(|| {
+            let observer = scope.spawn(|| {
                 let mut arrivals: Vec<Arrivals> =
                     upstreams.iter().map(|_| Arrivals::default()).collect();
-                while began_at.elapsed() < time {
+                while started_at.elapsed() < time {
                     for (one, upstream) in arrivals.iter_mut().zip(upstreams) {
-                        one.note(began_at.elapsed(), upstream);
+                        one.add_sample(started_at.elapsed(), upstream);
                     }
-                    thread::sleep(ASK_PERIOD / 2);
+                    thread::sleep(REQUEST_PAUSE / 2);
                 }
                 arrivals
             });
             self.ask_for(time, check);
-            watched.join().expect("the counts")
+            observer.join().expect("the counting thread has not panicked")
         })
     }
 }
 
-/// How many requests had reached an upstream at some moments.
+/// Samples of the number of requests that an upstream has received, each with
+/// the time since the start.
 #[derive(Debug, Default)]
 struct Arrivals(Vec<(Duration, usize)>);
 
 impl Arrivals {
-    fn note(&mut self, at: Duration, upstream: &Upstream) {
+    /// Adds a sample.
+    fn add_sample(&mut self, at: Duration, upstream: &Upstream) {
         self.0.push((at, upstream.received().len()));
     }
 
-    /// The most that came in one window.
-    fn most(&self) -> usize {
+    /// Returns the largest number of requests within one window.
+    fn max_in_window(&self) -> usize {
         let windows = self.0.iter().map(|(from, before)| {
             let within =
                 self.0.iter().take_while(|(at, _)| *at <= *from + WINDOW);
@@ -163,92 +169,121 @@
         windows.max().unwrap_or(0)
     }
 
-    /// All that came.
-    fn all(&self) -> usize {
+    /// Returns the number of requests between the first and the last sample.
+    fn total(&self) -> usize {
         let (first, last) = (self.0.first(), self.0.last());
         first.zip(last).map_or(0, |(first, last)| last.1 - first.1)
     }
 }
 
-/// Requests that may come in one window at a limit, as operators state it.
-fn allowed(per_s: f64) -> usize {
+/// Returns how many requests may arrive in one window at this rate limit, as
+/// specified by the operators.
+fn allowed_in_window(per_s: f64) -> usize {
     (per_s * WINDOW.as_secs_f64() * 1.5 + 5.0) as usize
 }
 
+/// Accepts any response.
 fn ignore(_: Got, _: Duration) {}
 
-/// Guards against upstreams in need that get a multiple of what they take.
+/// Guards against VMs that each apply the limit on their own, so that the
+/// upstream gets a multiple of it.
 #[test]
-fn a_limit_that_an_upstream_names_is_kept_by_all_vms_together() {
-    let _alone = alone();
+fn all_vms_together_keep_to_the_rate_limit_of_an_upstream() {
+    let _guard = lock_site();
     let per_s = 2.0;
-    let needy = Upstream::start("i-1", limited(per_s));
-    let well = Upstream::start("i-2", answers(200, "x"));
-    let site = site_with(&[&needy, &well]);
+    let limited_upstream = Upstream::start("i-1", limited(per_s));
+    let unlimited = Upstream::start("i-2", answers(200, "x"));
+    let site = site_with(&[&limited_upstream, &unlimited]);
     let callers = Callers::of(&site);
-    callers.ask_for(CONTACT, ignore);
-    let arrivals = callers.watch(&[&needy], WATCHED, |got, _| {
-        assert_eq!(got.status, 200, "the other one serves: {got:?}");
-    });
-    let most = arrivals[0].most();
-    assert!(most <= allowed(per_s), "{most} requests in four seconds");
-    let used = arrivals[0].all() as f64;
-    let least = per_s * WATCHED.as_secs_f64() * LEAST_USED;
+    callers.ask_for(PROPAGATION_TIME, ignore);
+    let arrivals =
+        callers.observe(&[&limited_upstream], OBSERVATION_TIME, |got, _| {
+            assert_eq!(
+                got.status, 200,
+                "the unlimited upstream serves: {got:?}"
+            );
+        });
+    let max_in_window = arrivals[0].max_in_window();
+    assert!(
+        max_in_window <= allowed_in_window(per_s),
+        "{max_in_window} requests in four seconds"
+    );
+    let used = arrivals[0].total() as f64;
+    let least = per_s * OBSERVATION_TIME.as_secs_f64() * MIN_UTILIZATION;
     assert!(used >= least, "only {used} requests came");
-    // Without the limit it serves its part again.
-    needy.set_script(answers(200, "x"));
-    callers.ask_for(CONTACT, ignore);
-    let arrivals = callers.watch(&[&needy, &well], CONTACT, ignore);
-    let (part, rest) = (arrivals[0].all(), arrivals[1].all());
-    assert!(part * 2 > rest, "{part} and {rest} requests came");
+    // Once it states no limit, it serves its share again.
+    limited_upstream.set_script(answers(200, "x"));
+    callers.ask_for(PROPAGATION_TIME, ignore);
+    let arrivals = callers.observe(
+        &[&limited_upstream, &unlimited],
+        PROPAGATION_TIME,
+        ignore,
+    );
+    let (limited_total, unlimited_total) =
+        (arrivals[0].total(), arrivals[1].total());
+    assert!(
+        limited_total * 2 > unlimited_total,
+        "{limited_total} requests came, and {unlimited_total} at the other"
+    );
 }
 
-/// Guards against callers that wait while nothing can be served.
+/// Guards against callers that wait for a rejection while the limits of all
+/// upstreams are used up.
 #[test]
-fn callers_are_refused_at_once_while_all_limits_are_used_up() {
-    let _alone = alone();
+fn callers_are_rejected_immediately_while_all_rate_limits_are_used_up() {
+    let _guard = lock_site();
     let per_s = 2.0;
     let one = Upstream::start("i-1", limited(per_s));
     let two = Upstream::start("i-2", limited_declining(per_s));
     let site = site_with(&[&one, &two]);
     let callers = Callers::of(&site);
-    callers.ask_for(CONTACT, ignore);
-    let refused = AtomicUsize::new(0);
-    let arrivals = callers.watch(&[&one, &two], WATCHED, |got, took| {
-        if got.status == 200 {
-            return;
-        }
-        assert_eq!(got.status, 503, "{got:?}");
-        assert!(took < AT_ONCE, "refused after {took:?}");
-        let wait_s: f64 = got.header("retry-after").parse().unwrap();
-        assert!(wait_s > 0.0 && wait_s < 1.0 + VMS as f64 / per_s, "{wait_s}");
-        refused.fetch_add(1, Ordering::Relaxed);
-    });
+    callers.ask_for(PROPAGATION_TIME, ignore);
+    let rejected = AtomicUsize::new(0);
+    let arrivals =
+        callers.observe(&[&one, &two], OBSERVATION_TIME, |got, took| {
+            if got.status == 200 {
+                return;
+            }
+            assert_eq!(got.status, 503, "{got:?}");
+            assert!(took < REJECTION_TIME, "rejected after {took:?}");
+            let wait_s: f64 = got.header("retry-after").parse().unwrap();
+            assert!(
+                wait_s > 0.0 && wait_s < 1.0 + VMS as f64 / per_s,
+                "Retry-After: {wait_s}"
+            );
+            rejected.fetch_add(1, Ordering::Relaxed);
+        });
     for one in &arrivals {
-        let most = one.most();
-        assert!(most <= allowed(per_s), "{most} requests in four seconds");
+        let max_in_window = one.max_in_window();
+        assert!(
+            max_in_window <= allowed_in_window(per_s),
+            "{max_in_window} requests in four seconds"
+        );
     }
-    assert!(refused.into_inner() > 0, "most cannot be served");
+    assert!(rejected.into_inner() > 0, "no request was rejected");
 }
 
-/// Guards against a limit that each VM learns by a request of its own.
+/// Guards against VMs that learn of a limit only from responses to their own
+/// requests.
 #[test]
-fn a_vm_keeps_to_a_limit_that_only_others_were_told() {
-    let _alone = alone();
+fn a_vm_keeps_to_a_rate_limit_learned_from_another_vm() {
+    let _guard = lock_site();
     let per_s = 0.5;
-    let needy = Upstream::start("i-1", limited(per_s));
-    let site = site_with(&[&needy]);
+    let limited_upstream = Upstream::start("i-1", limited(per_s));
+    let site = site_with(&[&limited_upstream]);
     let ask = |vm: usize, id: String| {
         site.vms[vm].ask(&request("GET", "/read/x", &id, ""))
     };
-    wait_until("one VM is told", || ask(0, "first".into()).status == 200);
-    thread::sleep(AT_ONCE);
-    let before = needy.received().len();
+    wait_until("one VM has learned of the limit", || {
+        ask(0, "first".into()).status == 200
+    });
+    thread::sleep(REJECTION_TIME);
+    let before = limited_upstream.received().len();
     for number in 0..20 {
         for vm in 1..VMS {
             ask(vm, format!("r-{vm}-{number}"));
         }
     }
-    let more = needy.received().len() - before;
-    assert!(more <= 1, "{more} requests of VMs that were not told");
+    let more = limited_upstream.received().len() - before;
+    assert!(more <= 1, "{more} requests of VMs that got no such response");
 }
--- a/standins/tests/resting_upstreams.rs
+++ b/standins/tests/resting_upstreams.rs
@@ -1,11 +1,12 @@
-//! Upstreams that turn requests away and ask for rest.
+//! Checks that a VM honours the backoff that an upstream asks for with
+//! `Retry-After` when it declines a request.
 //!
-//! An upstream turned a request away with 503 and asked the VM that had sent
-//! it for three seconds of rest; in that time the same VM sent it six more. A
-//! request that was turned away left no trace, and what turns requests away
-//! within two milliseconds is always empty, so it was the first choice of the
-//! next request. What settled it, of one VM that writes down what answers say
-//! and does not heed it, while another upstream is well:
+//! Guards against load balancing that ignores declined requests: an upstream
+//! that declines within two milliseconds always looks idle, so it is the first
+//! choice for the next request. One upstream got six more requests from the
+//! same VM within the three seconds of backoff that it had asked for. The log
+//! of a VM that records these signals but ignores them, while another upstream
+//! is healthy:
 //!
 //! ```text
 //! 0.000 vm-0 i-1 declined: 503, rest_wanted_ms 3000, requests_there 0
@@ -27,26 +28,28 @@
     scripted::{Act, Script, Upstream, answers, stamped},
 };
 
-/// Long enough that no test meets the bound.
+/// Time within which a revoked key must be rejected everywhere; long enough
+/// that no test reaches it.
 const REVOKE_MS: u64 = 30_000;
 
-/// The rest that upstreams ask for.
-const REST: Duration = Duration::from_secs(3);
+/// Backoff that upstreams ask for.
+const BACKOFF: Duration = Duration::from_secs(3);
 
-/// Part of it in which requests that were on their way may still come.
-const ON_THE_WAY: Duration = Duration::from_millis(500);
+/// Time at its start in which requests already in flight may still arrive.
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
 
-/// Requests that may come in the rest of it, as operators state it.
-const MOST_IN_REST: usize = 2;
+/// Number of requests that may arrive in the remaining backoff, as specified
+/// by the operators.
+const MAX_IN_BACKOFF: usize = 2;
 
-static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
+static SITE_LOCK: Mutex<()> = Mutex::new(());
 
-/// The VMs of a site have fixed addresses, so one site runs at a time.
-fn alone() -> MutexGuard<'static, ()> {
-    ONE_AT_A_TIME.lock().unwrap_or_else(|failed| failed.into_inner())
+/// Serializes the tests, since the VMs of a site have fixed addresses.
+fn lock_site() -> MutexGuard<'static, ()> {
+    SITE_LOCK.lock().unwrap_or_else(|failed| failed.into_inner())
 }
 
-/// A site with one VM that knows these upstreams.
+/// Starts a site with one VM that knows these upstreams.
 fn site_with(upstreams: &[&Upstream]) -> Site {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_standins"));
     let mut site = Site::new(program, &["vm"], REVOKE_MS);
@@ -55,7 +58,7 @@
     }
     site.start_vm();
     for upstream in upstreams {
-        wait_until("the VM has heard of the upstream", || {
+        wait_until("the VM has read the upstream's record", || {
             let lines = site.vms[0].lines("E043");
             lines.iter().any(|line| line["upstream"] == upstream.id.as_str())
         });
@@ -63,9 +66,9 @@
     site
 }
 
-/// Turns every request away and asks for rest.
-fn rests() -> Script {
-    let seconds = REST.as_secs().to_string();
+/// Declines every request and asks for a backoff.
+fn declines_with_backoff() -> Script {
+    let seconds = BACKOFF.as_secs().to_string();
     Box::new(move |request| {
         let more =
             [("Lupinseam-Not-Executed", "1"), ("Retry-After", &*seconds)];
@@ -73,81 +76,93 @@
     })
 }
 
+/// Sends a plain request.
 fn ask(site: &Site, id: &str) -> Got {
     site.vms[0].ask(&request("GET", "/read/x", id, ""))
 }
 
-/// Asks until one upstream has turned a request away.
-fn ask_until_turned_away(site: &Site, resting: &Upstream) -> Instant {
-    let before = resting.received().len();
+/// Sends requests until an upstream has declined one, and returns the time.
+fn ask_until_declined(site: &Site, backing_off: &Upstream) -> Instant {
+    let before = backing_off.received().len();
     let mut number = 0;
-    wait_until("it has turned a request away", || {
+    wait_until("it has declined a request", || {
         ask(site, &format!("before-{number}"));
         number += 1;
-        resting.received().len() > before
+        backing_off.received().len() > before
     });
     Instant::now()
 }
 
 #[test]
-fn one_that_asks_for_rest_is_left_alone_until_it_is_over() {
-    let _alone = alone();
-    let resting = Upstream::start("i-1", rests());
-    let well = Upstream::start("i-2", answers(200, "x"));
-    let site = site_with(&[&resting, &well]);
-    let told_at = ask_until_turned_away(&site, &resting);
-    thread::sleep(ON_THE_WAY);
-    let before = resting.received().len();
-    while told_at.elapsed() < REST - ON_THE_WAY / 2 {
-        let id = format!("r-{}", told_at.elapsed().as_micros());
+fn an_upstream_gets_no_requests_during_the_backoff_it_asked_for() {
+    let _guard = lock_site();
+    let backing_off = Upstream::start("i-1", declines_with_backoff());
+    let healthy = Upstream::start("i-2", answers(200, "x"));
+    let site = site_with(&[&backing_off, &healthy]);
+    let declined_at = ask_until_declined(&site, &backing_off);
+    thread::sleep(IN_FLIGHT_TIME);
+    let before = backing_off.received().len();
+    while declined_at.elapsed() < BACKOFF - IN_FLIGHT_TIME / 2 {
+        let id = format!("r-{}", declined_at.elapsed().as_micros());
         let got = ask(&site, &id);
-        assert_eq!(got.status, 200, "the other one serves: {got:?}");
+        assert_eq!(got.status, 200, "the healthy upstream serves: {got:?}");
         thread::sleep(Duration::from_millis(20));
     }
-    let in_rest = resting.received().len() - before;
-    assert!(in_rest <= MOST_IN_REST, "{in_rest} requests came in its rest");
-    // Afterwards it serves its part again.
-    resting.set_script(answers(200, "x"));
-    let before = resting.received().len();
+    let in_backoff = backing_off.received().len() - before;
+    assert!(
+        in_backoff <= MAX_IN_BACKOFF,
+        "{in_backoff} requests came during its backoff"
+    );
+    // Afterwards it serves its share again.
+    backing_off.set_script(answers(200, "x"));
+    let before = backing_off.received().len();
     wait_until("it gets requests again", || {
-        ask(&site, &format!("after-{}", told_at.elapsed().as_micros()));
-        resting.received().len() > before + 3
+        ask(&site, &format!("after-{}", declined_at.elapsed().as_micros()));
+        backing_off.received().len() > before + 3
     });
 }
 
-/// Nothing can serve before one of them is back, so nobody waits for it.
+/// Guards against callers that wait while all upstreams are in backoff:
+/// nothing can be served before the first backoff ends.
 #[test]
-fn callers_are_refused_at_once_while_all_rest_and_told_until_when() {
-    let _alone = alone();
-    let one = Upstream::start("i-1", rests());
-    let two = Upstream::start("i-2", rests());
+fn callers_get_an_immediate_retry_after_while_all_upstreams_back_off() {
+    let _guard = lock_site();
+    let one = Upstream::start("i-1", declines_with_backoff());
+    let two = Upstream::start("i-2", declines_with_backoff());
     let site = site_with(&[&one, &two]);
-    // One request is tried at both.
+    // One request is attempted at both upstreams.
     let asked_at = Instant::now();
     ask(&site, "first");
     assert_eq!((one.received().len(), two.received().len()), (1, 1));
-    let told_at = Instant::now();
-    while told_at.elapsed() < REST / 2 {
-        let began_at = Instant::now();
-        let id = format!("r-{}", told_at.elapsed().as_micros());
+    let declined_at = Instant::now();
+    while declined_at.elapsed() < BACKOFF / 2 {
+        let started_at = Instant::now();
+        let id = format!("r-{}", declined_at.elapsed().as_micros());
         let got = ask(&site, &id);
         assert_eq!(got.status, 503, "{got:?}");
-        assert!(began_at.elapsed() < ON_THE_WAY, "refused late: {got:?}");
+        assert!(
+            started_at.elapsed() < IN_FLIGHT_TIME,
+            "rejected late: {got:?}"
+        );
         let wait: f64 = got.header("retry-after").parse().unwrap();
-        let back = began_at + Duration::from_secs_f64(wait);
+        let retry_at = started_at + Duration::from_secs_f64(wait);
         assert!(
-            back > asked_at + REST && back < told_at + REST * 2,
-            "told to come back after {wait} s"
+            retry_at > asked_at + BACKOFF
+                && retry_at < declined_at + BACKOFF * 2,
+            "Retry-After: {wait}"
         );
         thread::sleep(Duration::from_millis(20));
     }
     let received = (one.received().len(), two.received().len());
-    assert_eq!(received, (1, 1), "requests came while all rest");
+    assert_eq!(received, (1, 1), "requests came during the backoff");
     one.set_script(answers(200, "x"));
     let got = loop {
         thread::sleep(Duration::from_millis(100));
-        assert!(told_at.elapsed() < REST * 3, "nothing is served again");
-        let id = format!("l-{}", told_at.elapsed().as_micros());
+        assert!(
+            declined_at.elapsed() < BACKOFF * 3,
+            "no request is served after the backoff"
+        );
+        let id = format!("l-{}", declined_at.elapsed().as_micros());
         let got = ask(&site, &id);
         if got.status == 200 {
             break got;
