--- a/standins/tests/at_most_once.rs
+++ b/standins/tests/at_most_once.rs
@@ -1,5 +1,6 @@
-//! At most once, billed once: claims and bills under kills, pauses, cuts,
-//! outages and lost answers, alone and together.
+//! Checks that non-idempotent requests run at most once and that every run is
+//! billed once, while VMs are killed or paused, data halls are partitioned, and
+//! the store is down, slow or loses responses, each alone and combined.
 
 mod common;
 
@@ -12,11 +13,13 @@
     service::ServiceFaults,
 };
 
-const ALL: [&str; 4] =
+/// The VMs of the default fleet with two VMs in each data hall.
+const VMS: [&str; 4] =
     ["vm-hall-a-1", "vm-hall-a-2", "vm-hall-b-1", "vm-hall-b-2"];
 
-/// Sends one key through two VMs at once.
-async fn race(
+/// Sends a request with one idempotency key through two VMs concurrently, and
+/// returns the attempts of both.
+async fn send_concurrently(
     fleet: &Fleet,
     first: &str,
     second: &str,
@@ -33,69 +36,73 @@
     a
 }
 
-/// Settles so many keys that every slot has an owner.
-async fn give_slots_owners(fleet: &Fleet) -> Vec<CallRecord> {
+/// Sends requests with so many keys that every slot gets an owner.
+async fn assign_slot_owners(fleet: &Fleet) -> Vec<CallRecord> {
     let mut calls = Vec::new();
     for nonce in 1..=40 {
         let request =
             non_idempotent_call(nonce, Some(&format!("key-{nonce}")));
-        let vm = ALL[nonce as usize % 4];
+        let vm = VMS[nonce as usize % 4];
         calls.extend(ask_until_settled(fleet, vm, &request).await);
     }
     calls
 }
 
-fn last_two_settled(calls: &[CallRecord]) -> usize {
+/// Returns how many of the calls got a complete response.
+fn count_whole(calls: &[CallRecord]) -> usize {
     calls.iter().filter(|call| call.is_whole()).count()
 }
 
 #[test]
-fn one_key_at_two_halls_at_once_runs_once() {
+fn concurrent_requests_with_one_key_at_two_data_halls_run_once() {
     run(async {
         let fleet = start(2, |plan| plan).await;
         let mut calls = Vec::new();
         for nonce in 1..=30 {
-            let first = ALL[nonce as usize % 4];
-            let second = ALL[(nonce as usize + 2) % 4];
-            let raced = race(&fleet, first, second, nonce).await;
-            assert_eq!(last_two_settled(&raced), 2, "{raced:?}");
+            let first = VMS[nonce as usize % 4];
+            let second = VMS[(nonce as usize + 2) % 4];
+            let attempts =
+                send_concurrently(&fleet, first, second, nonce).await;
+            assert_eq!(count_whole(&attempts), 2, "{attempts:?}");
             assert_eq!(runs_of_key(&fleet, &format!("key-{nonce}")), 1);
-            calls.extend(raced);
+            calls.extend(attempts);
         }
         assert_no_violations(&fleet, &calls).await;
     });
 }
 
 #[test]
-fn lost_store_answers_double_nothing() {
+fn lost_store_responses_cause_no_second_run() {
     run(async {
         let fleet = start(2, |plan| plan).await;
         let lossy = KvFaults { lost_answers: 0.3, ..KvFaults::default() };
         fleet.set_kv_faults(lossy).await.unwrap();
         let mut calls = Vec::new();
         for nonce in 1..=20 {
-            let vm = ALL[nonce as usize % 4];
+            let vm = VMS[nonce as usize % 4];
             let key = format!("key-{nonce}");
             let request = non_idempotent_call(nonce, Some(&key));
             calls.extend(ask_until_settled(&fleet, vm, &request).await);
-            let other = ALL[(nonce as usize + 1) % 4];
+            let other = VMS[(nonce as usize + 1) % 4];
             calls.extend(ask_until_settled(&fleet, other, &request).await);
             assert!(runs_of_key(&fleet, &key) <= 1);
         }
         let answered = calls.iter().filter(|call| call.is_whole()).count();
-        assert!(answered >= 30, "{answered} of 40");
+        assert!(answered >= 30, "{answered} of 40 answered");
         fleet.set_kv_faults(KvFaults::default()).await.unwrap();
         assert_no_violations(&fleet, &calls).await;
     });
 }
 
 #[test]
-fn an_answer_lost_by_the_service_is_unknown_and_never_run_again() {
+fn a_response_lost_by_the_service_leaves_the_outcome_unknown_without_a_retry()
+{
     run(async {
         let fleet = start(1, |plan| plan).await;
         for upstream in ["signatures-hall-a", "signatures-hall-b"] {
-            let lose = ServiceFaults { lose_next: 1, ..Default::default() };
-            fleet.set_upstream_faults(upstream, &lose).await.unwrap();
+            let lose_response =
+                ServiceFaults { lose_next: 1, ..Default::default() };
+            fleet.set_upstream_faults(upstream, &lose_response).await.unwrap();
         }
         let request = non_idempotent_call(1, Some("key-1"));
         let first = ask(&fleet, "vm-hall-a-1", &request).await;
@@ -117,29 +124,32 @@
 }
 
 #[test]
-fn signatures_go_on_while_the_store_is_out() {
+fn keyed_requests_are_served_during_a_store_outage() {
     run(async {
         let fleet = start(2, |plan| plan).await;
-        let mut calls = give_slots_owners(&fleet).await;
+        let mut calls = assign_slot_owners(&fleet).await;
         for round in 1..=2 {
-            let out = KvFaults { outage: true, ..KvFaults::default() };
-            fleet.set_kv_faults(out).await.unwrap();
+            let outage = KvFaults { outage: true, ..KvFaults::default() };
+            fleet.set_kv_faults(outage).await.unwrap();
             let mut answered = 0;
             for nonce in 1..=40 {
                 let nonce = round * 1000 + nonce;
                 let key = format!("key-{nonce}");
                 let request = non_idempotent_call(nonce, Some(&key));
-                let vm = ALL[nonce as usize % 4];
+                let vm = VMS[nonce as usize % 4];
                 let first = ask(&fleet, vm, &request).await;
                 answered += usize::from(first.is_whole());
                 calls.push(first);
-                let other = ALL[(nonce as usize + 1) % 4];
+                let other = VMS[(nonce as usize + 1) % 4];
                 let again = ask(&fleet, other, &request).await;
                 assert!(again.is_whole() || again.run().is_some());
                 calls.push(again);
                 assert!(runs_of_key(&fleet, &key) <= 1);
             }
-            assert!(answered >= 38, "{answered} of 40 in round {round}");
+            assert!(
+                answered >= 38,
+                "{answered} of 40 answered in round {round}"
+            );
             fleet.set_kv_faults(KvFaults::default()).await.unwrap();
             Timer::after(Duration::from_millis(500)).await;
         }
@@ -148,16 +158,16 @@
 }
 
 #[test]
-fn a_killed_owner_and_the_store_out_together_double_nothing() {
+fn a_killed_slot_owner_during_a_store_outage_causes_no_second_run() {
     run(async {
         let mut fleet = start(2, |plan| plan).await;
-        let mut calls = give_slots_owners(&fleet).await;
-        let out = KvFaults { outage: true, ..KvFaults::default() };
-        fleet.set_kv_faults(out).await.unwrap();
+        let mut calls = assign_slot_owners(&fleet).await;
+        let outage = KvFaults { outage: true, ..KvFaults::default() };
+        fleet.set_kv_faults(outage).await.unwrap();
         for nonce in 101..=120 {
             let key = format!("key-{nonce}");
             let request = non_idempotent_call(nonce, Some(&key));
-            let vm = ALL[nonce as usize % 4];
+            let vm = VMS[nonce as usize % 4];
             calls.push(ask(&fleet, vm, &request).await);
         }
         fleet.kill_vm("vm-hall-a-1");
@@ -188,16 +198,16 @@
 }
 
 #[test]
-fn a_paused_owner_that_wakes_grants_nothing_twice() {
+fn a_slot_owner_that_resumes_after_a_pause_grants_no_key_twice() {
     run(async {
         let mut fleet = start(2, |plan| plan).await;
-        let mut calls = give_slots_owners(&fleet).await;
+        let mut calls = assign_slot_owners(&fleet).await;
         for round in 1..=2 {
-            let paused = ALL[round as usize % 2];
+            let paused = VMS[round as usize % 2];
             let others: Vec<&str> =
-                ALL.into_iter().filter(|vm| *vm != paused).collect();
-            // Requests are on their way to it when it is frozen.
-            let under_way: Vec<_> = (1..=8)
+                VMS.into_iter().filter(|vm| *vm != paused).collect();
+            // Requests are in flight to the owner when it is paused.
+            let in_flight: Vec<_> = (1..=8)
                 .map(|n| {
                     let nonce = round * 1000 + n;
                     let request = non_idempotent_call(
@@ -222,12 +232,12 @@
                 calls.extend(ask_until_settled(&fleet, vm, &request).await);
             }
             fleet.resume_vm(paused);
-            for call in under_way {
+            for call in in_flight {
                 calls.push(call.await);
             }
             for n in 1..=8 {
                 let key = format!("key-{}", round * 1000 + n);
-                assert!(runs_of_key(&fleet, &key) <= 1, "{key}");
+                assert!(runs_of_key(&fleet, &key) <= 1, "{key} ran twice");
             }
         }
         Timer::after(Duration::from_secs(1)).await;
@@ -236,10 +246,10 @@
 }
 
 #[test]
-fn a_hall_cut_off_serves_what_it_can_and_rejoins() {
+fn a_partitioned_data_hall_serves_unkeyed_requests_and_rejoins() {
     run(async {
         let fleet = start(2, |plan| plan).await;
-        let mut calls = give_slots_owners(&fleet).await;
+        let mut calls = assign_slot_owners(&fleet).await;
         for round in 1..=2 {
             fleet.cut_hall("hall-a", true);
             let mut answered = 0;
@@ -265,13 +275,13 @@
                 answered += runs_of_key(&fleet, &key);
                 assert!(runs_of_key(&fleet, &key) <= 1, "{key}");
             }
-            assert!(answered >= 8, "{answered} of 10 ran somewhere");
+            assert!(answered >= 8, "{answered} of 10 keyed requests ran");
             fleet.heal_hall("hall-a");
             for n in 1..=10 {
                 let nonce = round * 1000 + n;
                 let request =
                     non_idempotent_call(nonce, Some(&format!("key-{nonce}")));
-                let vm = ALL[n as usize % 4];
+                let vm = VMS[n as usize % 4];
                 calls.extend(ask_until_settled(&fleet, vm, &request).await);
                 let key = format!("key-{nonce}");
                 assert!(runs_of_key(&fleet, &key) <= 1, "{key}");
@@ -282,7 +292,7 @@
 }
 
 #[test]
-fn bills_outlive_a_killed_vm() {
+fn bills_survive_a_killed_vm() {
     run(async {
         let mut fleet = start(2, |mut plan| {
             for service in &mut plan.services {
@@ -293,7 +303,7 @@
         .await;
         let mut calls = Vec::new();
         for round in 1..=2 {
-            let under_way: Vec<_> = (1..=12)
+            let in_flight: Vec<_> = (1..=12)
                 .map(|n| {
                     let nonce = round * 100 + n;
                     let request = match n % 3 {
@@ -314,23 +324,23 @@
                 .collect();
             Timer::after(Duration::from_millis(250)).await;
             fleet.kill_vm("vm-hall-a-1");
-            for call in under_way {
+            for call in in_flight {
                 calls.push(call.await);
             }
             fleet.restart_vm("vm-hall-a-1").await.unwrap();
             fleet.wait_ready().await.unwrap();
         }
-        // The open bills of the dead lives are settled after a while.
+        // The open bills of the killed incarnations are settled after a delay.
         wait_for_no_violations(&fleet, &calls).await;
     });
 }
 
 #[test]
-fn nothing_runs_before_a_second_vm_knows_its_bill() {
+fn nothing_runs_before_its_bill_is_replicated_to_a_second_vm() {
     run(async {
         let mut fleet = start(2, |plan| plan).await;
-        // The VMs hear each other, but slowly: a bill is on its way to the
-        // second VM when the first is killed.
+        // The network between VMs is slow, so that a bill is in flight to the
+        // second VM when the first one is killed.
         fleet.set_all_peer_paths(Mode::Delay(Duration::from_millis(110)));
         let calls: Vec<_> = (1..=12)
             .map(|nonce| {
@@ -360,7 +370,7 @@
 }
 
 #[test]
-fn a_writer_killed_with_the_store_slow_loses_no_bill() {
+fn a_bill_writer_killed_while_the_store_is_slow_loses_no_bill() {
     run(async {
         let mut fleet = start(3, |plan| plan).await;
         let slow = KvFaults { slow_ms: 300, ..KvFaults::default() };
--- a/standins/tests/upstreams.rs
+++ b/standins/tests/upstreams.rs
@@ -1,5 +1,5 @@
-//! Upstreams that die, leave, break off or go bad, and the steward that
-//! gives them orders.
+//! Checks how the fleet handles upstreams that crash, leave, break off streams
+//! or fail, and the steward that sends orders to engines.
 
 mod common;
 
@@ -13,11 +13,13 @@
     service::ServiceFaults, site, web,
 };
 
+/// A VM of the first data hall.
 const VM: &str = "vm-hall-a-1";
+/// A VM of the second data hall.
 const OTHER_VM: &str = "vm-hall-b-1";
 
 #[test]
-fn a_stream_that_breaks_off_is_resumed_on_its_version() {
+fn a_broken_stream_is_resumed_on_the_same_version() {
     run(async {
         let fleet = start(1, |plan| plan).await;
         let breaks =
@@ -36,7 +38,7 @@
 }
 
 #[test]
-fn a_stream_that_cannot_be_resumed_is_visibly_broken() {
+fn a_stream_that_cannot_be_resumed_ends_as_incomplete() {
     run(async {
         let mut fleet = start(1, |mut plan| {
             for engine in &mut plan.engines {
@@ -62,14 +64,14 @@
 }
 
 #[test]
-fn a_leaving_upstream_gets_no_new_work() {
+fn a_leaving_upstream_gets_no_new_requests() {
     run(async {
         let mut fleet = start(2, |plan| plan).await;
         let mut calls = Vec::new();
         fleet.leave("writer-hall-a").await.unwrap();
         fleet.leave("signatures-hall-a").await.unwrap();
-        let begun = web::unix_ms();
-        while web::unix_ms() < begun + 5000 {
+        let started_ms = web::unix_ms();
+        while web::unix_ms() < started_ms + 5000 {
             let nonce = calls.len() as u64 + 1;
             let request = match nonce % 2 {
                 0 => chat(nonce, 3, false),
@@ -83,25 +85,25 @@
     });
 }
 
-/// Calls of a service that one of its upstreams has run and turned away.
+/// Returns how many calls an upstream of a service has run and declined.
 async fn counts(fleet: &Fleet, upstream: &str) -> [u64; 2] {
     let counts = fleet.service_counts(upstream).await.unwrap();
     ["runs", "turned_away"].map(|name| counts[name].as_u64().unwrap())
 }
 
-/// What is turned away at once leaves the upstream empty, and the emptiest is
-/// the first choice.
+/// Guards against load balancing that ignores declined requests: an upstream
+/// that declines at once looks idle, so it is the first choice.
 #[test]
-fn an_upstream_that_asks_for_rest_is_left_alone() {
-    const REST_S: u32 = 3;
+fn an_upstream_gets_no_requests_during_the_backoff_it_asked_for() {
+    const BACKOFF_S: u32 = 3;
     run(async {
         let fleet = start(1, |plan| plan).await;
         let near = "signatures-hall-a";
-        let faults = ServiceFaults { rest_s: REST_S, ..Default::default() };
+        let faults = ServiceFaults { rest_s: BACKOFF_S, ..Default::default() };
         fleet.set_upstream_faults(near, &faults).await.unwrap();
-        let begun = web::unix_ms();
+        let started_ms = web::unix_ms();
         let mut nonce = 0;
-        while web::unix_ms() < begun + u64::from(REST_S) * 1000 - 200 {
+        while web::unix_ms() < started_ms + u64::from(BACKOFF_S) * 1000 - 200 {
             nonce += 1;
             let call =
                 ask(&fleet, VM, &non_idempotent_call(nonce, None)).await;
@@ -110,24 +112,25 @@
             }
             Timer::after(Duration::from_millis(20)).await;
         }
-        let [_, turned_away] = counts(&fleet, near).await;
-        assert_eq!(turned_away, 1, "of {nonce} calls");
+        let [_, declined] = counts(&fleet, near).await;
+        assert_eq!(declined, 1, "{declined} of {nonce} calls declined");
         let healed = ServiceFaults::default();
         fleet.set_upstream_faults(near, &healed).await.unwrap();
         let [before, _] = counts(&fleet, near).await;
         while counts(&fleet, near).await[0] < before + 3 {
-            let waited = web::unix_ms() - begun;
-            assert!(waited < 10_000, "it gets no calls again");
+            let waited = web::unix_ms() - started_ms;
+            assert!(waited < 10_000, "it gets no calls after its backoff");
             nonce += 1;
             ask(&fleet, VM, &non_idempotent_call(nonce, None)).await;
         }
     });
 }
 
-/// Its own report is asked for a few times a second by one VM, the list comes
-/// later; an answer is there at once.
+/// Guards against learning of it only from the upstream's own report, which
+/// one VM polls a few times a second, or from the list of upstreams, which is
+/// updated later still.
 #[test]
-fn an_upstream_that_says_in_an_answer_that_it_leaves_gets_no_new_work() {
+fn an_upstream_that_signals_leaving_in_a_response_gets_no_new_requests() {
     run(async {
         let fleet = start(1, |plan| plan).await;
         let near = "signatures-hall-a";
@@ -143,48 +146,52 @@
     });
 }
 
-/// Guards against each VM that keeps to a limit alone.
+/// Guards against VMs that each apply the rate limit on their own, so that the
+/// upstream gets a multiple of it.
 #[test]
-fn an_upstream_that_names_a_rate_gets_no_more_from_all_vms_together() {
+fn all_vms_together_keep_to_the_rate_limit_of_an_upstream() {
     const RATE_PER_S: u32 = 2;
     const WINDOW_MS: u64 = 4_000;
-    const CONTACT_MS: u64 = 3_000;
+    const PROPAGATION_MS: u64 = 3_000;
     const ALLOWED: u64 = RATE_PER_S as u64 * WINDOW_MS / 1000 * 3 / 2 + 5;
     run(async {
         let fleet = start(2, |plan| plan).await;
-        let needy = "signatures-hall-a";
+        let limited = "signatures-hall-a";
         let faults = ServiceFaults {
             rate_limit_per_s: RATE_PER_S,
             ..Default::default()
         };
-        fleet.set_upstream_faults(needy, &faults).await.unwrap();
-        let begun = web::unix_ms();
+        fleet.set_upstream_faults(limited, &faults).await.unwrap();
+        let started_ms = web::unix_ms();
         let mut nonce = 0;
         let mut runs = Vec::new();
-        while web::unix_ms() < begun + CONTACT_MS + 2 * WINDOW_MS {
+        while web::unix_ms() < started_ms + PROPAGATION_MS + 2 * WINDOW_MS {
             for vm in fleet.vms.keys() {
                 nonce += 1;
                 let call =
                     ask(&fleet, vm, &non_idempotent_call(nonce, None)).await;
-                assert!(call.is_whole(), "the other one serves: {call:?}");
+                assert!(
+                    call.is_whole(),
+                    "the other upstream serves: {call:?}"
+                );
             }
-            let [run, _] = counts(&fleet, needy).await;
-            runs.push((web::unix_ms() - begun, run));
+            let [run, _] = counts(&fleet, limited).await;
+            runs.push((web::unix_ms() - started_ms, run));
             Timer::after(Duration::from_millis(50)).await;
         }
-        let kept = runs.iter().filter(|(at, _)| *at >= CONTACT_MS);
+        let kept = runs.iter().filter(|(at, _)| *at >= PROPAGATION_MS);
         for (from, before) in kept {
             let within =
                 runs.iter().take_while(|(at, _)| *at <= from + WINDOW_MS);
             let after = within.last().map_or(0, |(_, run)| *run);
-            let came = after - before;
-            assert!(came <= ALLOWED, "{came} calls in four seconds");
+            let arrived = after - before;
+            assert!(arrived <= ALLOWED, "{arrived} calls in four seconds");
         }
     });
 }
 
 #[test]
-fn a_withdrawn_version_gets_no_new_work_even_with_the_store_out() {
+fn a_withdrawn_version_gets_no_new_requests_during_a_store_outage() {
     run(async {
         let fleet = start(2, |plan| plan).await;
         fleet
@@ -213,7 +220,7 @@
 }
 
 #[test]
-fn a_bad_version_is_withdrawn_by_the_guard() {
+fn a_failing_version_is_withdrawn_by_the_guard() {
     run(async {
         let fleet = start(1, |mut plan| {
             for engine in &mut plan.engines {
@@ -250,17 +257,18 @@
             .iter()
             .filter(|r| r.what == "writer@v2")
             .filter(|r| r.happened == web::Happened::Run);
-        assert!(exposed.count() < 100);
+        assert!(exposed.count() < 100, "v2 ran 100 requests or more");
     });
 }
 
 #[test]
-fn a_paused_steward_that_wakes_gives_no_order() {
+fn a_steward_that_resumes_after_losing_its_lease_sends_no_order() {
     run(async {
         let mut fleet =
             start(3, |mut plan| {
                 for engine in &mut plan.engines {
-                    // Nothing but the wait guards these.
+                    // Without fencing, engines accept orders of any epoch,
+                    // so only the timing of the lease protects them.
                     engine.fenced = false;
                 }
                 plan.with_setting("steward", "lease_ttl_ms", "2000")
@@ -272,7 +280,8 @@
             fleet.pause_vm(&steward);
             let next = wait_for_steward(&fleet, Some(&steward)).await;
             assert_ne!(next, steward);
-            // Work for a steward appears while the old one sleeps.
+            // A change that requires orders is made while the old steward is
+            // paused.
             let state = match round {
                 1 => json!({ "rolling_out": { "stage": 0 } }),
                 _ => json!("withdrawn"),
@@ -288,20 +297,21 @@
             .iter()
             .filter(|r| r.happened == web::Happened::Order)
             .count();
-        assert!(orders >= 2, "{orders} orders");
+        assert!(orders >= 2, "only {orders} orders were sent");
         assert_no_violations(&fleet, &[]).await;
     });
 }
 
-/// The VM of hall A that holds the steward lease, other than `but`.
+/// Waits until a VM of hall A other than `but` holds the steward lease, and
+/// returns its name.
 async fn wait_for_steward(
     fleet: &standins::fleet::Fleet,
-    but: Option<&str>,
+    excluded: Option<&str>,
 ) -> String {
     let found = std::cell::RefCell::new(String::new());
     eventually("there is a steward", || async {
         for vm in fleet.hall_vms("hall-a") {
-            if Some(vm.as_str()) == but {
+            if Some(vm.as_str()) == excluded {
                 continue;
             }
             let status = fleet.status(&vm).await.unwrap();
--- a/standins/tests/whole_path.rs
+++ b/standins/tests/whole_path.rs
@@ -1,5 +1,5 @@
-//! The whole path as an ordinary product: requests, sessions, decisions,
-//! templates, bad input, planned stops.
+//! End-to-end tests of a fleet without faults: requests, sessions, decisions,
+//! templates, invalid input and graceful shutdowns.
 
 mod common;
 
@@ -15,7 +15,9 @@
     fleet::Fleet,
 };
 
+/// A VM of the first data hall.
 const VM: &str = "vm-hall-a-1";
+/// A VM of the second data hall.
 const OTHER_VM: &str = "vm-hall-b-1";
 
 #[test]
@@ -49,7 +51,7 @@
 }
 
 #[test]
-fn a_session_keeps_its_version_through_any_vm() {
+fn a_session_keeps_its_version_on_every_vm() {
     run(async {
         let fleet = start(1, |plan| plan).await;
         let first =
@@ -84,7 +86,7 @@
 }
 
 #[test]
-fn the_loser_of_two_edits_is_told() {
+fn the_second_of_two_concurrent_edits_gets_a_conflict() {
     run(async {
         let fleet = start(1, |plan| plan).await;
         let path = "/templates/collectif";
@@ -108,9 +110,9 @@
         assert!(statuses.contains(&412), "{statuses:?}");
         let (loser, winner) =
             if a.status == 412 { (a, 0.6) } else { (b, 0.5) };
-        let told: Value = serde_json::from_slice(&loser.body).unwrap();
-        assert_eq!(told["error"]["code"], "edit_conflict");
-        assert_eq!(told["current"]["value"]["quality_target"], winner);
+        let conflict: Value = serde_json::from_slice(&loser.body).unwrap();
+        assert_eq!(conflict["error"]["code"], "edit_conflict");
+        assert_eq!(conflict["current"]["value"]["quality_target"], winner);
         fleet.wait_in_force().await.unwrap();
         for vm in [VM, OTHER_VM] {
             let now = fleet.get(fleet.vms[vm].operators, path).await.unwrap();
@@ -121,7 +123,7 @@
 }
 
 #[test]
-fn bad_input_gets_a_clear_answer() {
+fn invalid_input_gets_the_matching_error() {
     run(async {
         let fleet = start(1, |plan| plan).await;
         let callers = fleet.vms[VM].callers;
@@ -132,7 +134,7 @@
                 .body(body.to_owned())
         };
         let message = r#""messages":[{"role":"user","content":"x"}]"#;
-        let huge = "x".repeat(2 << 20);
+        let oversized = "x".repeat(2 << 20);
         let cases = [
             (chat_call("{"), 400, "invalid_input"),
             (
@@ -140,7 +142,7 @@
                 404,
                 "not_found",
             ),
-            (chat_call(&huge), 413, "too_large"),
+            (chat_call(&oversized), 413, "too_large"),
             (
                 chat_call(&format!("{{{message}}}"))
                     .header("lupinseam-session", "forged"),
@@ -185,7 +187,7 @@
 }
 
 #[test]
-fn garbage_on_the_peer_port_is_counted_and_dropped() {
+fn malformed_frames_on_the_peer_port_are_counted_and_dropped() {
     run(async {
         let fleet = start(1, |mut plan| {
             plan.without_proxies = true;
@@ -222,14 +224,14 @@
 }
 
 #[test]
-fn a_template_is_in_force_everywhere_without_a_restart() {
+fn a_template_takes_effect_on_all_vms_without_a_restart() {
     run(async {
         let fleet = start(2, |plan| plan).await;
         let call =
             ask(&fleet, OTHER_VM, &chat_of("tiny", 1, 2, false, None)).await;
         assert!(call.is_whole());
-        let narrowed = template("collectif", &["writer"], &[]);
-        fleet.put_template(VM, &narrowed).await.unwrap();
+        let restricted = template("collectif", &["writer"], &[]);
+        fleet.put_template(VM, &restricted).await.unwrap();
         fleet.wait_in_force().await.unwrap();
         for vm in fleet.vms.keys() {
             let call =
@@ -242,7 +244,7 @@
 }
 
 #[test]
-fn a_planned_stop_cuts_nothing() {
+fn a_graceful_shutdown_cuts_off_no_request() {
     run(async {
         let mut fleet = start(2, |mut plan| {
             for engine in &mut plan.engines {
@@ -278,33 +280,38 @@
         let id = last.decision.as_deref().unwrap_or_default();
         let path = format!("/decisions/{id}?words");
         let operators = fleet.vms[OTHER_VM].operators;
-        let why = fleet.get(operators, &path).await.unwrap();
-        let why = String::from_utf8_lossy(&why.body).into_owned();
-        assert!(last.repeated, "the outcome outlives the VM: {why}");
+        let explanation = fleet.get(operators, &path).await.unwrap();
+        let explanation =
+            String::from_utf8_lossy(&explanation.body).into_owned();
+        assert!(
+            last.repeated,
+            "the outcome survives the shutdown: {explanation}"
+        );
         assert_no_violations(&fleet, &calls).await;
     });
 }
 
 #[test]
-fn a_new_vm_starts_from_another_while_the_store_is_out() {
+fn a_vm_starts_from_a_peer_during_a_store_outage() {
     run(async {
         let mut fleet = start(2, |plan| plan).await;
-        let out = standins::kv::KvFaults {
+        let outage = standins::kv::KvFaults {
             outage: true,
             ..standins::kv::KvFaults::default()
         };
-        fleet.set_kv_faults(out).await.unwrap();
+        fleet.set_kv_faults(outage).await.unwrap();
         fleet.kill_vm(VM);
         fleet.restart_vm(VM).await.unwrap();
         wait_for_answer(&fleet, VM).await;
         let edit = template("collectif", &["writer"], &[]);
-        let refused = fleet.put_template(VM, &edit).await.unwrap_err();
-        assert!(refused.contains("store_un"), "{refused}");
+        let rejected = fleet.put_template(VM, &edit).await.unwrap_err();
+        assert!(rejected.contains("store_un"), "{rejected}");
         let status = fleet.status(VM).await.unwrap();
         assert_eq!(status["revision"], 5);
     });
 }
 
+/// Waits until a VM answers a chat request.
 async fn wait_for_answer(fleet: &Fleet, vm: &str) {
     eventually("the VM answers", || async {
         ask(fleet, vm, &chat(1, 2, false)).await.is_whole()
