--- a/standins/tests/platform.rs
+++ b/standins/tests/platform.rs
@@ -1,4 +1,5 @@
-//! A VM before the platform, as a real process, against the stand-ins.
+//! Runs the gateway as real VM processes against stand-ins of the platform's
+//! store and upstreams.
 
 use std::{
     path::PathBuf,
@@ -22,37 +23,42 @@
     },
 };
 
-/// Long enough that no test but those about it meets the bound.
+/// Time within which a revoked key must be rejected everywhere; long enough
+/// that only tests which set a shorter one reach it.
 const REVOKE_MS: u64 = 8_000;
 
-static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
+static SITE_LOCK: Mutex<()> = Mutex::new(());
 
-/// The VMs of a site have fixed addresses, so one site runs at a time.
-fn alone() -> MutexGuard<'static, ()> {
-    ONE_AT_A_TIME.lock().unwrap_or_else(|failed| failed.into_inner())
+/// Serializes the tests, since the VMs of a site have fixed addresses.
+fn lock_site() -> MutexGuard<'static, ()> {
+    SITE_LOCK.lock().unwrap_or_else(|failed| failed.into_inner())
 }
 
+/// Creates a site without VMs and upstreams.
 fn site(revoke_ms: u64) -> Site {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_standins"));
     Site::new(program, &["vm"], revoke_ms)
 }
 
+/// Starts a site with one VM, and waits until it knows these upstreams, each
+/// given with its service.
 fn site_with(upstreams: &[(&Upstream, &str)]) -> Site {
     let mut site = site(REVOKE_MS);
     for (upstream, service) in upstreams {
         site.list(upstream, service, "v1");
     }
     site.start_vm();
-    // Records may come a moment after the configuration.
+    // The VM may read the records shortly after the configuration.
     for (upstream, _) in upstreams {
         wait_listed(&site.vms[0], &upstream.id, false);
     }
     site
 }
 
-/// Waits until a VM says that it knows of an upstream, or that it leaves.
+/// Waits until a VM has logged an upstream's record, either as leaving or as
+/// not leaving.
 fn wait_listed(vm: &SiteVm, upstream: &str, is_leaving: bool) {
-    wait_until("the VM has heard of the upstream", || {
+    wait_until("the VM has read the upstream's record", || {
         let lines = vm.lines("E043");
         lines.iter().any(|line| {
             line["upstream"] == upstream && line["leaving"] == is_leaving
@@ -60,18 +66,20 @@
     });
 }
 
+/// Closes the connection of every request.
 fn closes() -> Script {
     Box::new(|_| vec![Act::Close])
 }
 
-fn with_id(upstreams: &[&Upstream], id: &str) -> usize {
+/// Returns how often these upstreams received a request with this id.
+fn count_with_id(upstreams: &[&Upstream], id: &str) -> usize {
     let received = upstreams.iter().flat_map(|u| u.received());
     received.filter(|r| r.header("lupinseam-attempt-id") == id).count()
 }
 
 #[test]
-fn a_request_goes_on_with_what_the_router_states() {
-    let _alone = alone();
+fn a_forwarded_request_has_the_routers_headers_and_no_forged_ones() {
+    let _guard = lock_site();
     let upstream = Upstream::start("i-1", answers(200, "hello"));
     let site = site_with(&[(&upstream, PLAIN)]);
     let forged = "Lupinseam-Tenant: other\r\nLupinseam-Hold: h\r\n\
@@ -87,29 +95,36 @@
     assert_eq!(received.header("lupinseam-expected-instance"), "i-1");
     assert_eq!(received.header("x-kept"), "yes");
     for withheld in ["api-key", "lupinseam-hold", "kv-from"] {
-        assert_eq!(received.header(withheld), "", "{withheld} went on");
+        assert_eq!(received.header(withheld), "", "{withheld} was forwarded");
     }
     let left: u64 = received.header("lupinseam-deadline-ms").parse().unwrap();
-    assert!((1..=1000).contains(&left), "{left} ms of the route's 1000");
+    assert!(
+        (1..=1000).contains(&left),
+        "deadline of {left} ms; the route has 1000"
+    );
 }
 
 #[test]
-fn what_may_not_be_repeated_is_sent_once() {
-    let _alone = alone();
+fn a_non_idempotent_request_is_sent_once() {
+    let _guard = lock_site();
     let one = Upstream::start("i-1", closes());
     let two = Upstream::start("i-2", closes());
     let site = site_with(&[(&one, PLAIN), (&two, PLAIN)]);
     let got = site.vms[0].ask(&request("POST", "/once/x", "r-1", ""));
     assert_eq!(got.status, 502, "{got:?}");
-    assert_eq!(with_id(&[&one, &two], "r-1"), 1);
+    assert_eq!(count_with_id(&[&one, &two], "r-1"), 1);
     let got = site.vms[0].ask(&request("GET", "/read/x", "r-2", ""));
     assert_eq!(got.status, 502, "{got:?}");
-    assert_eq!(with_id(&[&one, &two], "r-2"), 2, "read is tried twice");
+    assert_eq!(
+        count_with_id(&[&one, &two], "r-2"),
+        2,
+        "an idempotent request is attempted twice"
+    );
 }
 
 #[test]
-fn a_refusal_is_a_promise_and_says_when_to_come_back() {
-    let _alone = alone();
+fn only_a_request_that_did_not_run_is_answered_with_503_and_retry_after() {
+    let _guard = lock_site();
     let upstream = Upstream::start("i-1", declines());
     let site = site_with(&[(&upstream, PLAIN)]);
     let got = site.vms[0].ask(&request("POST", "/once/x", "r-1", ""));
@@ -124,8 +139,8 @@
 }
 
 #[test]
-fn an_upstream_that_cannot_be_reached_costs_no_attempt() {
-    let _alone = alone();
+fn an_unreachable_upstream_uses_up_no_attempt() {
+    let _guard = lock_site();
     let good = Upstream::start("i-1", answers(200, "hello"));
     let site = site_with(&[(&good, PLAIN)]);
     for number in 2..5 {
@@ -145,8 +160,8 @@
 }
 
 #[test]
-fn an_answer_to_another_request_is_not_passed_on() {
-    let _alone = alone();
+fn a_response_to_another_request_is_not_forwarded() {
+    let _guard = lock_site();
     let foreign: Script = Box::new(|_| {
         let headers = [("Lupinseam-Attempt-Id", "someone-else")];
         vec![Act::Send(answer(200, &headers, "not yours"))]
@@ -159,8 +174,8 @@
 }
 
 #[test]
-fn bytes_after_an_answer_belong_to_no_request() {
-    let _alone = alone();
+fn surplus_bytes_after_a_response_are_never_taken_for_the_next_one() {
+    let _guard = lock_site();
     let twice: Script = Box::new(|request| {
         let one = answer(200, &stamped(request, &[]), "mine");
         let other = [("Lupinseam-Attempt-Id", "r-0")];
@@ -176,8 +191,8 @@
 }
 
 #[test]
-fn an_answer_cut_short_never_looks_whole() {
-    let _alone = alone();
+fn a_truncated_response_is_not_forwarded_as_complete() {
+    let _guard = lock_site();
     let short: Script = Box::new(|request| {
         let mut bytes = answer(200, &stamped(request, &[]), "0123456789");
         bytes.truncate(bytes.len() - 3);
@@ -190,8 +205,8 @@
 }
 
 #[test]
-fn an_answer_may_end_with_its_connection() {
-    let _alone = alone();
+fn a_response_may_be_delimited_by_the_end_of_its_connection() {
+    let _guard = lock_site();
     let unframed: Script = Box::new(|request| {
         let mut text = "HTTP/1.1 200 OK\r\n".to_owned();
         for (name, value) in stamped(request, &[]) {
@@ -206,13 +221,14 @@
     assert_eq!((got.status, got.body.as_str()), (200, "all of it"), "{got:?}");
 }
 
+/// Returns the body of a stream with the events of these ids.
 fn events(from: u64, to: u64) -> String {
     (from..=to).map(|id| format!("id: {id}\ndata: e{id}\n\n")).collect()
 }
 
 #[test]
-fn a_stream_that_breaks_is_resumed_inside_one_answer() {
-    let _alone = alone();
+fn a_broken_stream_is_resumed_within_the_same_response() {
+    let _guard = lock_site();
     let plan = |request: &standins::http_raw::RawRequest| Streamed {
         last: 8,
         breaks_after: request.header("last-event-id").is_empty().then_some(3),
@@ -225,17 +241,17 @@
     assert_eq!(got.status, 200, "{got:?}");
     assert_eq!(got.body, events(1, 8));
     assert!(got.whole);
-    assert_eq!(with_id(&[&one, &two], "r-1"), 2);
+    assert_eq!(count_with_id(&[&one, &two], "r-1"), 2);
     let resumed = [&one, &two].iter().flat_map(|u| u.received()).any(|r| {
         r.header("last-event-id") == "3"
             && r.header("lupinseam-model") == "small"
     });
-    assert!(resumed, "it goes on after event 3, with the same model");
+    assert!(resumed, "not resumed after event 3 with the same model");
 }
 
 #[test]
-fn a_stream_that_may_not_be_resumed_ends_visibly_broken() {
-    let _alone = alone();
+fn a_broken_stream_that_may_not_be_resumed_ends_as_incomplete() {
+    let _guard = lock_site();
     let plan = |_: &_| Streamed {
         last: 8,
         breaks_after: Some(3),
@@ -246,15 +262,16 @@
     let site = site_with(&[(&one, MODELS), (&two, MODELS)]);
     let got = site.vms[0].ask(&stream_request("/tell/x", "r-1"));
     assert_eq!(got.status, 200, "{got:?}");
-    assert_eq!(got.body, events(1, 3), "no part of an event goes out");
+    assert_eq!(got.body, events(1, 3), "no partial event is forwarded");
     assert!(!got.whole);
-    assert_eq!(with_id(&[&one, &two], "r-1"), 1);
+    assert_eq!(count_with_id(&[&one, &two], "r-1"), 1);
 }
 
-/// The budget is for attempts that are sent; other streams need it.
+/// Guards against charging the retry budget for attempts that are never sent,
+/// which would leave too little for other streams.
 #[test]
-fn a_stream_that_nobody_can_go_on_with_costs_no_retries() {
-    let _alone = alone();
+fn a_stream_without_an_upstream_to_resume_at_uses_no_retry_budget() {
+    let _guard = lock_site();
     let breaking = Upstream::start(
         "i-1",
         streams(|request| Streamed {
@@ -274,15 +291,15 @@
     assert_eq!((got.status, got.whole), (200, false), "{got:?}");
     site.list(&failing, MODELS, "v1");
     wait_listed(&site.vms[0], "i-2", false);
-    // The one whose stream broke is asked last.
+    // The upstream whose stream broke is tried last.
     let got = site.vms[0].ask(&lone_stream_request("/write/x", "r-2"));
-    assert_eq!(with_id(&[&failing], "r-2"), 1);
-    assert_eq!(got.body, events(1, 6), "it is tried again: {got:?}");
+    assert_eq!(count_with_id(&[&failing], "r-2"), 1);
+    assert_eq!(got.body, events(1, 6), "it is retried: {got:?}");
 }
 
 #[test]
-fn a_doubtful_answer_is_dropped_for_the_larger_model() {
-    let _alone = alone();
+fn a_low_confidence_answer_is_replaced_by_one_of_the_larger_model() {
+    let _guard = lock_site();
     let upstream = Upstream::start(
         "i-1",
         streams(|request| Streamed {
@@ -309,8 +326,8 @@
 }
 
 #[test]
-fn a_caller_that_leaves_ends_the_work() {
-    let _alone = alone();
+fn a_caller_that_disconnects_cancels_the_request_at_the_upstream() {
+    let _guard = lock_site();
     let slow = |_: &_| Streamed {
         last: 400,
         pause: Duration::from_millis(20),
@@ -324,14 +341,14 @@
     std::io::Write::write_all(&mut stream, text.as_bytes()).unwrap();
     thread::sleep(Duration::from_millis(300));
     drop(stream);
-    wait_until("the upstream is left", || {
+    wait_until("the connection to the upstream is closed", || {
         upstream.abandoned() == ["r-1".to_owned()]
     });
 }
 
 #[test]
-fn bad_input_gets_a_clear_answer_and_reaches_nobody() {
-    let _alone = alone();
+fn invalid_input_gets_the_matching_status_and_reaches_no_upstream() {
+    let _guard = lock_site();
     let upstream = Upstream::start("i-1", answers(200, "hello"));
     let site = site_with(&[(&upstream, PLAIN)]);
     let vm = &site.vms[0];
@@ -352,8 +369,8 @@
 }
 
 #[test]
-fn a_request_hidden_behind_two_lengths_is_not_run() {
-    let _alone = alone();
+fn a_request_smuggled_behind_two_body_lengths_is_not_run() {
+    let _guard = lock_site();
     let upstream = Upstream::start("i-1", answers(200, "hello"));
     let site = site_with(&[(&upstream, PLAIN)]);
     let hidden = request("GET", "/read/hidden", "r-2", "");
@@ -367,12 +384,12 @@
         assert!(matches!(got.status, 0 | 200 | 400), "{got:?}");
     }
     thread::sleep(Duration::from_millis(200));
-    assert_eq!(with_id(&[&upstream], "r-2"), 0);
+    assert_eq!(count_with_id(&[&upstream], "r-2"), 0);
 }
 
 #[test]
-fn a_key_that_was_taken_away_is_refused_at_once() {
-    let _alone = alone();
+fn a_revoked_key_is_rejected_and_stays_rejected() {
+    let _guard = lock_site();
     let upstream = Upstream::start("i-1", answers(200, "hello"));
     let site = site_with(&[(&upstream, PLAIN)]);
     let ask = || site.vms[0].ask(&request("GET", "/read/x", "r-1", ""));
@@ -380,10 +397,10 @@
     let mut without = configuration(2);
     without["tenants"][0]["api_keys"] = json!(["key-2"]);
     site.store.put("op/config", &without);
-    wait_until("the key is refused", || ask().status == 401);
-    // An older configuration does not bring it back.
+    wait_until("the key is rejected", || ask().status == 401);
+    // An older configuration must not bring the key back.
     site.store.put("op/config", &configuration(1));
-    // Once it has heard of what was written later, it has heard of that.
+    // Once the VM has read a later write, it has read this one too.
     let later = Upstream::start("i-2", answers(200, "hello"));
     site.list(&later, PLAIN, "v1");
     wait_listed(&site.vms[0], "i-2", false);
@@ -391,8 +408,8 @@
 }
 
 #[test]
-fn a_vm_that_cannot_know_of_a_lost_key_runs_nothing() {
-    let _alone = alone();
+fn a_vm_that_cannot_learn_of_revoked_keys_runs_nothing() {
+    let _guard = lock_site();
     let upstream = Upstream::start("i-1", answers(200, "hello"));
     for mood in [Mood::Silent, Mood::Resetting, Mood::Busy] {
         let mut site = site(2_000);
@@ -400,23 +417,24 @@
         site.start_vm();
         wait_listed(&site.vms[0], "i-1", false);
         site.store.set_mood(mood);
-        let lost_at = Instant::now();
+        let fault_at = Instant::now();
         let ask = || site.vms[0].ask(&request("GET", "/read/x", "r", ""));
-        assert_eq!(ask().status, 200, "what is known is recent enough");
-        wait_until("requests are refused", || ask().status == 503);
-        assert!(lost_at.elapsed() < Duration::from_millis(2_000));
+        assert_eq!(ask().status, 200, "its knowledge is still recent enough");
+        wait_until("requests are rejected", || ask().status == 503);
+        assert!(fault_at.elapsed() < Duration::from_millis(2_000));
         assert!(!site.vms[0].is_ready());
-        // Neither a key nor a route that is not known may be denied for good.
+        // An unknown key or route may exist by now, so it gets 503 rather than
+        // a final 401 or 404.
         let unknown = request("GET", "/none/x", "r", "").replace(KEY, "key-9");
         assert_eq!(site.vms[0].ask(&unknown).status, 503);
         site.store.set_mood(Mood::Well);
-        wait_until("requests are taken again", || ask().status == 200);
+        wait_until("requests are served again", || ask().status == 200);
     }
 }
 
 #[test]
-fn a_vm_may_go_on_by_the_newest_keys_that_it_knows() {
-    let _alone = alone();
+fn a_vm_set_to_fail_open_serves_by_the_newest_keys_it_knows() {
+    let _guard = lock_site();
     let upstream = Upstream::start("i-1", answers(200, "hello"));
     let with_keys =
         |version, keys: &[&str]| configuration_with(version, keys, Vec::new());
@@ -430,18 +448,27 @@
             site.vms[0].ask(&text).status
         };
         site.store.put("op/config", &with_keys(2, &[KEY, "key-3"]));
-        wait_until("a key is gone", || ask(&site, "key-2") == 401);
+        wait_until("a key is rejected", || ask(&site, "key-2") == 401);
         site.store.set_mood(mood);
         site.store.put("op/config", &with_keys(3, &["key-3"]));
-        // Several times as long as its knowledge counts as recent.
+        // Several times the period for which its knowledge counts as recent.
         let until = Instant::now() + Duration::from_secs(4);
         while Instant::now() < until {
-            assert_eq!(ask(&site, KEY), 200, "as last known");
-            assert_eq!(ask(&site, "key-2"), 401, "never by an older one");
+            assert_eq!(
+                ask(&site, KEY),
+                200,
+                "the key was valid when last read"
+            );
+            assert_eq!(
+                ask(&site, "key-2"),
+                401,
+                "an older configuration is used"
+            );
             assert!(site.vms[0].is_ready());
             thread::sleep(Duration::from_millis(100));
         }
-        // One that has known nothing yet may neither serve nor deny.
+        // A VM that has not read any keys since its start may neither serve
+        // nor deny.
         site.vms[0].kill();
         site.vms[0].start();
         wait_until("it answers", || ask(&site, KEY) != 0);
@@ -450,20 +477,25 @@
         assert!(!site.vms[0].is_ready());
         site.store.set_mood(Mood::Well);
         wait_until("it serves again", || ask(&site, "key-3") == 200);
-        assert_eq!(ask(&site, KEY), 401, "taken away meanwhile");
+        assert_eq!(
+            ask(&site, KEY),
+            401,
+            "the key was revoked during the fault"
+        );
     }
 }
 
-/// A proof that carried the configuration would take a small VM's link for
-/// as long as reading all of it, again and again.
+/// Guards against key freshness proofs that carry the whole configuration: they
+/// would occupy the link of a small VM for as long as reading all of it, over
+/// and over.
 #[test]
-fn a_proof_does_not_carry_the_configuration() {
-    let _alone = alone();
+fn a_key_freshness_proof_does_not_read_the_configuration() {
+    let _guard = lock_site();
     let upstream = Upstream::start("i-1", answers(200, "hello"));
     let mut site = site(1_500);
     site.list(&upstream, PLAIN, "v1");
     site.start_vm();
-    // Longer than a VM may go on without a proof.
+    // Longer than a VM may serve without a proof.
     let until = Instant::now() + Duration::from_secs(4);
     while Instant::now() < until {
         let got = site.vms[0].ask(&request("GET", "/read/x", "r", ""));
@@ -475,38 +507,39 @@
     assert_eq!(read.count(), 0, "{calls:?}");
 }
 
-/// Starts VMs of one hall, the first two with the fastest links.
-fn hall_of(count: usize, site: &mut Site) {
+/// Starts VMs of one data hall, the first two with the fastest links.
+fn start_hall(count: usize, site: &mut Site) {
     for at in 0..count {
         site.link_mbps = if at < 2 { 200 } else { 20 };
         site.start_vm();
     }
     let key = |at: usize| format!("lupinseam/vm/hall-a/vm-{at}");
-    wait_until("all are recorded", || {
+    wait_until("all VMs are recorded", || {
         (0..count).all(|at| site.store.get(&key(at)).is_some())
     });
 }
 
-/// Two calls for each VM are too many where there are hundreds of VMs.
+/// Guards against VMs that each write their own record: with hundreds of VMs,
+/// two calls per VM are too many for the store.
 #[test]
-fn the_first_vms_record_the_others() {
-    let _alone = alone();
+fn only_the_seed_vms_write_the_records_of_their_hall() {
+    let _guard = lock_site();
     let mut site = site(REVOKE_MS);
-    hall_of(4, &mut site);
+    start_hall(4, &mut site);
     let calls = site.store.calls();
     let leases = calls.iter().filter(|path| path.contains("kv-lease"));
-    assert!(leases.count() <= 2, "only the seeds write: {calls:?}");
+    assert!(leases.count() <= 2, "more than the seeds wrote: {calls:?}");
 }
 
-/// When all VMs of a large fleet start at once, the store's link cannot tell
-/// each of them everything in time.
+/// Guards against VMs that each read everything from the store at their start:
+/// when all VMs of a large fleet start at once, the store's link is too slow.
 #[test]
-fn a_vm_that_starts_takes_everything_from_its_hall() {
-    let _alone = alone();
+fn a_starting_vm_reads_everything_from_peers_in_its_hall() {
+    let _guard = lock_site();
     let upstream = Upstream::start("i-1", answers(200, "hello"));
     let mut site = site(REVOKE_MS);
     site.list(&upstream, PLAIN, "v1");
-    hall_of(3, &mut site);
+    start_hall(3, &mut site);
     let before = site.store.calls().len();
     site.start_vm();
     let got = site.vms[3].ask(&request("GET", "/read/x", "r-1", ""));
@@ -516,14 +549,14 @@
     assert!(!calls.iter().any(|path| path.contains(all)), "{calls:?}");
 }
 
-/// The VMs that are to be asked are gone, and their records still stand.
+/// Covers peers that no longer respond although their records still exist.
 #[test]
-fn a_vm_whose_hall_is_silent_reads_from_the_store() {
-    let _alone = alone();
+fn a_starting_vm_without_responsive_peers_reads_from_the_store() {
+    let _guard = lock_site();
     let upstream = Upstream::start("i-1", answers(200, "hello"));
     let mut site = site(REVOKE_MS);
     site.list(&upstream, PLAIN, "v1");
-    hall_of(3, &mut site);
+    start_hall(3, &mut site);
     for at in 0..3 {
         site.vms[at].signal(Signal::STOP);
     }
@@ -536,15 +569,15 @@
 }
 
 #[test]
-fn history_that_is_lost_is_read_again() {
-    let _alone = alone();
+fn a_vm_reads_everything_again_when_the_store_lost_its_history() {
+    let _guard = lock_site();
     let upstream = Upstream::start("i-1", answers(200, "hello"));
     let site = site_with(&[(&upstream, PLAIN)]);
     site.store.set_mood(Mood::Forgetful);
     let mut more = configuration(2);
     more["routes"][0]["path_prefix"] = json!("/moved/");
     site.store.put("op/config", &more);
-    wait_until("the new route is in force", || {
+    wait_until("the new route takes effect", || {
         site.vms[0].ask(&request("GET", "/moved/x", "r", "")).status == 200
     });
     assert_eq!(
@@ -553,16 +586,17 @@
     );
 }
 
-/// A VM that has only just started, and expects others that are to follow the
-/// store for it, looks there once a second. Waiting for 600 ms after the entry
-/// was written came too early by some milliseconds now and then:
+/// Waits for the VM's log line instead of a fixed time: a VM that has just
+/// started, and expects peers that follow the store on its behalf, polls the
+/// store once a second. Waiting for 600 ms after the write was sometimes some
+/// milliseconds too short:
 ///
 /// ```text
 /// listed at …187264, E043 "leaving":true at …187848, first request at …187867
 /// ```
 #[test]
-fn an_upstream_that_leaves_gets_nothing_new() {
-    let _alone = alone();
+fn a_leaving_upstream_gets_no_new_requests() {
+    let _guard = lock_site();
     let one = Upstream::start("i-1", answers(200, "hello"));
     let two = Upstream::start("i-2", answers(200, "hello"));
     let site = site_with(&[(&one, PLAIN), (&two, PLAIN)]);
@@ -579,10 +613,10 @@
 }
 
 #[test]
-fn a_late_answer_is_waited_for_where_nobody_else_can_be_asked() {
-    let _alone = alone();
-    // The route's aim is 500 ms, and with another upstream it would be asked
-    // after 300.
+fn a_vm_waits_for_a_slow_response_if_there_is_no_other_upstream() {
+    let _guard = lock_site();
+    // The route's latency target is 500 ms; another upstream, if there were
+    // one, would be tried after 300 ms.
     let late = Box::new(|request: &RawRequest| {
         let whole = answer(200, &stamped(request, &[]), "late");
         vec![Act::Wait(Duration::from_millis(450)), Act::Send(whole)]
@@ -594,8 +628,8 @@
     assert_eq!(upstream.received().len(), 1);
 }
 
-/// Asks a VM for twenty plain answers; returns how many could not be had.
-fn ask_twenty(vm: &SiteVm, prefix: &str) -> usize {
+/// Sends twenty plain requests to a VM, and returns how many failed.
+fn count_failures(vm: &SiteVm, prefix: &str) -> usize {
     let asks = (0..20).map(|number| {
         let id = format!("{prefix}-{number}");
         vm.ask(&request("GET", "/read/x", &id, "")).status
@@ -604,43 +638,43 @@
 }
 
 #[test]
-fn an_evacuated_hall_gets_nothing_until_that_is_taken_back() {
-    let _alone = alone();
+fn an_evacuated_data_hall_gets_no_requests_until_the_evacuation_ends() {
+    let _guard = lock_site();
     let near = Upstream::start("i-1", answers(200, "hello"));
     let far = Upstream::start("i-2", answers(200, "hello"));
     let mut site = site_with(&[(&near, PLAIN)]);
     site.list_in(&far, PLAIN, "hall-b", Duration::ZERO);
     site.evacuate("hall-a");
-    wait_until("the VM knows of the evacuation", || {
+    wait_until("the VM has read the evacuation", || {
         !site.vms[0].lines("E047").is_empty()
     });
     let before = near.received().len();
-    assert_eq!(ask_twenty(&site.vms[0], "known"), 0);
-    // One that starts meanwhile is told with everything else.
+    assert_eq!(count_failures(&site.vms[0], "known"), 0);
+    // A VM that starts during the evacuation learns of it too.
     site.start_vm();
-    assert_eq!(ask_twenty(&site.vms[1], "started"), 0);
-    // A store that is away changes nothing.
+    assert_eq!(count_failures(&site.vms[1], "started"), 0);
+    // A store that does not answer changes nothing.
     site.store.set_mood(Mood::Silent);
-    assert_eq!(ask_twenty(&site.vms[0], "silent"), 0);
+    assert_eq!(count_failures(&site.vms[0], "silent"), 0);
     site.store.set_mood(Mood::Well);
     assert_eq!(near.received().len(), before);
-    // With both halls evacuated, callers are told at once that nothing ran.
+    // With both halls evacuated, requests are rejected as not run.
     site.evacuate("hall-b");
-    wait_until("nothing is left to send to", || {
+    wait_until("requests are rejected with Retry-After", || {
         let got = site.vms[0].ask(&request("GET", "/read/x", "none", ""));
         got.status == 503 && !got.header("retry-after").is_empty()
     });
     site.end_evacuation("hall-b");
     site.end_evacuation("hall-a");
-    wait_until("the hall gets requests again", || {
-        ask_twenty(&site.vms[1], "over");
+    wait_until("the data hall gets requests again", || {
+        count_failures(&site.vms[1], "over");
         near.received().len() > before
     });
 }
 
 #[test]
-fn a_planned_stop_ends_what_was_begun() {
-    let _alone = alone();
+fn a_graceful_shutdown_completes_running_requests() {
+    let _guard = lock_site();
     let slow = |_: &_| Streamed {
         last: 60,
         pause: Duration::from_millis(50),
@@ -655,15 +689,15 @@
     });
     thread::sleep(Duration::from_millis(500));
     site.vms[0].signal(Signal::TERM);
-    wait_until("it is not ready", || !site.vms[0].is_ready());
+    wait_until("the VM is not ready", || !site.vms[0].is_ready());
     let got = asked.join().unwrap();
     assert!(got.whole, "{got:?}");
     assert_eq!(got.body, events(1, 60));
     assert!(site.vms[0].has_ended_well());
-    assert_eq!(site.vms[0].lines("E004").len(), 1, "it says that it stopped");
+    assert_eq!(site.vms[0].lines("E004").len(), 1, "the stop is logged once");
 }
 
-/// Orders a version of the models, to be brought in within that time.
+/// Orders the rollout of a version of the models, to take this long.
 fn order_version(site: &Site, version: &str, within: Duration) {
     let order = json!({
         "service": MODELS, "target_version": version,
@@ -672,13 +706,14 @@
     site.store.put(&format!("op/rollout/{MODELS}"), &order);
 }
 
-/// Asks for streams until a roll-out has ended, and says how.
+/// Orders the rollout of `v2`, requests streams until it has ended, and returns
+/// its final state.
 fn roll_out(site: &Site) -> String {
     order_version(site, "v2", Duration::from_secs(4));
     let key = format!("status/rollout/{MODELS}");
     let mut number = 0;
     let mut state = String::new();
-    wait_until("the roll-out has ended", || {
+    wait_until("the rollout has ended", || {
         number += 1;
         let id = format!("r-{number}");
         site.vms[0].ask(&stream_request("/write/x", &id));
@@ -690,9 +725,9 @@
     state
 }
 
-/// Its upstreams go on for a while after it was taken back, while the order is
-/// removed or the next one is given. Requests went to them again as to any old
-/// version; of one VM, seconds of a day:
+/// Guards against a reverted version that counts as an old one once its order
+/// is removed or replaced: its upstreams still run for a while then, and got
+/// requests again. Log of one VM, in seconds:
 ///
 /// ```text
 /// 25.936 edge-bris-c-2 RolloutRecorded target v2, progress reverted
@@ -701,8 +736,8 @@
 /// 27.990 edge-bris-c-2 listing-draft at v2: failed: 500
 /// ```
 #[test]
-fn a_version_that_was_taken_back_gets_nothing_when_its_order_is_over() {
-    let _alone = alone();
+fn a_reverted_version_gets_no_requests_after_its_order_ends() {
+    let _guard = lock_site();
     let good = || streams(|_| Streamed::default());
     let old = Upstream::start("i-1", good());
     let bad = Upstream::start("i-2", answers(500, "bad"));
@@ -711,7 +746,7 @@
     site.list(&bad, MODELS, "v2");
     wait_listed(&site.vms[0], "i-2", false);
     assert_eq!(roll_out(&site), "reverted");
-    // Another of its upstreams, at which nothing has failed yet.
+    // Another upstream of that version, at which no request has failed yet.
     let bad = Upstream::start("i-4", good());
     site.list(&bad, MODELS, "v2");
     wait_listed(&site.vms[0], "i-4", false);
@@ -726,21 +761,21 @@
     };
     ask("reverted");
     site.store.remove(&format!("op/rollout/{MODELS}"));
-    // Until the VM has heard of it.
+    // Lets the VM learn of the removal.
     thread::sleep(Duration::from_secs(1));
     ask("removed");
     site.list(&next, MODELS, "v3");
     wait_listed(&site.vms[0], "i-3", false);
     order_version(&site, "v3", Duration::from_secs(20));
-    wait_until("the next one is ordered", || {
+    wait_until("the VM has read the next order", || {
         site.vms[0].lines("E083").len() > 1
     });
     ask("next");
-    // Ordered once more, it is a new one like any other.
+    // Once it is ordered again, it counts as a new version.
     order_version(&site, "v2", Duration::from_secs(3));
     let before = bad.received().len();
     let mut number = 0;
-    wait_until("it is tried again", || {
+    wait_until("the version gets requests again", || {
         number += 1;
         let id = format!("again-{number}");
         site.vms[0].ask(&lone_stream_request("/write/x", &id));
@@ -749,26 +784,27 @@
 }
 
 #[test]
-fn a_good_version_is_rolled_out() {
-    let _alone = alone();
+fn the_rollout_of_a_good_version_completes() {
+    let _guard = lock_site();
     let good = || streams(|_| Streamed::default());
     let old = Upstream::start("i-1", good());
     let new = Upstream::start("i-2", good());
     let site = site_with(&[(&old, MODELS)]);
     site.list(&new, MODELS, "v2");
     assert_eq!(roll_out(&site), "completed");
-    let (old_had, new_had) = (old.received().len(), new.received().len());
+    let (old_received, new_received) =
+        (old.received().len(), new.received().len());
     for number in 0..10 {
         site.vms[0].ask(&stream_request("/write/x", &format!("s-{number}")));
     }
-    assert_eq!(old.received().len(), old_had);
-    assert!(new.received().len() > new_had);
+    assert_eq!(old.received().len(), old_received);
+    assert!(new.received().len() > new_received);
 }
 
-/// A session lasts until nothing of it has been under way for its time. Its
-/// VM forgot it six seconds after its last attempt had *begun*, so that one
-/// whose stream took longer was drawn anew and changed its version, by the
-/// same VM and even within one request:
+/// Guards against counting the session timeout from the start of an attempt: a
+/// session lasts until it has had no running request for the timeout. A VM that
+/// forgot sessions six seconds after their last attempt had *started* assigned
+/// a session with a longer stream to another version, even within one request:
 ///
 /// ```text
 /// 1.369-8.014 v1 parcelles-19 silent
@@ -777,7 +813,7 @@
 #[test]
 fn a_session_keeps_its_version_after_a_long_stream() {
     const SESSIONS: usize = 40;
-    let _alone = alone();
+    let _guard = lock_site();
     let long = |_: &_| Streamed {
         last: 22,
         pause: Duration::from_millis(300),
@@ -790,7 +826,9 @@
     let listed: Vec<_> = old.iter().map(|one| (one, MODELS)).collect();
     let site = site_with(&listed);
     order_version(&site, "v2", Duration::from_secs(40));
-    wait_until("it has the order", || !site.vms[0].lines("E083").is_empty());
+    wait_until("the VM has read the order", || {
+        !site.vms[0].lines("E083").is_empty()
+    });
     site.list(&new, MODELS, "v2");
     thread::scope(|scope| {
         for number in 0..SESSIONS {
@@ -806,7 +844,7 @@
                 };
                 let got = ask(&format!("first-{number}"));
                 assert!(got.whole, "{got:?}");
-                // Its next request comes while the session lasts.
+                // The next request is sent before the session times out.
                 thread::sleep(Duration::from_millis(300));
                 ask(&format!("next-{number}"));
             });
@@ -818,8 +856,8 @@
 }
 
 #[test]
-fn a_bad_version_is_taken_back() {
-    let _alone = alone();
+fn the_rollout_of_a_failing_version_is_reverted() {
+    let _guard = lock_site();
     let old = Upstream::start("i-1", streams(|_| Streamed::default()));
     let bad: Script =
         Box::new(|r| vec![Act::Send(answer(500, &stamped(r, &[]), "no"))]);
@@ -829,12 +867,12 @@
     assert_eq!(roll_out(&site), "reverted");
     let all = old.received().len() + new.received().len();
     let share = new.received().len() as f64 / all as f64;
-    assert!(share < 0.15, "{share} of the requests went to it");
+    assert!(share < 0.15, "a share of {share} of the requests went to it");
 }
 
 #[test]
-fn a_store_that_loses_answers_still_learns_the_outcome() {
-    let _alone = alone();
+fn a_rollout_outcome_is_stored_despite_lost_store_responses() {
+    let _guard = lock_site();
     let old = Upstream::start("i-1", streams(|_| Streamed::default()));
     let new = Upstream::start("i-2", streams(|_| Streamed::default()));
     let site = site_with(&[(&old, MODELS)]);
@@ -844,8 +882,8 @@
 }
 
 #[test]
-fn a_vm_that_the_store_turns_away_lives_by_what_others_prove() {
-    let _alone = alone();
+fn a_vm_rejected_by_the_store_serves_by_proofs_of_its_peers() {
+    let _guard = lock_site();
     let upstream = Upstream::start("i-1", answers(200, "hello"));
     let mut site = site(2_000);
     site.list(&upstream, PLAIN, "v1");
@@ -854,7 +892,7 @@
     wait_listed(&site.vms[1], "i-1", false);
     thread::sleep(Duration::from_millis(800));
     site.vms[1].store.refuse(true);
-    // Longer than a VM on its own could go on.
+    // Longer than a VM without peers could serve.
     let until = Instant::now() + Duration::from_secs(4);
     while Instant::now() < until {
         let got = site.vms[1].ask(&request("GET", "/read/x", "r", ""));
@@ -864,18 +902,20 @@
     let mut without = configuration(2);
     without["tenants"][0]["api_keys"] = json!(["key-2"]);
     site.store.put("op/config", &without);
-    wait_until("the key is refused there too", || {
+    wait_until("the key is rejected at this VM too", || {
         site.vms[1].ask(&request("GET", "/read/x", "r", "")).status == 401
     });
 }
 
 #[test]
-fn a_failed_request_is_explained_by_its_line() {
-    let _alone = alone();
+fn a_failed_request_is_explained_by_its_log_line() {
+    let _guard = lock_site();
     let one = Upstream::start("i-1", closes());
     let site = site_with(&[(&one, PLAIN)]);
     site.vms[0].ask(&request("POST", "/once/x", "r-lost", ""));
-    wait_until("the line is there", || !site.vms[0].lines("E101").is_empty());
+    wait_until("the log line is written", || {
+        !site.vms[0].lines("E101").is_empty()
+    });
     let line = site.vms[0].lines("E101").remove(0);
     assert_eq!(line["id"], "r-lost");
     assert_eq!(line["code"], "upstream_failed");
@@ -885,11 +925,11 @@
     assert_eq!(line["attempts"][0]["upstream"], "i-1");
 }
 
-/// Longer than the silence after which another upstream is asked.
-const LONG_SILENCE: Duration = Duration::from_millis(3200);
+/// Longer than the pause after which a stream is resumed at another upstream.
+const LONG_PAUSE: Duration = Duration::from_millis(3200);
 
-/// A script that streams two events with a long silence between them.
-fn streams_with_silence() -> Script {
+/// Streams two events with a long pause between them.
+fn streams_with_pause() -> Script {
     Box::new(move |request: &RawRequest| {
         let more = [
             ("content-type", "text/event-stream"),
@@ -903,35 +943,36 @@
         vec![
             Act::Send(head.into_bytes()),
             Act::Send(chunk("id: 1\ndata: e1\n\n")),
-            Act::Wait(LONG_SILENCE),
+            Act::Wait(LONG_PAUSE),
             Act::Send(chunk("id: 2\ndata: e2\n\n")),
             Act::Send(b"0\r\n\r\n".to_vec()),
         ]
     })
 }
 
-/// Neither a stream that may not be resumed nor one for which no upstream is
-/// left.
+/// Covers both a stream that may not be resumed and one that has no other
+/// upstream.
 #[test]
-fn a_silent_stream_that_nobody_can_go_on_with_is_waited_for() {
-    let _guard = alone();
+fn a_vm_waits_for_a_stalled_stream_that_cannot_be_resumed() {
+    let _guard = lock_site();
     for path in ["/tell/x", "/write/x"] {
-        is_waited_for(path);
+        assert_stream_is_awaited(path);
     }
 }
 
-fn is_waited_for(path: &str) {
-    let upstream = Upstream::start("i-1", streams_with_silence());
+/// Asserts that a VM forwards both events of a stalled stream.
+fn assert_stream_is_awaited(path: &str) {
+    let upstream = Upstream::start("i-1", streams_with_pause());
     let site = site_with(&[(&upstream, MODELS)]);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let got = site.vms[0].ask(&stream_request(path, "r-1"));
     assert!(got.whole, "{path}: {got:?}");
     assert_eq!(got.body.matches("id: ").count(), 2);
-    assert!(begun.elapsed() >= LONG_SILENCE);
+    assert!(started_at.elapsed() >= LONG_PAUSE);
     assert_eq!(upstream.received().len(), 1);
 }
 
-/// Sends the events of a short stream after a time.
+/// Sends a short stream after this time.
 fn streams_after(wait: Duration) -> Script {
     let stream = streams(|_| Streamed::default());
     Box::new(move |request: &RawRequest| {
@@ -942,8 +983,8 @@
 }
 
 #[test]
-fn the_others_hear_at_once_of_a_long_prompt() {
-    let _guard = alone();
+fn a_long_prompt_is_gossiped_before_the_next_regular_heartbeat() {
+    let _guard = lock_site();
     let upstream =
         Upstream::start("i-1", streams_after(Duration::from_secs(2)));
     let mut site = site(REVOKE_MS);
@@ -951,15 +992,15 @@
     site.list(&upstream, MODELS, "v1");
     site.start_vm();
     site.start_vm();
-    // Until each has heard the other.
+    // Lets each VM receive heartbeats of the other.
     thread::sleep(Duration::from_millis(3_500));
     let long = stream_request("/tell/x", "r-1")
         .replace("Token-Count: 100,50", "Token-Count: 100000,50");
     let long = long.replace("c3:20", "c3:99920");
     thread::scope(|scope| {
         scope.spawn(|| site.vms[0].ask(&long));
-        // Long enough for an early beat, too short for a regular one to be
-        // likely, and short enough that the prompt is still being read.
+        // Long enough for an early heartbeat, so short that a regular one is
+        // unlikely and that the upstream is still prefilling the prompt.
         thread::sleep(Duration::from_millis(300));
         site.vms[1].ask(&stream_request("/tell/x", "r-2"));
     });
@@ -967,19 +1008,19 @@
         let lines = site.vms[1].lines("E100");
         lines.into_iter().find(|line| line["id"] == "r-2")
     };
-    wait_until("its line is written", || line().is_some());
-    let attempt = &line().expect("its line")["attempts"][0];
+    wait_until("its log line is written", || line().is_some());
+    let attempt = &line().expect("its log line")["attempts"][0];
     let reading_ms = attempt["reading_there_ms"].as_u64();
     assert!(reading_ms.is_some_and(|ms| ms > 1_000), "{attempt}");
 }
 
 #[test]
-fn a_vm_that_starts_lets_callers_wait_for_its_first_knowledge() {
-    let _guard = alone();
+fn a_starting_vm_holds_requests_until_its_first_read_has_ended() {
+    let _guard = lock_site();
     let upstream = Upstream::start("i-1", answers(200, "hello"));
     let mut site = site_with(&[(&upstream, PLAIN)]);
     let first_answer = |site: &mut Site| {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         site.vms[0].kill();
         site.vms[0].start();
         let mut status = 0;
@@ -988,25 +1029,32 @@
             status = site.vms[0].ask(&text).status;
             status != 0
         });
-        (status, begun.elapsed())
+        (status, started_at.elapsed())
     };
     assert_eq!(first_answer(&mut site).0, 200);
-    // Everything that a VM asks for at its start takes half a second.
+    // Each read that a VM makes at its start takes half a second.
     site.store.set_mood(Mood::Slow);
-    let (status, passed) = first_answer(&mut site);
-    assert_eq!(status, 200, "refused at {passed:?}");
-    assert!(passed >= Duration::from_millis(400), "after {passed:?}");
+    let (status, elapsed) = first_answer(&mut site);
+    assert_eq!(status, 200, "rejected after {elapsed:?}");
+    assert!(
+        elapsed >= Duration::from_millis(400),
+        "answered after {elapsed:?}"
+    );
     site.store.set_mood(Mood::Busy);
-    let (status, passed) = first_answer(&mut site);
+    let (status, elapsed) = first_answer(&mut site);
     assert_eq!(status, 503);
-    assert!(passed >= Duration::from_millis(300), "refused at {passed:?}");
+    assert!(
+        elapsed >= Duration::from_millis(300),
+        "rejected after {elapsed:?}"
+    );
 }
 
-/// Nothing more comes from a life that is over, and nobody may go on with this
-/// stream: its caller is told so, and not held until its deadline.
+/// Guards against callers that wait until their deadline for the rest of a
+/// stream: the incarnation that sent it is gone, and the stream may not be
+/// resumed elsewhere.
 #[test]
-fn a_stream_whose_upstream_has_started_again_ends() {
-    let _guard = alone();
+fn a_stream_ends_when_its_upstream_has_restarted() {
+    let _guard = lock_site();
     let silent: Script = Box::new(|request| {
         let mut acts = streams(|_| Streamed::default())(request);
         acts.truncate(3);
@@ -1030,13 +1078,16 @@
             let got = vm.ask(&stream_request("/tell/x", "r-1"));
             (got, Instant::now())
         });
-        wait_until("it streams", || !upstream.received().is_empty());
+        wait_until("the upstream streams", || !upstream.received().is_empty());
         thread::sleep(Duration::from_millis(300));
         store.put("servers/i-1", &start(2));
-        let again_at = Instant::now();
+        let restarted_at = Instant::now();
         let (got, ended_at) = asked.join().unwrap();
         assert_eq!((got.status, got.whole), (200, false), "{got:?}");
-        let held = ended_at - again_at;
-        assert!(held < Duration::from_secs(2), "held for {held:?}");
+        let delay = ended_at - restarted_at;
+        assert!(
+            delay < Duration::from_secs(2),
+            "ended {delay:?} after the restart"
+        );
     });
 }
--- a/standins/tests/soak.rs
+++ b/standins/tests/soak.rs
@@ -1,5 +1,5 @@
-//! The soak: a short run of fixed seeds, and proof that its checker finds
-//! each promise broken.
+//! Runs the soak briefly with fixed seeds, and checks that its checker reports
+//! each promise that is broken, and nothing that is allowed.
 
 use std::{path::PathBuf, time::Duration};
 
@@ -15,20 +15,21 @@
     },
 };
 
-/// Seeds that are always run; each that ever failed is added, with a line on
-/// the cause.
+/// Seeds that are always run. Each seed that ever failed is added, with its
+/// cause.
 ///
-/// * 30201: an upstream leaves in the first second of a site; its VMs each
-///   took the others to follow the store.
+/// * 30201: an upstream leaves in the first second of a site, while each VM
+///   expects the others to follow the store.
 const SEEDS: [u64; 2] = [1, 30201];
 
-/// Seconds of faults for each seed in CI.
+/// Time for which faults are injected with each seed, in seconds.
 const SECONDS: u64 = 8;
 
 fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
 
+/// Returns a successful call of this kind to VM 0.
 fn call(id: &str, kind: Kind, sent_s: f64) -> Call {
     Call {
         id: id.to_owned(),
@@ -46,6 +47,7 @@
     }
 }
 
+/// Returns the run of a call at upstream `i-1`.
 fn run_of(call: &Call) -> Run {
     Run {
         id: call.id.clone(),
@@ -58,7 +60,8 @@
     }
 }
 
-/// One call of each kind that went well.
+/// Returns evidence that breaks no promise: one successful call of each of four
+/// kinds.
 fn good() -> Evidence {
     let kinds = [Kind::Read, Kind::Once, Kind::Write, Kind::Probe(1)];
     let calls: Vec<Call> = kinds
@@ -70,6 +73,7 @@
     Evidence { calls, runs, recovery: (10, 10), ..Evidence::default() }
 }
 
+/// Returns the promises that the checker reports as broken, each once.
 fn broken(evidence: &Evidence) -> Vec<Promise> {
     let mut found: Vec<Promise> =
         check(evidence).into_iter().map(|v| v.promise).collect();
@@ -78,7 +82,8 @@
     found
 }
 
-/// What is broken once `change` was made to evidence that is good.
+/// Returns the promises that are broken once `change` was applied to good
+/// evidence.
 fn broken_by(change: impl FnOnce(&mut Evidence)) -> Vec<Promise> {
     let mut evidence = good();
     assert_eq!(broken(&evidence), Vec::new());
@@ -86,30 +91,36 @@
     broken(&evidence)
 }
 
+/// Returns a period of trouble.
 fn trouble(scope: Scope, from_s: f64, to_s: f64) -> Trouble {
     let what = "test".to_owned();
     Trouble { from: seconds(from_s), to: seconds(to_s), scope, what }
 }
 
 #[test]
-fn a_second_run_is_found_where_one_is_allowed() {
-    let doubled = |at: usize| broken_by(|e| e.runs.push(e.runs[at].clone()));
-    assert_eq!(doubled(0), [], "may be repeated");
-    assert_eq!(doubled(1), [Promise::AtMostOnce]);
+fn a_second_run_of_a_non_idempotent_request_is_found() {
+    let with_second_run =
+        |at: usize| broken_by(|e| e.runs.push(e.runs[at].clone()));
+    assert_eq!(with_second_run(0), [], "may be repeated");
+    assert_eq!(with_second_run(1), [Promise::AtMostOnce]);
 }
 
 #[test]
-fn a_false_refusal_is_found() {
+fn a_rejection_as_not_run_despite_a_run_is_found() {
     for status in [408, 421, 429, 503] {
         let found = broken_by(|e| e.calls[0].status = status);
         assert_eq!(found, [Promise::TrueRefusal], "{status}");
     }
     let after_a_run = broken_by(|e| e.calls[0].status = 502);
-    assert_eq!(after_a_run, [], "which promises nothing");
+    assert_eq!(
+        after_a_run,
+        [],
+        "502 does not say that the request was not run"
+    );
 }
 
 #[test]
-fn an_answer_of_another_request_is_found() {
+fn a_response_to_another_request_is_found() {
     assert_eq!(broken_by(|e| e.calls[2].is_own = false), [Promise::OwnAnswer]);
     let visibly_cut = broken_by(|e| {
         e.calls[2].is_own = false;
@@ -119,7 +130,7 @@
 }
 
 #[test]
-fn a_changed_or_invented_request_is_found() {
+fn a_changed_or_unknown_request_is_found() {
     let path = broken_by(|e| e.runs[0].path.push('x'));
     let invented = broken_by(|e| e.runs[0].id = "c-9".to_owned());
     let organisation = broken_by(|e| e.runs[0].organisation.clear());
@@ -129,7 +140,7 @@
 }
 
 #[test]
-fn a_run_under_a_removed_key_is_found_whatever_the_trouble() {
+fn a_run_under_a_removed_key_is_found_even_during_trouble() {
     let sent_after = |removed_s: f64| {
         broken_by(|e| {
             e.calls[0].key = "old".to_owned();
@@ -138,12 +149,12 @@
             e.troubles.push(trouble(Scope::Everyone, 0.0, 20.0));
         })
     };
-    assert_eq!(sent_after(5.1), [], "within the bound");
+    assert_eq!(sent_after(5.1), [], "within the time limit");
     assert_eq!(sent_after(4.9), [Promise::RevokedKey]);
 }
 
 #[test]
-fn a_denial_of_what_is_always_allowed_is_found() {
+fn a_denial_of_an_allowed_request_is_found() {
     for status in [400, 401, 403, 404] {
         let found = broken_by(|e| e.calls[0].status = status);
         assert_eq!(found, [Promise::NotDenied], "{status}");
@@ -151,7 +162,7 @@
 }
 
 #[test]
-fn a_late_configuration_is_found_at_vms_in_touch() {
+fn a_late_configuration_is_found_at_vms_without_trouble() {
     let added = |e: &mut Evidence| {
         e.changes.push((seconds(7.0), Change::RouteAdded(1)));
         e.calls[3].status = 404;
@@ -170,8 +181,8 @@
 }
 
 #[test]
-fn a_configuration_that_is_taken_back_is_found() {
-    let lost_in = |life: u32| {
+fn a_return_to_an_older_configuration_is_found() {
+    let route_lost_in = |life: u32| {
         broken_by(|e| {
             let mut lost = call("c-9", Kind::Probe(1), 11.0);
             lost.status = 404;
@@ -179,26 +190,30 @@
             e.calls.push(lost);
         })
     };
-    assert_eq!(lost_in(1), [Promise::Configuration]);
-    assert_eq!(lost_in(2), [], "a later process begins anew");
+    assert_eq!(route_lost_in(1), [Promise::Configuration]);
+    assert_eq!(
+        route_lost_in(2),
+        [],
+        "a later incarnation reads the configuration again"
+    );
 }
 
 #[test]
-fn work_for_an_upstream_that_left_is_found() {
+fn a_request_to_a_leaving_upstream_is_found() {
     let left = |e: &mut Evidence| {
         let change = Change::Leaving("i-1".to_owned());
         e.changes.push((seconds(7.5), change));
     };
     assert_eq!(broken_by(left), [Promise::LeftAlone]);
-    let out_of_touch = broken_by(|e| {
+    let in_vm_trouble = broken_by(|e| {
         left(e);
         e.troubles.push(trouble(Scope::Vm(0), 6.0, 9.0));
     });
-    assert_eq!(out_of_touch, []);
+    assert_eq!(in_vm_trouble, []);
 }
 
 #[test]
-fn work_for_a_reverted_version_is_found() {
+fn a_request_to_a_reverted_version_is_found() {
     let found = broken_by(|e| {
         let change = Change::Reverted("v1".to_owned());
         e.changes.push((seconds(7.5), change));
@@ -207,7 +222,7 @@
 }
 
 #[test]
-fn a_request_cut_by_a_planned_stop_is_found() {
+fn a_request_cut_off_by_a_graceful_shutdown_is_found() {
     let cut = |e: &mut Evidence| {
         e.calls[0].is_whole = false;
         e.calls[0].status = 0;
@@ -221,13 +236,15 @@
     assert_eq!(with_another_fault, []);
 }
 
+/// Returns the order of a rollout of `v2` within ten seconds.
 fn ordered(at_s: f64, is_bad: bool) -> (Duration, Change) {
     let software = "v2".to_owned();
     let allowed = seconds(10.0);
     (seconds(at_s), Change::Ordered(Order { software, allowed, is_bad }))
 }
 
-/// Calls of four sessions, twice each, whose second runs are at `software`.
+/// Adds two calls for each of four sessions. The second calls are sent at
+/// `again_s` and run at version `software`.
 fn sessions(e: &mut Evidence, software: &str, again_s: f64) {
     for number in 0..4 {
         for (turn, sent_s) in [(0, 10.0), (1, again_s)] {
@@ -245,7 +262,7 @@
 }
 
 #[test]
-fn sessions_that_change_their_version_are_found() {
+fn sessions_that_move_to_the_new_version_are_found() {
     let moved = |ordered_s: f64, again_s: f64| {
         broken_by(|e| {
             e.changes.push(ordered(ordered_s, false));
@@ -253,14 +270,18 @@
         })
     };
     assert_eq!(moved(9.0, 12.0), [Promise::SessionVersion]);
-    assert_eq!(moved(6.5, 12.0), [], "in the second half");
-    assert_eq!(moved(9.0, 15.5), [], "another session by then");
+    assert_eq!(moved(6.5, 12.0), [], "in the second half of the rollout");
+    assert_eq!(
+        moved(9.0, 15.5),
+        [],
+        "the session has timed out and is a new one"
+    );
     let three = broken_by(|e| {
         e.changes.push(ordered(9.0, false));
         sessions(e, "v2", 12.0);
         e.runs.pop();
     });
-    assert_eq!(three, [], "so many are allowed");
+    assert_eq!(three, [], "three moved sessions are tolerated");
     let in_trouble = broken_by(|e| {
         e.changes.push(ordered(9.0, false));
         sessions(e, "v2", 12.0);
@@ -270,7 +291,7 @@
 }
 
 #[test]
-fn sessions_that_are_taken_back_from_a_good_version_are_found() {
+fn sessions_that_move_back_from_a_good_version_are_found() {
     let back = |is_bad: bool| {
         broken_by(|e| {
             e.changes.push(ordered(2.0, is_bad));
@@ -284,7 +305,7 @@
 }
 
 #[test]
-fn a_bad_version_with_more_than_its_share_is_found() {
+fn a_bad_version_with_too_large_a_share_of_requests_is_found() {
     let with = |new: usize| {
         broken_by(|e| {
             e.changes.push(ordered(9.0, true));
@@ -305,35 +326,36 @@
 }
 
 #[test]
-fn attempts_beyond_their_budget_are_found() {
+fn retries_beyond_the_retry_budget_are_found() {
     let with = |again: usize| {
         broken_by(|e| {
             let call = call("r-1", Kind::Read, 10.0);
             let run = run_of(&call);
             e.runs.push(run.clone());
             e.calls.push(call);
-            // Those that were declined count as well.
+            // Declined attempts count as well.
             e.declined.extend(vec![run; again]);
         })
     };
-    // Of four requests, 0.3, and 20 besides.
+    // The budget is 0.3 per request, for four requests, plus 20.
     assert_eq!(with(21), []);
     assert_eq!(with(22), [Promise::RetryBudget]);
 }
 
 #[test]
-fn work_for_an_entry_that_cannot_be_read_is_found() {
+fn a_request_to_an_upstream_with_a_malformed_record_is_found() {
     let found = broken_by(|e| e.runs[0].upstream = UNREADABLE.to_owned());
     assert_eq!(found, [Promise::Unreadable]);
 }
 
 #[test]
-fn a_deadly_request_that_goes_on_is_found() {
-    // Three ends by 10.2 s and each half second from 14 s on, another life.
-    let with = |later: usize, ends: u64| {
+fn a_crashing_request_that_is_sent_on_is_found() {
+    // Each run is at another incarnation: `crashes` runs from 10 s on, 0.1 s
+    // apart, and `later` ones from 14 s on, half a second apart.
+    let with = |later: usize, crashes: u64| {
         broken_by(|e| {
-            for number in 0..ends + later as u64 {
-                let is_early = number < ends;
+            for number in 0..crashes + later as u64 {
+                let is_early = number < crashes;
                 let sent_s = match is_early {
                     true => 10.0 + number as f64 * 0.1,
                     false => 14.0 + number as f64 * 0.5,
@@ -347,8 +369,8 @@
     };
     assert_eq!(with(3, 3), []);
     assert_eq!(with(4, 3), [Promise::Deadly]);
-    assert_eq!(with(4, 2), [], "the third end is late");
-    let one_life = broken_by(|e| {
+    assert_eq!(with(4, 2), [], "the third crash is late");
+    let one_incarnation = broken_by(|e| {
         for number in 0..9 {
             let id = format!("d-{number}");
             let call = call(&id, Kind::Deadly(1), 10.0 + number as f64);
@@ -356,13 +378,13 @@
             e.calls.push(call);
         }
     });
-    assert_eq!(one_life, [], "which ends once");
+    assert_eq!(one_incarnation, [], "one incarnation crashes once");
 }
 
 #[test]
-fn another_request_that_is_held_back_is_found() {
-    let held = broken_by(|e| e.calls[0].is_held_back = true);
-    assert_eq!(held, [Promise::OthersTaken]);
+fn a_quarantined_request_that_crashes_nothing_is_found() {
+    let quarantined = broken_by(|e| e.calls[0].is_held_back = true);
+    assert_eq!(quarantined, [Promise::OthersTaken]);
 }
 
 #[test]
@@ -383,31 +405,32 @@
     };
     for seed in SEEDS {
         let program = PathBuf::from(env!("CARGO_BIN_EXE_standins"));
-        let outcome = soak.run_seed(seed, program).expect("a run");
+        let outcome = soak.run_seed(seed, program).expect("the soak runs");
         assert!(outcome.faults > 0 && outcome.served > 0, "{outcome:?}");
         assert!(outcome.violations.is_empty(), "{outcome:#?}");
     }
 }
 
-/// An answer that the first good call got, and what came after it from the
-/// same VM to the same upstream.
-fn said_and_came(
-    rest_s: Option<f64>,
-    came_s: &[f64],
+/// Adds a signal in the response to the first good call, which asks for a
+/// backoff if `backoff_s` is given and else says that the upstream is leaving,
+/// and later requests of the same VM to the same upstream at `sent_s`.
+fn signal_and_later_calls(
+    backoff_s: Option<f64>,
+    sent_s: &[f64],
 ) -> impl Fn(&mut Evidence) {
-    let came_s = came_s.to_vec();
+    let sent_s = sent_s.to_vec();
     move |evidence| {
-        let told = evidence.runs[0].clone();
+        let signalled = evidence.runs[0].clone();
         evidence.signals.push(UpstreamSignal {
-            id: told.id,
-            upstream: told.upstream,
-            life: told.life,
-            at: told.at,
-            rest: rest_s.map(seconds),
+            id: signalled.id,
+            upstream: signalled.upstream,
+            life: signalled.life,
+            at: signalled.at,
+            rest: backoff_s.map(seconds),
         });
-        for (number, came_s) in came_s.iter().enumerate() {
+        for (number, sent_s) in sent_s.iter().enumerate() {
             let id = format!("l-{number}");
-            let later = call(&id, Kind::Read, *came_s);
+            let later = call(&id, Kind::Read, *sent_s);
             evidence.runs.push(run_of(&later));
             evidence.calls.push(later);
         }
@@ -415,30 +438,31 @@
 }
 
 #[test]
-fn what_comes_in_a_rest_is_found() {
-    let in_time = said_and_came(Some(3.0), &[10.2, 10.4, 11.0, 12.0, 13.5]);
+fn requests_during_a_backoff_are_found() {
+    let in_time =
+        signal_and_later_calls(Some(3.0), &[10.2, 10.4, 11.0, 12.0, 13.5]);
     assert_eq!(broken_by(in_time), []);
-    let in_rest = [10.6, 11.0, 12.9];
-    let too_many = said_and_came(Some(3.0), &in_rest);
+    let in_backoff = [10.6, 11.0, 12.9];
+    let too_many = signal_and_later_calls(Some(3.0), &in_backoff);
     assert_eq!(broken_by(&too_many), [Promise::RestKept]);
     let another = |evidence: &mut Evidence| {
         too_many(evidence);
         evidence.calls.last_mut().unwrap().vm = 1;
     };
-    assert_eq!(broken_by(another), [], "another VM was not told");
-    let frozen = |evidence: &mut Evidence| {
+    assert_eq!(broken_by(another), [], "another VM did not get the signal");
+    let paused = |evidence: &mut Evidence| {
         too_many(evidence);
-        let mut frozen = trouble(Scope::Vm(0), 10.2, 10.5);
-        frozen.what = "PauseVm(0)".to_owned();
-        evidence.troubles.push(frozen);
+        let mut paused = trouble(Scope::Vm(0), 10.2, 10.5);
+        paused.what = "PauseVm(0)".to_owned();
+        evidence.troubles.push(paused);
     };
-    assert_eq!(broken_by(frozen), [], "a freeze excuses it");
+    assert_eq!(broken_by(paused), [], "a paused VM is excused");
 }
 
 #[test]
-fn what_comes_after_an_answer_that_says_leaving_is_found() {
-    assert_eq!(broken_by(said_and_came(None, &[10.5, 12.0])), []);
-    let late = said_and_came(None, &[10.5, 12.2]);
+fn requests_after_a_leaving_signal_are_found() {
+    assert_eq!(broken_by(signal_and_later_calls(None, &[10.5, 12.0])), []);
+    let late = signal_and_later_calls(None, &[10.5, 12.2]);
     assert_eq!(broken_by(&late), [Promise::LeavingHeard]);
     let without_store = |evidence: &mut Evidence| {
         late(evidence);
@@ -447,40 +471,44 @@
     assert_eq!(
         broken_by(without_store),
         [Promise::LeavingHeard],
-        "the store's trouble excuses nothing"
+        "a store outage is no excuse"
     );
     let restarted = |evidence: &mut Evidence| {
         late(evidence);
         evidence.calls.last_mut().unwrap().life = 2;
     };
-    assert_eq!(broken_by(restarted), [], "a restart excuses it");
-    let unheard = |evidence: &mut Evidence| {
+    assert_eq!(broken_by(restarted), [], "a restarted VM is excused");
+    let not_received = |evidence: &mut Evidence| {
         late(evidence);
         evidence.calls[0].status = 502;
     };
-    assert_eq!(broken_by(unheard), [], "no answer of it was passed on");
+    assert_eq!(
+        broken_by(not_received),
+        [],
+        "the VM got no response with the signal"
+    );
     let mut evidence = good();
     late(&mut evidence);
     assert_eq!(summary(&evidence).sent_after_leaving, 1);
 }
 
-/// An upstream that names one request a second from second 9 on, in its answer
-/// to the first good call, and so many calls of each of two VMs within two
-/// seconds, of which the first alone was told.
-fn limited_and_came(calls: usize) -> impl Fn(&mut Evidence) {
+/// Adds an upstream that states a rate limit of one request per second from
+/// second 9 on, in its response to the first good call, and `calls` later calls
+/// of each of two VMs within two seconds. Only VM 0 got the signal.
+fn rate_limit_and_calls(calls: usize) -> impl Fn(&mut Evidence) {
     move |evidence| {
-        let told = evidence.runs[0].clone();
+        let signalled = evidence.runs[0].clone();
         evidence.rate_limits.push(RateLimitPeriod {
-            upstream: told.upstream.clone(),
+            upstream: signalled.upstream.clone(),
             per_s: 1.0,
             from: seconds(9.0),
             to: seconds(20.0),
         });
         evidence.rate_limit_signals.push(RateLimitSignal {
-            id: told.id,
-            upstream: told.upstream,
-            life: told.life,
-            at: told.at,
+            id: signalled.id,
+            upstream: signalled.upstream,
+            life: signalled.life,
+            at: signalled.at,
         });
         for number in 0..calls * 2 {
             let at_s = 13.5 + number as f64 / calls as f64;
@@ -493,38 +521,43 @@
 }
 
 #[test]
-fn what_comes_beyond_a_rate_limit_is_found() {
-    assert_eq!(broken_by(limited_and_came(11)), []);
-    let too_many = limited_and_came(12);
+fn requests_beyond_a_rate_limit_are_found() {
+    assert_eq!(broken_by(rate_limit_and_calls(11)), []);
+    let too_many = rate_limit_and_calls(12);
     assert_eq!(broken_by(&too_many), [Promise::LimitKept]);
     let mut evidence = good();
     too_many(&mut evidence);
     assert_eq!(sent_past_limit(&evidence), 1);
-    let other_told = |evidence: &mut Evidence| {
-        limited_and_came(6)(evidence);
-        let mut said = evidence.rate_limit_signals[0].clone();
-        said.id = "c-1".to_owned();
+    let both_signalled = |evidence: &mut Evidence| {
+        rate_limit_and_calls(6)(evidence);
+        let mut signal = evidence.rate_limit_signals[0].clone();
+        signal.id = "c-1".to_owned();
         evidence.calls[1].vm = 1;
-        evidence.rate_limit_signals.push(said);
+        evidence.rate_limit_signals.push(signal);
     };
-    assert_eq!(broken_by(other_told), [Promise::LimitKept], "both together");
+    assert_eq!(
+        broken_by(both_signalled),
+        [Promise::LimitKept],
+        "the limit applies to both VMs together"
+    );
     let restarted = |evidence: &mut Evidence| {
         too_many(evidence);
         for call in evidence.calls.iter_mut().skip(4) {
             call.life = 2;
         }
     };
-    assert_eq!(broken_by(restarted), [], "a restart excuses it");
-    let frozen = |evidence: &mut Evidence| {
+    assert_eq!(broken_by(restarted), [], "a restarted VM is excused");
+    let paused = |evidence: &mut Evidence| {
         too_many(evidence);
-        let mut frozen = trouble(Scope::Vm(0), 11.0, 13.4);
-        frozen.what = "PauseVm(0)".to_owned();
-        evidence.troubles.push(frozen);
+        let mut paused = trouble(Scope::Vm(0), 11.0, 13.4);
+        paused.what = "PauseVm(0)".to_owned();
+        evidence.troubles.push(paused);
     };
-    assert_eq!(broken_by(frozen), [], "a freeze excuses it");
+    assert_eq!(broken_by(paused), [], "a paused VM is excused");
 }
 
-/// A VM that starts again goes on sending a request that the others hold back.
+/// Guards against a restarted VM that sends a request which the other VMs have
+/// quarantined.
 #[test]
 fn seed_97019_sends_no_crashing_request_after_a_restart() {
     let soak = Soak {
@@ -536,6 +569,6 @@
         logs: PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("soak"),
     };
     let program = PathBuf::from(env!("CARGO_BIN_EXE_standins"));
-    let outcome = soak.run_seed(97019, program).expect("a run");
+    let outcome = soak.run_seed(97019, program).expect("the soak runs");
     assert!(outcome.violations.is_empty(), "{outcome:#?}");
 }
