--- a/standins/src/gateway_site.rs
+++ b/standins/src/gateway_site.rs
@@ -132,12 +132,12 @@
     }
 
     /// Registers an upstream in the store, in the state `ready`.
-    pub fn list(&self, upstream: &Upstream, service: &str, version: &str) {
-        self.list_as(upstream, service, version, "ready");
+    pub fn register(&self, upstream: &Upstream, service: &str, version: &str) {
+        self.register_as(upstream, service, version, "ready");
     }
 
     /// Registers an upstream in the store, in the given state.
-    pub fn list_as(
+    pub fn register_as(
         &self,
         upstream: &Upstream,
         service: &str,
@@ -151,7 +151,7 @@
 
     /// Registers an upstream in the store, in a data hall and with its
     /// remaining warm-up time.
-    pub fn list_in(
+    pub fn register_in_hall(
         &self,
         upstream: &Upstream,
         service: &str,
--- a/standins/tests/crashing_requests.rs
+++ b/standins/tests/crashing_requests.rs
@@ -115,7 +115,7 @@
         while self.upstreams.iter().filter(living).count() < UPSTREAMS {
             let id = format!("i-{}", self.upstreams.len() + 1);
             let upstream = Upstream::start(&id, script());
-            self.site.list(&upstream, PLAIN, "v1");
+            self.site.register(&upstream, PLAIN, "v1");
             self.upstreams.push(upstream);
         }
     }
--- a/standins/tests/leaving_upstreams.rs
+++ b/standins/tests/leaving_upstreams.rs
@@ -58,7 +58,7 @@
     let program = PathBuf::from(env!("CARGO_BIN_EXE_standins"));
     let mut site = Site::new(program, &["vm"], REVOKE_MS);
     for (upstream, service) in upstreams {
-        site.list(upstream, service, "v1");
+        site.register(upstream, service, "v1");
     }
     site.start_vm();
     for (upstream, _) in upstreams {
--- a/standins/tests/platform.rs
+++ b/standins/tests/platform.rs
@@ -45,7 +45,7 @@
 fn site_with(upstreams: &[(&Upstream, &str)]) -> Site {
     let mut site = site(REVOKE_MS);
     for (upstream, service) in upstreams {
-        site.list(upstream, service, "v1");
+        site.register(upstream, service, "v1");
     }
     site.start_vm();
     // The VM may read the records shortly after the configuration.
@@ -284,12 +284,12 @@
     let mut site = site(REVOKE_MS);
     site.retry_share = 0.0;
     site.retry_extra = 4;
-    site.list(&breaking, MODELS, "v1");
+    site.register(&breaking, MODELS, "v1");
     site.start_vm();
     wait_listed(&site.vms[0], "i-1", false);
     let got = site.vms[0].ask(&stream_request("/write/breaks", "r-1"));
     assert_eq!((got.status, got.whole), (200, false), "{got:?}");
-    site.list(&failing, MODELS, "v1");
+    site.register(&failing, MODELS, "v1");
     wait_listed(&site.vms[0], "i-2", false);
     // The upstream whose stream broke is tried last.
     let got =
@@ -403,7 +403,7 @@
     site.store.put("op/config", &configuration(1));
     // Once the VM has read a later write, it has read this one too.
     let later = Upstream::start("i-2", answers(200, "hello"));
-    site.list(&later, PLAIN, "v1");
+    site.register(&later, PLAIN, "v1");
     wait_listed(&site.vms[0], "i-2", false);
     assert_eq!(ask().status, 401);
 }
@@ -414,7 +414,7 @@
     let upstream = Upstream::start("i-1", answers(200, "hello"));
     for mood in [StoreMode::Silent, StoreMode::Resetting, StoreMode::Busy] {
         let mut site = site(2_000);
-        site.list(&upstream, PLAIN, "v1");
+        site.register(&upstream, PLAIN, "v1");
         site.start_vm();
         wait_listed(&site.vms[0], "i-1", false);
         site.store.set_mode(mood);
@@ -442,7 +442,7 @@
     for mood in [StoreMode::Silent, StoreMode::Resetting, StoreMode::Busy] {
         let mut site = site(1_000);
         site.fail_closed = false;
-        site.list(&upstream, PLAIN, "v1");
+        site.register(&upstream, PLAIN, "v1");
         site.start_vm();
         let ask = |site: &Site, key: &str| {
             let text = request("GET", "/read/x", "r", "").replace(KEY, key);
@@ -494,7 +494,7 @@
     let _guard = lock_site();
     let upstream = Upstream::start("i-1", answers(200, "hello"));
     let mut site = site(1_500);
-    site.list(&upstream, PLAIN, "v1");
+    site.register(&upstream, PLAIN, "v1");
     site.start_vm();
     // Longer than a VM may serve without a proof.
     let until = Instant::now() + Duration::from_secs(4);
@@ -539,7 +539,7 @@
     let _guard = lock_site();
     let upstream = Upstream::start("i-1", answers(200, "hello"));
     let mut site = site(REVOKE_MS);
-    site.list(&upstream, PLAIN, "v1");
+    site.register(&upstream, PLAIN, "v1");
     start_hall(3, &mut site);
     let before = site.store.calls().len();
     site.start_vm();
@@ -556,7 +556,7 @@
     let _guard = lock_site();
     let upstream = Upstream::start("i-1", answers(200, "hello"));
     let mut site = site(REVOKE_MS);
-    site.list(&upstream, PLAIN, "v1");
+    site.register(&upstream, PLAIN, "v1");
     start_hall(3, &mut site);
     for at in 0..3 {
         site.vms[at].signal(Signal::STOP);
@@ -601,7 +601,7 @@
     let one = Upstream::start("i-1", answers(200, "hello"));
     let two = Upstream::start("i-2", answers(200, "hello"));
     let site = site_with(&[(&one, PLAIN), (&two, PLAIN)]);
-    site.list_as(&one, PLAIN, "v1", "draining");
+    site.register_as(&one, PLAIN, "v1", "draining");
     wait_listed(&site.vms[0], "i-1", true);
     let before = one.received().len();
     for number in 0..20 {
@@ -644,7 +644,7 @@
     let near = Upstream::start("i-1", answers(200, "hello"));
     let far = Upstream::start("i-2", answers(200, "hello"));
     let mut site = site_with(&[(&near, PLAIN)]);
-    site.list_in(&far, PLAIN, "hall-b", Duration::ZERO);
+    site.register_in_hall(&far, PLAIN, "hall-b", Duration::ZERO);
     site.evacuate("hall-a");
     wait_until("the VM has read the evacuation", || {
         !site.vms[0].lines("E047").is_empty()
@@ -744,12 +744,12 @@
     let bad = Upstream::start("i-2", answers(500, "bad"));
     let next = Upstream::start("i-3", good());
     let site = site_with(&[(&old, MODELS)]);
-    site.list(&bad, MODELS, "v2");
+    site.register(&bad, MODELS, "v2");
     wait_listed(&site.vms[0], "i-2", false);
     assert_eq!(roll_out(&site), "reverted");
     // Another upstream of that version, at which no request has failed yet.
     let bad = Upstream::start("i-4", good());
-    site.list(&bad, MODELS, "v2");
+    site.register(&bad, MODELS, "v2");
     wait_listed(&site.vms[0], "i-4", false);
     let ask = |name: &str| {
         let before = bad.received().len();
@@ -765,7 +765,7 @@
     // Lets the VM learn of the removal.
     thread::sleep(Duration::from_secs(1));
     ask("removed");
-    site.list(&next, MODELS, "v3");
+    site.register(&next, MODELS, "v3");
     wait_listed(&site.vms[0], "i-3", false);
     order_version(&site, "v3", Duration::from_secs(20));
     wait_until("the VM has read the next order", || {
@@ -791,7 +791,7 @@
     let old = Upstream::start("i-1", good());
     let new = Upstream::start("i-2", good());
     let site = site_with(&[(&old, MODELS)]);
-    site.list(&new, MODELS, "v2");
+    site.register(&new, MODELS, "v2");
     assert_eq!(roll_out(&site), "completed");
     let (old_received, new_received) =
         (old.received().len(), new.received().len());
@@ -830,7 +830,7 @@
     wait_until("the VM has read the order", || {
         !site.vms[0].lines("E083").is_empty()
     });
-    site.list(&new, MODELS, "v2");
+    site.register(&new, MODELS, "v2");
     thread::scope(|scope| {
         for number in 0..SESSIONS {
             let vm = &site.vms[0];
@@ -864,7 +864,7 @@
         Box::new(|r| vec![Act::Send(answer(500, &stamped(r, &[]), "no"))]);
     let new = Upstream::start("i-2", bad);
     let site = site_with(&[(&old, MODELS)]);
-    site.list(&new, MODELS, "v2");
+    site.register(&new, MODELS, "v2");
     assert_eq!(roll_out(&site), "reverted");
     let all = old.received().len() + new.received().len();
     let share = new.received().len() as f64 / all as f64;
@@ -877,7 +877,7 @@
     let old = Upstream::start("i-1", streams(|_| Streamed::default()));
     let new = Upstream::start("i-2", streams(|_| Streamed::default()));
     let site = site_with(&[(&old, MODELS)]);
-    site.list(&new, MODELS, "v2");
+    site.register(&new, MODELS, "v2");
     site.store.set_mode(StoreMode::LosingAnswers);
     assert_eq!(roll_out(&site), "completed");
 }
@@ -887,7 +887,7 @@
     let _guard = lock_site();
     let upstream = Upstream::start("i-1", answers(200, "hello"));
     let mut site = site(2_000);
-    site.list(&upstream, PLAIN, "v1");
+    site.register(&upstream, PLAIN, "v1");
     site.start_vm();
     site.start_vm();
     wait_listed(&site.vms[1], "i-1", false);
@@ -990,7 +990,7 @@
         Upstream::start("i-1", streams_after(Duration::from_secs(2)));
     let mut site = site(REVOKE_MS);
     site.heartbeat_ms = 1_500;
-    site.list(&upstream, MODELS, "v1");
+    site.register(&upstream, MODELS, "v1");
     site.start_vm();
     site.start_vm();
     // Lets each VM receive heartbeats of the other.
--- a/standins/tests/resting_upstreams.rs
+++ b/standins/tests/resting_upstreams.rs
@@ -54,7 +54,7 @@
     let program = PathBuf::from(env!("CARGO_BIN_EXE_standins"));
     let mut site = Site::new(program, &["vm"], REVOKE_MS);
     for upstream in upstreams {
-        site.list(upstream, PLAIN, "v1");
+        site.register(upstream, PLAIN, "v1");
     }
     site.start_vm();
     for upstream in upstreams {
