--- a/standins/src/scripted.rs
+++ b/standins/src/scripted.rs
@@ -16,7 +16,7 @@
 
 /// One step in the handling of a request.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum Step {
     /// Sends these bytes as given.
     Send(Vec<u8>),
     /// Waits this long.
@@ -28,7 +28,7 @@
 }
 
 /// Returns the steps with which the upstream handles a request.
-pub type Script = Box<dyn Fn(&RawRequest) -> Vec<Act> + Send + Sync>;
+pub type Script = Box<dyn Fn(&RawRequest) -> Vec<Step> + Send + Sync>;
 
 struct Shared {
     script: Mutex<Script>,
@@ -137,23 +137,23 @@
     let mut writer = stream;
     while let Ok(Some(request)) = read_request(&mut reader) {
         shared.received.lock().unwrap().push(request.clone());
-        let acts = (shared.script.lock().unwrap())(&request);
-        for act in acts {
-            match act {
-                Act::Send(bytes) => {
+        let steps = (shared.script.lock().unwrap())(&request);
+        for step in steps {
+            match step {
+                Step::Send(bytes) => {
                     if writer.write_all(&bytes).is_err() {
                         let id = request.header("lupinseam-attempt-id");
                         shared.abandoned.lock().unwrap().push(id.to_owned());
                         return;
                     }
                 }
-                Act::Wait(time) => thread::sleep(time),
-                Act::Close => {
+                Step::Wait(time) => thread::sleep(time),
+                Step::Close => {
                     // Fails only when the peer has closed it already.
                     let _ = stream.shutdown(Shutdown::Both);
                     return;
                 }
-                Act::Crash => {
+                Step::Crash => {
                     shared.crash(address);
                     return;
                 }
@@ -178,7 +178,7 @@
 /// A script that answers every request with one complete response.
 pub fn answers(status: u16, body: &'static str) -> Script {
     Box::new(move |request| {
-        vec![Act::Send(answer(status, &stamped(request, &[]), body))]
+        vec![Step::Send(answer(status, &stamped(request, &[]), body))]
     })
 }
 
@@ -186,7 +186,7 @@
 pub fn declines() -> Script {
     Box::new(|request| {
         let more = [("Lupinseam-Not-Executed", "1")];
-        vec![Act::Send(answer(503, &stamped(request, &more), ""))]
+        vec![Step::Send(answer(503, &stamped(request, &more), ""))]
     })
 }
 
@@ -221,10 +221,10 @@
 pub fn streams(
     plan: impl Fn(&RawRequest) -> Streamed + Send + Sync + 'static,
 ) -> Script {
-    Box::new(move |request| stream_acts(request, plan(request)))
+    Box::new(move |request| stream_steps(request, plan(request)))
 }
 
-fn stream_acts(request: &RawRequest, plan: Streamed) -> Vec<Act> {
+fn stream_steps(request: &RawRequest, plan: Streamed) -> Vec<Step> {
     let confidence = plan.confidence.to_string();
     let more = [
         ("content-type", "text/event-stream"),
@@ -236,17 +236,17 @@
         head.push_str(&format!("{name}: {value}\r\n"));
     }
     head.push_str("\r\n");
-    let mut acts = vec![Act::Send(head.into_bytes())];
+    let mut steps = vec![Step::Send(head.into_bytes())];
     let after: u64 = request.header("last-event-id").parse().unwrap_or(0);
     for id in after + 1..=plan.last {
         if plan.breaks_after.is_some_and(|last| id > last) {
-            acts.push(Act::Send(chunk(&format!("id: {id}\ndata: ha"))));
-            acts.push(Act::Close);
-            return acts;
+            steps.push(Step::Send(chunk(&format!("id: {id}\ndata: ha"))));
+            steps.push(Step::Close);
+            return steps;
         }
-        acts.push(Act::Wait(plan.pause));
-        acts.push(Act::Send(chunk(&format!("id: {id}\ndata: e{id}\n\n"))));
+        steps.push(Step::Wait(plan.pause));
+        steps.push(Step::Send(chunk(&format!("id: {id}\ndata: e{id}\n\n"))));
     }
-    acts.push(Act::Send(b"0\r\n\r\n".to_vec()));
-    acts
+    steps.push(Step::Send(b"0\r\n\r\n".to_vec()));
+    steps
 }
--- a/standins/src/soak/upstreams.rs
+++ b/standins/src/soak/upstreams.rs
@@ -21,7 +21,7 @@
     http_raw::{RawRequest, answer, chunk},
     platform_store::PlatformStore,
     proxy::{Mode, Proxy},
-    scripted::{Act, Script, Upstream, stamped},
+    scripted::{Script, Step, Upstream, stamped},
 };
 
 /// Number of events of a streamed response.
@@ -275,7 +275,7 @@
         Box::new(move |request| self.serve(request))
     }
 
-    fn serve(&self, request: &RawRequest) -> Vec<Act> {
+    fn serve(&self, request: &RawRequest) -> Vec<Step> {
         let behaviour = self.behaviour.load(Ordering::Relaxed);
         let mut behaviour = Behaviour::from_number(behaviour);
         if rand::rng().random::<f64>() > FAULTY_SHARE {
@@ -286,12 +286,12 @@
         if !expected.is_empty() && expected != self.id {
             self.record_request(request, |received| &mut received.declined);
             let head = stamped(request, &declined);
-            return vec![Act::Send(answer(421, &head, ""))];
+            return vec![Step::Send(answer(421, &head, ""))];
         }
         if behaviour == Behaviour::Declining {
             self.record_request(request, |received| &mut received.declined);
             let head = stamped(request, &declined);
-            return vec![Act::Send(answer(503, &head, ""))];
+            return vec![Step::Send(answer(503, &head, ""))];
         }
         if behaviour == Behaviour::Resting {
             self.record_request(request, |received| &mut received.declined);
@@ -299,12 +299,12 @@
             let seconds = BACKOFF.as_secs().to_string();
             let more = [declined[0], ("Retry-After", seconds.as_str())];
             let head = stamped(request, &more);
-            return vec![Act::Send(answer(503, &head, ""))];
+            return vec![Step::Send(answer(503, &head, ""))];
         }
         self.record_request(request, |received| &mut received.runs);
         if is_crashing(&request.path) {
             self.has_crashing_request.store(true, Ordering::Relaxed);
-            return vec![Act::Wait(CRASH_TIME), Act::Close];
+            return vec![Step::Wait(CRASH_TIME), Step::Close];
         }
         let is_stream = self.is_stream_request(request);
         let rate_limit = self.rate_limit.lock().unwrap().clone();
@@ -319,11 +319,11 @@
         }
         match behaviour {
             Behaviour::LosingAnswers => {
-                vec![Act::Wait(WORK_TIME), Act::Close]
+                vec![Step::Wait(WORK_TIME), Step::Close]
             }
             Behaviour::Failing => {
                 let head = stamped(request, &signal_headers);
-                vec![Act::Wait(WORK_TIME), Act::Send(answer(500, &head, ""))]
+                vec![Step::Wait(WORK_TIME), Step::Send(answer(500, &head, ""))]
             }
             _ if is_stream => stream(request, behaviour, &signal_headers),
             _ => plain(request, behaviour, &signal_headers),
@@ -390,7 +390,7 @@
     request: &RawRequest,
     behaviour: Behaviour,
     signal_headers: &[(&str, &str)],
-) -> Vec<Act> {
+) -> Vec<Step> {
     let id = request.header("lupinseam-attempt-id");
     let response = match behaviour {
         Behaviour::Foreign => {
@@ -399,19 +399,19 @@
         }
         _ => answer(200, &stamped(request, signal_headers), &plain_body(id)),
     };
-    let mut acts = vec![Act::Wait(WORK_TIME), Act::Send(response)];
+    let mut steps = vec![Step::Wait(WORK_TIME), Step::Send(response)];
     if behaviour == Behaviour::Surplus {
         let head = [("Lupinseam-Attempt-Id", "another")];
-        acts.push(Act::Send(answer(200, &head, "made for another")));
+        steps.push(Step::Send(answer(200, &head, "made for another")));
     }
-    acts
+    steps
 }
 
 fn stream(
     request: &RawRequest,
     behaviour: Behaviour,
     signal_headers: &[(&str, &str)],
-) -> Vec<Act> {
+) -> Vec<Step> {
     let id = request.header("lupinseam-attempt-id");
     let attempt_id = match behaviour {
         Behaviour::Foreign => "another",
@@ -427,23 +427,23 @@
         .iter()
         .map(|(name, value)| format!("{name}: {value}\r\n"));
     let head = format!("{head}{}\r\n", signal_headers.collect::<String>());
-    let mut acts = vec![Act::Wait(WORK_TIME), Act::Send(head.into_bytes())];
+    let mut steps = vec![Step::Wait(WORK_TIME), Step::Send(head.into_bytes())];
     let after: u64 = request.header("last-event-id").parse().unwrap_or(0);
     for number in after + 1..=EVENTS {
-        acts.push(Act::Wait(EVENT_PAUSE));
+        steps.push(Step::Wait(EVENT_PAUSE));
         let event = event(id, number);
         if behaviour == Behaviour::BreakingOff && number > after + 2 {
-            acts.push(Act::Send(chunk(&event[..event.len() / 2])));
-            acts.push(Act::Close);
-            return acts;
+            steps.push(Step::Send(chunk(&event[..event.len() / 2])));
+            steps.push(Step::Close);
+            return steps;
         }
-        acts.push(Act::Send(chunk(&event)));
+        steps.push(Step::Send(chunk(&event)));
     }
-    acts.push(Act::Send(b"0\r\n\r\n".to_vec()));
+    steps.push(Step::Send(b"0\r\n\r\n".to_vec()));
     if behaviour == Behaviour::Surplus {
-        acts.push(Act::Send(chunk("surplus")));
+        steps.push(Step::Send(chunk("surplus")));
     }
-    acts
+    steps
 }
 
 /// The services of the site with their numbers of upstreams.
--- a/standins/tests/crashing_requests.rs
+++ b/standins/tests/crashing_requests.rs
@@ -24,7 +24,7 @@
 use standins::{
     gateway_site::{HttpReply, PLAIN, Site, request, wait_until},
     http_raw::answer,
-    scripted::{Act, Script, Upstream, stamped},
+    scripted::{Script, Step, Upstream, stamped},
 };
 
 /// Time within which a revoked key must be rejected everywhere; long enough
@@ -67,13 +67,13 @@
 /// Crashes, closes the connection or answers, depending on the path.
 fn script() -> Script {
     Box::new(|request| {
-        let well = || Act::Send(answer(200, &stamped(request, &[]), "well"));
-        let act = match request.path.rsplit('/').next() {
-            Some(CRASHING) => Act::Crash,
-            Some(CLOSING) => Act::Close,
+        let well = || Step::Send(answer(200, &stamped(request, &[]), "well"));
+        let step = match request.path.rsplit('/').next() {
+            Some(CRASHING) => Step::Crash,
+            Some(CLOSING) => Step::Close,
             _ => well(),
         };
-        vec![Act::Wait(WORK_TIME), act]
+        vec![Step::Wait(WORK_TIME), step]
     })
 }
 
--- a/standins/tests/leaving_upstreams.rs
+++ b/standins/tests/leaving_upstreams.rs
@@ -31,7 +31,7 @@
     },
     http_raw::{answer, chunk},
     platform_store::StoreMode,
-    scripted::{Act, Script, Streamed, Upstream, answers, stamped, streams},
+    scripted::{Script, Step, Streamed, Upstream, answers, stamped, streams},
 };
 
 /// Time within which a revoked key must be rejected everywhere; long enough
@@ -80,7 +80,7 @@
 fn leaving_answers(status: u16) -> Script {
     Box::new(move |request| {
         let more = [LEAVING];
-        vec![Act::Send(answer(status, &stamped(request, &more), "x"))]
+        vec![Step::Send(answer(status, &stamped(request, &more), "x"))]
     })
 }
 
@@ -88,7 +88,7 @@
 fn leaving_declines() -> Script {
     Box::new(|request| {
         let more = [("Lupinseam-Not-Executed", "1"), LEAVING];
-        vec![Act::Send(answer(503, &stamped(request, &more), ""))]
+        vec![Step::Send(answer(503, &stamped(request, &more), ""))]
     })
 }
 
@@ -108,7 +108,7 @@
         }
         let event = chunk("id: 1\ndata: e1\n\n");
         let parts = [head.as_bytes(), b"\r\n", event.as_slice(), b"0\r\n\r\n"];
-        vec![Act::Send(parts.concat())]
+        vec![Step::Send(parts.concat())]
     })
 }
 
--- a/standins/tests/platform.rs
+++ b/standins/tests/platform.rs
@@ -19,7 +19,7 @@
     http_raw::{RawRequest, answer, chunk},
     platform_store::StoreMode,
     scripted::{
-        Act, Script, Streamed, Upstream, answers, declines, stamped, streams,
+        Script, Step, Streamed, Upstream, answers, declines, stamped, streams,
     },
 };
 
@@ -68,7 +68,7 @@
 
 /// Closes the connection of every request.
 fn closes() -> Script {
-    Box::new(|_| vec![Act::Close])
+    Box::new(|_| vec![Step::Close])
 }
 
 /// Returns how often these upstreams received a request with this id.
@@ -131,7 +131,7 @@
     assert_eq!(got.status, 503, "{got:?}");
     assert!(got.header("retry-after").parse::<f64>().unwrap() > 0.0);
     let answered: Script =
-        Box::new(|r| vec![Act::Send(answer(500, &stamped(r, &[]), "no"))]);
+        Box::new(|r| vec![Step::Send(answer(500, &stamped(r, &[]), "no"))]);
     upstream.set_script(answered);
     let got = site.vms[0].ask(&request("POST", "/once/x", "r-2", ""));
     assert_eq!((got.status, got.body.as_str()), (500, "no"), "{got:?}");
@@ -164,7 +164,7 @@
     let _guard = lock_site();
     let foreign: Script = Box::new(|_| {
         let headers = [("Lupinseam-Attempt-Id", "someone-else")];
-        vec![Act::Send(answer(200, &headers, "not yours"))]
+        vec![Step::Send(answer(200, &headers, "not yours"))]
     });
     let upstream = Upstream::start("i-1", foreign);
     let site = site_with(&[(&upstream, PLAIN)]);
@@ -179,7 +179,7 @@
     let twice: Script = Box::new(|request| {
         let one = answer(200, &stamped(request, &[]), "mine");
         let other = [("Lupinseam-Attempt-Id", "r-0")];
-        vec![Act::Send([one, answer(200, &other, "late")].concat())]
+        vec![Step::Send([one, answer(200, &other, "late")].concat())]
     });
     let upstream = Upstream::start("i-1", twice);
     let site = site_with(&[(&upstream, PLAIN)]);
@@ -196,7 +196,7 @@
     let short: Script = Box::new(|request| {
         let mut bytes = answer(200, &stamped(request, &[]), "0123456789");
         bytes.truncate(bytes.len() - 3);
-        vec![Act::Send(bytes), Act::Close]
+        vec![Step::Send(bytes), Step::Close]
     });
     let upstream = Upstream::start("i-1", short);
     let site = site_with(&[(&upstream, PLAIN)]);
@@ -213,7 +213,7 @@
             text.push_str(&format!("{name}: {value}\r\n"));
         }
         text.push_str("\r\nall of it");
-        vec![Act::Send(text.into_bytes()), Act::Close]
+        vec![Step::Send(text.into_bytes()), Step::Close]
     });
     let upstream = Upstream::start("i-1", unframed);
     let site = site_with(&[(&upstream, PLAIN)]);
@@ -620,7 +620,7 @@
     // one, would be tried after 300 ms.
     let late = Box::new(|request: &RawRequest| {
         let whole = answer(200, &stamped(request, &[]), "late");
-        vec![Act::Wait(Duration::from_millis(450)), Act::Send(whole)]
+        vec![Step::Wait(Duration::from_millis(450)), Step::Send(whole)]
     });
     let upstream = Upstream::start("i-1", late);
     let site = site_with(&[(&upstream, PLAIN)]);
@@ -861,7 +861,7 @@
     let _guard = lock_site();
     let old = Upstream::start("i-1", streams(|_| Streamed::default()));
     let bad: Script =
-        Box::new(|r| vec![Act::Send(answer(500, &stamped(r, &[]), "no"))]);
+        Box::new(|r| vec![Step::Send(answer(500, &stamped(r, &[]), "no"))]);
     let new = Upstream::start("i-2", bad);
     let site = site_with(&[(&old, MODELS)]);
     site.register(&new, MODELS, "v2");
@@ -942,11 +942,11 @@
         }
         head.push_str("\r\n");
         vec![
-            Act::Send(head.into_bytes()),
-            Act::Send(chunk("id: 1\ndata: e1\n\n")),
-            Act::Wait(LONG_PAUSE),
-            Act::Send(chunk("id: 2\ndata: e2\n\n")),
-            Act::Send(b"0\r\n\r\n".to_vec()),
+            Step::Send(head.into_bytes()),
+            Step::Send(chunk("id: 1\ndata: e1\n\n")),
+            Step::Wait(LONG_PAUSE),
+            Step::Send(chunk("id: 2\ndata: e2\n\n")),
+            Step::Send(b"0\r\n\r\n".to_vec()),
         ]
     })
 }
@@ -977,9 +977,9 @@
 fn streams_after(wait: Duration) -> Script {
     let stream = streams(|_| Streamed::default());
     Box::new(move |request: &RawRequest| {
-        let mut acts = vec![Act::Wait(wait)];
-        acts.extend(stream(request));
-        acts
+        let mut steps = vec![Step::Wait(wait)];
+        steps.extend(stream(request));
+        steps
     })
 }
 
@@ -1057,10 +1057,10 @@
 fn a_stream_ends_when_its_upstream_has_restarted() {
     let _guard = lock_site();
     let silent: Script = Box::new(|request| {
-        let mut acts = streams(|_| Streamed::default())(request);
-        acts.truncate(3);
-        acts.push(Act::Wait(Duration::from_secs(20)));
-        acts
+        let mut steps = streams(|_| Streamed::default())(request);
+        steps.truncate(3);
+        steps.push(Step::Wait(Duration::from_secs(20)));
+        steps
     });
     let upstream = Upstream::start("i-1", silent);
     let mut site = site(REVOKE_MS);
