--- a/standins/src/scripted.rs
+++ b/standins/src/scripted.rs
@@ -164,7 +164,7 @@
 
 /// Returns the headers that every response must carry (the attempt's id and a
 /// seal), followed by `more`.
-pub fn stamped<'a>(
+pub fn response_headers<'a>(
     request: &'a RawRequest,
     more: &[(&'a str, &'a str)],
 ) -> Vec<(&'a str, &'a str)> {
@@ -178,7 +178,7 @@
 /// A script that answers every request with one complete response.
 pub fn answers(status: u16, body: &'static str) -> Script {
     Box::new(move |request| {
-        vec![Step::Send(answer(status, &stamped(request, &[]), body))]
+        vec![Step::Send(answer(status, &response_headers(request, &[]), body))]
     })
 }
 
@@ -186,7 +186,7 @@
 pub fn declines() -> Script {
     Box::new(|request| {
         let more = [("Lupinseam-Not-Executed", "1")];
-        vec![Step::Send(answer(503, &stamped(request, &more), ""))]
+        vec![Step::Send(answer(503, &response_headers(request, &more), ""))]
     })
 }
 
@@ -232,7 +232,7 @@
         ("Lupinseam-Confidence", &confidence),
     ];
     let mut head = String::from("HTTP/1.1 200 OK\r\n");
-    for (name, value) in stamped(request, &more) {
+    for (name, value) in response_headers(request, &more) {
         head.push_str(&format!("{name}: {value}\r\n"));
     }
     head.push_str("\r\n");
--- a/standins/src/soak/upstreams.rs
+++ b/standins/src/soak/upstreams.rs
@@ -21,7 +21,7 @@
     http_raw::{RawRequest, answer, chunk},
     platform_store::PlatformStore,
     proxy::{Mode, Proxy},
-    scripted::{Script, Step, Upstream, stamped},
+    scripted::{Script, Step, Upstream, response_headers},
 };
 
 /// Number of events of a streamed response.
@@ -285,12 +285,12 @@
         let declined = [("Lupinseam-Not-Executed", "1")];
         if !expected.is_empty() && expected != self.id {
             self.record_request(request, |received| &mut received.declined);
-            let head = stamped(request, &declined);
+            let head = response_headers(request, &declined);
             return vec![Step::Send(answer(421, &head, ""))];
         }
         if behaviour == Behaviour::Declining {
             self.record_request(request, |received| &mut received.declined);
-            let head = stamped(request, &declined);
+            let head = response_headers(request, &declined);
             return vec![Step::Send(answer(503, &head, ""))];
         }
         if behaviour == Behaviour::Resting {
@@ -298,7 +298,7 @@
             self.record_signal(request, Some(BACKOFF));
             let seconds = BACKOFF.as_secs().to_string();
             let more = [declined[0], ("Retry-After", seconds.as_str())];
-            let head = stamped(request, &more);
+            let head = response_headers(request, &more);
             return vec![Step::Send(answer(503, &head, ""))];
         }
         self.record_request(request, |received| &mut received.runs);
@@ -322,7 +322,7 @@
                 vec![Step::Wait(WORK_TIME), Step::Close]
             }
             Behaviour::Failing => {
-                let head = stamped(request, &signal_headers);
+                let head = response_headers(request, &signal_headers);
                 vec![Step::Wait(WORK_TIME), Step::Send(answer(500, &head, ""))]
             }
             _ if is_stream => stream(request, behaviour, &signal_headers),
@@ -397,7 +397,11 @@
             let head = [("Lupinseam-Attempt-Id", "another")];
             answer(200, &head, "made for another")
         }
-        _ => answer(200, &stamped(request, signal_headers), &plain_body(id)),
+        _ => answer(
+            200,
+            &response_headers(request, signal_headers),
+            &plain_body(id),
+        ),
     };
     let mut steps = vec![Step::Wait(WORK_TIME), Step::Send(response)];
     if behaviour == Behaviour::Surplus {
--- a/standins/tests/crashing_requests.rs
+++ b/standins/tests/crashing_requests.rs
@@ -24,7 +24,7 @@
 use standins::{
     gateway_site::{HttpReply, PLAIN, Site, request, wait_until},
     http_raw::answer,
-    scripted::{Script, Step, Upstream, stamped},
+    scripted::{Script, Step, Upstream, response_headers},
 };
 
 /// Time within which a revoked key must be rejected everywhere; long enough
@@ -67,7 +67,9 @@
 /// Crashes, closes the connection or answers, depending on the path.
 fn script() -> Script {
     Box::new(|request| {
-        let well = || Step::Send(answer(200, &stamped(request, &[]), "well"));
+        let well = || {
+            Step::Send(answer(200, &response_headers(request, &[]), "well"))
+        };
         let step = match request.path.rsplit('/').next() {
             Some(CRASHING) => Step::Crash,
             Some(CLOSING) => Step::Close,
--- a/standins/tests/leaving_upstreams.rs
+++ b/standins/tests/leaving_upstreams.rs
@@ -31,7 +31,9 @@
     },
     http_raw::{answer, chunk},
     platform_store::StoreMode,
-    scripted::{Script, Step, Streamed, Upstream, answers, stamped, streams},
+    scripted::{
+        Script, Step, Streamed, Upstream, answers, response_headers, streams,
+    },
 };
 
 /// Time within which a revoked key must be rejected everywhere; long enough
@@ -80,7 +82,11 @@
 fn leaving_answers(status: u16) -> Script {
     Box::new(move |request| {
         let more = [LEAVING];
-        vec![Step::Send(answer(status, &stamped(request, &more), "x"))]
+        vec![Step::Send(answer(
+            status,
+            &response_headers(request, &more),
+            "x",
+        ))]
     })
 }
 
@@ -88,7 +94,7 @@
 fn leaving_declines() -> Script {
     Box::new(|request| {
         let more = [("Lupinseam-Not-Executed", "1"), LEAVING];
-        vec![Step::Send(answer(503, &stamped(request, &more), ""))]
+        vec![Step::Send(answer(503, &response_headers(request, &more), ""))]
     })
 }
 
@@ -103,7 +109,7 @@
             LEAVING,
         ];
         let mut head = "HTTP/1.1 200 OK\r\n".to_owned();
-        for (name, value) in stamped(request, &more) {
+        for (name, value) in response_headers(request, &more) {
             head.push_str(&format!("{name}: {value}\r\n"));
         }
         let event = chunk("id: 1\ndata: e1\n\n");
--- a/standins/tests/limited_upstreams.rs
+++ b/standins/tests/limited_upstreams.rs
@@ -14,7 +14,7 @@
 use standins::{
     gateway_site::{HttpReply, PLAIN, Site, request, wait_until},
     http_raw::answer,
-    scripted::{Script, Step, Upstream, answers, stamped},
+    scripted::{Script, Step, Upstream, answers, response_headers},
 };
 
 /// Time within which a revoked key must be rejected everywhere; long enough
@@ -73,7 +73,7 @@
     let per_s = per_s.to_string();
     Box::new(move |request| {
         let more = [("Server-Limit", &*per_s)];
-        vec![Step::Send(answer(200, &stamped(request, &more), "x"))]
+        vec![Step::Send(answer(200, &response_headers(request, &more), "x"))]
     })
 }
 
@@ -83,7 +83,7 @@
     Box::new(move |request| {
         let more =
             [("Lupinseam-Not-Executed", "1"), ("Server-Limit", &*per_s)];
-        vec![Step::Send(answer(503, &stamped(request, &more), ""))]
+        vec![Step::Send(answer(503, &response_headers(request, &more), ""))]
     })
 }
 
--- a/standins/tests/platform.rs
+++ b/standins/tests/platform.rs
@@ -19,7 +19,8 @@
     http_raw::{RawRequest, answer, chunk},
     platform_store::StoreMode,
     scripted::{
-        Script, Step, Streamed, Upstream, answers, declines, stamped, streams,
+        Script, Step, Streamed, Upstream, answers, declines, response_headers,
+        streams,
     },
 };
 
@@ -130,8 +131,9 @@
     let got = site.vms[0].ask(&request("POST", "/once/x", "r-1", ""));
     assert_eq!(got.status, 503, "{got:?}");
     assert!(got.header("retry-after").parse::<f64>().unwrap() > 0.0);
-    let answered: Script =
-        Box::new(|r| vec![Step::Send(answer(500, &stamped(r, &[]), "no"))]);
+    let answered: Script = Box::new(|r| {
+        vec![Step::Send(answer(500, &response_headers(r, &[]), "no"))]
+    });
     upstream.set_script(answered);
     let got = site.vms[0].ask(&request("POST", "/once/x", "r-2", ""));
     assert_eq!((got.status, got.body.as_str()), (500, "no"), "{got:?}");
@@ -177,7 +179,7 @@
 fn surplus_bytes_after_a_response_are_never_taken_for_the_next_one() {
     let _guard = lock_site();
     let twice: Script = Box::new(|request| {
-        let one = answer(200, &stamped(request, &[]), "mine");
+        let one = answer(200, &response_headers(request, &[]), "mine");
         let other = [("Lupinseam-Attempt-Id", "r-0")];
         vec![Step::Send([one, answer(200, &other, "late")].concat())]
     });
@@ -194,7 +196,8 @@
 fn a_truncated_response_is_not_forwarded_as_complete() {
     let _guard = lock_site();
     let short: Script = Box::new(|request| {
-        let mut bytes = answer(200, &stamped(request, &[]), "0123456789");
+        let mut bytes =
+            answer(200, &response_headers(request, &[]), "0123456789");
         bytes.truncate(bytes.len() - 3);
         vec![Step::Send(bytes), Step::Close]
     });
@@ -209,7 +212,7 @@
     let _guard = lock_site();
     let unframed: Script = Box::new(|request| {
         let mut text = "HTTP/1.1 200 OK\r\n".to_owned();
-        for (name, value) in stamped(request, &[]) {
+        for (name, value) in response_headers(request, &[]) {
             text.push_str(&format!("{name}: {value}\r\n"));
         }
         text.push_str("\r\nall of it");
@@ -619,7 +622,7 @@
     // The route's latency target is 500 ms; another upstream, if there were
     // one, would be tried after 300 ms.
     let late = Box::new(|request: &RawRequest| {
-        let whole = answer(200, &stamped(request, &[]), "late");
+        let whole = answer(200, &response_headers(request, &[]), "late");
         vec![Step::Wait(Duration::from_millis(450)), Step::Send(whole)]
     });
     let upstream = Upstream::start("i-1", late);
@@ -860,8 +863,9 @@
 fn the_rollout_of_a_failing_version_is_reverted() {
     let _guard = lock_site();
     let old = Upstream::start("i-1", streams(|_| Streamed::default()));
-    let bad: Script =
-        Box::new(|r| vec![Step::Send(answer(500, &stamped(r, &[]), "no"))]);
+    let bad: Script = Box::new(|r| {
+        vec![Step::Send(answer(500, &response_headers(r, &[]), "no"))]
+    });
     let new = Upstream::start("i-2", bad);
     let site = site_with(&[(&old, MODELS)]);
     site.register(&new, MODELS, "v2");
@@ -937,7 +941,7 @@
             ("transfer-encoding", "chunked"),
         ];
         let mut head = String::from("HTTP/1.1 200 OK\r\n");
-        for (name, value) in stamped(request, &more) {
+        for (name, value) in response_headers(request, &more) {
             head.push_str(&format!("{name}: {value}\r\n"));
         }
         head.push_str("\r\n");
--- a/standins/tests/resting_upstreams.rs
+++ b/standins/tests/resting_upstreams.rs
@@ -25,7 +25,7 @@
 use standins::{
     gateway_site::{HttpReply, PLAIN, Site, request, wait_until},
     http_raw::answer,
-    scripted::{Script, Step, Upstream, answers, stamped},
+    scripted::{Script, Step, Upstream, answers, response_headers},
 };
 
 /// Time within which a revoked key must be rejected everywhere; long enough
@@ -72,7 +72,7 @@
     Box::new(move |request| {
         let more =
             [("Lupinseam-Not-Executed", "1"), ("Retry-After", &*seconds)];
-        vec![Step::Send(answer(503, &stamped(request, &more), ""))]
+        vec![Step::Send(answer(503, &response_headers(request, &more), ""))]
     })
 }
 
