--- a/standins/src/scripted.rs
+++ b/standins/src/scripted.rs
@@ -176,14 +176,14 @@
 }
 
 /// A script that answers every request with one complete response.
-pub fn answers(status: u16, body: &'static str) -> Script {
+pub fn always_responds(status: u16, body: &'static str) -> Script {
     Box::new(move |request| {
         vec![Step::Send(answer(status, &response_headers(request, &[]), body))]
     })
 }
 
 /// A script that answers every request with 503, marked as not executed.
-pub fn declines() -> Script {
+pub fn always_declines() -> Script {
     Box::new(|request| {
         let more = [("Lupinseam-Not-Executed", "1")];
         vec![Step::Send(answer(503, &response_headers(request, &more), ""))]
--- a/standins/tests/leaving_upstreams.rs
+++ b/standins/tests/leaving_upstreams.rs
@@ -32,7 +32,8 @@
     http_raw::{answer, chunk},
     platform_store::StoreMode,
     scripted::{
-        Script, Step, Streamed, Upstream, answers, response_headers, streams,
+        Script, Step, Streamed, Upstream, always_responds, response_headers,
+        streams,
     },
 };
 
@@ -147,10 +148,10 @@
 fn an_upstream_that_says_it_is_leaving_in_any_response_gets_no_more_requests()
 {
     let _guard = lock_site();
-    let answering = Upstream::start("i-1", answers(200, "x"));
-    let failing = Upstream::start("i-2", answers(200, "x"));
-    let declining = Upstream::start("i-3", answers(200, "x"));
-    let staying = Upstream::start("i-4", answers(200, "x"));
+    let answering = Upstream::start("i-1", always_responds(200, "x"));
+    let failing = Upstream::start("i-2", always_responds(200, "x"));
+    let declining = Upstream::start("i-3", always_responds(200, "x"));
+    let staying = Upstream::start("i-4", always_responds(200, "x"));
     let streaming = Upstream::start("m-1", streams(|_| Streamed::default()));
     let other = Upstream::start("m-2", streams(|_| Streamed::default()));
     let site = site_with(&[
@@ -194,8 +195,8 @@
 #[test]
 fn no_record_of_the_same_incarnation_brings_a_leaving_upstream_back() {
     let _guard = lock_site();
-    let leaving = Upstream::start("i-1", answers(200, "x"));
-    let staying = Upstream::start("i-2", answers(200, "x"));
+    let leaving = Upstream::start("i-1", always_responds(200, "x"));
+    let staying = Upstream::start("i-2", always_responds(200, "x"));
     let model = Upstream::start("m-1", streams(|_| Streamed::default()));
     let site = site_with(&[(&staying, PLAIN), (&model, MODELS)]);
     let write = |start_ms: u64, warmup_ms: u64| {
@@ -235,7 +236,7 @@
         received_by_leaving,
         "sent there after its record was written again"
     );
-    leaving.set_script(answers(200, "x"));
+    leaving.set_script(always_responds(200, "x"));
     write(2_000, 0);
     wait_listed(&site, "i-1", 4);
     ask_served(&site, "again", 20);
--- a/standins/tests/limited_upstreams.rs
+++ b/standins/tests/limited_upstreams.rs
@@ -14,7 +14,7 @@
 use standins::{
     gateway_site::{HttpReply, PLAIN, Site, request, wait_until},
     http_raw::answer,
-    scripted::{Script, Step, Upstream, answers, response_headers},
+    scripted::{Script, Step, Upstream, always_responds, response_headers},
 };
 
 /// Time within which a revoked key must be rejected everywhere; long enough
@@ -196,7 +196,7 @@
     let _guard = lock_site();
     let per_s = 2.0;
     let limited_upstream = Upstream::start("i-1", limited(per_s));
-    let unlimited = Upstream::start("i-2", answers(200, "x"));
+    let unlimited = Upstream::start("i-2", always_responds(200, "x"));
     let site = site_with(&[&limited_upstream, &unlimited]);
     let callers = Callers::of(&site);
     callers.ask_for(PROPAGATION_TIME, ignore);
@@ -216,7 +216,7 @@
     let least = per_s * OBSERVATION_TIME.as_secs_f64() * MIN_UTILIZATION;
     assert!(used >= least, "only {used} requests came");
     // Once it states no limit, it serves its share again.
-    limited_upstream.set_script(answers(200, "x"));
+    limited_upstream.set_script(always_responds(200, "x"));
     callers.ask_for(PROPAGATION_TIME, ignore);
     let arrivals = callers.observe(
         &[&limited_upstream, &unlimited],
--- a/standins/tests/platform.rs
+++ b/standins/tests/platform.rs
@@ -19,8 +19,8 @@
     http_raw::{RawRequest, answer, chunk},
     platform_store::StoreMode,
     scripted::{
-        Script, Step, Streamed, Upstream, answers, declines, response_headers,
-        streams,
+        Script, Step, Streamed, Upstream, always_declines, always_responds,
+        response_headers, streams,
     },
 };
 
@@ -81,7 +81,7 @@
 #[test]
 fn a_forwarded_request_has_the_routers_headers_and_no_forged_ones() {
     let _guard = lock_site();
-    let upstream = Upstream::start("i-1", answers(200, "hello"));
+    let upstream = Upstream::start("i-1", always_responds(200, "hello"));
     let site = site_with(&[(&upstream, PLAIN)]);
     let forged = "Lupinseam-Tenant: other\r\nLupinseam-Hold: h\r\n\
                   Kv-From: 127.0.0.1:1/x\r\nX-Kept: yes\r\n";
@@ -126,7 +126,7 @@
 #[test]
 fn only_a_request_that_did_not_run_is_answered_with_503_and_retry_after() {
     let _guard = lock_site();
-    let upstream = Upstream::start("i-1", declines());
+    let upstream = Upstream::start("i-1", always_declines());
     let site = site_with(&[(&upstream, PLAIN)]);
     let got = site.vms[0].ask(&request("POST", "/once/x", "r-1", ""));
     assert_eq!(got.status, 503, "{got:?}");
@@ -143,7 +143,7 @@
 #[test]
 fn an_unreachable_upstream_uses_up_no_attempt() {
     let _guard = lock_site();
-    let good = Upstream::start("i-1", answers(200, "hello"));
+    let good = Upstream::start("i-1", always_responds(200, "hello"));
     let site = site_with(&[(&good, PLAIN)]);
     for number in 2..5 {
         let record = json!({
@@ -283,7 +283,7 @@
             ..Streamed::default()
         }),
     );
-    let failing = Upstream::start("i-2", answers(500, "no"));
+    let failing = Upstream::start("i-2", always_responds(500, "no"));
     let mut site = site(REVOKE_MS);
     site.retry_share = 0.0;
     site.retry_extra = 4;
@@ -353,7 +353,7 @@
 #[test]
 fn invalid_input_gets_the_matching_status_and_reaches_no_upstream() {
     let _guard = lock_site();
-    let upstream = Upstream::start("i-1", answers(200, "hello"));
+    let upstream = Upstream::start("i-1", always_responds(200, "hello"));
     let site = site_with(&[(&upstream, PLAIN)]);
     let vm = &site.vms[0];
     let twice = "Lupinseam-Attempt-Id: r-2\r\n";
@@ -375,7 +375,7 @@
 #[test]
 fn a_request_smuggled_behind_two_body_lengths_is_not_run() {
     let _guard = lock_site();
-    let upstream = Upstream::start("i-1", answers(200, "hello"));
+    let upstream = Upstream::start("i-1", always_responds(200, "hello"));
     let site = site_with(&[(&upstream, PLAIN)]);
     let hidden = request("GET", "/read/hidden", "r-2", "");
     for lengths in [
@@ -394,7 +394,7 @@
 #[test]
 fn a_revoked_key_is_rejected_and_stays_rejected() {
     let _guard = lock_site();
-    let upstream = Upstream::start("i-1", answers(200, "hello"));
+    let upstream = Upstream::start("i-1", always_responds(200, "hello"));
     let site = site_with(&[(&upstream, PLAIN)]);
     let ask = || site.vms[0].ask(&request("GET", "/read/x", "r-1", ""));
     assert_eq!(ask().status, 200);
@@ -405,7 +405,7 @@
     // An older configuration must not bring the key back.
     site.store.put("op/config", &configuration(1));
     // Once the VM has read a later write, it has read this one too.
-    let later = Upstream::start("i-2", answers(200, "hello"));
+    let later = Upstream::start("i-2", always_responds(200, "hello"));
     site.register(&later, PLAIN, "v1");
     wait_listed(&site.vms[0], "i-2", false);
     assert_eq!(ask().status, 401);
@@ -414,7 +414,7 @@
 #[test]
 fn a_vm_that_cannot_learn_of_revoked_keys_runs_nothing() {
     let _guard = lock_site();
-    let upstream = Upstream::start("i-1", answers(200, "hello"));
+    let upstream = Upstream::start("i-1", always_responds(200, "hello"));
     for mood in [StoreMode::Silent, StoreMode::Resetting, StoreMode::Busy] {
         let mut site = site(2_000);
         site.register(&upstream, PLAIN, "v1");
@@ -439,7 +439,7 @@
 #[test]
 fn a_vm_set_to_fail_open_serves_by_the_newest_keys_it_knows() {
     let _guard = lock_site();
-    let upstream = Upstream::start("i-1", answers(200, "hello"));
+    let upstream = Upstream::start("i-1", always_responds(200, "hello"));
     let with_keys =
         |version, keys: &[&str]| configuration_with(version, keys, Vec::new());
     for mood in [StoreMode::Silent, StoreMode::Resetting, StoreMode::Busy] {
@@ -495,7 +495,7 @@
 #[test]
 fn a_key_freshness_proof_does_not_read_the_configuration() {
     let _guard = lock_site();
-    let upstream = Upstream::start("i-1", answers(200, "hello"));
+    let upstream = Upstream::start("i-1", always_responds(200, "hello"));
     let mut site = site(1_500);
     site.register(&upstream, PLAIN, "v1");
     site.start_vm();
@@ -540,7 +540,7 @@
 #[test]
 fn a_starting_vm_reads_everything_from_peers_in_its_hall() {
     let _guard = lock_site();
-    let upstream = Upstream::start("i-1", answers(200, "hello"));
+    let upstream = Upstream::start("i-1", always_responds(200, "hello"));
     let mut site = site(REVOKE_MS);
     site.register(&upstream, PLAIN, "v1");
     start_hall(3, &mut site);
@@ -557,7 +557,7 @@
 #[test]
 fn a_starting_vm_without_responsive_peers_reads_from_the_store() {
     let _guard = lock_site();
-    let upstream = Upstream::start("i-1", answers(200, "hello"));
+    let upstream = Upstream::start("i-1", always_responds(200, "hello"));
     let mut site = site(REVOKE_MS);
     site.register(&upstream, PLAIN, "v1");
     start_hall(3, &mut site);
@@ -575,7 +575,7 @@
 #[test]
 fn a_vm_reads_everything_again_when_the_store_lost_its_history() {
     let _guard = lock_site();
-    let upstream = Upstream::start("i-1", answers(200, "hello"));
+    let upstream = Upstream::start("i-1", always_responds(200, "hello"));
     let site = site_with(&[(&upstream, PLAIN)]);
     site.store.set_mode(StoreMode::Forgetful);
     let mut more = configuration(2);
@@ -601,8 +601,8 @@
 #[test]
 fn a_leaving_upstream_gets_no_new_requests() {
     let _guard = lock_site();
-    let one = Upstream::start("i-1", answers(200, "hello"));
-    let two = Upstream::start("i-2", answers(200, "hello"));
+    let one = Upstream::start("i-1", always_responds(200, "hello"));
+    let two = Upstream::start("i-2", always_responds(200, "hello"));
     let site = site_with(&[(&one, PLAIN), (&two, PLAIN)]);
     site.register_as(&one, PLAIN, "v1", "draining");
     wait_listed(&site.vms[0], "i-1", true);
@@ -644,8 +644,8 @@
 #[test]
 fn an_evacuated_data_hall_gets_no_requests_until_the_evacuation_ends() {
     let _guard = lock_site();
-    let near = Upstream::start("i-1", answers(200, "hello"));
-    let far = Upstream::start("i-2", answers(200, "hello"));
+    let near = Upstream::start("i-1", always_responds(200, "hello"));
+    let far = Upstream::start("i-2", always_responds(200, "hello"));
     let mut site = site_with(&[(&near, PLAIN)]);
     site.register_in_hall(&far, PLAIN, "hall-b", Duration::ZERO);
     site.evacuate("hall-a");
@@ -744,7 +744,7 @@
     let _guard = lock_site();
     let good = || streams(|_| Streamed::default());
     let old = Upstream::start("i-1", good());
-    let bad = Upstream::start("i-2", answers(500, "bad"));
+    let bad = Upstream::start("i-2", always_responds(500, "bad"));
     let next = Upstream::start("i-3", good());
     let site = site_with(&[(&old, MODELS)]);
     site.register(&bad, MODELS, "v2");
@@ -889,7 +889,7 @@
 #[test]
 fn a_vm_rejected_by_the_store_serves_by_proofs_of_its_peers() {
     let _guard = lock_site();
-    let upstream = Upstream::start("i-1", answers(200, "hello"));
+    let upstream = Upstream::start("i-1", always_responds(200, "hello"));
     let mut site = site(2_000);
     site.register(&upstream, PLAIN, "v1");
     site.start_vm();
@@ -1022,7 +1022,7 @@
 #[test]
 fn a_starting_vm_holds_requests_until_its_first_read_has_ended() {
     let _guard = lock_site();
-    let upstream = Upstream::start("i-1", answers(200, "hello"));
+    let upstream = Upstream::start("i-1", always_responds(200, "hello"));
     let mut site = site_with(&[(&upstream, PLAIN)]);
     let first_answer = |site: &mut Site| {
         let started_at = Instant::now();
--- a/standins/tests/resting_upstreams.rs
+++ b/standins/tests/resting_upstreams.rs
@@ -25,7 +25,7 @@
 use standins::{
     gateway_site::{HttpReply, PLAIN, Site, request, wait_until},
     http_raw::answer,
-    scripted::{Script, Step, Upstream, answers, response_headers},
+    scripted::{Script, Step, Upstream, always_responds, response_headers},
 };
 
 /// Time within which a revoked key must be rejected everywhere; long enough
@@ -97,7 +97,7 @@
 fn an_upstream_gets_no_requests_during_the_backoff_it_asked_for() {
     let _guard = lock_site();
     let backing_off = Upstream::start("i-1", declines_with_backoff());
-    let healthy = Upstream::start("i-2", answers(200, "x"));
+    let healthy = Upstream::start("i-2", always_responds(200, "x"));
     let site = site_with(&[&backing_off, &healthy]);
     let declined_at = ask_until_declined(&site, &backing_off);
     thread::sleep(IN_FLIGHT_TIME);
@@ -114,7 +114,7 @@
         "{in_backoff} requests came during its backoff"
     );
     // Afterwards it serves its share again.
-    backing_off.set_script(answers(200, "x"));
+    backing_off.set_script(always_responds(200, "x"));
     let before = backing_off.received().len();
     wait_until("it gets requests again", || {
         ask(&site, &format!("after-{}", declined_at.elapsed().as_micros()));
@@ -155,7 +155,7 @@
     }
     let received = (one.received().len(), two.received().len());
     assert_eq!(received, (1, 1), "requests came during the backoff");
-    one.set_script(answers(200, "x"));
+    one.set_script(always_responds(200, "x"));
     let got = loop {
         thread::sleep(Duration::from_millis(100));
         assert!(
