--- a/standins/src/soak/callers.rs
+++ b/standins/src/soak/callers.rs
@@ -191,7 +191,7 @@
             .remove(&vm)
             .map_or_else(|| Connection::open(endpoint.address), Ok);
         let Ok(mut connection) = opened else { return 0 };
-        let life = endpoint.incarnation.load(Ordering::Relaxed);
+        let incarnation = endpoint.incarnation.load(Ordering::Relaxed);
         let sent_at = self.started_at.elapsed();
         let request = request(kind, &id, key, session.as_deref());
         let (response, is_reusable) =
@@ -208,7 +208,7 @@
             id,
             kind,
             vm,
-            life,
+            life: incarnation,
             key: key.to_owned(),
             session,
             sent_at,
--- a/standins/src/soak/evidence.rs
+++ b/standins/src/soak/evidence.rs
@@ -89,7 +89,7 @@
     pub ended_at: Duration,
     /// The HTTP status; 0 when there was no response.
     pub status: u16,
-    /// Whether the response was complete as HTTP framing tells it.
+    /// Whether the response was complete according to HTTP framing.
     pub is_whole: bool,
     /// Whether the body is exactly what an upstream generates for this call.
     pub is_own: bool,
--- a/standins/src/soak/faults.rs
+++ b/standins/src/soak/faults.rs
@@ -28,7 +28,7 @@
     StoreWay(usize, Mode),
     /// The store rejects all calls of a VM.
     StoreRefuses(usize),
-    /// The store treats all calls as this mood says.
+    /// The store treats all calls as this mode says.
     Store(StoreMode),
     /// The proxy before an upstream is put into this mode.
     UpstreamWay(usize, Mode),
--- a/standins/src/soak/inject.rs
+++ b/standins/src/soak/inject.rs
@@ -93,7 +93,7 @@
             Fault::CallersWay(vm, mode) => self.entry_proxies[vm].set(mode),
             Fault::StoreWay(vm, mode) => self.store_proxies[vm].set(mode),
             Fault::StoreRefuses(vm) => self.site.vms[vm].store.reject(true),
-            Fault::Store(mood) => self.site.store.set_mode(mood),
+            Fault::Store(mode) => self.site.store.set_mode(mode),
             Fault::UpstreamWay(at, mode) => self.workers[at].set_mode(mode),
             Fault::Upstream(at, how) => self.workers[at].set_behaviour(how),
             Fault::StartAgain(at) => self.restart_upstream(at, now + lasts),
--- a/standins/src/soak/own_words.rs
+++ b/standins/src/soak/own_words.rs
@@ -118,9 +118,9 @@
     fn count_in_backoff(
         &self,
         signal: &'a UpstreamSignal,
-        rest: Duration,
+        backoff: Duration,
     ) -> usize {
-        let arrivals = self.arrivals_after(signal, signal.at + rest);
+        let arrivals = self.arrivals_after(signal, signal.at + backoff);
         let from = signal.at + IN_FLIGHT_TIME;
         arrivals.iter().filter(|(_, run)| run.at > from).count()
     }
@@ -152,14 +152,14 @@
     }
 }
 
-/// Returns the worst disregard of each kind of signal.
+/// Returns the worst case of each kind of ignored signal.
 pub fn summary(evidence: &Evidence) -> IgnoredSignals {
     let index = IndexedEvidence::new(evidence);
     let mut most = IgnoredSignals::default();
     for signal in &evidence.signals {
         match signal.rest {
-            Some(rest) => {
-                let sent = index.count_in_backoff(signal, rest);
+            Some(backoff) => {
+                let sent = index.count_in_backoff(signal, backoff);
                 most.sent_during_backoff = most.sent_during_backoff.max(sent);
             }
             None => {
--- a/standins/src/soak/rate_limits.rs
+++ b/standins/src/soak/rate_limits.rs
@@ -161,11 +161,11 @@
     counted.sort();
     let allowed = limit.per_s * WINDOW.as_secs_f64() * FACTOR + TOLERANCE;
     let ends = counted.iter().filter(|(_, at)| *at >= first + CONTACT_TIME);
-    let most = ends.map(|(life, end)| {
+    let most = ends.map(|(incarnation, end)| {
         let from = end.saturating_sub(WINDOW);
         let in_window = counted
             .iter()
-            .filter(|(of, at)| of == life && *at > from && at <= end);
+            .filter(|(of, at)| of == incarnation && *at > from && at <= end);
         in_window.count()
     });
     most.max().unwrap_or(0).saturating_sub(allowed as usize)
--- a/standins/src/soak/upstreams.rs
+++ b/standins/src/soak/upstreams.rs
@@ -37,7 +37,7 @@
 /// crashing request.
 const CRASH_TIME: Duration = Duration::from_millis(200);
 
-/// Backoff that a resting upstream asks for with `Retry-After`.
+/// Backoff that an upstream asks for with `Retry-After`.
 const BACKOFF: Duration = Duration::from_secs(2);
 
 /// Share of the requests to which a faulty behaviour applies.
@@ -330,14 +330,15 @@
         }
     }
 
-    /// Records a backoff signal, or without a backoff a leaving signal.
-    fn record_signal(&self, request: &RawRequest, rest: Option<Duration>) {
+    /// Records a signal of its response: a backoff, or that it is leaving if
+    /// `backoff` is `None`.
+    fn record_signal(&self, request: &RawRequest, backoff: Option<Duration>) {
         let signal = UpstreamSignal {
             id: request.header("lupinseam-attempt-id").to_owned(),
             upstream: self.id.clone(),
             life: self.born.load(Ordering::Relaxed),
             at: self.started_at.elapsed(),
-            rest,
+            rest: backoff,
         };
         self.runs.lock().unwrap().signals.push(signal);
     }
--- a/standins/src/soak/world.rs
+++ b/standins/src/soak/world.rs
@@ -134,10 +134,10 @@
         let mut entry_proxies = Vec::new();
         let mut endpoints = Vec::new();
         for number in 0..plan.vms {
-            let door = site.store.second_endpoint();
-            let store_proxy = Proxy::tcp(door.address).expect("a port");
+            let store = site.store.second_endpoint();
+            let store_proxy = Proxy::tcp(store.address).expect("a port");
             let hall = DATA_HALLS[number % DATA_HALLS.len()];
-            let at = site.add_vm(hall, door, store_proxy.address);
+            let at = site.add_vm(hall, store, store_proxy.address);
             let entry_proxy =
                 Proxy::tcp(site.vms[at].callers).expect("a port");
             endpoints.push(VmEndpoint {
--- a/standins/tests/platform.rs
+++ b/standins/tests/platform.rs
@@ -415,12 +415,12 @@
 fn a_vm_that_cannot_learn_of_revoked_keys_runs_nothing() {
     let _guard = lock_site();
     let upstream = Upstream::start("i-1", always_responds(200, "hello"));
-    for mood in [StoreMode::Silent, StoreMode::Resetting, StoreMode::Busy] {
+    for mode in [StoreMode::Silent, StoreMode::Resetting, StoreMode::Busy] {
         let mut site = site(2_000);
         site.register(&upstream, PLAIN, "v1");
         site.start_vm();
         wait_listed(&site.vms[0], "i-1", false);
-        site.store.set_mode(mood);
+        site.store.set_mode(mode);
         let fault_at = Instant::now();
         let ask = || site.vms[0].ask(&request("GET", "/read/x", "r", ""));
         assert_eq!(ask().status, 200, "its knowledge is still recent enough");
@@ -442,7 +442,7 @@
     let upstream = Upstream::start("i-1", always_responds(200, "hello"));
     let with_keys =
         |version, keys: &[&str]| configuration_with(version, keys, Vec::new());
-    for mood in [StoreMode::Silent, StoreMode::Resetting, StoreMode::Busy] {
+    for mode in [StoreMode::Silent, StoreMode::Resetting, StoreMode::Busy] {
         let mut site = site(1_000);
         site.fail_closed = false;
         site.register(&upstream, PLAIN, "v1");
@@ -453,7 +453,7 @@
         };
         site.store.put("op/config", &with_keys(2, &[KEY, "key-3"]));
         wait_until("a key is rejected", || ask(&site, "key-2") == 401);
-        site.store.set_mode(mood);
+        site.store.set_mode(mode);
         site.store.put("op/config", &with_keys(3, &["key-3"]));
         // Several times the period for which its knowledge counts as recent.
         let until = Instant::now() + Duration::from_secs(4);
--- a/standins/tests/soak.rs
+++ b/standins/tests/soak.rs
@@ -182,11 +182,11 @@
 
 #[test]
 fn a_return_to_an_older_configuration_is_found() {
-    let route_lost_in = |life: u32| {
+    let route_lost_in = |incarnation: u32| {
         broken_by(|e| {
             let mut lost = call("c-9", Kind::Probe(1), 11.0);
             lost.status = 404;
-            lost.life = life;
+            lost.life = incarnation;
             e.calls.push(lost);
         })
     };
