--- a/standins/src/soak/check.rs
+++ b/standins/src/soak/check.rs
@@ -9,7 +9,7 @@
 use super::{
     deadly,
     evidence::{Call, Change, Evidence, Kind, Order, Run, Scope},
-    own_words, rate_limits,
+    rate_limits, signals,
     upstreams::UNREADABLE,
 };
 
@@ -144,7 +144,7 @@
         malformed_records_are_not_used,
         deadly::crashing_requests_are_quarantined,
         deadly::others_are_not_quarantined,
-        own_words::signals_are_respected,
+        signals::signals_are_respected,
         rate_limits::limits_are_respected,
         shutdowns_cut_off_no_request,
         site_recovers,
--- a/standins/src/soak/evidence.rs
+++ b/standins/src/soak/evidence.rs
@@ -7,8 +7,8 @@
 
 use super::{
     deadly,
-    own_words::UpstreamSignal,
     rate_limits::{RateLimitPeriod, RateLimitSignal},
+    signals::UpstreamSignal,
 };
 
 /// Time for which a trouble at a VM or the store still counts after its end;
--- a/standins/src/soak/mod.rs
+++ b/standins/src/soak/mod.rs
@@ -6,7 +6,7 @@
 //! * `world`: the site and its main loop.
 //! * [`upstreams`], [`callers`], [`client`]: the upstreams and callers.
 //! * [`deadly`]: requests that crash upstreams, and their quarantine.
-//! * [`own_words`]: backoff and leaving signals, and whether VMs respect them.
+//! * [`signals`]: backoff and leaving signals, and whether VMs respect them.
 //! * [`rate_limits`]: rate limits, and whether VMs respect them.
 //! * [`evidence`]: what a run records.
 //! * [`check`]: the promises, checked against the evidence.
@@ -26,15 +26,15 @@
 pub mod deadly;
 pub mod evidence;
 pub mod faults;
-pub mod own_words;
 pub mod rate_limits;
+pub mod signals;
 pub mod upstreams;
 
 mod inject;
 mod world;
 
 use check::Violation;
-use own_words::IgnoredSignals;
+use signals::IgnoredSignals;
 use world::World;
 
 /// Run the soak test on the router; the last line is JSON, and the exit
--- a/standins/src/soak/rate_limits.rs
+++ b/standins/src/soak/rate_limits.rs
@@ -9,7 +9,7 @@
 use super::{
     check::{Promise, Violation, violation},
     evidence::{CONTACT_TIME, Evidence},
-    own_words::IndexedEvidence,
+    signals::IndexedEvidence,
 };
 
 /// The window in which requests are counted, and what is allowed in it: the
--- a/standins/src/soak/upstreams.rs
+++ b/standins/src/soak/upstreams.rs
@@ -13,8 +13,8 @@
 use serde_json::json;
 
 use super::{
-    deadly::is_crashing, evidence::Run, own_words::UpstreamSignal,
-    rate_limits::RateLimitSignal,
+    deadly::is_crashing, evidence::Run, rate_limits::RateLimitSignal,
+    signals::UpstreamSignal,
 };
 use crate::{
     gateway_site::{MODELS, PLAIN, upstream_record},
--- a/standins/src/soak/world.rs
+++ b/standins/src/soak/world.rs
@@ -18,8 +18,8 @@
     deadly,
     evidence::{Change, Evidence, Kind, Scope},
     faults::{Fault, Target},
-    own_words,
     rate_limits::{self, RateLimitPeriod, Schedule},
+    signals,
     upstreams::{Runs, SERVICES, UNREADABLE, Worker},
 };
 use crate::{
@@ -489,7 +489,7 @@
             most_ended_by_one,
             limits_named: self.evidence.rate_limits.len(),
             sent_past_limit: rate_limits::sent_past_limit(&self.evidence),
-            ignored_signals: own_words::summary(&self.evidence),
+            ignored_signals: signals::summary(&self.evidence),
             violations: check(&self.evidence),
         }
     }
--- a/standins/tests/soak.rs
+++ b/standins/tests/soak.rs
@@ -9,8 +9,8 @@
         Soak,
         check::{Promise, check},
         evidence::{Call, Change, Evidence, Kind, Order, Run, Scope, Trouble},
-        own_words::{UpstreamSignal, summary},
         rate_limits::{RateLimitPeriod, RateLimitSignal, sent_past_limit},
+        signals::{UpstreamSignal, summary},
         upstreams::UNREADABLE,
     },
 };
