--- a/standins/src/check.rs
+++ b/standins/src/check.rs
@@ -47,8 +47,8 @@
     LeavingGotWork(String),
     /// A VM went back to an older configuration revision.
     ConfigurationReverted(String),
-    /// An upstream accepted an order with a lower epoch than one before, so
-    /// from a steward that had been replaced.
+    /// An upstream accepted an order with a lower epoch than an earlier one,
+    /// which means that a replaced steward sent it.
     StaleOrder(String),
 }
 
@@ -153,7 +153,7 @@
     what.rsplit('/').next()?.parse().ok()
 }
 
-/// Finds requests that ran although the caller was told `not_run`.
+/// Finds requests that ran although their error response said `not_run`.
 fn false_not_runs(evidence: &Evidence<'_>) -> Vec<Violation> {
     let ran: HashSet<&str> =
         runs(evidence).map(|record| record.request.as_str()).collect();
--- a/standins/src/demo.rs
+++ b/standins/src/demo.rs
@@ -264,7 +264,7 @@
     }
 }
 
-/// The kinds of requests that the table tells apart.
+/// The kinds of requests, one row each in the table.
 const KINDS: [&str; 5] =
     ["chat", "chat streamed", "chat in session", "reading call", "once call"];
 
--- a/standins/src/engine.rs
+++ b/standins/src/engine.rs
@@ -131,7 +131,7 @@
     loaded: Mutex<Vec<String>>,
     batch: Mutex<Batch>,
     faults: Mutex<EngineFaults>,
-    /// The load that `/load` answers with, which lags behind the real one.
+    /// The load that `/load` reports, which lags behind the real one.
     reported: Mutex<Value>,
     /// The highest epoch of the orders accepted so far.
     epoch: AtomicU64,
--- a/standins/src/gateway_site.rs
+++ b/standins/src/gateway_site.rs
@@ -88,12 +88,12 @@
     pub store: PlatformStore,
     /// The VMs, in the order in which they were added.
     pub vms: Vec<SiteVm>,
-    /// Whether VMs that are added from now on reject all API keys when they
-    /// can't tell any more which ones were revoked.
+    /// Whether VMs that are added from now on reject all API keys once their
+    /// knowledge of revoked keys is out of date.
     pub fail_closed: bool,
     /// Heartbeat interval of VMs that are added from now on, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Link rate that is set for VMs that are added from now on, in Mbit/s.
+    /// Link rate in the settings of VMs that are added from now on, in Mbit/s.
     pub link_mbps: u32,
     /// The retry budget of VMs that are added from now on, as a share of the
     /// requests.
@@ -458,8 +458,8 @@
 }
 
 /// Like [`stream_request`], with a prompt that differs from those of other ids
-/// after its first block. No upstream has the rest cached, so each request
-/// goes where the least prefill is needed.
+/// after its first block. No upstream has the later blocks cached, so each
+/// request goes to the upstream with the least prefill.
 pub fn unique_prompt_stream_request(path: &str, id: &str) -> String {
     let prefix_hash = id.bytes().fold(7_u32, |sum, byte| {
         sum.wrapping_mul(31).wrapping_add(byte.into())
--- a/standins/src/process.rs
+++ b/standins/src/process.rs
@@ -43,8 +43,8 @@
 }
 
 impl Process {
-    /// Starts the program of [`set_program`], by default this one, and waits
-    /// for the first line that it prints.
+    /// Starts the program of [`set_program`], by default the current one, and
+    /// waits for the first line that it prints.
     ///
     /// # Errors
     ///
--- a/standins/src/scripted.rs
+++ b/standins/src/scripted.rs
@@ -1,4 +1,4 @@
-//! An upstream of the platform that handles each request as a script says.
+//! An upstream of the platform whose response to each request is scripted.
 
 use std::{
     collections::HashMap,
@@ -14,7 +14,7 @@
 
 use crate::http_raw::{RawRequest, answer, chunk, read_request};
 
-/// One step in the handling of a request.
+/// One step of a script, run in order for each request.
 #[derive(Clone, Debug)]
 pub enum Step {
     /// Sends these bytes as given.
@@ -27,7 +27,7 @@
     Crash,
 }
 
-/// Returns the steps with which the upstream handles a request.
+/// A script: returns the steps that handle a request.
 pub type Script = Box<dyn Fn(&RawRequest) -> Vec<Step> + Send + Sync>;
 
 struct Shared {
@@ -175,14 +175,15 @@
     headers
 }
 
-/// A script that answers every request with one complete response.
+/// Returns a script that sends this response to every request.
 pub fn always_responds(status: u16, body: &'static str) -> Script {
     Box::new(move |request| {
         vec![Step::Send(answer(status, &response_headers(request, &[]), body))]
     })
 }
 
-/// A script that answers every request with 503, marked as not executed.
+/// Returns a script that responds to every request with 503, marked as not
+/// executed.
 pub fn always_declines() -> Script {
     Box::new(|request| {
         let more = [("Lupinseam-Not-Executed", "1")];
@@ -216,8 +217,8 @@
     }
 }
 
-/// A script that streams events, from the one after the `Last-Event-ID` that
-/// the request names.
+/// Returns a script that streams events, starting after the request's
+/// `Last-Event-ID`.
 pub fn streams(
     plan: impl Fn(&RawRequest) -> Streamed + Send + Sync + 'static,
 ) -> Script {
--- a/standins/src/soak/callers.rs
+++ b/standins/src/soak/callers.rs
@@ -22,8 +22,8 @@
 };
 use crate::gateway_site::{HttpReply, KEY};
 
-/// Deadline of a request, which the request states to the VM. The caller waits
-/// only a little longer.
+/// Deadline that each request states to the VM; the caller itself waits
+/// [`RETRY_PAUSE`] longer.
 const DEADLINE: Duration = Duration::from_millis(5000);
 
 /// Longest pause between two requests of a caller, in milliseconds.
@@ -101,7 +101,7 @@
         self.is_stopping.load(Ordering::Relaxed)
     }
 
-    /// Tells the callers to stop after their current request.
+    /// Stops the callers after their current request.
     pub fn stop(&self) {
         self.is_stopping.store(true, Ordering::Relaxed);
     }
--- a/standins/src/soak/evidence.rs
+++ b/standins/src/soak/evidence.rs
@@ -1,7 +1,8 @@
 //! Evidence that a soak run collects: calls of the callers, runs at the
 //! upstreams, changes by operators and upstreams, and periods of trouble.
 //!
-//! All times are relative to the start of the run.
+//! All times are relative to the start of the run. The files of a failed run
+//! show the fields under their names here, in `Debug` format.
 
 use std::{collections::HashMap, time::Duration};
 
--- a/standins/src/soak/faults.rs
+++ b/standins/src/soak/faults.rs
@@ -20,7 +20,7 @@
     /// A VM is shut down gracefully (SIGTERM), and started again when it has
     /// ended.
     StopVm(usize),
-    /// A VM is told to reload its settings (SIGHUP).
+    /// A VM gets SIGHUP, on which it reloads its settings.
     ReloadVm(usize),
     /// The proxy between the callers and a VM is put into this mode.
     CallersWay(usize, Mode),
@@ -28,7 +28,7 @@
     StoreWay(usize, Mode),
     /// The store rejects all calls of a VM.
     StoreRefuses(usize),
-    /// The store treats all calls as this mode says.
+    /// The store is put into this mode for all VMs.
     Store(StoreMode),
     /// The proxy before an upstream is put into this mode.
     UpstreamWay(usize, Mode),
@@ -77,8 +77,8 @@
 /// Range of a fault's duration, in milliseconds.
 const DURATION_MS: std::ops::Range<u64> = 200..4000;
 
-/// Moods of the store that a soak injects as faults.
-const MOODS: [StoreMode; 5] = [
+/// Faulty modes of the store that a soak draws from.
+const FAULTY_STORE_MODES: [StoreMode; 5] = [
     StoreMode::Resetting,
     StoreMode::Busy,
     StoreMode::Silent,
@@ -87,8 +87,8 @@
 ];
 
 impl Fault {
-    /// Returns what it affects; `None` for what is done at once, which may
-    /// overlap anything.
+    /// Returns what it affects; `None` for a change without a duration, which
+    /// may overlap any fault.
     pub fn target(self) -> Option<Target> {
         Some(match self {
             Fault::PauseVm(vm) => Target::Process(vm),
@@ -132,7 +132,11 @@
             11..14 => Fault::CallersWay(vm, mode),
             14..17 => Fault::StoreWay(vm, mode),
             17 => Fault::StoreRefuses(vm),
-            18..21 => Fault::Store(*MOODS.choose(rng).expect("moods")),
+            18..21 => Fault::Store(
+                *FAULTY_STORE_MODES
+                    .choose(rng)
+                    .expect("the list is not empty"),
+            ),
             21..23 => Fault::UpstreamWay(upstream, mode),
             23..26 => {
                 let behaviour = Behaviour::FAULTS.choose(rng);
--- a/standins/src/soak/upstreams.rs
+++ b/standins/src/soak/upstreams.rs
@@ -33,7 +33,7 @@
 /// Time until an upstream sends a plain response or the head of a stream.
 const WORK_TIME: Duration = Duration::from_millis(12);
 
-/// Longest time for which an upstream still exists after it has received a
+/// Longest time that an upstream keeps running after it has received a
 /// crashing request.
 const CRASH_TIME: Duration = Duration::from_millis(200);
 
--- a/standins/src/traffic.rs
+++ b/standins/src/traffic.rs
@@ -111,7 +111,8 @@
     fn chat(&mut self, session: Option<String>, stream: bool) -> Ask {
         let tasks = ["draft", "summary", "tags"];
         let task = tasks.choose(&mut self.rng).copied().unwrap_or("draft");
-        // Streams and sessions name a model; the router chooses for the rest.
+        // Streams and sessions name a model; for other requests, the router
+        // chooses one.
         let named = stream || session.is_some();
         Ask::Chat {
             model: named.then(|| "writer".to_owned()),
--- a/standins/tests/crashing_requests.rs
+++ b/standins/tests/crashing_requests.rs
@@ -64,7 +64,7 @@
     SITE_LOCK.lock().unwrap_or_else(|failed| failed.into_inner())
 }
 
-/// Crashes, closes the connection or answers, depending on the path.
+/// Crashes, closes the connection or sends a response, depending on the path.
 fn script() -> Script {
     Box::new(|request| {
         let well = || {
@@ -100,7 +100,7 @@
         crash_site
     }
 
-    /// Waits until every VM has an upstream that answers.
+    /// Waits until every VM has a request served by an upstream.
     fn wait_until_served(&mut self) {
         wait_until("every VM serves", || {
             (0..VMS).all(|_| self.ask("well").status == 200)
@@ -113,8 +113,8 @@
         for crashed in self.upstreams.iter().filter(|u| u.has_crashed()) {
             self.site.store.remove(&format!("servers/{}", crashed.id));
         }
-        let living = |u: &&Upstream| !u.has_crashed();
-        while self.upstreams.iter().filter(living).count() < UPSTREAMS {
+        let is_running = |u: &&Upstream| !u.has_crashed();
+        while self.upstreams.iter().filter(is_running).count() < UPSTREAMS {
             let id = format!("i-{}", self.upstreams.len() + 1);
             let upstream = Upstream::start(&id, script());
             self.site.register(&upstream, PLAIN, "v1");
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_request_that_crashed_three_upstreams_is_sent_no_more() {
+fn a_request_that_crashed_three_upstreams_is_no_longer_sent() {
     let _guard = lock_site();
     let mut crash_site = CrashSite::start();
     let mut third_at = None;
--- a/standins/tests/leaving_upstreams.rs
+++ b/standins/tests/leaving_upstreams.rs
@@ -65,13 +65,13 @@
     }
     site.start_vm();
     for (upstream, _) in upstreams {
-        wait_listed(&site, &upstream.id, 1);
+        wait_for_records(&site, &upstream.id, 1);
     }
     site
 }
 
 /// Waits until the VM has read at least this many records of an upstream.
-fn wait_listed(site: &Site, upstream: &str, records: usize) {
+fn wait_for_records(site: &Site, upstream: &str, records: usize) {
     wait_until("the VM has read the upstream's records", || {
         let lines = site.vms[0].lines("E043");
         let of_it = lines.iter().filter(|line| line["upstream"] == upstream);
@@ -207,7 +207,7 @@
         site.store.put("servers/i-1", &record);
     };
     write(1_000, 0);
-    wait_listed(&site, "i-1", 1);
+    wait_for_records(&site, "i-1", 1);
     leaving.set_script(leaving_answers(200));
     let before = received(&[&leaving]);
     wait_until("it has said that it is leaving", || {
@@ -217,7 +217,7 @@
     thread::sleep(DRAIN_TIME);
     let received_by_leaving = received(&[&leaving]);
     write(1_000, 1);
-    wait_listed(&site, "i-1", 2);
+    wait_for_records(&site, "i-1", 2);
     ask_served(&site, "read-again", 20);
     assert_eq!(
         received(&[&leaving]),
@@ -229,7 +229,7 @@
         !site.vms[0].lines("E044").is_empty()
     });
     write(1_000, 0);
-    wait_listed(&site, "i-1", 3);
+    wait_for_records(&site, "i-1", 3);
     ask_served(&site, "back", 20);
     assert_eq!(
         received(&[&leaving]),
@@ -238,7 +238,7 @@
     );
     leaving.set_script(always_responds(200, "x"));
     write(2_000, 0);
-    wait_listed(&site, "i-1", 4);
+    wait_for_records(&site, "i-1", 4);
     ask_served(&site, "again", 20);
     assert!(
         received(&[&leaving]) > received_by_leaving,
--- a/standins/tests/limited_upstreams.rs
+++ b/standins/tests/limited_upstreams.rs
@@ -68,7 +68,7 @@
     site
 }
 
-/// Answers every request and states this rate limit.
+/// Responds to every request with 200 and states this rate limit.
 fn limited(per_s: f64) -> Script {
     let per_s = per_s.to_string();
     Box::new(move |request| {
--- a/standins/tests/platform.rs
+++ b/standins/tests/platform.rs
@@ -51,14 +51,14 @@
     site.start_vm();
     // The VM may read the records shortly after the configuration.
     for (upstream, _) in upstreams {
-        wait_listed(&site.vms[0], &upstream.id, false);
+        wait_for_record(&site.vms[0], &upstream.id, false);
     }
     site
 }
 
 /// Waits until a VM has logged an upstream's record, either as leaving or as
 /// not leaving.
-fn wait_listed(vm: &SiteVm, upstream: &str, is_leaving: bool) {
+fn wait_for_record(vm: &SiteVm, upstream: &str, is_leaving: bool) {
     wait_until("the VM has read the upstream's record", || {
         let lines = vm.lines("E043");
         lines.iter().any(|line| {
@@ -68,7 +68,7 @@
 }
 
 /// Closes the connection of every request.
-fn closes() -> Script {
+fn always_closes() -> Script {
     Box::new(|_| vec![Step::Close])
 }
 
@@ -108,8 +108,8 @@
 #[test]
 fn a_non_idempotent_request_is_sent_once() {
     let _guard = lock_site();
-    let one = Upstream::start("i-1", closes());
-    let two = Upstream::start("i-2", closes());
+    let one = Upstream::start("i-1", always_closes());
+    let two = Upstream::start("i-2", always_closes());
     let site = site_with(&[(&one, PLAIN), (&two, PLAIN)]);
     let got = site.vms[0].ask(&request("POST", "/once/x", "r-1", ""));
     assert_eq!(got.status, 502, "{got:?}");
@@ -152,7 +152,7 @@
             "warmup_left_ms": 0, "sequence": 1,
         });
         site.store.put(&format!("servers/i-{number}"), &record);
-        wait_listed(&site.vms[0], &format!("i-{number}"), false);
+        wait_for_record(&site.vms[0], &format!("i-{number}"), false);
     }
     for number in 0..20 {
         let id = format!("r-{number}");
@@ -289,11 +289,11 @@
     site.retry_extra = 4;
     site.register(&breaking, MODELS, "v1");
     site.start_vm();
-    wait_listed(&site.vms[0], "i-1", false);
+    wait_for_record(&site.vms[0], "i-1", false);
     let got = site.vms[0].ask(&stream_request("/write/breaks", "r-1"));
     assert_eq!((got.status, got.whole), (200, false), "{got:?}");
     site.register(&failing, MODELS, "v1");
-    wait_listed(&site.vms[0], "i-2", false);
+    wait_for_record(&site.vms[0], "i-2", false);
     // The upstream whose stream broke is tried last.
     let got =
         site.vms[0].ask(&unique_prompt_stream_request("/write/x", "r-2"));
@@ -407,7 +407,7 @@
     // Once the VM has read a later write, it has read this one too.
     let later = Upstream::start("i-2", always_responds(200, "hello"));
     site.register(&later, PLAIN, "v1");
-    wait_listed(&site.vms[0], "i-2", false);
+    wait_for_record(&site.vms[0], "i-2", false);
     assert_eq!(ask().status, 401);
 }
 
@@ -419,7 +419,7 @@
         let mut site = site(2_000);
         site.register(&upstream, PLAIN, "v1");
         site.start_vm();
-        wait_listed(&site.vms[0], "i-1", false);
+        wait_for_record(&site.vms[0], "i-1", false);
         site.store.set_mode(mode);
         let fault_at = Instant::now();
         let ask = || site.vms[0].ask(&request("GET", "/read/x", "r", ""));
@@ -605,7 +605,7 @@
     let two = Upstream::start("i-2", always_responds(200, "hello"));
     let site = site_with(&[(&one, PLAIN), (&two, PLAIN)]);
     site.register_as(&one, PLAIN, "v1", "draining");
-    wait_listed(&site.vms[0], "i-1", true);
+    wait_for_record(&site.vms[0], "i-1", true);
     let before = one.received().len();
     for number in 0..20 {
         let id = format!("r-{number}");
@@ -748,12 +748,12 @@
     let next = Upstream::start("i-3", good());
     let site = site_with(&[(&old, MODELS)]);
     site.register(&bad, MODELS, "v2");
-    wait_listed(&site.vms[0], "i-2", false);
+    wait_for_record(&site.vms[0], "i-2", false);
     assert_eq!(roll_out(&site), "reverted");
     // Another upstream of that version, at which no request has failed yet.
     let bad = Upstream::start("i-4", good());
     site.register(&bad, MODELS, "v2");
-    wait_listed(&site.vms[0], "i-4", false);
+    wait_for_record(&site.vms[0], "i-4", false);
     let ask = |name: &str| {
         let before = bad.received().len();
         for number in 0..40 {
@@ -769,7 +769,7 @@
     thread::sleep(Duration::from_secs(1));
     ask("removed");
     site.register(&next, MODELS, "v3");
-    wait_listed(&site.vms[0], "i-3", false);
+    wait_for_record(&site.vms[0], "i-3", false);
     order_version(&site, "v3", Duration::from_secs(20));
     wait_until("the VM has read the next order", || {
         site.vms[0].lines("E083").len() > 1
@@ -894,7 +894,7 @@
     site.register(&upstream, PLAIN, "v1");
     site.start_vm();
     site.start_vm();
-    wait_listed(&site.vms[1], "i-1", false);
+    wait_for_record(&site.vms[1], "i-1", false);
     thread::sleep(Duration::from_millis(800));
     site.vms[1].store.reject(true);
     // Longer than a VM without peers could serve.
@@ -915,7 +915,7 @@
 #[test]
 fn a_failed_request_is_explained_by_its_log_line() {
     let _guard = lock_site();
-    let one = Upstream::start("i-1", closes());
+    let one = Upstream::start("i-1", always_closes());
     let site = site_with(&[(&one, PLAIN)]);
     site.vms[0].ask(&request("POST", "/once/x", "r-lost", ""));
     wait_until("the log line is written", || {
@@ -1076,7 +1076,7 @@
     };
     site.store.put("servers/i-1", &start(1));
     site.start_vm();
-    wait_listed(&site.vms[0], "i-1", false);
+    wait_for_record(&site.vms[0], "i-1", false);
     let (vm, store) = (&site.vms[0], &site.store);
     thread::scope(|scope| {
         let asked = scope.spawn(|| {
