--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -770,23 +770,23 @@
 
     /// Partitions a data hall from the other halls and, with `from_platform`,
     /// from the platform too.
-    pub fn cut_hall(&self, hall: &str, from_platform: bool) {
+    pub fn partition_hall(&self, hall: &str, from_platform: bool) {
         self.set_hall_mode(hall, Mode::Cut, from_platform);
     }
 
     /// Ends the partition of a data hall.
-    pub fn heal_hall(&self, hall: &str) {
+    pub fn end_partition(&self, hall: &str) {
         self.set_hall_mode(hall, Mode::Pass, true);
     }
 
-    fn set_hall_mode(&self, hall: &str, mode: Mode, platform: bool) {
+    fn set_hall_mode(&self, hall: &str, mode: Mode, with_platform: bool) {
         let is_in = |vm: &str| self.vms[vm].hall == hall;
         for ((from, to), proxy) in &self.paths {
             if is_in(from) != is_in(to) {
                 proxy.set(mode);
             }
         }
-        if !platform {
+        if !with_platform {
             return;
         }
         for vm in self.vms.values().filter(|vm| vm.hall == hall) {
--- a/standins/src/measure.rs
+++ b/standins/src/measure.rs
@@ -690,7 +690,7 @@
             Fault::Paused(vm)
         }
         3 => {
-            fleet.cut_hall(hall, rng.random_bool(0.5));
+            fleet.partition_hall(hall, rng.random_bool(0.5));
             Fault::CutHall(hall.to_owned())
         }
         4 => {
@@ -743,7 +743,7 @@
     match fault {
         Fault::Killed(vm) => fleet.restart_vm(&vm).await?,
         Fault::Paused(vm) => fleet.resume_vm(&vm),
-        Fault::CutHall(hall) => fleet.heal_hall(&hall),
+        Fault::CutHall(hall) => fleet.end_partition(&hall),
         Fault::CutStore(vm) => fleet.set_store_path(&vm, Mode::Pass),
         Fault::StoreOut | Fault::StoreSlow | Fault::LostAnswers => {
             set_kv(fleet, |_| {}).await?;
--- a/standins/tests/at_most_once.rs
+++ b/standins/tests/at_most_once.rs
@@ -251,7 +251,7 @@
         let fleet = start(2, |plan| plan).await;
         let mut calls = assign_slot_owners(&fleet).await;
         for round in 1..=2 {
-            fleet.cut_hall("hall-a", true);
+            fleet.partition_hall("hall-a", true);
             let mut answered = 0;
             for n in 1..=10 {
                 let nonce = round * 1000 + n;
@@ -276,7 +276,7 @@
                 assert!(runs_of_key(&fleet, &key) <= 1, "{key}");
             }
             assert!(answered >= 8, "{answered} of 10 keyed requests ran");
-            fleet.heal_hall("hall-a");
+            fleet.end_partition("hall-a");
             for n in 1..=10 {
                 let nonce = round * 1000 + n;
                 let request =
