--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -601,7 +601,7 @@
     /// # Errors
     ///
     /// When that takes too long, or a VM doesn't respond.
-    pub async fn wait_in_force(&self) -> FleetResult<Duration> {
+    pub async fn wait_same_revision(&self) -> FleetResult<Duration> {
         let begun = Instant::now();
         loop {
             let mut revisions = Vec::new();
--- a/standins/src/site.rs
+++ b/standins/src/site.rs
@@ -79,7 +79,7 @@
         let template = template(organisation, &models, &services);
         fleet.put_template(&vm, &template).await?;
     }
-    fleet.wait_in_force().await?;
+    fleet.wait_same_revision().await?;
     Ok(())
 }
 
--- a/standins/tests/upstreams.rs
+++ b/standins/tests/upstreams.rs
@@ -198,7 +198,7 @@
             .set_version_state(OTHER_VM, "tiny", "v1", json!("withdrawn"))
             .await
             .unwrap();
-        fleet.wait_in_force().await.unwrap();
+        fleet.wait_same_revision().await.unwrap();
         let withdrawn = web::unix_ms();
         fleet.set_all_store_paths(standins::proxy::Mode::Cut);
         let mut calls = Vec::new();
@@ -237,7 +237,7 @@
         let state = json!({ "rolling_out": { "stage": 2 } });
         let entry = version("writer", "v2", state, 400, 0.8);
         fleet.put_version(VM, &entry).await.unwrap();
-        fleet.wait_in_force().await.unwrap();
+        fleet.wait_same_revision().await.unwrap();
         let mut nonce = 0;
         eventually("v2 is withdrawn", || {
             nonce += 1;
--- a/standins/tests/whole_path.rs
+++ b/standins/tests/whole_path.rs
@@ -77,7 +77,7 @@
             .set_version_state(OTHER_VM, "writer", "v1", json!("withdrawn"))
             .await
             .unwrap();
-        fleet.wait_in_force().await.unwrap();
+        fleet.wait_same_revision().await.unwrap();
         let request = chat_of("writer", 20, 3, false, Some(&token));
         let call = ask(&fleet, VM, &request).await;
         assert_eq!(call.code(), Some("version_withdrawn"));
@@ -113,7 +113,7 @@
         let conflict: Value = serde_json::from_slice(&loser.body).unwrap();
         assert_eq!(conflict["error"]["code"], "edit_conflict");
         assert_eq!(conflict["current"]["value"]["quality_target"], winner);
-        fleet.wait_in_force().await.unwrap();
+        fleet.wait_same_revision().await.unwrap();
         for vm in [VM, OTHER_VM] {
             let now = fleet.get(fleet.vms[vm].operators, path).await.unwrap();
             let now: Value = serde_json::from_slice(&now.body).unwrap();
@@ -232,7 +232,7 @@
         assert!(call.is_whole());
         let restricted = template("collectif", &["writer"], &[]);
         fleet.put_template(VM, &restricted).await.unwrap();
-        fleet.wait_in_force().await.unwrap();
+        fleet.wait_same_revision().await.unwrap();
         for vm in fleet.vms.keys() {
             let call =
                 ask(&fleet, vm, &chat_of("tiny", 2, 2, false, None)).await;
