--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -735,14 +735,14 @@
     /// Sets the fault mode of the connection from a VM to the store.
     pub fn set_store_path(&self, vm: &str, mode: Mode) {
         if let Some(proxy) = &self.vms[vm].store {
-            proxy.set(mode);
+            proxy.set_mode(mode);
         }
     }
 
     /// Sets the fault mode of the connection from a VM to the platform's list.
     pub fn set_list_path(&self, vm: &str, mode: Mode) {
         if let Some(proxy) = &self.vms[vm].list {
-            proxy.set(mode);
+            proxy.set_mode(mode);
         }
     }
 
@@ -757,14 +757,14 @@
     pub fn set_peer_path(&self, from: &str, to: &str, mode: Mode) {
         let key = (from.to_owned(), to.to_owned());
         if let Some(proxy) = self.paths.get(&key) {
-            proxy.set(mode);
+            proxy.set_mode(mode);
         }
     }
 
     /// Sets the fault mode of all paths between VMs.
     pub fn set_all_peer_paths(&self, mode: Mode) {
         for proxy in self.paths.values() {
-            proxy.set(mode);
+            proxy.set_mode(mode);
         }
     }
 
@@ -783,7 +783,7 @@
         let is_in = |vm: &str| self.vms[vm].hall == hall;
         for ((from, to), proxy) in &self.paths {
             if is_in(from) != is_in(to) {
-                proxy.set(mode);
+                proxy.set_mode(mode);
             }
         }
         if !with_platform {
--- a/standins/src/proxy.rs
+++ b/standins/src/proxy.rs
@@ -106,7 +106,7 @@
     }
 
     /// Sets the mode, also for open connections.
-    pub fn set(&self, mode: Mode) {
+    pub fn set_mode(&self, mode: Mode) {
         *self.mode.lock().unwrap() = mode;
         if mode == Mode::Gone {
             // Wakes the accept loop, so that it stops listening at once.
--- a/standins/src/soak/inject.rs
+++ b/standins/src/soak/inject.rs
@@ -90,8 +90,10 @@
                 }
             }
             Fault::StopVm(vm) => self.begin_shutdown(vm, trouble),
-            Fault::CallersWay(vm, mode) => self.entry_proxies[vm].set(mode),
-            Fault::StoreWay(vm, mode) => self.store_proxies[vm].set(mode),
+            Fault::CallersWay(vm, mode) => {
+                self.entry_proxies[vm].set_mode(mode)
+            }
+            Fault::StoreWay(vm, mode) => self.store_proxies[vm].set_mode(mode),
             Fault::StoreRefuses(vm) => self.site.vms[vm].store.reject(true),
             Fault::Store(mode) => self.site.store.set_mode(mode),
             Fault::UpstreamWay(at, mode) => self.workers[at].set_mode(mode),
@@ -237,8 +239,12 @@
     pub(super) fn end(&mut self, active: &Active) {
         match active.fault {
             Fault::PauseVm(vm) => self.site.vms[vm].signal(Signal::CONT),
-            Fault::CallersWay(vm, _) => self.entry_proxies[vm].set(Mode::Pass),
-            Fault::StoreWay(vm, _) => self.store_proxies[vm].set(Mode::Pass),
+            Fault::CallersWay(vm, _) => {
+                self.entry_proxies[vm].set_mode(Mode::Pass)
+            }
+            Fault::StoreWay(vm, _) => {
+                self.store_proxies[vm].set_mode(Mode::Pass)
+            }
             Fault::StoreRefuses(vm) => self.site.vms[vm].store.reject(false),
             Fault::Store(_) => self.site.store.set_mode(StoreMode::Normal),
             Fault::UpstreamWay(..) | Fault::Upstream(..) => {
--- a/standins/src/soak/upstreams.rs
+++ b/standins/src/soak/upstreams.rs
@@ -201,7 +201,7 @@
     /// Simulates a crash: its connections close, and it accepts none until it
     /// starts again.
     pub fn crash(&self) {
-        self.proxy.set(Mode::Gone);
+        self.proxy.set_mode(Mode::Gone);
     }
 
     /// Returns whether it has received a crashing request, and resets that, so
@@ -213,7 +213,7 @@
     /// Starts again as a new incarnation with the same ID and address.
     pub fn restart(&self, store: &PlatformStore) {
         self.born.fetch_add(1, Ordering::Relaxed);
-        self.proxy.set(Mode::Pass);
+        self.proxy.set_mode(Mode::Pass);
         self.record(store, "ready");
     }
 
@@ -253,7 +253,7 @@
 
     /// Sets the mode of the proxy before it.
     pub fn set_mode(&self, mode: Mode) {
-        self.proxy.set(mode);
+        self.proxy.set_mode(mode);
     }
 }
 
