--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -121,9 +121,9 @@
         }
     }
 
-    /// Returns what the router's error response says about whether the request
-    /// ran.
-    pub fn run(&self) -> Option<&str> {
+    /// Returns whether the request ran, as the router's error response says:
+    /// `not_run`, `outcome_unknown` or `ran`; `None` without one.
+    pub fn run_status(&self) -> Option<&str> {
         match &self.outcome {
             CallOutcome::Refused { run, .. } => Some(run),
             _ => None,
--- a/standins/src/check.rs
+++ b/standins/src/check.rs
@@ -157,8 +157,10 @@
 fn false_not_runs(evidence: &Evidence<'_>) -> Vec<Violation> {
     let ran: HashSet<&str> =
         runs(evidence).map(|record| record.request.as_str()).collect();
-    let refused =
-        evidence.calls.iter().filter(|call| call.run() == Some("not_run"));
+    let refused = evidence
+        .calls
+        .iter()
+        .filter(|call| call.run_status() == Some("not_run"));
     refused
         .filter_map(|call| call.decision.as_deref())
         .filter(|decision| ran.contains(decision))
--- a/standins/src/demo.rs
+++ b/standins/src/demo.rs
@@ -245,9 +245,9 @@
 
     /// Returns the summary that is printed as the last line.
     fn json(&self) -> Value {
-        let refused = self.count(|call| call.run() == Some("not_run"));
+        let refused = self.count(|call| call.run_status() == Some("not_run"));
         let unknown = self.count(|call| {
-            call.run() == Some("outcome_unknown")
+            call.run_status() == Some("outcome_unknown")
                 || matches!(call.outcome, CallOutcome::Broken(_))
         });
         let violations: Vec<String> =
--- a/standins/tests/at_most_once.rs
+++ b/standins/tests/at_most_once.rs
@@ -107,7 +107,7 @@
         let request = non_idempotent_call(1, Some("key-1"));
         let first = ask(&fleet, "vm-hall-a-1", &request).await;
         assert_eq!(first.code(), Some("upstream_failed"));
-        assert_eq!(first.run(), Some("outcome_unknown"));
+        assert_eq!(first.run_status(), Some("outcome_unknown"));
         let mut calls = vec![first];
         for vm in ["vm-hall-a-1", "vm-hall-b-1"] {
             calls.extend(ask_until_settled(&fleet, vm, &request).await);
@@ -116,7 +116,7 @@
         }
         let keyless =
             ask(&fleet, "vm-hall-b-1", &non_idempotent_call(2, None)).await;
-        assert_eq!(keyless.run(), Some("outcome_unknown"));
+        assert_eq!(keyless.run_status(), Some("outcome_unknown"));
         calls.push(keyless);
         assert_eq!(fleet.records().unwrap().len(), 2);
         assert_no_violations(&fleet, &calls).await;
@@ -142,7 +142,7 @@
                 calls.push(first);
                 let other = VMS[(nonce as usize + 1) % 4];
                 let again = ask(&fleet, other, &request).await;
-                assert!(again.is_whole() || again.run().is_some());
+                assert!(again.is_whole() || again.run_status().is_some());
                 calls.push(again);
                 assert!(runs_of_key(&fleet, &key) <= 1);
             }
--- a/standins/tests/upstreams.rs
+++ b/standins/tests/upstreams.rs
@@ -59,7 +59,7 @@
         let call = stream.await;
         assert!(matches!(call.outcome, CallOutcome::Broken(_)), "{call:?}");
         let next = ask(&fleet, VM, &chat(2, 3, false)).await;
-        assert_eq!(next.run(), Some("not_run"), "{next:?}");
+        assert_eq!(next.run_status(), Some("not_run"), "{next:?}");
     });
 }
 
@@ -205,7 +205,7 @@
         for (at, vm) in fleet.vms.keys().enumerate() {
             let request = chat_of("tiny", at as u64 + 1, 3, false, None);
             let call = ask(&fleet, vm, &request).await;
-            assert_eq!(call.run(), Some("not_run"), "{call:?}");
+            assert_eq!(call.run_status(), Some("not_run"), "{call:?}");
             calls.push(call);
             let request = chat_of("writer", at as u64 + 9, 3, false, None);
             calls.push(ask(&fleet, vm, &request).await);
--- a/standins/tests/whole_path.rs
+++ b/standins/tests/whole_path.rs
@@ -81,7 +81,7 @@
         let request = chat_of("writer", 20, 3, false, Some(&token));
         let call = ask(&fleet, VM, &request).await;
         assert_eq!(call.code(), Some("version_withdrawn"));
-        assert_eq!(call.run(), Some("not_run"));
+        assert_eq!(call.run_status(), Some("not_run"));
     });
 }
 
