--- a/standins/src/check.rs
+++ b/standins/src/check.rs
@@ -89,12 +89,12 @@
 pub fn check(evidence: &Evidence<'_>) -> Vec<Violation> {
     let mut found = Vec::new();
     found.extend(double_runs(evidence));
-    found.extend(false_not_runs(evidence));
+    found.extend(runs_reported_as_not_run(evidence));
     found.extend(billing_errors(evidence));
-    found.extend(broken_as_whole(evidence));
+    found.extend(undetected_broken_responses(evidence));
     found.extend(version_violations(evidence));
     found.extend(session_changes(evidence));
-    found.extend(leaving_got_work(evidence));
+    found.extend(late_runs_at_leaving_upstreams(evidence));
     found.extend(configuration_reverts(evidence));
     found.extend(stale_orders(evidence));
     found
@@ -154,7 +154,7 @@
 }
 
 /// Finds requests that ran although their error response said `not_run`.
-fn false_not_runs(evidence: &Evidence<'_>) -> Vec<Violation> {
+fn runs_reported_as_not_run(evidence: &Evidence<'_>) -> Vec<Violation> {
     let ran: HashSet<&str> =
         runs(evidence).map(|record| record.request.as_str()).collect();
     let refused = evidence
@@ -213,7 +213,7 @@
 }
 
 /// Finds responses that looked complete to the caller and weren't.
-fn broken_as_whole(evidence: &Evidence<'_>) -> Vec<Violation> {
+fn undetected_broken_responses(evidence: &Evidence<'_>) -> Vec<Violation> {
     evidence
         .calls
         .iter()
@@ -281,7 +281,7 @@
 }
 
 /// Finds runs at an upstream that began too long after it started to leave.
-fn leaving_got_work(evidence: &Evidence<'_>) -> Vec<Violation> {
+fn late_runs_at_leaving_upstreams(evidence: &Evidence<'_>) -> Vec<Violation> {
     runs(evidence)
         .filter_map(|record| {
             let since = record.leaving_since_unix_ms?;
--- a/standins/src/measure.rs
+++ b/standins/src/measure.rs
@@ -519,7 +519,7 @@
     async fn run(self) -> FleetResult<bool> {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
         let mut plan = site::plan(&FAULT_HALLS, 2, self.seed);
-        spare_upstreams(&mut plan);
+        add_spare_engines(&mut plan);
         let mut fleet = Fleet::start(plan).await?;
         site::configure(&fleet).await?;
         let vms = fleet.vms.values().map(|vm| vm.callers).collect();
@@ -647,7 +647,7 @@
 
 /// Adds a second replica, named `NAME-2`, of each engine. Only these leave
 /// or are killed, so that each model stays available in both halls.
-fn spare_upstreams(plan: &mut FleetPlan) {
+fn add_spare_engines(plan: &mut FleetPlan) {
     let mut spares = plan.engines.clone();
     for spare in &mut spares {
         spare.name = format!("{}-2", spare.name);
