--- a/standins/src/soak/check.rs
+++ b/standins/src/soak/check.rs
@@ -7,7 +7,7 @@
 };
 
 use super::{
-    deadly,
+    crashing,
     evidence::{Call, Change, Evidence, Kind, Order, Run, Scope},
     rate_limits, signals,
     upstreams::UNREADABLE,
@@ -142,8 +142,8 @@
         bad_versions_get_a_small_share,
         retries_stay_within_budget,
         malformed_records_are_not_used,
-        deadly::crashing_requests_are_quarantined,
-        deadly::others_are_not_quarantined,
+        crashing::crashing_requests_are_quarantined,
+        crashing::others_are_not_quarantined,
         signals::signals_are_respected,
         rate_limits::limits_are_respected,
         shutdowns_cut_off_no_request,
--- a/standins/src/soak/deadly.rs
+++ b/standins/src/soak/crashing.rs
@@ -3,7 +3,7 @@
 //!
 //! A run has a few different ones. Each is sent again and again to random VMs,
 //! one after the other and several at once, always with another attempt ID.
-//! Identifiers and paths call such a request "deadly".
+//! [`Kind::Deadly`] and the paths call such a request "deadly".
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
--- a/standins/src/soak/evidence.rs
+++ b/standins/src/soak/evidence.rs
@@ -7,7 +7,7 @@
 use std::{collections::HashMap, time::Duration};
 
 use super::{
-    deadly,
+    crashing,
     rate_limits::{RateLimitPeriod, RateLimitSignal},
     signals::UpstreamSignal,
 };
@@ -64,7 +64,7 @@
             Kind::Write => format!("/write/{id}"),
             Kind::Tell => format!("/tell/{id}"),
             Kind::Probe(number) => format!("/added-{number}/{id}"),
-            Kind::Deadly(number) => deadly::path(number),
+            Kind::Deadly(number) => crashing::path(number),
         }
     }
 }
--- a/standins/src/soak/mod.rs
+++ b/standins/src/soak/mod.rs
@@ -5,7 +5,7 @@
 //! * [`faults`]: faults, drawn from a seed; `inject` applies and ends them.
 //! * `world`: the site and its main loop.
 //! * [`upstreams`], [`callers`], [`client`]: the upstreams and callers.
-//! * [`deadly`]: requests that crash upstreams, and their quarantine.
+//! * [`crashing`]: requests that crash upstreams, and their quarantine.
 //! * [`signals`]: backoff and leaving signals, and whether VMs respect them.
 //! * [`rate_limits`]: rate limits, and whether VMs respect them.
 //! * [`evidence`]: what a run records.
@@ -23,7 +23,7 @@
 pub mod callers;
 pub mod check;
 pub mod client;
-pub mod deadly;
+pub mod crashing;
 pub mod evidence;
 pub mod faults;
 pub mod rate_limits;
--- a/standins/src/soak/upstreams.rs
+++ b/standins/src/soak/upstreams.rs
@@ -13,7 +13,7 @@
 use serde_json::json;
 
 use super::{
-    deadly::is_crashing, evidence::Run, rate_limits::RateLimitSignal,
+    crashing::is_crashing, evidence::Run, rate_limits::RateLimitSignal,
     signals::UpstreamSignal,
 };
 use crate::{
--- a/standins/src/soak/world.rs
+++ b/standins/src/soak/world.rs
@@ -15,7 +15,7 @@
     Outcome, Soak,
     callers::{Callers, VmEndpoint},
     check::{RETRY_EXTRA, RETRY_SHARE, REVOKE_TIME, check},
-    deadly,
+    crashing,
     evidence::{Change, Evidence, Kind, Scope},
     faults::{Fault, Target},
     rate_limits::{self, RateLimitPeriod, Schedule},
@@ -100,7 +100,7 @@
     pub(super) callers: Arc<Callers>,
     pub(super) threads: Vec<thread::JoinHandle<()>>,
     /// Threads that send crashing requests.
-    pub(super) deadly: Vec<thread::JoinHandle<()>>,
+    pub(super) crashing_threads: Vec<thread::JoinHandle<()>>,
     pub(super) active: Vec<Active>,
     pub(super) scheduled: Vec<(Duration, Action)>,
     /// VMs in a graceful shutdown, with the index of the trouble.
@@ -164,7 +164,7 @@
             runs,
             callers,
             threads: Vec::new(),
-            deadly: Vec::new(),
+            crashing_threads: Vec::new(),
             active: Vec::new(),
             scheduled: Vec::new(),
             stopping: HashMap::new(),
@@ -192,7 +192,7 @@
         });
         world.check_readiness();
         world.threads = world.callers.run(plan.callers, seed);
-        world.deadly = deadly::run(&world.callers, seed);
+        world.crashing_threads = crashing::run(&world.callers, seed);
         world
     }
 
@@ -466,7 +466,9 @@
             }
         }
         self.callers.stop();
-        for thread in self.threads.drain(..).chain(self.deadly.drain(..)) {
+        for thread in
+            self.threads.drain(..).chain(self.crashing_threads.drain(..))
+        {
             // A panicking thread has printed its message already.
             let _ = thread.join();
         }
@@ -477,7 +479,7 @@
         self.evidence.signals = received.signals;
         self.evidence.rate_limit_signals = received.rate_limit_signals;
         let (crashing_requests, most_ended_by_one) =
-            deadly::summary(&self.evidence);
+            crashing::summary(&self.evidence);
         let calls = &self.evidence.calls;
         let served = calls.iter().filter(|c| c.status == 200 && c.is_whole);
         Outcome {
