--- a/standins/tests/platform.rs
+++ b/standins/tests/platform.rs
@@ -553,7 +553,7 @@
     assert!(!calls.iter().any(|path| path.contains(all)), "{calls:?}");
 }
 
-/// Covers peers that no longer respond although their records still exist.
+/// The peers no longer respond, although their records still exist.
 #[test]
 fn a_starting_vm_without_responsive_peers_reads_from_the_store() {
     let _guard = lock_site();
@@ -930,7 +930,8 @@
     assert_eq!(line["attempts"][0]["upstream"], "i-1");
 }
 
-/// Longer than the pause after which a stream is resumed at another upstream.
+/// Pause between two events of a stream; long enough that a stream which may
+/// be resumed would be resumed at another upstream.
 const LONG_PAUSE: Duration = Duration::from_millis(3200);
 
 /// Streams two events with a long pause between them.
--- a/standins/tests/resting_upstreams.rs
+++ b/standins/tests/resting_upstreams.rs
@@ -35,7 +35,7 @@
 /// Backoff that upstreams ask for.
 const BACKOFF: Duration = Duration::from_secs(3);
 
-/// Time at its start in which requests already in flight may still arrive.
+/// First part of a backoff, in which requests in flight may still arrive.
 const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
 
 /// Number of requests that may arrive in the remaining backoff, as specified
--- a/standins/tests/upstreams.rs
+++ b/standins/tests/upstreams.rs
@@ -126,9 +126,9 @@
     });
 }
 
-/// Guards against learning of it only from the upstream's own report, which
-/// one VM polls a few times a second, or from the list of upstreams, which is
-/// updated later still.
+/// Guards against VMs that learn that an upstream is leaving only from its load
+/// report, which one VM polls a few times a second, or from the list of
+/// upstreams, which is updated later still.
 #[test]
 fn an_upstream_that_signals_leaving_in_a_response_gets_no_new_requests() {
     run(async {
@@ -302,8 +302,8 @@
     });
 }
 
-/// Waits until a VM of hall A other than `but` holds the steward lease, and
-/// returns its name.
+/// Waits until a VM of hall A other than `excluded` holds the steward lease,
+/// and returns its name.
 async fn wait_for_steward(
     fleet: &standins::fleet::Fleet,
     excluded: Option<&str>,
