--- a/src/gateway/upstream_signals/tests.rs
+++ b/src/gateway/upstream_signals/tests.rs
@@ -108,7 +108,7 @@
         UpstreamSignals { is_leaving: true, ..UpstreamSignals::default() };
     first.apply_signals(&member, &leaves, fleet.clock.now());
     let announced =
-        |fleet: &Fleet| first.pool.take_leaving(fleet.clock.now()).len();
+        |fleet: &Fleet| first.pool.due_leaving(fleet.clock.now()).len();
     run_until(&mut fleet, 5_000);
     assert_eq!(announced(&fleet), 1, "repeated, since a datagram may be lost");
     run_until(&mut fleet, 20_000);
--- a/src/placing/gossip_outbox.rs
+++ b/src/placing/gossip_outbox.rs
@@ -107,7 +107,7 @@
 
     /// Returns the leaving incarnations that are due, and drops those that
     /// have been reported for long enough.
-    pub(crate) fn take_leaving(&mut self, now: BootInstant) -> Vec<ShortHash> {
+    pub(crate) fn due_leaving(&mut self, now: BootInstant) -> Vec<ShortHash> {
         self.leaving.retain(|_, reported_at| {
             now.saturating_duration_since(*reported_at) < LEAVING_TTL
         });
--- a/src/placing/pool/gossip.rs
+++ b/src/placing/pool/gossip.rs
@@ -128,8 +128,8 @@
     }
 
     /// Returns the leaving incarnations that are due for gossip.
-    pub fn take_leaving(&self, now: BootInstant) -> Vec<ShortHash> {
-        self.outbox.lock().expect("outbox lock").take_leaving(now)
+    pub fn due_leaving(&self, now: BootInstant) -> Vec<ShortHash> {
+        self.outbox.lock().expect("outbox lock").due_leaving(now)
     }
 
     /// Merges the leaving incarnations that another VM reports and passes them
--- a/src/store_sync/gossip.rs
+++ b/src/store_sync/gossip.rs
@@ -199,7 +199,7 @@
         in_flight: gateway.pool.local_work(),
         load_reports: gateway.pool.take_loads(now),
         failures: gateway.pool.take_failures(now),
-        leaving_upstreams: gateway.pool.take_leaving(now),
+        leaving_upstreams: gateway.pool.due_leaving(now),
         rate_limits: gateway.pool.take_rate_limits(true, now),
         evidence: gateway.rollouts.evidence(in_flight, now),
         observations: Vec::new(),
