--- a/src/placing/gossip_outbox.rs
+++ b/src/placing/gossip_outbox.rs
@@ -136,7 +136,7 @@
 
     /// Returns the rate limits that are due for the VMs of this data hall, or
     /// of the others.
-    pub(crate) fn take_rate_limits(
+    pub(crate) fn due_rate_limits(
         &mut self,
         for_own_hall: bool,
         now: BootInstant,
--- a/src/placing/pool/gossip.rs
+++ b/src/placing/pool/gossip.rs
@@ -67,7 +67,7 @@
 
     /// Returns the rate limits that are due for gossip, to the VMs of this
     /// data hall or to those of other halls.
-    pub(crate) fn take_rate_limits(
+    pub(crate) fn due_rate_limits(
         &self,
         for_own_hall: bool,
         now: BootInstant,
@@ -75,7 +75,7 @@
         self.outbox
             .lock()
             .expect("outbox lock")
-            .take_rate_limits(for_own_hall, now)
+            .due_rate_limits(for_own_hall, now)
     }
 
     /// Merges the rate limits that another VM reports and passes them on;
--- a/src/store_sync/gossip.rs
+++ b/src/store_sync/gossip.rs
@@ -135,7 +135,7 @@
             observations: gateway
                 .crashes
                 .next_broadcasts(Audience::OtherHalls),
-            rate_limits: gateway.pool.take_rate_limits(false, now),
+            rate_limits: gateway.pool.due_rate_limits(false, now),
         };
         heartbeat.hall_evidence =
             rollouts.relayed_evidence(&heartbeat.evidence, now);
@@ -200,7 +200,7 @@
         load_reports: gateway.pool.take_loads(now),
         failures: gateway.pool.take_failures(now),
         leaving_upstreams: gateway.pool.due_leaving(now),
-        rate_limits: gateway.pool.take_rate_limits(true, now),
+        rate_limits: gateway.pool.due_rate_limits(true, now),
         evidence: gateway.rollouts.evidence(in_flight, now),
         observations: Vec::new(),
         hall_evidence: Vec::new(),
