--- a/src/placing/member.rs
+++ b/src/placing/member.rs
@@ -28,7 +28,7 @@
 };
 
 /// Age at which the work that another VM has reported no longer counts.
-pub(super) const PEER_WORK_LIFETIME: Duration = Duration::from_millis(2500);
+pub(super) const PEER_WORK_TTL: Duration = Duration::from_millis(2500);
 
 /// How long an upstream may still be used after its record vanished during a
 /// store outage; the record of a live one returns within about two seconds.
@@ -443,7 +443,7 @@
         now: BootInstant,
     ) {
         peer_work.retain(|_, count| {
-            now.saturating_duration_since(count.at) < PEER_WORK_LIFETIME
+            now.saturating_duration_since(count.at) < PEER_WORK_TTL
         });
         let requests = peer_work.values().map(|c| u32::from(c.work.requests));
         self.peer_requests.store(requests.sum(), Ordering::Relaxed);
--- a/src/placing/pool/tests.rs
+++ b/src/placing/pool/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::id::StartMs;
 use crate::message::InFlightWork;
-use crate::placing::member::{LoadReport, PEER_WORK_LIFETIME};
+use crate::placing::member::{LoadReport, PEER_WORK_TTL};
 use crate::placing::{hall_link::PARTITION_PAUSE, health::AttemptOutcome};
 
 pub(super) const SLACK: WarmUpSlack =
@@ -126,7 +126,7 @@
     pool.set_peer_work("vm-2", &[(busy.upstream.short_hash, work)], now);
     assert_eq!(busy.requests(now), 9);
     assert_eq!(picks(&pool, &PickCriteria::default(), now), ["i-2"]);
-    let later = now + PEER_WORK_LIFETIME;
+    let later = now + PEER_WORK_TTL;
     pool.set_peer_work("vm-3", &[], later);
     assert_eq!(busy.requests(later), 0);
 }
