--- a/src/placing/upstream.rs
+++ b/src/placing/upstream.rs
@@ -35,7 +35,7 @@
 const MIN_SLOW_START_SHARE: f64 = 0.2;
 
 /// Age at which a load report no longer counts.
-const LOAD_LIFETIME: Duration = Duration::from_secs(10);
+const LOAD_TTL: Duration = Duration::from_secs(10);
 
 /// What an upstream serves.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -302,9 +302,9 @@
         now: BootInstant,
     ) -> UpstreamSnapshot {
         let known = self.load.lock().expect("load lock");
-        let load = known.as_ref().filter(|load| {
-            now.saturating_duration_since(load.at) < LOAD_LIFETIME
-        });
+        let load = known
+            .as_ref()
+            .filter(|load| now.saturating_duration_since(load.at) < LOAD_TTL);
         let own = self.in_flight();
         let requests = load.map_or(f64::from(own), |load| {
             let reported = f64::from(load.running + load.waiting);
@@ -384,7 +384,7 @@
         drop(first);
         assert_eq!(upstream.snapshot(&hall, now).requests, 5.0);
         assert!(!upstream.set_load(0, 0, vec![], now));
-        let late = now + LOAD_LIFETIME;
+        let late = now + LOAD_TTL;
         assert_eq!(upstream.snapshot(&hall, late).requests, 1.0);
     }
 
