--- a/src/placing/rate_limit.rs
+++ b/src/placing/rate_limit.rs
@@ -42,7 +42,7 @@
 const MIN_RATE_PER_S: f64 = 0.1;
 
 /// How long a limit holds that is not stated again.
-const LIMIT_LIFETIME: Duration = Duration::from_secs(600);
+const LIMIT_TTL: Duration = Duration::from_secs(600);
 
 /// Returns the maximum number of VMs that own an upstream at a rate.
 pub(crate) fn max_owners(per_s: f64) -> usize {
@@ -173,9 +173,9 @@
 
 impl State {
     fn expire(&mut self, now: BootInstant) {
-        let is_old = self.stated_at.is_some_and(|at| {
-            now.saturating_duration_since(at) >= LIMIT_LIFETIME
-        });
+        let is_old = self
+            .stated_at
+            .is_some_and(|at| now.saturating_duration_since(at) >= LIMIT_TTL);
         if is_old {
             self.limit = None;
         }
--- a/src/placing/rate_limit/tests.rs
+++ b/src/placing/rate_limit/tests.rs
@@ -142,8 +142,8 @@
     let now = BootInstant::now();
     let limit = LimitState::default();
     limit.update(rate("1"), now, 0.0, now);
-    assert!(limit.per_s(now + LIMIT_LIFETIME - SECOND).is_some());
-    assert_eq!(limit.per_s(now + LIMIT_LIFETIME), None);
+    assert!(limit.per_s(now + LIMIT_TTL - SECOND).is_some());
+    assert_eq!(limit.per_s(now + LIMIT_TTL), None);
 }
 
 /// Guards against an upstream that is never tried again after stating a rate
