--- a/src/placing/reported_state.rs
+++ b/src/placing/reported_state.rs
@@ -43,7 +43,7 @@
 /// How long the state of an incarnation is kept while it is not in the pool. A
 /// leaving upstream stops within seconds, and an expired record returns within
 /// seconds as well.
-const UNLISTED_LIFETIME: Duration = Duration::from_secs(600);
+const UNLISTED_TTL: Duration = Duration::from_secs(600);
 
 /// Maximum number of incarnations outside the pool whose state is kept.
 const MAX_UNLISTED: usize = 4096;
@@ -301,7 +301,7 @@
         now: BootInstant,
     ) {
         self.0.retain(|_, kept| {
-            now.saturating_duration_since(kept.since) < UNLISTED_LIFETIME
+            now.saturating_duration_since(kept.since) < UNLISTED_TTL
         });
         if self.0.len() < MAX_UNLISTED && state.is_in_force(now) {
             self.0.insert(incarnation, Unlisted { state, since: now });
--- a/src/placing/reported_state/tests.rs
+++ b/src/placing/reported_state/tests.rs
@@ -97,6 +97,6 @@
     assert!(unlisted.take(leaving).is_leaving());
     assert!(!unlisted.take(leaving).is_leaving(), "it was taken");
     unlisted.keep(leaving, state.clone(), now);
-    unlisted.keep(silent, state, now + UNLISTED_LIFETIME);
+    unlisted.keep(silent, state, now + UNLISTED_TTL);
     assert!(!unlisted.take(leaving).is_leaving(), "it has expired");
 }
