--- a/src/crashes/persistence.rs
+++ b/src/crashes/persistence.rs
@@ -23,16 +23,16 @@
 };
 
 /// Time between two checks for unwritten requests.
-const CHECK_PERIOD: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Longest wait before a failed write is repeated.
 const MAX_RETRY_WAIT: Duration = Duration::from_secs(5);
 
 /// Drops expired crashes and writes the quarantine, for as long as polled.
 pub(crate) async fn run(gateway: Arc<Gateway>) {
-    let mut backoff = Backoff::new(CHECK_PERIOD, MAX_RETRY_WAIT);
+    let mut backoff = Backoff::new(CHECK_INTERVAL, MAX_RETRY_WAIT);
     loop {
-        task::sleep(CHECK_PERIOD).await;
+        task::sleep(CHECK_INTERVAL).await;
         let now = gateway.clock.now();
         let changes = gateway.crashes.expire(now);
         gateway.log_quarantine_changes(&changes);
