--- a/src/api/gossip.rs
+++ b/src/api/gossip.rs
@@ -22,7 +22,7 @@
     },
     clock::BootInstant,
     event::Event,
-    frame::{DATAGRAM_LIMIT_BYTES, FrameError},
+    frame::{FrameError, MAX_DATAGRAM_BYTES},
     id::VmId,
     message::{Datagram, Gossip, HeartbeatEntry, ShortHash, UpstreamNotice},
     placing::upstream::Upstream,
@@ -313,7 +313,7 @@
     let sealed_length = |gossip: &Gossip| {
         vm.codec.seal(&Datagram::Gossip(gossip.clone())).len()
     };
-    while sealed_length(gossip) > DATAGRAM_LIMIT_BYTES {
+    while sealed_length(gossip) > MAX_DATAGRAM_BYTES {
         let longest = gossip.loads.len().max(gossip.tallies.len());
         if longest == 0 {
             gossip.heartbeats.remove(0);
--- a/src/frame.rs
+++ b/src/frame.rs
@@ -31,7 +31,7 @@
 const DEFLATE_LEVEL: u8 = 3;
 
 /// Maximum size of a datagram, safely below the usual path MTU.
-pub(crate) const DATAGRAM_LIMIT_BYTES: usize = 1400;
+pub(crate) const MAX_DATAGRAM_BYTES: usize = 1400;
 
 /// Maximum size of a frame on a TCP connection.
 pub(crate) const FRAME_LIMIT_BYTES: usize = 8 << 20;
