--- a/src/frame.rs
+++ b/src/frame.rs
@@ -34,10 +34,10 @@
 pub(crate) const MAX_DATAGRAM_BYTES: usize = 1400;
 
 /// Maximum size of a frame on a TCP connection.
-pub(crate) const FRAME_LIMIT_BYTES: usize = 8 << 20;
+pub(crate) const MAX_FRAME_BYTES: usize = 8 << 20;
 
 /// Maximum size of an inflated body.
-const MAX_INFLATED_BYTES: usize = FRAME_LIMIT_BYTES;
+const MAX_INFLATED_BYTES: usize = MAX_FRAME_BYTES;
 
 /// Number of bytes before the body.
 const HEAD_BYTES: usize = 2;
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -21,7 +21,7 @@
 };
 
 use crate::{
-    frame::{FRAME_LIMIT_BYTES, FrameCodec},
+    frame::{FrameCodec, MAX_FRAME_BYTES},
     message::{PeerReply, PeerRequest},
     metrics::Metrics,
     task::{self, Task, within},
@@ -306,7 +306,7 @@
     let mut length = [0; 4];
     stream.read_exact(&mut length).await?;
     let length = u32::from_be_bytes(length) as usize;
-    if length > FRAME_LIMIT_BYTES {
+    if length > MAX_FRAME_BYTES {
         return Err(io::ErrorKind::InvalidData.into());
     }
     let mut frame = vec![0; length];
--- a/src/store_sync/knowledge_pack.rs
+++ b/src/store_sync/knowledge_pack.rs
@@ -6,7 +6,7 @@
 //! second on the store's link of 1,000 Mbit/s alone.
 
 use crate::{
-    frame::{self, FRAME_LIMIT_BYTES},
+    frame::{self, MAX_FRAME_BYTES},
     store_sync::knowledge::MirroredItem,
 };
 
@@ -22,7 +22,7 @@
 
 /// Unpacks the output of [`pack`]; returns `None` for any other bytes.
 pub(crate) fn unpack(packed: &[u8]) -> Option<Vec<MirroredItem>> {
-    let plain = frame::inflate(packed, FRAME_LIMIT_BYTES)?;
+    let plain = frame::inflate(packed, MAX_FRAME_BYTES)?;
     postcard::from_bytes(&plain).ok()
 }
 
