--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -54,7 +54,7 @@
 
 /// Part of the allowed time that the canary phase lasts at least: sessions may
 /// change their version only in the second half.
-const CANARY_MIN_PART: f64 = 0.52;
+const MIN_CANARY_PART: f64 = 0.52;
 
 /// Number of answers of the new version that end the canary phase. By then a
 /// version that fails a third of its requests has had the four bad answers
@@ -233,7 +233,7 @@
     /// version has given enough answers.
     fn end_canary(&mut self, now: BootInstant) {
         let elapsed = self.elapsed_part(now);
-        if self.canary_ended.is_some() || elapsed < CANARY_MIN_PART {
+        if self.canary_ended.is_some() || elapsed < MIN_CANARY_PART {
             return;
         }
         let all_answers = self.all_answers();
--- a/src/rollouts/rollout/tests.rs
+++ b/src/rollouts/rollout/tests.rs
@@ -51,9 +51,9 @@
     rollouts.evaluate(now + ALLOWED / 4);
     let still_in_canary = share(&rollouts, now + ALLOWED / 2);
     assert!((0.06..0.1).contains(&still_in_canary), "{still_in_canary}");
-    rollouts.evaluate(now + ALLOWED.mul_f64(CANARY_MIN_PART));
+    rollouts.evaluate(now + ALLOWED.mul_f64(MIN_CANARY_PART));
     let partial =
-        share(&rollouts, now + ALLOWED.mul_f64(CANARY_MIN_PART + 0.01));
+        share(&rollouts, now + ALLOWED.mul_f64(MIN_CANARY_PART + 0.01));
     assert!((0.3..0.5).contains(&partial), "{partial}");
     assert_eq!(share(&rollouts, now + ALLOWED.mul_f64(0.7)), 1.0);
 }
@@ -304,7 +304,7 @@
     let now = BootInstant::now();
     let rollouts = running(now);
     record_good_answers(&rollouts, CANARY_MIN_ANSWERS);
-    rollouts.evaluate(now + ALLOWED.mul_f64(CANARY_MIN_PART));
+    rollouts.evaluate(now + ALLOWED.mul_f64(MIN_CANARY_PART));
     let at = now + ALLOWED.mul_f64(0.7);
     assert_eq!(rollouts.pending_statuses(true, |_, _| 1, &[], at), []);
     assert_eq!(rollouts.pending_statuses(false, |_, _| 0, &[], at), []);
@@ -320,7 +320,7 @@
     let now = BootInstant::now();
     let old = running(now);
     record_good_answers(&old, CANARY_MIN_ANSWERS);
-    old.evaluate(now + ALLOWED.mul_f64(CANARY_MIN_PART));
+    old.evaluate(now + ALLOWED.mul_f64(MIN_CANARY_PART));
     let at = now + ALLOWED.mul_f64(0.7);
     let restarted = running(at);
     assert!(share(&restarted, at) < 0.2);
