--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -64,7 +64,7 @@
 
 /// Part of the allowed time at which the canary phase ends with fewer answers:
 /// a good version must be completed even if there are hardly any requests.
-const CANARY_MAX_PART: f64 = 0.8;
+const MAX_CANARY_PART: f64 = 0.8;
 
 /// Part of the allowed time that the ramp-up phase lasts: after the canary
 /// phase, only a part of the requests goes to the new version at first.
@@ -242,7 +242,7 @@
             new.complete + new.lost
         };
         let answers: u32 = all_answers.values().map(of_new).sum();
-        if answers >= CANARY_MIN_ANSWERS || elapsed >= CANARY_MAX_PART {
+        if answers >= CANARY_MIN_ANSWERS || elapsed >= MAX_CANARY_PART {
             let running = now.saturating_duration_since(self.started_at);
             self.canary_ended = Some(running);
         }
--- a/src/rollouts/rollout/tests.rs
+++ b/src/rollouts/rollout/tests.rs
@@ -92,11 +92,11 @@
     assert_eq!(share(&other, full_at), 1.0);
 
     let idle = running(now);
-    idle.evaluate(at(CANARY_MAX_PART - 0.01));
-    let in_canary = share(&idle, at(CANARY_MAX_PART - 0.01));
+    idle.evaluate(at(MAX_CANARY_PART - 0.01));
+    let in_canary = share(&idle, at(MAX_CANARY_PART - 0.01));
     assert!((0.06..0.1).contains(&in_canary), "{in_canary}");
-    idle.evaluate(at(CANARY_MAX_PART));
-    assert_eq!(share(&idle, at(CANARY_MAX_PART + 0.001 + RAMP_PART)), 1.0);
+    idle.evaluate(at(MAX_CANARY_PART));
+    assert_eq!(share(&idle, at(MAX_CANARY_PART + 0.001 + RAMP_PART)), 1.0);
     let pending =
         idle.pending_statuses(true, |_, _| 0, &[], at(COMPLETE_AT_PART));
     assert_eq!(pending[0].status.progress, RolloutProgress::Completed);
