--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -60,7 +60,7 @@
 /// version that fails a third of its requests has had the four bad answers
 /// for which it is stopped. If the phase ended by time alone, such a version
 /// would get a sixth of all requests of a service with few.
-const CANARY_MIN_ANSWERS: u32 = 12;
+const MIN_CANARY_ANSWERS: u32 = 12;
 
 /// Part of the allowed time at which the canary phase ends with fewer answers:
 /// a good version must be completed even if there are hardly any requests.
@@ -242,7 +242,7 @@
             new.complete + new.lost
         };
         let answers: u32 = all_answers.values().map(of_new).sum();
-        if answers >= CANARY_MIN_ANSWERS || elapsed >= MAX_CANARY_PART {
+        if answers >= MIN_CANARY_ANSWERS || elapsed >= MAX_CANARY_PART {
             let running = now.saturating_duration_since(self.started_at);
             self.canary_ended = Some(running);
         }
--- a/src/rollouts/rollout/tests.rs
+++ b/src/rollouts/rollout/tests.rs
@@ -47,7 +47,7 @@
     assert_eq!(share(&rollouts, now), 0.0);
     let in_canary = share(&rollouts, now + ALLOWED / 4);
     assert!((0.06..0.1).contains(&in_canary), "{in_canary}");
-    record_good_answers(&rollouts, CANARY_MIN_ANSWERS);
+    record_good_answers(&rollouts, MIN_CANARY_ANSWERS);
     rollouts.evaluate(now + ALLOWED / 4);
     let still_in_canary = share(&rollouts, now + ALLOWED / 2);
     assert!((0.06..0.1).contains(&still_in_canary), "{still_in_canary}");
@@ -74,7 +74,7 @@
     let now = BootInstant::now();
     let rollouts = running(now);
     let at = |part: f64| now + ALLOWED.mul_f64(part);
-    record_good_answers(&rollouts, CANARY_MIN_ANSWERS - 1);
+    record_good_answers(&rollouts, MIN_CANARY_ANSWERS - 1);
     rollouts.evaluate(at(0.7));
     let in_canary = share(&rollouts, at(0.7));
     assert!((0.06..0.1).contains(&in_canary), "{in_canary}");
@@ -303,7 +303,7 @@
 fn completion_waits_for_the_old_versions_last_requests() {
     let now = BootInstant::now();
     let rollouts = running(now);
-    record_good_answers(&rollouts, CANARY_MIN_ANSWERS);
+    record_good_answers(&rollouts, MIN_CANARY_ANSWERS);
     rollouts.evaluate(now + ALLOWED.mul_f64(MIN_CANARY_PART));
     let at = now + ALLOWED.mul_f64(0.7);
     assert_eq!(rollouts.pending_statuses(true, |_, _| 1, &[], at), []);
@@ -319,7 +319,7 @@
 fn a_restarted_vm_learns_when_the_rollout_began() {
     let now = BootInstant::now();
     let old = running(now);
-    record_good_answers(&old, CANARY_MIN_ANSWERS);
+    record_good_answers(&old, MIN_CANARY_ANSWERS);
     old.evaluate(now + ALLOWED.mul_f64(MIN_CANARY_PART));
     let at = now + ALLOWED.mul_f64(0.7);
     let restarted = running(at);
