--- a/src/placing/gossip_outbox.rs
+++ b/src/placing/gossip_outbox.rs
@@ -31,7 +31,7 @@
 
 /// How long the VMs of this data hall are told of a rate limit after it was
 /// stated: two heartbeats, as a datagram may get lost.
-const LIMIT_TTL_OWN_HALL: Duration = Duration::from_millis(1200);
+const OWN_HALL_LIMIT_TTL: Duration = Duration::from_millis(1200);
 
 /// The same for other data halls, of which each heartbeat reaches few VMs.
 const LIMIT_TTL_OTHER_HALLS: Duration = Duration::from_secs(10);
@@ -145,7 +145,7 @@
         self.limits
             .retain(|_, limit| age(limit.stated_at) < LIMIT_TTL_OTHER_HALLS);
         let is_due = |limit: &PendingLimit| {
-            let is_new = |at| age(at) < LIMIT_TTL_OWN_HALL;
+            let is_new = |at| age(at) < OWN_HALL_LIMIT_TTL;
             !for_own_hall || limit.own_hall_since.is_some_and(is_new)
         };
         let due = self.limits.iter().filter(|(_, limit)| is_due(limit));
