--- a/src/placing/gossip_outbox.rs
+++ b/src/placing/gossip_outbox.rs
@@ -34,7 +34,7 @@
 const OWN_HALL_LIMIT_TTL: Duration = Duration::from_millis(1200);
 
 /// The same for other data halls, of which each heartbeat reaches few VMs.
-const LIMIT_TTL_OTHER_HALLS: Duration = Duration::from_secs(10);
+const OTHER_HALLS_LIMIT_TTL: Duration = Duration::from_secs(10);
 
 /// Maximum number of rate limits in one heartbeat, the newest first.
 const MAX_LIMITS: usize = 64;
@@ -143,7 +143,7 @@
     ) -> Vec<RateLimitReport> {
         let age = |at: BootInstant| now.saturating_duration_since(at);
         self.limits
-            .retain(|_, limit| age(limit.stated_at) < LIMIT_TTL_OTHER_HALLS);
+            .retain(|_, limit| age(limit.stated_at) < OTHER_HALLS_LIMIT_TTL);
         let is_due = |limit: &PendingLimit| {
             let is_new = |at| age(at) < OWN_HALL_LIMIT_TTL;
             !for_own_hall || limit.own_hall_since.is_some_and(is_new)
