--- a/src/crashes/persistence.rs
+++ b/src/crashes/persistence.rs
@@ -26,11 +26,11 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Longest wait before a failed write is repeated.
-const MAX_RETRY_WAIT: Duration = Duration::from_secs(5);
+const MAX_RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Drops expired crashes and writes the quarantine, for as long as polled.
 pub(crate) async fn run(gateway: Arc<Gateway>) {
-    let mut backoff = Backoff::new(CHECK_INTERVAL, MAX_RETRY_WAIT);
+    let mut backoff = Backoff::new(CHECK_INTERVAL, MAX_RETRY_INTERVAL);
     loop {
         task::sleep(CHECK_INTERVAL).await;
         let now = gateway.clock.now();
