--- a/src/crashes/broadcast_queue.rs
+++ b/src/crashes/broadcast_queue.rs
@@ -15,7 +15,7 @@
 /// Maximum number of observations that stay queued after a heartbeat.
 const MAX_QUEUED: usize = 512;
 
-/// Where this VM has an observation from.
+/// Where an observation comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Source {
     /// This VM made it.
--- a/src/crashes/mod.rs
+++ b/src/crashes/mod.rs
@@ -13,9 +13,10 @@
 //!   crashed.
 //! * [`tracker`]: the crashes and completed requests that this VM knows of,
 //!   and the requests that it quarantines.
-//! * [`attribution`]: tells the requests that cause crashes from bystanders.
-//! * [`observation`], [`broadcast_queue`]: what VMs tell each other about
-//!   crashes, in their heartbeats.
+//! * [`attribution`]: distinguishes the requests that cause crashes from
+//!   bystanders.
+//! * [`observation`], [`broadcast_queue`]: what VMs report to each other
+//!   about crashes, in their heartbeats.
 //! * [`persistence`]: writes the quarantine to the platform's store, for VMs
 //!   that start later, even if none of the present ones is left by then.
 
--- a/src/crashes/observation.rs
+++ b/src/crashes/observation.rs
@@ -1,4 +1,4 @@
-//! What VMs tell each other about requests and the crashes of upstreams.
+//! What VMs report to each other about requests and the crashes of upstreams.
 
 use serde::{Deserialize, Serialize};
 
@@ -51,7 +51,8 @@
     Completed,
 }
 
-/// What one VM tells the others about a request.
+/// The outcome of one attempt at a request, as one VM reports it to the
+/// others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestObservation {
     /// The request.
--- a/src/crashes/persistence.rs
+++ b/src/crashes/persistence.rs
@@ -22,7 +22,7 @@
     task,
 };
 
-/// Time between two checks for unwritten requests.
+/// Interval between checks for quarantined requests that are not stored yet.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Longest wait before a failed write is repeated.
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -206,7 +206,7 @@
             let _ = waiting.try_send(reply.body);
         }
     }
-    // Dropping the senders tells every caller that the connection is lost.
+    // Dropping the senders notifies every caller that the connection is lost.
     pending.lock().expect("pending lock").clear();
 }
 
--- a/src/placing/gossip_outbox.rs
+++ b/src/placing/gossip_outbox.rs
@@ -1,5 +1,6 @@
-//! What this VM is due to report about upstreams to other VMs: in a large
-//! fleet, one VM receives few responses from each upstream.
+//! The reports about upstreams that this VM owes the other VMs. VMs share what
+//! they observe because, in a large fleet, one VM receives few responses from
+//! each upstream.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -16,24 +17,25 @@
 /// between two heartbeats.
 const MAX_LOADS: usize = 48;
 
-/// How long further failures of an upstream are not reported again.
+/// Minimum time between two reports of failures of the same upstream.
 const FAILURE_REPEAT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Maximum number of failures in one heartbeat.
 const MAX_FAILURES: usize = 64;
 
-/// How long it is reported that an upstream is leaving: datagrams get lost,
+/// How long an upstream is reported as leaving: datagrams get lost,
 /// and in a large fleet each heartbeat reaches few VMs of other data halls.
 const LEAVING_TTL: Duration = Duration::from_secs(10);
 
 /// Maximum number of leaving incarnations in one heartbeat.
 const MAX_LEAVING: usize = 64;
 
-/// How long the VMs of this data hall are told of a rate limit after it was
-/// stated: two heartbeats, as a datagram may get lost.
+/// How long a rate limit is reported to the VMs of this data hall: two
+/// heartbeats, as a datagram may get lost.
 const OWN_HALL_LIMIT_TTL: Duration = Duration::from_millis(1200);
 
-/// The same for other data halls, of which each heartbeat reaches few VMs.
+/// How long a rate limit is reported to other data halls, of which each
+/// heartbeat reaches few VMs; counted from when the upstream stated it.
 const OTHER_HALLS_LIMIT_TTL: Duration = Duration::from_secs(10);
 
 /// Maximum number of rate limits in one heartbeat, the newest first.
@@ -44,7 +46,8 @@
 struct PendingLimit {
     rate: Option<RequestRate>,
     stated_at: BootInstant,
-    /// Since when this data hall is told of it; `None` if it is not told.
+    /// Since when it has been reported within this data hall; `None` if it is
+    /// reported to other halls only.
     own_hall_since: Option<BootInstant>,
 }
 
@@ -77,7 +80,7 @@
     }
 
     /// Adds the outcome of an attempt; returns whether the other VMs should be
-    /// told at once.
+    /// notified at once.
     pub(crate) fn record_outcome(
         &mut self,
         upstream: ShortHash,
@@ -105,8 +108,8 @@
         self.leaving.insert(incarnation, now);
     }
 
-    /// Returns the leaving incarnations that are due, and drops those that
-    /// have been reported for long enough.
+    /// Returns the leaving incarnations that are due, which stay due until
+    /// [`LEAVING_TTL`] has passed.
     pub(crate) fn due_leaving(&mut self, now: BootInstant) -> Vec<ShortHash> {
         self.leaving.retain(|_, reported_at| {
             now.saturating_duration_since(*reported_at) < LEAVING_TTL
@@ -116,7 +119,7 @@
 
     /// Adds the rate limit that was stated at a time, `None` if it was lifted,
     /// unless a newer one is known. `for_own_hall` says whether the VMs of
-    /// this data hall need to be told as well.
+    /// this data hall need to be notified as well.
     pub(crate) fn add_rate_limit(
         &mut self,
         incarnation: ShortHash,
@@ -135,7 +138,8 @@
     }
 
     /// Returns the rate limits that are due for the VMs of this data hall, or
-    /// of the others.
+    /// of the others, the newest first. They stay due until their TTL has
+    /// passed.
     pub(crate) fn due_rate_limits(
         &mut self,
         for_own_hall: bool,
--- a/src/placing/hall_link.rs
+++ b/src/placing/hall_link.rs
@@ -1,8 +1,8 @@
 //! Detects whether the link to another data hall is up, as one VM sees it.
 //!
 //! A partitioned hall answers nothing while its connections stay open, so each
-//! request that is sent there waits until it times out. Two signs tell a
-//! partition from busy engines: connections that cannot be opened, and
+//! request that is sent there waits until it times out. Two signs distinguish
+//! a partition from busy engines: connections that cannot be opened, and
 //! heartbeats of the hall's VMs that stop while nothing else arrives from
 //! there either.
 
--- a/src/placing/pool/backoff_simulation_tests.rs
+++ b/src/placing/pool/backoff_simulation_tests.rs
@@ -7,9 +7,9 @@
 //! second. The strategies compared:
 //!
 //! * **Ignore**: no VM honours `Retry-After`.
-//! * **PerVm**: each VM honours what it was told itself.
-//! * **PerHall**: what one VM is told, all VMs of its hall honour a quarter of
-//!   a second later.
+//! * **PerVm**: each VM honours the backoffs in its own responses.
+//! * **PerHall**: a quarter of a second later, all VMs of a hall honour the
+//!   backoff that one of them was asked for.
 
 use std::collections::VecDeque;
 
@@ -80,7 +80,7 @@
     working: VecDeque<(BootInstant, InFlightGuard)>,
     /// Rejections that the other VMs of a hall learn of later.
     reports: VecDeque<(BootInstant, usize, usize)>,
-    /// When each VM was last told to back off by each upstream, and the
+    /// When each VM was last asked to back off by each upstream, and the
     /// requests that it has sent there since.
     backoffs: HashMap<(usize, usize), (BootInstant, usize)>,
     windows: Vec<Vec<usize>>,
@@ -328,7 +328,7 @@
     assert!(per_vm.recovered_after_ms <= 4_000, "{per_vm:?}");
 }
 
-/// VMs that were told to back off at the same moment return one by one.
+/// VMs that were asked to back off at the same moment return one by one.
 #[test]
 fn backoffs_started_together_end_spread_out() {
     let now = BootInstant::now();
--- a/src/placing/pool/gossip.rs
+++ b/src/placing/pool/gossip.rs
@@ -210,7 +210,7 @@
     }
 
     /// Records the outcome of an attempt for the other VMs of the data hall;
-    /// returns whether they should be told at once.
+    /// returns whether they should be notified at once.
     pub fn record_outcome(
         &self,
         member: &Member,
--- a/src/placing/reported_state.rs
+++ b/src/placing/reported_state.rs
@@ -32,7 +32,7 @@
 const MAX_BACKOFF: Duration = Duration::from_secs(600);
 
 /// Jitter added to a backoff, as a share of it, and its maximum. It spreads
-/// the return of VMs that were told to back off at the same time.
+/// the return of VMs that were asked to back off at the same time.
 const JITTER_RATIO: f64 = 0.15;
 const MAX_JITTER: Duration = Duration::from_secs(1);
 
@@ -94,8 +94,8 @@
     /// Applies the signals in its response to a request that was sent at
     /// `sent_at`; returns what has changed.
     ///
-    /// `jitter`, from 0 to 1, spreads the reaction of VMs that were told at
-    /// the same time.
+    /// `jitter`, from 0 to 1, spreads the reaction of VMs that receive the
+    /// same signals at the same time.
     pub fn apply(
         &self,
         signals: &UpstreamSignals,
@@ -244,8 +244,8 @@
     }
 
     /// Records that a request is sent to it. The first one after a backoff is
-    /// a probe that delays the others: requests held back for seconds would
-    /// otherwise arrive all at once.
+    /// a probe that delays the others: requests that were delayed for seconds
+    /// would otherwise arrive all at once.
     pub fn record_sent(&self, now: BootInstant) {
         self.limit.record_sent(now);
         if !self.has_backoff.load(Ordering::Relaxed) {
