--- a/src/placing/gossip_outbox.rs
+++ b/src/placing/gossip_outbox.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug)]
 struct PendingLimit {
     rate: Option<RequestRate>,
-    stated_at: BootInstant,
+    announced_at: BootInstant,
     /// Since when it has been reported within this data hall; `None` if it is
     /// reported to other halls only.
     own_hall_since: Option<BootInstant>,
@@ -124,16 +124,16 @@
         &mut self,
         incarnation: ShortHash,
         rate: Option<RequestRate>,
-        stated_at: BootInstant,
+        announced_at: BootInstant,
         for_own_hall: bool,
         now: BootInstant,
     ) {
         let known = self.limits.get(&incarnation);
-        if known.is_some_and(|known| known.stated_at >= stated_at) {
+        if known.is_some_and(|known| known.announced_at >= announced_at) {
             return;
         }
         let own_hall_since = for_own_hall.then_some(now);
-        let limit = PendingLimit { rate, stated_at, own_hall_since };
+        let limit = PendingLimit { rate, announced_at, own_hall_since };
         self.limits.insert(incarnation, limit);
     }
 
@@ -146,8 +146,9 @@
         now: BootInstant,
     ) -> Vec<RateLimitReport> {
         let age = |at: BootInstant| now.saturating_duration_since(at);
-        self.limits
-            .retain(|_, limit| age(limit.stated_at) < OTHER_HALLS_LIMIT_TTL);
+        self.limits.retain(|_, limit| {
+            age(limit.announced_at) < OTHER_HALLS_LIMIT_TTL
+        });
         let is_due = |limit: &PendingLimit| {
             let is_new = |at| age(at) < OWN_HALL_LIMIT_TTL;
             !for_own_hall || limit.own_hall_since.is_some_and(is_new)
@@ -156,7 +157,7 @@
         let due = due.map(|(upstream, limit)| RateLimitReport {
             upstream: *upstream,
             rate: limit.rate,
-            age_ms: u16::try_from(age(limit.stated_at).as_millis())
+            age_ms: u16::try_from(age(limit.announced_at).as_millis())
                 .unwrap_or(u16::MAX),
         });
         let mut due: Vec<RateLimitReport> = due.collect();
--- a/src/placing/rate_limit.rs
+++ b/src/placing/rate_limit.rs
@@ -62,7 +62,7 @@
 #[derive(Debug, Default)]
 struct State {
     /// When the upstream stated the limit that is known.
-    stated_at: Option<BootInstant>,
+    announced_at: Option<BootInstant>,
     limit: Option<Limit>,
 }
 
@@ -110,16 +110,16 @@
     pub(crate) fn update(
         &self,
         rate: Option<RequestRate>,
-        stated_at: BootInstant,
+        announced_at: BootInstant,
         jitter: f64,
         now: BootInstant,
     ) -> Option<LimitChange> {
         let mut state = self.state.lock().expect("limit lock");
-        if state.stated_at.is_some_and(|known| known > stated_at) {
+        if state.announced_at.is_some_and(|known| known > announced_at) {
             return None;
         }
         state.expire(now);
-        state.stated_at = Some(stated_at);
+        state.announced_at = Some(announced_at);
         let change = match rate {
             Some(rate) => state.start(rate, jitter, now),
             None => state.limit.take().map(|_| LimitChange::Ended),
@@ -174,7 +174,7 @@
 impl State {
     fn expire(&mut self, now: BootInstant) {
         let is_old = self
-            .stated_at
+            .announced_at
             .is_some_and(|at| now.saturating_duration_since(at) >= LIMIT_TTL);
         if is_old {
             self.limit = None;
--- a/src/placing/rate_limit/tests.rs
+++ b/src/placing/rate_limit/tests.rs
@@ -92,9 +92,9 @@
         for (passed_ms, age_ms, text) in updates {
             now += Duration::from_millis(passed_ms.into());
             let age = Duration::from_millis(age_ms.into());
-            let stated_at = now.checked_sub(age).unwrap_or(now);
+            let announced_at = now.checked_sub(age).unwrap_or(now);
             let rate = text.map(|text| text.parse().unwrap());
-            limit.update(rate, stated_at, 0.5, now);
+            limit.update(rate, announced_at, 0.5, now);
             let per_s = limit.per_s(now);
             prop_assert!(per_s.is_none_or(|per_s| per_s > 0.0));
             limit.record_sent(now);
--- a/src/placing/reported_state.rs
+++ b/src/placing/reported_state.rs
@@ -144,11 +144,11 @@
     pub(crate) fn update_rate_limit(
         &self,
         rate: Option<RequestRate>,
-        stated_at: BootInstant,
+        announced_at: BootInstant,
         jitter: f64,
         now: BootInstant,
     ) -> Option<ReportedChange> {
-        let change = self.limit.update(rate, stated_at, jitter, now)?;
+        let change = self.limit.update(rate, announced_at, jitter, now)?;
         Some(match change {
             LimitChange::Started(rate) => ReportedChange::RateLimited(rate),
             LimitChange::Ended => ReportedChange::RateLimitLifted,
