--- a/src/frame.rs
+++ b/src/frame.rs
@@ -40,7 +40,7 @@
 const MAX_INFLATED_BYTES: usize = MAX_FRAME_BYTES;
 
 /// Number of bytes before the body.
-const HEAD_BYTES: usize = 2;
+const HEADER_BYTES: usize = 2;
 
 /// Why a frame was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -88,7 +88,7 @@
         let mut frame = vec![FORMAT, PLAIN];
         frame = postcard::to_extend(message, frame)
             .expect("messages between VMs encode");
-        let body = &frame[HEAD_BYTES..];
+        let body = &frame[HEADER_BYTES..];
         if body.len() >= MIN_DEFLATE_BYTES {
             let deflated = deflate(body);
             frame = vec![FORMAT, DEFLATED];
