--- a/src/frame.rs
+++ b/src/frame.rs
@@ -17,7 +17,7 @@
 const TAG_BYTES: usize = 16;
 
 /// The compression byte of an uncompressed body.
-const PLAIN: u8 = 0;
+const UNCOMPRESSED: u8 = 0;
 
 /// The compression byte of a deflated body.
 const DEFLATED: u8 = 1;
@@ -85,7 +85,7 @@
     ///
     /// Never for the messages of this crate, which always encode.
     pub fn seal<T: Serialize>(&self, message: &T) -> Vec<u8> {
-        let mut frame = vec![FORMAT, PLAIN];
+        let mut frame = vec![FORMAT, UNCOMPRESSED];
         frame = postcard::to_extend(message, frame)
             .expect("messages between VMs encode");
         let body = &frame[HEADER_BYTES..];
@@ -124,7 +124,7 @@
         }
         let inflated;
         let body = match *compression {
-            PLAIN => body,
+            UNCOMPRESSED => body,
             DEFLATED => {
                 inflated = inflate(body, MAX_INFLATED_BYTES)
                     .ok_or(FrameError::Body)?;
