--- a/src/placing/upstream.rs
+++ b/src/placing/upstream.rs
@@ -22,7 +22,7 @@
 const BREAKER_THRESHOLD: u32 = 3;
 
 /// First pause of an open breaker; it doubles with each failed trial.
-const BREAKER_PAUSE: Duration = Duration::from_millis(500);
+const BASE_BREAKER_PAUSE: Duration = Duration::from_millis(500);
 
 /// Longest pause of an open breaker.
 const MAX_BREAKER_PAUSE: Duration = Duration::from_secs(15);
@@ -281,8 +281,8 @@
             }
             Breaker::Closed { .. } => (
                 Breaker::Open {
-                    until: now + BREAKER_PAUSE,
-                    pause: BREAKER_PAUSE,
+                    until: now + BASE_BREAKER_PAUSE,
+                    pause: BASE_BREAKER_PAUSE,
                 },
                 Some(BreakerChange::Opened),
             ),
@@ -397,12 +397,12 @@
         }
         assert_eq!(upstream.record_failure(now), Some(BreakerChange::Opened));
         assert!(!upstream.allow_request(now));
-        let later = now + BREAKER_PAUSE;
+        let later = now + BASE_BREAKER_PAUSE;
         assert!(upstream.allow_request(later));
         assert!(!upstream.allow_request(later));
         upstream.record_failure(later);
-        assert!(!upstream.allow_request(later + BREAKER_PAUSE));
-        assert!(upstream.allow_request(later + BREAKER_PAUSE * 2));
+        assert!(!upstream.allow_request(later + BASE_BREAKER_PAUSE));
+        assert!(upstream.allow_request(later + BASE_BREAKER_PAUSE * 2));
         assert_eq!(upstream.record_success(), Some(BreakerChange::Closed));
         assert!(upstream.allow_request(later));
     }
