--- a/src/placing/warm_up.rs
+++ b/src/placing/warm_up.rs
@@ -37,7 +37,7 @@
 /// Number of VMs that own a cold upstream; more than one, to survive the loss
 /// of an owner and to give more VMs access to an upstream while a whole data
 /// hall is cold.
-const OWNERS: usize = 3;
+const MAX_OWNERS: usize = 3;
 
 /// By how much the platform lets VMs exceed the warm-up rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -73,7 +73,7 @@
     hall: &DataHallId,
     max: usize,
 ) -> usize {
-    let owners = roster.owners_in_hall(vm, upstream, hall, OWNERS);
+    let owners = roster.owners_in_hall(vm, upstream, hall, MAX_OWNERS);
     owners.map_or(0, |owners| max / (owners + 1))
 }
 
--- a/src/placing/warm_up/tests.rs
+++ b/src/placing/warm_up/tests.rs
@@ -49,7 +49,7 @@
             let shares: Vec<usize> = vms.iter().map(share).collect();
             assert!(shares.iter().sum::<usize>() <= 18);
             let owners = shares.iter().filter(|share| **share > 0).count();
-            assert_eq!(owners, count.min(OWNERS));
+            assert_eq!(owners, count.min(MAX_OWNERS));
         }
     }
 }
