--- a/src/placing/signals.rs
+++ b/src/placing/signals.rs
@@ -11,7 +11,7 @@
 
 /// Status codes of a temporary rejection; beside any other, `Retry-After` is
 /// ignored.
-const REJECTED: [u16; 2] = [429, 503];
+const REJECTION_STATUSES: [u16; 2] = [429, 503];
 
 /// Characters of an unparsable value that are kept for the log.
 const MAX_TEXT_CHARS: usize = 40;
@@ -43,7 +43,7 @@
 impl RetryAfter {
     /// Reads the headers of a response; the longest of several values counts.
     pub fn read(status: u16, headers: &HeaderMap) -> Option<RetryAfter> {
-        if !REJECTED.contains(&status) {
+        if !REJECTION_STATUSES.contains(&status) {
             return None;
         }
         let values = headers.get_all(RETRY_AFTER).iter().map(|value| {
