--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -50,7 +50,7 @@
 /// version, if others have had the order for longer. Within a heartbeat it
 /// receives the reports of all VMs of its hall, with what they know of other
 /// halls.
-const SYNC_TIME: Duration = Duration::from_millis(1200);
+const SYNC_DELAY: Duration = Duration::from_millis(1200);
 
 /// Part of the allowed time that the canary phase lasts at least: sessions may
 /// change their version only in the second half.
@@ -216,7 +216,7 @@
     fn share(&self, now: BootInstant) -> f64 {
         let elapsed = |since| now.saturating_duration_since(since);
         let is_early = elapsed(self.started_at) < CANARY_DELAY
-            || elapsed(self.learned_at) < SYNC_TIME;
+            || elapsed(self.learned_at) < SYNC_DELAY;
         match self.canary_ended {
             None if is_early => 0.0,
             None => CANARY_SHARE,
--- a/src/rollouts/rollout/tests.rs
+++ b/src/rollouts/rollout/tests.rs
@@ -338,7 +338,7 @@
     let late = running(at);
     late.merge_evidence("vm-2", &other.evidence(|_, _| 0, at), at);
     assert_eq!(share(&late, at), 0.0);
-    assert!(share(&late, at + SYNC_TIME) > 0.06);
+    assert!(share(&late, at + SYNC_DELAY) > 0.06);
 }
 
 #[test]
