--- a/src/api/vm.rs
+++ b/src/api/vm.rs
@@ -412,7 +412,7 @@
                     false => refusal("this VM does not own the slot"),
                 }
             }
-            PeerRequest::HoldClaims {
+            PeerRequest::ReplicateClaims {
                 slot,
                 index,
                 owner,
--- a/src/chains/claims.rs
+++ b/src/chains/claims.rs
@@ -510,7 +510,7 @@
         request: HoldRequest,
     ) -> bool {
         let Some(vm) = self.0.upgrade() else { return false };
-        let message = PeerRequest::HoldClaims {
+        let message = PeerRequest::ReplicateClaims {
             slot: request.slot,
             index: request.index,
             owner: request.owner.vm,
--- a/src/message.rs
+++ b/src/message.rs
@@ -290,7 +290,7 @@
         outcome: ClaimOutcome,
     },
     /// Replicates the claims of a slot's owner while the store is unavailable.
-    HoldClaims {
+    ReplicateClaims {
         /// The slot.
         slot: u32,
         /// The index of the slot's chain that the owner has read.
