--- a/src/chains/ledger.rs
+++ b/src/chains/ledger.rs
@@ -217,7 +217,7 @@
                 }
             }
         }
-        PeerReply::BillsHeld { committed }
+        PeerReply::BillsKept { committed }
     }
 
     /// Sends new bills to a writer of the hall; runs until it is dropped.
@@ -280,7 +280,7 @@
             let message = PeerRequest::Bills(due.clone());
             let reply = vm.call_peer(&peer, message, SEND_TIMEOUT).await;
             let reason = match reply {
-                Ok(PeerReply::BillsHeld { committed }) => {
+                Ok(PeerReply::BillsKept { committed }) => {
                     vm.ledger.record_reachability(None);
                     vm.ledger.mark_copied(&requests, &committed);
                     return is_full;
--- a/src/message.rs
+++ b/src/message.rs
@@ -341,7 +341,7 @@
     /// The request was carried out.
     Done,
     /// The bills are kept; some may have been committed to the store.
-    BillsHeld {
+    BillsKept {
         /// Requests whose bill has been committed.
         committed: Vec<RequestId>,
     },
