--- a/src/api/vm.rs
+++ b/src/api/vm.rs
@@ -445,7 +445,7 @@
 }
 
 fn refusal(reason: &str) -> PeerReply {
-    PeerReply::Refused(reason.to_owned())
+    PeerReply::Rejected(reason.to_owned())
 }
 
 /// Counts a request as in flight until it is dropped.
--- a/src/chains/configuration_sync.rs
+++ b/src/chains/configuration_sync.rs
@@ -231,7 +231,7 @@
     }
     match serde_json::to_string(&*current) {
         Ok(text) => PeerReply::Snapshot(text),
-        Err(error) => PeerReply::Refused(error.to_string()),
+        Err(error) => PeerReply::Rejected(error.to_string()),
     }
 }
 
--- a/src/message.rs
+++ b/src/message.rs
@@ -359,5 +359,5 @@
         observations: Vec<RequestObservation>,
     },
     /// The receiver cannot or may not carry out the request; says why.
-    Refused(String),
+    Rejected(String),
 }
--- a/src/store_sync/gossip.rs
+++ b/src/store_sync/gossip.rs
@@ -451,7 +451,7 @@
                 // The age is read before the values, so that it is never
                 // younger than they are.
                 let Some(age) = self.knowledge.proof_age(now) else {
-                    return PeerReply::Refused("nothing is known".into());
+                    return PeerReply::Rejected("nothing is known".into());
                 };
                 let (as_of, packed) = self.knowledge.packed();
                 PeerReply::Knowledge {
@@ -479,7 +479,7 @@
                 task::spawn(fetch_or_poll(self, from)).detach();
                 PeerReply::Done
             }
-            _ => PeerReply::Refused("not a request for this VM".into()),
+            _ => PeerReply::Rejected("not a request for this VM".into()),
         }
     }
 }
