--- a/src/crashes/tracker.rs
+++ b/src/crashes/tracker.rs
@@ -425,8 +425,8 @@
         self.suspects.remove(&request).is_some()
     }
 
-    /// Evicts the suspect with the fewest crashes if there is no room for
-    /// another one.
+    /// Evicts the suspect with the fewest crashes if [`MAX_SUSPECTS`] are
+    /// known.
     fn evict_least_suspect(&mut self) {
         if self.suspects.len() < MAX_SUSPECTS {
             return;
--- a/src/crashes/tracker/tests.rs
+++ b/src/crashes/tracker/tests.rs
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_completed_request_is_released_here_and_on_vms_that_are_told() {
+fn a_completed_request_is_released_here_and_on_notified_vms() {
     let (tracker, now) = (CrashTracker::default(), BootInstant::now());
     let (other, uninformed) =
         (CrashTracker::default(), CrashTracker::default());
--- a/src/frame.rs
+++ b/src/frame.rs
@@ -14,6 +14,7 @@
 /// The version of the frame format; frames of other versions are dropped.
 const FORMAT: u8 = 8;
 
+/// Length of the authentication tag: a truncated BLAKE3 keyed hash.
 const TAG_BYTES: usize = 16;
 
 /// The compression byte of an uncompressed body.
@@ -47,7 +48,7 @@
 pub enum FrameError {
     /// The frame is shorter than an empty frame.
     Short,
-    /// The frame has another format version.
+    /// The frame has a different format version.
     Format,
     /// The authentication tag does not match.
     Tag,
@@ -56,7 +57,7 @@
 }
 
 impl FrameError {
-    /// Returns the error's value of the metric label.
+    /// Returns the value of the metric label for this error.
     pub fn as_str(self) -> &'static str {
         match self {
             FrameError::Short => "short",
--- a/src/message.rs
+++ b/src/message.rs
@@ -340,7 +340,7 @@
     Verdict(ClaimVerdict),
     /// The request was carried out.
     Done,
-    /// The bills are kept; some may have been committed to the store.
+    /// The bills are kept; some may have been committed to the store already.
     BillsKept {
         /// Requests whose bill has been committed.
         committed: Vec<RequestId>,
@@ -358,6 +358,6 @@
         /// The crashes under all quarantined requests.
         observations: Vec<RequestObservation>,
     },
-    /// The receiver cannot or may not carry out the request; says why.
+    /// The receiver cannot or may not carry out the request, for this reason.
     Rejected(String),
 }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Sends a request and waits at most `limit` for its reply.
+    /// Sends a request and waits at most `limit` for its reply, after at most
+    /// [`CONNECT_TIMEOUT`] for the connection.
     pub(crate) async fn call(
         &self,
         address: SocketAddr,
@@ -96,7 +97,9 @@
             match within(CONNECT_TIMEOUT, self.connection(address)).await {
                 Some(Ok(connection)) => connection,
                 Some(Err(e)) => return Err(PeerError::NotSent(e.to_string())),
-                None => return Err(PeerError::NotSent("connecting".into())),
+                None => {
+                    return Err(PeerError::NotSent("connect timeout".into()));
+                }
             };
         let work = self.exchange(&connection, request);
         match within(limit, work).await {
--- a/src/placing/gossip_outbox.rs
+++ b/src/placing/gossip_outbox.rs
@@ -35,7 +35,7 @@
 const OWN_HALL_LIMIT_TTL: Duration = Duration::from_millis(1200);
 
 /// How long a rate limit is reported to other data halls, of which each
-/// heartbeat reaches few VMs; counted from when the upstream stated it.
+/// heartbeat reaches few VMs; counted from the upstream's announcement.
 const OTHER_HALLS_LIMIT_TTL: Duration = Duration::from_secs(10);
 
 /// Maximum number of rate limits in one heartbeat, the newest first.
@@ -62,7 +62,7 @@
     failure_sent_at: HashMap<ShortHash, BootInstant>,
     /// Incarnations that are leaving, and when this became known.
     leaving: HashMap<ShortHash, BootInstant>,
-    /// The rate limits that were stated last.
+    /// The last announced rate limit of each incarnation.
     limits: HashMap<ShortHash, PendingLimit>,
     /// When an upstream last answered this VM.
     answered_at: Option<BootInstant>,
@@ -117,7 +117,8 @@
         self.leaving.keys().copied().take(MAX_LEAVING).collect()
     }
 
-    /// Adds the rate limit that was stated at a time, `None` if it was lifted,
+    /// Adds the rate limit that was announced at `announced_at`, `None` if it
+    /// was lifted,
     /// unless a newer one is known. `for_own_hall` says whether the VMs of
     /// this data hall need to be notified as well.
     pub(crate) fn add_rate_limit(
--- a/src/placing/health.rs
+++ b/src/placing/health.rs
@@ -14,17 +14,18 @@
 /// Failure ratio from which an upstream is unhealthy.
 const MAX_FAILURE_RATIO: f64 = 0.3;
 
-/// Minimum weight of failures for that, so that a single failure is not
-/// enough.
+/// Minimum weight of failures for [`MAX_FAILURE_RATIO`] to apply, so that a
+/// single failure is not enough.
 const MIN_FAILURES: f64 = 2.5;
 
 /// Consecutive failures from which an upstream is unhealthy.
 const MAX_CONSECUTIVE_FAILURES: u32 = 3;
 
-/// How long an unhealthy upstream is ejected; after that, a request tries it.
+/// First ejection of an unhealthy upstream; after it, the upstream gets
+/// requests again, as a trial.
 const BASE_EJECTION: Duration = Duration::from_millis(1500);
 
-/// Longest ejection; it doubles with each failed trial.
+/// Longest ejection; the time doubles with each failed trial.
 const MAX_EJECTION: Duration = Duration::from_secs(6);
 
 /// Successes assumed before any outcome is known, so that the first failure
--- a/src/placing/member.rs
+++ b/src/placing/member.rs
@@ -154,9 +154,9 @@
 /// The prefill work of the other VMs at an upstream, as of one moment.
 #[derive(Clone, Copy, Debug)]
 struct PeerPrefill {
-    /// What was left of it then, in milliseconds.
+    /// What was left of it at `at`, in milliseconds.
     left_ms: u32,
-    /// All of it as reported, in milliseconds.
+    /// The sum of the reports, in milliseconds.
     reported_ms: u32,
     at: BootInstant,
 }
@@ -277,13 +277,15 @@
     /// Marks it as replaced by a later incarnation.
     pub(super) fn mark_superseded(&self) {
         self.is_superseded.store(true, Ordering::Relaxed);
-        // An upstream that announced its end has stopped as planned.
+        // An upstream that announced that it was leaving has shut down as
+        // planned.
         if self.upstream.mark_leaving() {
             self.has_crashed.store(true, Ordering::Relaxed);
         }
     }
 
-    /// Whether a later incarnation has replaced it without an announced end.
+    /// Whether a later incarnation has replaced it although it had not
+    /// announced that it was leaving.
     pub fn has_crashed(&self) -> bool {
         self.has_crashed.load(Ordering::Relaxed)
     }
--- a/src/placing/mod.rs
+++ b/src/placing/mod.rs
@@ -9,13 +9,13 @@
 //! * [`hall_link`]: whether the link to a data hall is up.
 //! * [`signals`]: what an upstream reports about itself in one response;
 //!   [`reported_state`]: what is in force for its incarnation.
-//! * [`gossip_outbox`]: what this VM is due to report to the others.
+//! * [`gossip_outbox`]: the reports that this VM owes the others.
 //! * [`admission`]: how long the queue of an upstream may be.
 //! * [`cascade`]: which model answers, and when a request is escalated to a
 //!   larger one.
 //! * [`retry_window`]: the retry budget.
 //! * [`warm_up`]: limits for cold upstreams; [`rate_limit`]: limits that
-//!   upstreams state; [`owners`]: which VMs share such a limit.
+//!   upstreams announce; [`owners`]: which VMs share such a limit.
 
 pub(crate) mod admission;
 pub(crate) mod cascade;
--- a/src/placing/owners.rs
+++ b/src/placing/owners.rs
@@ -66,7 +66,8 @@
         is_owner.then(|| self.0.len().min(max))
     }
 
-    /// The same among the VMs of the upstream's data hall only.
+    /// Returns the number of owners that are in the upstream's data hall, if
+    /// `vm` is one of them; `None` also if it is in another hall.
     pub(crate) fn owners_in_hall(
         &self,
         vm: &str,
--- a/src/placing/pool.rs
+++ b/src/placing/pool.rs
@@ -512,8 +512,8 @@
         if eligible.is_empty() {
             return Err(PickError::Evacuated);
         }
-        // This comes before the temporary exclusions below, so that a version
-        // on trial gets no more than its share while the upstreams of other
+        // This comes before the temporary exclusions below, so that a canary
+        // version gets no more than its share while the upstreams of other
         // versions back off or are full.
         let eligible = without_avoided(eligible, &criteria.rule);
         if eligible.is_empty() {
--- a/src/placing/pool/gossip.rs
+++ b/src/placing/pool/gossip.rs
@@ -48,8 +48,8 @@
         changes
     }
 
-    /// Queues a rate limit for gossip, each time that it is stated and when it
-    /// is lifted.
+    /// Queues a rate limit for gossip, each time that it is announced and when
+    /// it is lifted.
     fn report_rate_limit(
         &self,
         incarnation: ShortHash,
@@ -269,7 +269,8 @@
         work.collect()
     }
 
-    /// Replaces the work that another VM has reported at each upstream.
+    /// Replaces the work that another VM has reported at all upstreams;
+    /// upstreams missing from `work` count as without any.
     pub fn set_peer_work(
         &self,
         vm: &str,
--- a/src/placing/pool/signals_tests.rs
+++ b/src/placing/pool/signals_tests.rs
@@ -80,7 +80,7 @@
     assert_eq!(picked(&pool, now), ["i-1"]);
     assert!(
         first.is_superseded() && !first.has_crashed(),
-        "its end was announced"
+        "it had announced that it was leaving"
     );
 }
 
--- a/src/placing/rate_limit.rs
+++ b/src/placing/rate_limit.rs
@@ -1,8 +1,8 @@
-//! How all VMs together keep to the request rate that an upstream states.
+//! The rate limit that an upstream sets for all VMs together.
 //!
-//! An overloaded upstream states in its responses how many requests per second
-//! it takes from all VMs together. If each VM kept to that rate by itself, the
-//! fleet would send a multiple of it.
+//! An overloaded upstream announces in its responses how many requests per
+//! second it takes from all VMs together. If each VM kept to that rate by
+//! itself, the fleet would send a multiple of it.
 //!
 //! # How the limit is kept
 //!
@@ -14,8 +14,8 @@
 //! # How a limit begins and ends
 //!
 //! VMs learn of a limit from responses and from each other; the most recently
-//! stated limit counts. It holds until a response to a request that ran states
-//! none.
+//! announced limit counts. It holds until a response to a request that ran
+//! announces none.
 
 use std::{
     sync::{
@@ -33,15 +33,15 @@
 
 /// Additional owners for each request per second. Within four seconds each
 /// owner may exceed its share by one request; operators allow half of the rate
-/// and five requests more than the upstream has stated.
+/// and five requests more than the upstream has announced.
 const OWNERS_PER_RATE: f64 = 2.0;
 
-/// Lowest rate in requests per second that is kept to: an upstream that states
-/// less is still tried, because only its responses show whether it takes
-/// requests again.
+/// Lowest rate that is enforced, in requests per second: an upstream that
+/// announces less is still tried, because only its responses show whether it
+/// takes requests again.
 const MIN_RATE_PER_S: f64 = 0.1;
 
-/// How long a limit holds that is not stated again.
+/// How long a limit holds that is not announced again.
 const LIMIT_TTL: Duration = Duration::from_secs(600);
 
 /// Returns the maximum number of VMs that own an upstream at a rate.
@@ -61,7 +61,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// When the upstream stated the limit that is known.
+    /// When the upstream announced the limit that is known.
     announced_at: Option<BootInstant>,
     limit: Option<Limit>,
 }
@@ -103,8 +103,9 @@
 }
 
 impl LimitState {
-    /// Applies the rate that the upstream stated at a time, `None` if it
-    /// stated none, unless a newer one is known; returns what has changed.
+    /// Applies the rate that the upstream announced at `announced_at`, `None`
+    /// if it announced none, unless a newer announcement is known; returns
+    /// what has changed.
     ///
     /// `jitter`, from 0 to 1, spreads the first requests of the owners.
     pub(crate) fn update(
@@ -172,6 +173,7 @@
 }
 
 impl State {
+    /// Ends the limit if it was not announced again within [`LIMIT_TTL`].
     fn expire(&mut self, now: BootInstant) {
         let is_old = self
             .announced_at
@@ -181,6 +183,8 @@
         }
     }
 
+    /// Starts the limit or changes its rate; returns the change if there was
+    /// no limit before.
     fn start(
         &mut self,
         rate: RequestRate,
--- a/src/placing/rate_limit/tests.rs
+++ b/src/placing/rate_limit/tests.rs
@@ -78,7 +78,7 @@
         prop_assert!(used >= least, "{} of {}", used, least);
     }
 
-    /// Accepts any sequence of stated rates, in any order of arrival.
+    /// Accepts any sequence of announced rates, in any order of arrival.
     #[test]
     fn any_sequence_of_updates_is_accepted(
         updates in prop::collection::vec(
@@ -106,12 +106,12 @@
 }
 
 #[test]
-fn the_newest_statement_counts() {
+fn the_newest_announcement_counts() {
     let now = BootInstant::now();
     let limit = LimitState::default();
     let started = limit.update(rate("2"), now, 0.0, now);
     assert_eq!(started, Some(LimitChange::Started("2".parse().unwrap())));
-    // A statement that another VM received earlier.
+    // An announcement that another VM received earlier.
     let before = now.checked_sub(SECOND).unwrap();
     assert_eq!(limit.update(None, before, 0.0, now), None);
     assert_eq!(limit.per_s(now), Some(2.0));
@@ -146,8 +146,8 @@
     assert_eq!(limit.per_s(now + LIMIT_TTL), None);
 }
 
-/// Guards against an upstream that is never tried again after stating a rate
-/// of zero: only its responses show whether it takes requests.
+/// Guards against an upstream that is never tried again after announcing
+/// a rate of zero: only its responses show whether it takes requests.
 #[test]
 fn a_rate_of_zero_still_allows_occasional_requests() {
     let now = BootInstant::now();
--- a/src/placing/reported_state.rs
+++ b/src/placing/reported_state.rs
@@ -4,7 +4,7 @@
 //! updated later, may expire, and is read again, and none of that revokes what
 //! the upstream itself has reported. It is leaving until it stops, backs off
 //! until its `Retry-After` has passed, and keeps its rate limit until it
-//! states none.
+//! announces none.
 
 use std::{
     collections::HashMap,
@@ -139,8 +139,8 @@
         }
     }
 
-    /// Applies the rate limit that it stated at a time, or `None` if it stated
-    /// none; returns what has changed.
+    /// Applies the rate limit that it announced at `announced_at`, or `None`
+    /// if it announced none; returns what has changed.
     pub(crate) fn update_rate_limit(
         &self,
         rate: Option<RequestRate>,
@@ -317,7 +317,8 @@
         self.0.remove(&incarnation).map(|kept| kept.state).unwrap_or_default()
     }
 
-    /// Updates the state of an incarnation from a report of another VM.
+    /// Updates the state of an incarnation from a report of another VM, and
+    /// keeps it if any of it is in force.
     pub(super) fn update(
         &mut self,
         incarnation: ShortHash,
--- a/src/placing/upstream.rs
+++ b/src/placing/upstream.rs
@@ -21,7 +21,7 @@
 /// Consecutive failures that open the breaker.
 const BREAKER_THRESHOLD: u32 = 3;
 
-/// First pause of an open breaker; it doubles with each failed trial.
+/// First pause of an open breaker; the pause doubles with each failed trial.
 const BASE_BREAKER_PAUSE: Duration = Duration::from_millis(500);
 
 /// Longest pause of an open breaker.
--- a/src/rollouts/peer_evidence.rs
+++ b/src/rollouts/peer_evidence.rs
@@ -66,7 +66,7 @@
     answers: AnswersByRoute,
     /// When a sum was last relayed within this hall.
     relayed_at: Option<BootInstant>,
-    /// Whether a sum has arrived directly since then.
+    /// Whether a sum has arrived directly since it was last relayed.
     is_fresh: bool,
 }
 
@@ -92,7 +92,7 @@
         self.vms.insert(vm.to_owned(), (now, evidence));
     }
 
-    /// Merges the sum of another hall.
+    /// Merges the summed evidence of another hall.
     pub(super) fn merge_hall(
         &mut self,
         received: &HallEvidence,
--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -46,7 +46,7 @@
 /// change their version, in the mean of six replays; with 1.5 s it was 3.2.
 const CANARY_DELAY: Duration = Duration::from_millis(2500);
 
-/// Time after this VM got the order before it sends requests to the new
+/// Time after this VM received the order before it sends requests to the new
 /// version, if others have had the order for longer. Within a heartbeat it
 /// receives the reports of all VMs of its hall, with what they know of other
 /// halls.
