--- a/src/crashes/crash_check.rs
+++ b/src/crashes/crash_check.rs
@@ -35,7 +35,7 @@
     let incarnation = member.upstream.short_hash;
     let has_crashed = member.has_crashed();
     if !has_crashed && !member.takes_requests(now) {
-        // It was shutting down, as planned.
+        // It was shutting down gracefully, which is no crash.
         return;
     }
     let (next, changes) = gateway.crashes.record_lost_attempt(
--- a/src/crashes/replay.rs
+++ b/src/crashes/replay.rs
@@ -73,7 +73,7 @@
     /// Bystanders per second, all different.
     bystanders_per_s: u64,
     culprits: u64,
-    /// Time between two sends of each culprit, to any VM.
+    /// Interval at which each culprit is sent, each time to any VM.
     culprit_every_ms: u64,
     /// Identical requests per second.
     popular_per_s: u64,
@@ -214,8 +214,8 @@
 
     /// Returns the number of requests in one step, for a rate per second.
     fn count_of(&mut self, per_s: u64) -> u64 {
-        let (whole, rest) = (per_s / 100, per_s % 100);
-        whole + u64::from(self.random.random_range(0..100) < rest)
+        let (whole, remainder) = (per_s / 100, per_s % 100);
+        whole + u64::from(self.random.random_range(0..100) < remainder)
     }
 
     fn send_to_any_vm(&mut self, request: RequestDigest) {
@@ -388,14 +388,14 @@
 }
 
 #[test]
-fn one_culprit_at_a_small_site() {
+fn a_culprit_at_a_small_site_is_quarantined_in_time() {
     let outcome = replay(Plan::default, 10);
     assert!(outcome.late_sends <= MAX_LATE_SENDS, "{outcome:?}");
     assert_eq!(outcome.bystanders_rejected, 0, "{outcome:?}");
 }
 
 #[test]
-fn three_culprits_at_once() {
+fn three_culprits_at_once_are_quarantined_in_time() {
     let plan = || Plan { culprits: 3, ..Plan::default() };
     let outcome = replay(plan, 10);
     assert!(outcome.late_sends <= MAX_LATE_SENDS, "{outcome:?}");
@@ -403,9 +403,9 @@
 }
 
 /// A bystander that was in the rack and then beside the culprit in two crashes
-/// may be rejected until the VM learns of the culprit's part in these.
+/// may be rejected until its VM learns that the culprit was in flight there.
 #[test]
-fn a_culprit_while_a_rack_loses_power() {
+fn a_culprit_is_quarantined_in_time_while_a_rack_loses_power() {
     let plan = || Plan {
         rack_failure: Some((6, RACK_FAILURE_MS)),
         ..Plan::default()
@@ -437,7 +437,7 @@
 }
 
 #[test]
-fn eighty_vms_in_four_halls() {
+fn eighty_vms_in_four_halls_quarantine_a_culprit_in_time() {
     let plan = || Plan {
         halls: 4,
         vms_per_hall: 20,
@@ -451,7 +451,7 @@
 }
 
 #[test]
-fn three_hundred_vms_in_six_halls() {
+fn three_hundred_vms_in_six_halls_quarantine_culprits_in_time() {
     let plan = || Plan {
         halls: 6,
         vms_per_hall: 50,
--- a/src/message.rs
+++ b/src/message.rs
@@ -107,7 +107,7 @@
     pub incarnation: Incarnation,
     /// A counter that grows with each heartbeat of this incarnation.
     pub counter: u32,
-    /// Whether it is shutting down as planned.
+    /// Whether it is shutting down gracefully.
     pub leaving: bool,
 }
 
@@ -177,7 +177,8 @@
 }
 
 impl UpstreamNotice {
-    /// Returns the notice as it is sent again after `time`.
+    /// Returns the notice as it is sent again after `time`, with the age of
+    /// the announcement increased accordingly.
     pub(crate) fn aged_by(self, time: Duration) -> UpstreamNotice {
         match self {
             UpstreamNotice::Leaving(_) => self,
@@ -239,11 +240,11 @@
     pub number: u32,
     /// The last heartbeat that it received from the receiver.
     pub echo: Option<HeartbeatEcho>,
-    /// Whether it is shutting down as planned.
+    /// Whether it is shutting down gracefully.
     pub leaving: bool,
     /// The version of the platform's store that it has read completely.
     pub as_of: u64,
-    /// A digest of all that it has read from the store.
+    /// A digest of everything that it has read from the store.
     pub digest: u64,
     /// The version of the configuration that it has in force.
     pub configuration_version: u64,
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -239,8 +239,8 @@
                 };
                 task::spawn(connection.run(stream)).detach();
             }
-            // For example out of file descriptors: waits until others are
-            // closed.
+            // The process may be out of file descriptors: waits for other
+            // connections to close.
             Err(_) => task::sleep(Duration::from_millis(50)).await,
         }
     }
@@ -272,7 +272,7 @@
                 let reply = codec.seal(&Envelope { number, body });
                 count_bytes(&metrics, reply.len());
                 let mut writer = writer.lock().await;
-                // A caller that is gone needs no reply.
+                // If this fails, the caller is gone and needs no reply.
                 let _ = write_frame(&mut writer, &reply).await;
             })
             .detach();
--- a/src/placing/member.rs
+++ b/src/placing/member.rs
@@ -277,8 +277,8 @@
     /// Marks it as replaced by a later incarnation.
     pub(super) fn mark_superseded(&self) {
         self.is_superseded.store(true, Ordering::Relaxed);
-        // An upstream that announced that it was leaving has shut down as
-        // planned.
+        // An upstream that announced that it was leaving has shut down
+        // gracefully.
         if self.upstream.mark_leaving() {
             self.has_crashed.store(true, Ordering::Relaxed);
         }
--- a/src/placing/pool/backoff_simulation_tests.rs
+++ b/src/placing/pool/backoff_simulation_tests.rs
@@ -55,8 +55,11 @@
 /// Result of a simulation.
 #[derive(Debug, Default)]
 struct Outcome {
-    asked: usize,
+    /// Requests of callers.
+    requests: usize,
+    /// Attempts that upstreams rejected.
     upstream_rejections: usize,
+    /// Requests that were rejected to their callers.
     rejected: usize,
     /// Most requests that one VM sent to one upstream during a backoff.
     during_backoff: usize,
@@ -72,7 +75,8 @@
     vms: Vec<Pool>,
     upstreams: usize,
     rejecting: usize,
-    hall: usize,
+    /// Number of VMs in each data hall.
+    vms_per_hall: usize,
     rng: StdRng,
     began_at: BootInstant,
     now: BootInstant,
@@ -95,7 +99,7 @@
         rejecting: usize,
     ) -> Simulation {
         let now = BootInstant::now();
-        let hall = vms.div_ceil(4).max(3);
+        let vms_per_hall = vms.div_ceil(4).max(3);
         let pools = (0..vms).map(|vm| {
             let name = format!("vm-{vm}");
             let pool = Pool::new(&name, "a".parse().unwrap(), SLACK);
@@ -110,7 +114,7 @@
             vms: pools.collect(),
             upstreams,
             rejecting,
-            hall,
+            vms_per_hall,
             rng: StdRng::seed_from_u64(7),
             began_at: now,
             now,
@@ -161,8 +165,8 @@
             let Some((_, from, upstream)) = self.reports.pop_front() else {
                 break;
             };
-            let hall = from / self.hall * self.hall;
-            for vm in hall..(hall + self.hall).min(self.vms.len()) {
+            let first = from / self.vms_per_hall * self.vms_per_hall;
+            for vm in first..(first + self.vms_per_hall).min(self.vms.len()) {
                 self.apply_backoff(vm, upstream, BACKOFF - REPORT_DELAY);
             }
         }
@@ -187,8 +191,8 @@
     fn send_heartbeats(&mut self) {
         for from in 0..self.vms.len() {
             let work = self.vms[from].local_work();
-            let hall = from / self.hall * self.hall;
-            for vm in hall..(hall + self.hall).min(self.vms.len()) {
+            let first = from / self.vms_per_hall * self.vms_per_hall;
+            for vm in first..(first + self.vms_per_hall).min(self.vms.len()) {
                 if vm != from {
                     let name = format!("vm-{from}");
                     self.vms[vm].set_peer_work(&name, &work, self.now);
@@ -198,7 +202,7 @@
     }
 
     fn request(&mut self) {
-        self.outcome.asked += 1;
+        self.outcome.requests += 1;
         let vm = self.rng.random_range(0..self.vms.len());
         let service = "writers".parse().unwrap();
         let mut tried = Vec::new();
@@ -297,26 +301,26 @@
 }
 
 #[test]
-fn seven_vms_with_some_rejecting_upstreams() {
+fn seven_vms_honour_the_backoffs_of_some_upstreams() {
     check_improvement(7, 12, 1);
     check_improvement(7, 12, 4);
 }
 
 #[test]
-fn eighty_vms_with_some_rejecting_upstreams() {
+fn eighty_vms_honour_the_backoffs_of_some_upstreams() {
     check_improvement(80, 60, 1);
     check_improvement(80, 60, 20);
 }
 
 #[test]
-fn three_hundred_vms_with_some_rejecting_upstreams() {
+fn three_hundred_vms_honour_the_backoffs_of_some_upstreams() {
     check_improvement(300, 40, 13);
 }
 
 /// Nothing can be served: each VM tries each upstream about once in a backoff,
 /// and rejects all other requests without an attempt.
 #[test]
-fn all_upstreams_of_a_service_reject() {
+fn few_requests_reach_a_service_whose_upstreams_all_back_off() {
     let [ignore, per_vm, _] = outcomes(7, 12, 12);
     assert!(per_vm.during_backoff <= MAX_DURING_BACKOFF, "{per_vm:?}");
     assert!(
--- a/src/placing/pool/signals_tests.rs
+++ b/src/placing/pool/signals_tests.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_new_incarnation_starts_clean_and_a_planned_end_is_no_crash() {
+fn a_new_incarnation_starts_clean_and_a_graceful_shutdown_is_no_crash() {
     let now = BootInstant::now();
     let started_at = |started| UpstreamEntry {
         started: Some(StartMs(started)),
@@ -196,7 +196,7 @@
     assert_eq!(picked(&pool, now + SECOND * 900), ["i-1", "i-2"]);
 }
 
-/// Guards against a version on trial that receives every request while the
+/// Guards against a canary version that receives every request while the
 /// upstreams of the other version have asked for fewer.
 #[test]
 fn an_avoided_version_gets_no_requests_that_the_others_back_off_from() {
--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -201,7 +201,7 @@
         matches!(self.progress, None | Some(RolloutProgress::Running))
     }
 
-    /// Returns the elapsed part of the allowed time.
+    /// Returns the elapsed part of the allowed time; above 1 once it is over.
     fn elapsed_part(&self, now: BootInstant) -> f64 {
         self.part(now.saturating_duration_since(self.started_at))
     }
