--- a/src/peer.rs
+++ b/src/peer.rs
@@ -97,9 +97,7 @@
             match within(CONNECT_TIMEOUT, self.connection(address)).await {
                 Some(Ok(connection)) => connection,
                 Some(Err(e)) => return Err(PeerError::NotSent(e.to_string())),
-                None => {
-                    return Err(PeerError::NotSent("connect timeout".into()));
-                }
+                None => return Err(PeerError::NotSent("connecting".into())),
             };
         let work = self.exchange(&connection, request);
         match within(limit, work).await {
