--- a/src/crashes/persistence.rs
+++ b/src/crashes/persistence.rs
@@ -22,17 +22,17 @@
     task,
 };
 
-/// Time between two checks for unwritten requests.
-const CHECK_PERIOD: Duration = Duration::from_millis(250);
+/// Interval between checks for quarantined requests that are not stored yet.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Longest wait before a failed write is repeated.
-const MAX_RETRY_WAIT: Duration = Duration::from_secs(5);
+const MAX_RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Drops expired crashes and writes the quarantine, for as long as polled.
 pub(crate) async fn run(gateway: Arc<Gateway>) {
-    let mut backoff = Backoff::new(CHECK_PERIOD, MAX_RETRY_WAIT);
+    let mut backoff = Backoff::new(CHECK_INTERVAL, MAX_RETRY_INTERVAL);
     loop {
-        task::sleep(CHECK_PERIOD).await;
+        task::sleep(CHECK_INTERVAL).await;
         let now = gateway.clock.now();
         let changes = gateway.crashes.expire(now);
         gateway.log_quarantine_changes(&changes);
--- a/src/frame.rs
+++ b/src/frame.rs
@@ -14,10 +14,11 @@
 /// The version of the frame format; frames of other versions are dropped.
 const FORMAT: u8 = 8;
 
+/// Length of the authentication tag: a truncated BLAKE3 keyed hash.
 const TAG_BYTES: usize = 16;
 
 /// The compression byte of an uncompressed body.
-const PLAIN: u8 = 0;
+const UNCOMPRESSED: u8 = 0;
 
 /// The compression byte of a deflated body.
 const DEFLATED: u8 = 1;
@@ -31,23 +32,23 @@
 const DEFLATE_LEVEL: u8 = 3;
 
 /// Maximum size of a datagram, safely below the usual path MTU.
-pub(crate) const DATAGRAM_LIMIT_BYTES: usize = 1400;
+pub(crate) const MAX_DATAGRAM_BYTES: usize = 1400;
 
 /// Maximum size of a frame on a TCP connection.
-pub(crate) const FRAME_LIMIT_BYTES: usize = 8 << 20;
+pub(crate) const MAX_FRAME_BYTES: usize = 8 << 20;
 
 /// Maximum size of an inflated body.
-const MAX_INFLATED_BYTES: usize = FRAME_LIMIT_BYTES;
+const MAX_INFLATED_BYTES: usize = MAX_FRAME_BYTES;
 
 /// Number of bytes before the body.
-const HEAD_BYTES: usize = 2;
+const HEADER_BYTES: usize = 2;
 
 /// Why a frame was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
     /// The frame is shorter than an empty frame.
     Short,
-    /// The frame has another format version.
+    /// The frame has a different format version.
     Format,
     /// The authentication tag does not match.
     Tag,
@@ -56,7 +57,7 @@
 }
 
 impl FrameError {
-    /// Returns the error's value of the metric label.
+    /// Returns the value of the metric label for this error.
     pub fn as_str(self) -> &'static str {
         match self {
             FrameError::Short => "short",
@@ -85,10 +86,10 @@
     ///
     /// Never for the messages of this crate, which always encode.
     pub fn seal<T: Serialize>(&self, message: &T) -> Vec<u8> {
-        let mut frame = vec![FORMAT, PLAIN];
+        let mut frame = vec![FORMAT, UNCOMPRESSED];
         frame = postcard::to_extend(message, frame)
             .expect("messages between VMs encode");
-        let body = &frame[HEAD_BYTES..];
+        let body = &frame[HEADER_BYTES..];
         if body.len() >= MIN_DEFLATE_BYTES {
             let deflated = deflate(body);
             frame = vec![FORMAT, DEFLATED];
@@ -124,7 +125,7 @@
         }
         let inflated;
         let body = match *compression {
-            PLAIN => body,
+            UNCOMPRESSED => body,
             DEFLATED => {
                 inflated = inflate(body, MAX_INFLATED_BYTES)
                     .ok_or(FrameError::Body)?;
--- a/src/message.rs
+++ b/src/message.rs
@@ -107,7 +107,7 @@
     pub incarnation: Incarnation,
     /// A counter that grows with each heartbeat of this incarnation.
     pub counter: u32,
-    /// Whether it is shutting down as planned.
+    /// Whether it is shutting down gracefully.
     pub leaving: bool,
 }
 
@@ -177,7 +177,8 @@
 }
 
 impl UpstreamNotice {
-    /// Returns the notice as it is sent again after `time`.
+    /// Returns the notice as it is sent again after `time`, with the age of
+    /// the announcement increased accordingly.
     pub(crate) fn aged_by(self, time: Duration) -> UpstreamNotice {
         match self {
             UpstreamNotice::Leaving(_) => self,
@@ -239,11 +240,11 @@
     pub number: u32,
     /// The last heartbeat that it received from the receiver.
     pub echo: Option<HeartbeatEcho>,
-    /// Whether it is shutting down as planned.
+    /// Whether it is shutting down gracefully.
     pub leaving: bool,
     /// The version of the platform's store that it has read completely.
     pub as_of: u64,
-    /// A digest of all that it has read from the store.
+    /// A digest of everything that it has read from the store.
     pub digest: u64,
     /// The version of the configuration that it has in force.
     pub configuration_version: u64,
@@ -290,7 +291,7 @@
         outcome: ClaimOutcome,
     },
     /// Replicates the claims of a slot's owner while the store is unavailable.
-    HoldClaims {
+    ReplicateClaims {
         /// The slot.
         slot: u32,
         /// The index of the slot's chain that the owner has read.
@@ -340,8 +341,8 @@
     Verdict(ClaimVerdict),
     /// The request was carried out.
     Done,
-    /// The bills are kept; some may have been committed to the store.
-    BillsHeld {
+    /// The bills are kept; some may have been committed to the store already.
+    BillsKept {
         /// Requests whose bill has been committed.
         committed: Vec<RequestId>,
     },
@@ -358,6 +359,6 @@
         /// The crashes under all quarantined requests.
         observations: Vec<RequestObservation>,
     },
-    /// The receiver cannot or may not carry out the request; says why.
-    Refused(String),
+    /// The receiver cannot or may not carry out the request, for this reason.
+    Rejected(String),
 }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -21,7 +21,7 @@
 };
 
 use crate::{
-    frame::{FRAME_LIMIT_BYTES, FrameCodec},
+    frame::{FrameCodec, MAX_FRAME_BYTES},
     message::{PeerReply, PeerRequest},
     metrics::Metrics,
     task::{self, Task, within},
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Sends a request and waits at most `limit` for its reply.
+    /// Sends a request and waits at most `limit` for its reply, after at most
+    /// [`CONNECT_TIMEOUT`] for the connection.
     pub(crate) async fn call(
         &self,
         address: SocketAddr,
@@ -206,7 +207,7 @@
             let _ = waiting.try_send(reply.body);
         }
     }
-    // Dropping the senders tells every caller that the connection is lost.
+    // Dropping the senders notifies every caller that the connection is lost.
     pending.lock().expect("pending lock").clear();
 }
 
@@ -236,8 +237,8 @@
                 };
                 task::spawn(connection.run(stream)).detach();
             }
-            // For example out of file descriptors: waits until others are
-            // closed.
+            // The process may be out of file descriptors: waits for other
+            // connections to close.
             Err(_) => task::sleep(Duration::from_millis(50)).await,
         }
     }
@@ -269,7 +270,7 @@
                 let reply = codec.seal(&Envelope { number, body });
                 count_bytes(&metrics, reply.len());
                 let mut writer = writer.lock().await;
-                // A caller that is gone needs no reply.
+                // If this fails, the caller is gone and needs no reply.
                 let _ = write_frame(&mut writer, &reply).await;
             })
             .detach();
@@ -306,7 +307,7 @@
     let mut length = [0; 4];
     stream.read_exact(&mut length).await?;
     let length = u32::from_be_bytes(length) as usize;
-    if length > FRAME_LIMIT_BYTES {
+    if length > MAX_FRAME_BYTES {
         return Err(io::ErrorKind::InvalidData.into());
     }
     let mut frame = vec![0; length];
--- a/src/placing/gossip_outbox.rs
+++ b/src/placing/gossip_outbox.rs
@@ -1,5 +1,6 @@
-//! What this VM is due to report about upstreams to other VMs: in a large
-//! fleet, one VM receives few responses from each upstream.
+//! The reports about upstreams that this VM owes the other VMs. VMs share what
+//! they observe because, in a large fleet, one VM receives few responses from
+//! each upstream.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -16,25 +17,26 @@
 /// between two heartbeats.
 const MAX_LOADS: usize = 48;
 
-/// How long further failures of an upstream are not reported again.
+/// Minimum time between two reports of failures of the same upstream.
 const FAILURE_REPEAT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Maximum number of failures in one heartbeat.
 const MAX_FAILURES: usize = 64;
 
-/// How long it is reported that an upstream is leaving: datagrams get lost,
+/// How long an upstream is reported as leaving: datagrams get lost,
 /// and in a large fleet each heartbeat reaches few VMs of other data halls.
 const LEAVING_TTL: Duration = Duration::from_secs(10);
 
 /// Maximum number of leaving incarnations in one heartbeat.
 const MAX_LEAVING: usize = 64;
 
-/// How long the VMs of this data hall are told of a rate limit after it was
-/// stated: two heartbeats, as a datagram may get lost.
-const LIMIT_TTL_OWN_HALL: Duration = Duration::from_millis(1200);
+/// How long a rate limit is reported to the VMs of this data hall: two
+/// heartbeats, as a datagram may get lost.
+const OWN_HALL_LIMIT_TTL: Duration = Duration::from_millis(1200);
 
-/// The same for other data halls, of which each heartbeat reaches few VMs.
-const LIMIT_TTL_OTHER_HALLS: Duration = Duration::from_secs(10);
+/// How long a rate limit is reported to other data halls, of which each
+/// heartbeat reaches few VMs; counted from the upstream's announcement.
+const OTHER_HALLS_LIMIT_TTL: Duration = Duration::from_secs(10);
 
 /// Maximum number of rate limits in one heartbeat, the newest first.
 const MAX_LIMITS: usize = 64;
@@ -43,8 +45,9 @@
 #[derive(Clone, Copy, Debug)]
 struct PendingLimit {
     rate: Option<RequestRate>,
-    stated_at: BootInstant,
-    /// Since when this data hall is told of it; `None` if it is not told.
+    announced_at: BootInstant,
+    /// Since when it has been reported within this data hall; `None` if it is
+    /// reported to other halls only.
     own_hall_since: Option<BootInstant>,
 }
 
@@ -59,7 +62,7 @@
     failure_sent_at: HashMap<ShortHash, BootInstant>,
     /// Incarnations that are leaving, and when this became known.
     leaving: HashMap<ShortHash, BootInstant>,
-    /// The rate limits that were stated last.
+    /// The last announced rate limit of each incarnation.
     limits: HashMap<ShortHash, PendingLimit>,
     /// When an upstream last answered this VM.
     answered_at: Option<BootInstant>,
@@ -77,7 +80,7 @@
     }
 
     /// Adds the outcome of an attempt; returns whether the other VMs should be
-    /// told at once.
+    /// notified at once.
     pub(crate) fn record_outcome(
         &mut self,
         upstream: ShortHash,
@@ -105,54 +108,57 @@
         self.leaving.insert(incarnation, now);
     }
 
-    /// Returns the leaving incarnations that are due, and drops those that
-    /// have been reported for long enough.
-    pub(crate) fn take_leaving(&mut self, now: BootInstant) -> Vec<ShortHash> {
+    /// Returns the leaving incarnations that are due, which stay due until
+    /// [`LEAVING_TTL`] has passed.
+    pub(crate) fn due_leaving(&mut self, now: BootInstant) -> Vec<ShortHash> {
         self.leaving.retain(|_, reported_at| {
             now.saturating_duration_since(*reported_at) < LEAVING_TTL
         });
         self.leaving.keys().copied().take(MAX_LEAVING).collect()
     }
 
-    /// Adds the rate limit that was stated at a time, `None` if it was lifted,
+    /// Adds the rate limit that was announced at `announced_at`, `None` if it
+    /// was lifted,
     /// unless a newer one is known. `for_own_hall` says whether the VMs of
-    /// this data hall need to be told as well.
+    /// this data hall need to be notified as well.
     pub(crate) fn add_rate_limit(
         &mut self,
         incarnation: ShortHash,
         rate: Option<RequestRate>,
-        stated_at: BootInstant,
+        announced_at: BootInstant,
         for_own_hall: bool,
         now: BootInstant,
     ) {
         let known = self.limits.get(&incarnation);
-        if known.is_some_and(|known| known.stated_at >= stated_at) {
+        if known.is_some_and(|known| known.announced_at >= announced_at) {
             return;
         }
         let own_hall_since = for_own_hall.then_some(now);
-        let limit = PendingLimit { rate, stated_at, own_hall_since };
+        let limit = PendingLimit { rate, announced_at, own_hall_since };
         self.limits.insert(incarnation, limit);
     }
 
     /// Returns the rate limits that are due for the VMs of this data hall, or
-    /// of the others.
-    pub(crate) fn take_rate_limits(
+    /// of the others, the newest first. They stay due until their TTL has
+    /// passed.
+    pub(crate) fn due_rate_limits(
         &mut self,
         for_own_hall: bool,
         now: BootInstant,
     ) -> Vec<RateLimitReport> {
         let age = |at: BootInstant| now.saturating_duration_since(at);
-        self.limits
-            .retain(|_, limit| age(limit.stated_at) < LIMIT_TTL_OTHER_HALLS);
+        self.limits.retain(|_, limit| {
+            age(limit.announced_at) < OTHER_HALLS_LIMIT_TTL
+        });
         let is_due = |limit: &PendingLimit| {
-            let is_new = |at| age(at) < LIMIT_TTL_OWN_HALL;
+            let is_new = |at| age(at) < OWN_HALL_LIMIT_TTL;
             !for_own_hall || limit.own_hall_since.is_some_and(is_new)
         };
         let due = self.limits.iter().filter(|(_, limit)| is_due(limit));
         let due = due.map(|(upstream, limit)| RateLimitReport {
             upstream: *upstream,
             rate: limit.rate,
-            age_ms: u16::try_from(age(limit.stated_at).as_millis())
+            age_ms: u16::try_from(age(limit.announced_at).as_millis())
                 .unwrap_or(u16::MAX),
         });
         let mut due: Vec<RateLimitReport> = due.collect();
--- a/src/placing/member.rs
+++ b/src/placing/member.rs
@@ -28,7 +28,7 @@
 };
 
 /// Age at which the work that another VM has reported no longer counts.
-pub(super) const PEER_WORK_LIFETIME: Duration = Duration::from_millis(2500);
+pub(super) const PEER_WORK_TTL: Duration = Duration::from_millis(2500);
 
 /// How long an upstream may still be used after its record vanished during a
 /// store outage; the record of a live one returns within about two seconds.
@@ -154,9 +154,9 @@
 /// The prefill work of the other VMs at an upstream, as of one moment.
 #[derive(Clone, Copy, Debug)]
 struct PeerPrefill {
-    /// What was left of it then, in milliseconds.
+    /// What was left of it at `at`, in milliseconds.
     left_ms: u32,
-    /// All of it as reported, in milliseconds.
+    /// The sum of the reports, in milliseconds.
     reported_ms: u32,
     at: BootInstant,
 }
@@ -277,13 +277,15 @@
     /// Marks it as replaced by a later incarnation.
     pub(super) fn mark_superseded(&self) {
         self.is_superseded.store(true, Ordering::Relaxed);
-        // An upstream that announced its end has stopped as planned.
+        // An upstream that announced that it was leaving has shut down
+        // gracefully.
         if self.upstream.mark_leaving() {
             self.has_crashed.store(true, Ordering::Relaxed);
         }
     }
 
-    /// Whether a later incarnation has replaced it without an announced end.
+    /// Whether a later incarnation has replaced it although it had not
+    /// announced that it was leaving.
     pub fn has_crashed(&self) -> bool {
         self.has_crashed.load(Ordering::Relaxed)
     }
@@ -443,7 +445,7 @@
         now: BootInstant,
     ) {
         peer_work.retain(|_, count| {
-            now.saturating_duration_since(count.at) < PEER_WORK_LIFETIME
+            now.saturating_duration_since(count.at) < PEER_WORK_TTL
         });
         let requests = peer_work.values().map(|c| u32::from(c.work.requests));
         self.peer_requests.store(requests.sum(), Ordering::Relaxed);
--- a/src/placing/pool/gossip.rs
+++ b/src/placing/pool/gossip.rs
@@ -48,8 +48,8 @@
         changes
     }
 
-    /// Queues a rate limit for gossip, each time that it is stated and when it
-    /// is lifted.
+    /// Queues a rate limit for gossip, each time that it is announced and when
+    /// it is lifted.
     fn report_rate_limit(
         &self,
         incarnation: ShortHash,
@@ -67,7 +67,7 @@
 
     /// Returns the rate limits that are due for gossip, to the VMs of this
     /// data hall or to those of other halls.
-    pub(crate) fn take_rate_limits(
+    pub(crate) fn due_rate_limits(
         &self,
         for_own_hall: bool,
         now: BootInstant,
@@ -75,7 +75,7 @@
         self.outbox
             .lock()
             .expect("outbox lock")
-            .take_rate_limits(for_own_hall, now)
+            .due_rate_limits(for_own_hall, now)
     }
 
     /// Merges the rate limits that another VM reports and passes them on;
@@ -128,8 +128,8 @@
     }
 
     /// Returns the leaving incarnations that are due for gossip.
-    pub fn take_leaving(&self, now: BootInstant) -> Vec<ShortHash> {
-        self.outbox.lock().expect("outbox lock").take_leaving(now)
+    pub fn due_leaving(&self, now: BootInstant) -> Vec<ShortHash> {
+        self.outbox.lock().expect("outbox lock").due_leaving(now)
     }
 
     /// Merges the leaving incarnations that another VM reports and passes them
@@ -210,7 +210,7 @@
     }
 
     /// Records the outcome of an attempt for the other VMs of the data hall;
-    /// returns whether they should be told at once.
+    /// returns whether they should be notified at once.
     pub fn record_outcome(
         &self,
         member: &Member,
@@ -269,7 +269,8 @@
         work.collect()
     }
 
-    /// Replaces the work that another VM has reported at each upstream.
+    /// Replaces the work that another VM has reported at all upstreams;
+    /// upstreams missing from `work` count as without any.
     pub fn set_peer_work(
         &self,
         vm: &str,
--- a/src/placing/rate_limit/tests.rs
+++ b/src/placing/rate_limit/tests.rs
@@ -78,7 +78,7 @@
         prop_assert!(used >= least, "{} of {}", used, least);
     }
 
-    /// Accepts any sequence of stated rates, in any order of arrival.
+    /// Accepts any sequence of announced rates, in any order of arrival.
     #[test]
     fn any_sequence_of_updates_is_accepted(
         updates in prop::collection::vec(
@@ -92,9 +92,9 @@
         for (passed_ms, age_ms, text) in updates {
             now += Duration::from_millis(passed_ms.into());
             let age = Duration::from_millis(age_ms.into());
-            let stated_at = now.checked_sub(age).unwrap_or(now);
+            let announced_at = now.checked_sub(age).unwrap_or(now);
             let rate = text.map(|text| text.parse().unwrap());
-            limit.update(rate, stated_at, 0.5, now);
+            limit.update(rate, announced_at, 0.5, now);
             let per_s = limit.per_s(now);
             prop_assert!(per_s.is_none_or(|per_s| per_s > 0.0));
             limit.record_sent(now);
@@ -106,12 +106,12 @@
 }
 
 #[test]
-fn the_newest_statement_counts() {
+fn the_newest_announcement_counts() {
     let now = BootInstant::now();
     let limit = LimitState::default();
     let started = limit.update(rate("2"), now, 0.0, now);
     assert_eq!(started, Some(LimitChange::Started("2".parse().unwrap())));
-    // A statement that another VM received earlier.
+    // An announcement that another VM received earlier.
     let before = now.checked_sub(SECOND).unwrap();
     assert_eq!(limit.update(None, before, 0.0, now), None);
     assert_eq!(limit.per_s(now), Some(2.0));
@@ -142,12 +142,12 @@
     let now = BootInstant::now();
     let limit = LimitState::default();
     limit.update(rate("1"), now, 0.0, now);
-    assert!(limit.per_s(now + LIMIT_LIFETIME - SECOND).is_some());
-    assert_eq!(limit.per_s(now + LIMIT_LIFETIME), None);
+    assert!(limit.per_s(now + LIMIT_TTL - SECOND).is_some());
+    assert_eq!(limit.per_s(now + LIMIT_TTL), None);
 }
 
-/// Guards against an upstream that is never tried again after stating a rate
-/// of zero: only its responses show whether it takes requests.
+/// Guards against an upstream that is never tried again after announcing
+/// a rate of zero: only its responses show whether it takes requests.
 #[test]
 fn a_rate_of_zero_still_allows_occasional_requests() {
     let now = BootInstant::now();
--- a/src/placing/reported_state.rs
+++ b/src/placing/reported_state.rs
@@ -4,7 +4,7 @@
 //! updated later, may expire, and is read again, and none of that revokes what
 //! the upstream itself has reported. It is leaving until it stops, backs off
 //! until its `Retry-After` has passed, and keeps its rate limit until it
-//! states none.
+//! announces none.
 
 use std::{
     collections::HashMap,
@@ -32,7 +32,7 @@
 const MAX_BACKOFF: Duration = Duration::from_secs(600);
 
 /// Jitter added to a backoff, as a share of it, and its maximum. It spreads
-/// the return of VMs that were told to back off at the same time.
+/// the return of VMs that were asked to back off at the same time.
 const JITTER_RATIO: f64 = 0.15;
 const MAX_JITTER: Duration = Duration::from_secs(1);
 
@@ -43,7 +43,7 @@
 /// How long the state of an incarnation is kept while it is not in the pool. A
 /// leaving upstream stops within seconds, and an expired record returns within
 /// seconds as well.
-const UNLISTED_LIFETIME: Duration = Duration::from_secs(600);
+const UNLISTED_TTL: Duration = Duration::from_secs(600);
 
 /// Maximum number of incarnations outside the pool whose state is kept.
 const MAX_UNLISTED: usize = 4096;
@@ -94,8 +94,8 @@
     /// Applies the signals in its response to a request that was sent at
     /// `sent_at`; returns what has changed.
     ///
-    /// `jitter`, from 0 to 1, spreads the reaction of VMs that were told at
-    /// the same time.
+    /// `jitter`, from 0 to 1, spreads the reaction of VMs that receive the
+    /// same signals at the same time.
     pub fn apply(
         &self,
         signals: &UpstreamSignals,
@@ -139,16 +139,16 @@
         }
     }
 
-    /// Applies the rate limit that it stated at a time, or `None` if it stated
-    /// none; returns what has changed.
+    /// Applies the rate limit that it announced at `announced_at`, or `None`
+    /// if it announced none; returns what has changed.
     pub(crate) fn update_rate_limit(
         &self,
         rate: Option<RequestRate>,
-        stated_at: BootInstant,
+        announced_at: BootInstant,
         jitter: f64,
         now: BootInstant,
     ) -> Option<ReportedChange> {
-        let change = self.limit.update(rate, stated_at, jitter, now)?;
+        let change = self.limit.update(rate, announced_at, jitter, now)?;
         Some(match change {
             LimitChange::Started(rate) => ReportedChange::RateLimited(rate),
             LimitChange::Ended => ReportedChange::RateLimitLifted,
@@ -244,8 +244,8 @@
     }
 
     /// Records that a request is sent to it. The first one after a backoff is
-    /// a probe that delays the others: requests held back for seconds would
-    /// otherwise arrive all at once.
+    /// a probe that delays the others: requests that were delayed for seconds
+    /// would otherwise arrive all at once.
     pub fn record_sent(&self, now: BootInstant) {
         self.limit.record_sent(now);
         if !self.has_backoff.load(Ordering::Relaxed) {
@@ -301,7 +301,7 @@
         now: BootInstant,
     ) {
         self.0.retain(|_, kept| {
-            now.saturating_duration_since(kept.since) < UNLISTED_LIFETIME
+            now.saturating_duration_since(kept.since) < UNLISTED_TTL
         });
         if self.0.len() < MAX_UNLISTED && state.is_in_force(now) {
             self.0.insert(incarnation, Unlisted { state, since: now });
@@ -317,7 +317,8 @@
         self.0.remove(&incarnation).map(|kept| kept.state).unwrap_or_default()
     }
 
-    /// Updates the state of an incarnation from a report of another VM.
+    /// Updates the state of an incarnation from a report of another VM, and
+    /// keeps it if any of it is in force.
     pub(super) fn update(
         &mut self,
         incarnation: ShortHash,
--- a/src/placing/upstream.rs
+++ b/src/placing/upstream.rs
@@ -21,8 +21,8 @@
 /// Consecutive failures that open the breaker.
 const BREAKER_THRESHOLD: u32 = 3;
 
-/// First pause of an open breaker; it doubles with each failed trial.
-const BREAKER_PAUSE: Duration = Duration::from_millis(500);
+/// First pause of an open breaker; the pause doubles with each failed trial.
+const BASE_BREAKER_PAUSE: Duration = Duration::from_millis(500);
 
 /// Longest pause of an open breaker.
 const MAX_BREAKER_PAUSE: Duration = Duration::from_secs(15);
@@ -35,7 +35,7 @@
 const MIN_SLOW_START_SHARE: f64 = 0.2;
 
 /// Age at which a load report no longer counts.
-const LOAD_LIFETIME: Duration = Duration::from_secs(10);
+const LOAD_TTL: Duration = Duration::from_secs(10);
 
 /// What an upstream serves.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -281,8 +281,8 @@
             }
             Breaker::Closed { .. } => (
                 Breaker::Open {
-                    until: now + BREAKER_PAUSE,
-                    pause: BREAKER_PAUSE,
+                    until: now + BASE_BREAKER_PAUSE,
+                    pause: BASE_BREAKER_PAUSE,
                 },
                 Some(BreakerChange::Opened),
             ),
@@ -302,9 +302,9 @@
         now: BootInstant,
     ) -> UpstreamSnapshot {
         let known = self.load.lock().expect("load lock");
-        let load = known.as_ref().filter(|load| {
-            now.saturating_duration_since(load.at) < LOAD_LIFETIME
-        });
+        let load = known
+            .as_ref()
+            .filter(|load| now.saturating_duration_since(load.at) < LOAD_TTL);
         let own = self.in_flight();
         let requests = load.map_or(f64::from(own), |load| {
             let reported = f64::from(load.running + load.waiting);
@@ -384,7 +384,7 @@
         drop(first);
         assert_eq!(upstream.snapshot(&hall, now).requests, 5.0);
         assert!(!upstream.set_load(0, 0, vec![], now));
-        let late = now + LOAD_LIFETIME;
+        let late = now + LOAD_TTL;
         assert_eq!(upstream.snapshot(&hall, late).requests, 1.0);
     }
 
@@ -397,12 +397,12 @@
         }
         assert_eq!(upstream.record_failure(now), Some(BreakerChange::Opened));
         assert!(!upstream.allow_request(now));
-        let later = now + BREAKER_PAUSE;
+        let later = now + BASE_BREAKER_PAUSE;
         assert!(upstream.allow_request(later));
         assert!(!upstream.allow_request(later));
         upstream.record_failure(later);
-        assert!(!upstream.allow_request(later + BREAKER_PAUSE));
-        assert!(upstream.allow_request(later + BREAKER_PAUSE * 2));
+        assert!(!upstream.allow_request(later + BASE_BREAKER_PAUSE));
+        assert!(upstream.allow_request(later + BASE_BREAKER_PAUSE * 2));
         assert_eq!(upstream.record_success(), Some(BreakerChange::Closed));
         assert!(upstream.allow_request(later));
     }
--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -46,25 +46,25 @@
 /// change their version, in the mean of six replays; with 1.5 s it was 3.2.
 const CANARY_DELAY: Duration = Duration::from_millis(2500);
 
-/// Time after this VM got the order before it sends requests to the new
+/// Time after this VM received the order before it sends requests to the new
 /// version, if others have had the order for longer. Within a heartbeat it
 /// receives the reports of all VMs of its hall, with what they know of other
 /// halls.
-const SYNC_TIME: Duration = Duration::from_millis(1200);
+const SYNC_DELAY: Duration = Duration::from_millis(1200);
 
 /// Part of the allowed time that the canary phase lasts at least: sessions may
 /// change their version only in the second half.
-const CANARY_MIN_PART: f64 = 0.52;
+const MIN_CANARY_PART: f64 = 0.52;
 
 /// Number of answers of the new version that end the canary phase. By then a
 /// version that fails a third of its requests has had the four bad answers
 /// for which it is stopped. If the phase ended by time alone, such a version
 /// would get a sixth of all requests of a service with few.
-const CANARY_MIN_ANSWERS: u32 = 12;
+const MIN_CANARY_ANSWERS: u32 = 12;
 
 /// Part of the allowed time at which the canary phase ends with fewer answers:
 /// a good version must be completed even if there are hardly any requests.
-const CANARY_MAX_PART: f64 = 0.8;
+const MAX_CANARY_PART: f64 = 0.8;
 
 /// Part of the allowed time that the ramp-up phase lasts: after the canary
 /// phase, only a part of the requests goes to the new version at first.
@@ -201,7 +201,7 @@
         matches!(self.progress, None | Some(RolloutProgress::Running))
     }
 
-    /// Returns the elapsed part of the allowed time.
+    /// Returns the elapsed part of the allowed time; above 1 once it is over.
     fn elapsed_part(&self, now: BootInstant) -> f64 {
         self.part(now.saturating_duration_since(self.started_at))
     }
@@ -216,7 +216,7 @@
     fn share(&self, now: BootInstant) -> f64 {
         let elapsed = |since| now.saturating_duration_since(since);
         let is_early = elapsed(self.started_at) < CANARY_DELAY
-            || elapsed(self.learned_at) < SYNC_TIME;
+            || elapsed(self.learned_at) < SYNC_DELAY;
         match self.canary_ended {
             None if is_early => 0.0,
             None => CANARY_SHARE,
@@ -233,7 +233,7 @@
     /// version has given enough answers.
     fn end_canary(&mut self, now: BootInstant) {
         let elapsed = self.elapsed_part(now);
-        if self.canary_ended.is_some() || elapsed < CANARY_MIN_PART {
+        if self.canary_ended.is_some() || elapsed < MIN_CANARY_PART {
             return;
         }
         let all_answers = self.all_answers();
@@ -242,7 +242,7 @@
             new.complete + new.lost
         };
         let answers: u32 = all_answers.values().map(of_new).sum();
-        if answers >= CANARY_MIN_ANSWERS || elapsed >= CANARY_MAX_PART {
+        if answers >= MIN_CANARY_ANSWERS || elapsed >= MAX_CANARY_PART {
             let running = now.saturating_duration_since(self.started_at);
             self.canary_ended = Some(running);
         }
--- a/src/rollouts/rollout/tests.rs
+++ b/src/rollouts/rollout/tests.rs
@@ -47,13 +47,13 @@
     assert_eq!(share(&rollouts, now), 0.0);
     let in_canary = share(&rollouts, now + ALLOWED / 4);
     assert!((0.06..0.1).contains(&in_canary), "{in_canary}");
-    record_good_answers(&rollouts, CANARY_MIN_ANSWERS);
+    record_good_answers(&rollouts, MIN_CANARY_ANSWERS);
     rollouts.evaluate(now + ALLOWED / 4);
     let still_in_canary = share(&rollouts, now + ALLOWED / 2);
     assert!((0.06..0.1).contains(&still_in_canary), "{still_in_canary}");
-    rollouts.evaluate(now + ALLOWED.mul_f64(CANARY_MIN_PART));
+    rollouts.evaluate(now + ALLOWED.mul_f64(MIN_CANARY_PART));
     let partial =
-        share(&rollouts, now + ALLOWED.mul_f64(CANARY_MIN_PART + 0.01));
+        share(&rollouts, now + ALLOWED.mul_f64(MIN_CANARY_PART + 0.01));
     assert!((0.3..0.5).contains(&partial), "{partial}");
     assert_eq!(share(&rollouts, now + ALLOWED.mul_f64(0.7)), 1.0);
 }
@@ -74,7 +74,7 @@
     let now = BootInstant::now();
     let rollouts = running(now);
     let at = |part: f64| now + ALLOWED.mul_f64(part);
-    record_good_answers(&rollouts, CANARY_MIN_ANSWERS - 1);
+    record_good_answers(&rollouts, MIN_CANARY_ANSWERS - 1);
     rollouts.evaluate(at(0.7));
     let in_canary = share(&rollouts, at(0.7));
     assert!((0.06..0.1).contains(&in_canary), "{in_canary}");
@@ -92,11 +92,11 @@
     assert_eq!(share(&other, full_at), 1.0);
 
     let idle = running(now);
-    idle.evaluate(at(CANARY_MAX_PART - 0.01));
-    let in_canary = share(&idle, at(CANARY_MAX_PART - 0.01));
+    idle.evaluate(at(MAX_CANARY_PART - 0.01));
+    let in_canary = share(&idle, at(MAX_CANARY_PART - 0.01));
     assert!((0.06..0.1).contains(&in_canary), "{in_canary}");
-    idle.evaluate(at(CANARY_MAX_PART));
-    assert_eq!(share(&idle, at(CANARY_MAX_PART + 0.001 + RAMP_PART)), 1.0);
+    idle.evaluate(at(MAX_CANARY_PART));
+    assert_eq!(share(&idle, at(MAX_CANARY_PART + 0.001 + RAMP_PART)), 1.0);
     let pending =
         idle.pending_statuses(true, |_, _| 0, &[], at(COMPLETE_AT_PART));
     assert_eq!(pending[0].status.progress, RolloutProgress::Completed);
@@ -303,8 +303,8 @@
 fn completion_waits_for_the_old_versions_last_requests() {
     let now = BootInstant::now();
     let rollouts = running(now);
-    record_good_answers(&rollouts, CANARY_MIN_ANSWERS);
-    rollouts.evaluate(now + ALLOWED.mul_f64(CANARY_MIN_PART));
+    record_good_answers(&rollouts, MIN_CANARY_ANSWERS);
+    rollouts.evaluate(now + ALLOWED.mul_f64(MIN_CANARY_PART));
     let at = now + ALLOWED.mul_f64(0.7);
     assert_eq!(rollouts.pending_statuses(true, |_, _| 1, &[], at), []);
     assert_eq!(rollouts.pending_statuses(false, |_, _| 0, &[], at), []);
@@ -319,8 +319,8 @@
 fn a_restarted_vm_learns_when_the_rollout_began() {
     let now = BootInstant::now();
     let old = running(now);
-    record_good_answers(&old, CANARY_MIN_ANSWERS);
-    old.evaluate(now + ALLOWED.mul_f64(CANARY_MIN_PART));
+    record_good_answers(&old, MIN_CANARY_ANSWERS);
+    old.evaluate(now + ALLOWED.mul_f64(MIN_CANARY_PART));
     let at = now + ALLOWED.mul_f64(0.7);
     let restarted = running(at);
     assert!(share(&restarted, at) < 0.2);
@@ -338,7 +338,7 @@
     let late = running(at);
     late.merge_evidence("vm-2", &other.evidence(|_, _| 0, at), at);
     assert_eq!(share(&late, at), 0.0);
-    assert!(share(&late, at + SYNC_TIME) > 0.06);
+    assert!(share(&late, at + SYNC_DELAY) > 0.06);
 }
 
 #[test]
--- a/src/store_sync/gossip.rs
+++ b/src/store_sync/gossip.rs
@@ -135,7 +135,7 @@
             observations: gateway
                 .crashes
                 .next_broadcasts(Audience::OtherHalls),
-            rate_limits: gateway.pool.take_rate_limits(false, now),
+            rate_limits: gateway.pool.due_rate_limits(false, now),
         };
         heartbeat.hall_evidence =
             rollouts.relayed_evidence(&heartbeat.evidence, now);
@@ -199,8 +199,8 @@
         in_flight: gateway.pool.local_work(),
         load_reports: gateway.pool.take_loads(now),
         failures: gateway.pool.take_failures(now),
-        leaving_upstreams: gateway.pool.take_leaving(now),
-        rate_limits: gateway.pool.take_rate_limits(true, now),
+        leaving_upstreams: gateway.pool.due_leaving(now),
+        rate_limits: gateway.pool.due_rate_limits(true, now),
         evidence: gateway.rollouts.evidence(in_flight, now),
         observations: Vec::new(),
         hall_evidence: Vec::new(),
@@ -451,7 +451,7 @@
                 // The age is read before the values, so that it is never
                 // younger than they are.
                 let Some(age) = self.knowledge.proof_age(now) else {
-                    return PeerReply::Refused("nothing is known".into());
+                    return PeerReply::Rejected("nothing is known".into());
                 };
                 let (as_of, packed) = self.knowledge.packed();
                 PeerReply::Knowledge {
@@ -479,7 +479,7 @@
                 task::spawn(fetch_or_poll(self, from)).detach();
                 PeerReply::Done
             }
-            _ => PeerReply::Refused("not a request for this VM".into()),
+            _ => PeerReply::Rejected("not a request for this VM".into()),
         }
     }
 }
