--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -293,7 +293,7 @@
     }
 
     /// Applies changes of the store.
-    pub(crate) fn apply_news(&self, news: AppliedItems) {
+    pub(crate) fn apply_items(&self, news: AppliedItems) {
         self.note_unreadable(&news.unreadable);
         for fact in news.updates {
             self.apply_fact(fact);
--- a/src/gateway/store_watch.rs
+++ b/src/gateway/store_watch.rs
@@ -117,7 +117,7 @@
         // If the store does not respond, the full read that follows retries.
         let Ok(recorded) = recorded else { return false };
         for item in recorded.items {
-            gateway.apply_news(gateway.knowledge.apply_item(item));
+            gateway.apply_items(gateway.knowledge.apply_item(item));
         }
         let readers = gateway.peers.snapshot_readers();
         gossip::fetch_from_either(gateway, &readers).await
@@ -131,7 +131,7 @@
         let asked_at = gateway.clock.now();
         let all = gateway.store.read_all(ALL_KEYS, consistency).await?;
         let news = gateway.knowledge.apply_snapshot(all);
-        gateway.apply_news(news);
+        gateway.apply_items(news);
         match consistency {
             Consistency::Linearizable => {
                 gateway.knowledge.prove(asked_at);
@@ -315,7 +315,7 @@
     asked_at: BootInstant,
 ) {
     let news = gateway.knowledge.apply_changes(changes);
-    gateway.apply_news(news);
+    gateway.apply_items(news);
     gateway.knowledge.prove(asked_at);
 }
 
@@ -325,7 +325,7 @@
     match gateway.store.read(document::CONFIGURATION_KEY).await? {
         Some(item) => {
             let news = gateway.knowledge.apply_item(item);
-            gateway.apply_news(news);
+            gateway.apply_items(news);
             gateway.knowledge.prove(asked_at);
         }
         None => task::sleep(MAX_RETRY_WAIT).await,
--- a/src/store_sync/gossip.rs
+++ b/src/store_sync/gossip.rs
@@ -428,7 +428,7 @@
     let all =
         StoreItems { items: items.collect(), as_of: StoreVersion(as_of) };
     let applied = gateway.knowledge.apply_snapshot(all);
-    gateway.apply_news(applied);
+    gateway.apply_items(applied);
     let age = Duration::from_millis(proof_age_ms.into());
     if let Some(proven_at) = asked_at.checked_sub(age) {
         gateway.knowledge.prove(proven_at);
@@ -472,7 +472,7 @@
                 // If changes are missing, the next heartbeat shows it.
                 let applied =
                     self.knowledge.merge_peer_changes(digest_before, changes);
-                self.apply_news(applied);
+                self.apply_items(applied);
                 PeerReply::Done
             }
             PeerRequest::PullKnowledge { from } => {
