--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -296,7 +296,7 @@
     pub(crate) fn apply_items(&self, news: AppliedItems) {
         self.note_unreadable(&news.unreadable);
         for fact in news.updates {
-            self.apply_fact(fact);
+            self.apply_update(fact);
         }
     }
 
@@ -317,7 +317,7 @@
         }
     }
 
-    fn apply_fact(&self, fact: StoreUpdate) {
+    fn apply_update(&self, fact: StoreUpdate) {
         let now = self.clock.now();
         match fact {
             StoreUpdate::Configuration(table) => {
