--- a/src/store_sync/knowledge.rs
+++ b/src/store_sync/knowledge.rs
@@ -348,7 +348,7 @@
             return;
         };
         self.digest ^= digest(&item.key, item.version);
-        let current = match document::decode_fact(&item.key, &value) {
+        let current = match document::decode_update(&item.key, &value) {
             Ok(fact) => {
                 applied.updates.extend(fact);
                 value
