--- a/src/store_sync/knowledge.rs
+++ b/src/store_sync/knowledge.rs
@@ -343,7 +343,7 @@
         }
         let Some(value) = item.value else {
             if self.items.remove(&item.key).is_some() {
-                applied.updates.extend(document::removal_fact(&item.key));
+                applied.updates.extend(document::removal_update(&item.key));
             }
             return;
         };
