--- a/src/store_sync/knowledge.rs
+++ b/src/store_sync/knowledge.rs
@@ -354,7 +354,7 @@
                 value
             }
             Err(error) => {
-                applied.updates.extend(document::unreadable_fact(&item.key));
+                applied.updates.extend(document::unreadable_update(&item.key));
                 applied.unreadable.push(Unreadable {
                     key: item.key.clone(),
                     reason: error.to_string(),
