--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -227,7 +227,7 @@
 
     /// Logs when the proof of freshness becomes too old, or recent enough
     /// again.
-    pub(crate) fn note_freshness(&self) {
+    pub(crate) fn log_freshness(&self) {
         let now = self.clock.now();
         let is_fresh = self.is_fresh(now);
         if self.was_fresh.swap(is_fresh, Ordering::Relaxed) == is_fresh {
--- a/src/gateway/rollout_status.rs
+++ b/src/gateway/rollout_status.rs
@@ -38,7 +38,7 @@
     let mut retry_at = gateway.clock.now();
     loop {
         task::sleep(CHECK_INTERVAL).await;
-        gateway.note_freshness();
+        gateway.log_freshness();
         gateway.peers.sweep(gateway.clock.now());
         for id in gateway.pool.sweep(gateway.clock.now()) {
             Event::UpstreamGone.record(fields(json!({
--- a/src/gateway/suspension_tests.rs
+++ b/src/gateway/suspension_tests.rs
@@ -122,7 +122,7 @@
     gateway.crashes.expire(now);
     gateway.pool.sweep(now);
     gateway.peers.sweep(now);
-    gateway.note_freshness();
+    gateway.log_freshness();
 }
 
 /// Returns what a VM decides now.
