--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -275,7 +275,7 @@
     }
 
     /// Records that a call to the store failed.
-    pub(crate) fn note_store_failure(&self) {
+    pub(crate) fn record_store_failure(&self) {
         let now = self.clock.now();
         *self.store_failed_at.lock().expect("store lock") = Some(now);
     }
--- a/src/gateway/store_watch.rs
+++ b/src/gateway/store_watch.rs
@@ -165,7 +165,7 @@
                 match revalidate(gateway).await {
                     Ok(Revalidated::Everything) => self.note_success(),
                     Ok(Revalidated::ConfigurationOnly) => {
-                        gateway.note_store_failure();
+                        gateway.record_store_failure();
                         return;
                     }
                     Err(error) => self.note_failure(&error).await,
@@ -188,7 +188,7 @@
                     task::sleep(watch_pause(&self.gateway)).await;
                 }
                 Ok(WatchOutcome::HistoryLost) => {
-                    gateway.note_store_failure();
+                    gateway.record_store_failure();
                     return;
                 }
                 Err(error) => self.note_failure(&error).await,
@@ -205,7 +205,7 @@
     }
 
     async fn note_failure(&mut self, error: &StoreError) {
-        self.gateway.note_store_failure();
+        self.gateway.record_store_failure();
         self.gateway.peers.set_store_failure(Some(self.gateway.clock.now()));
         if !std::mem::replace(&mut self.is_store_lost, true) {
             let reason = error.to_string();
@@ -269,7 +269,7 @@
             Some(_) if revalidate(&gateway).await.is_ok() => backoff.reset(),
             Some(_) => {
                 // The watch logs that the store is lost.
-                gateway.note_store_failure();
+                gateway.record_store_failure();
                 wait_to_retry(&gateway, &mut backoff).await;
             }
         }
