--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -294,14 +294,14 @@
 
     /// Applies changes of the store.
     pub(crate) fn apply_items(&self, news: AppliedItems) {
-        self.note_unreadable(&news.unreadable);
+        self.record_unreadable(&news.unreadable);
         for fact in news.updates {
             self.apply_update(fact);
         }
     }
 
     /// Counts values that cannot be read, and logs the first few of them.
-    fn note_unreadable(&self, unreadable: &[Unreadable]) {
+    fn record_unreadable(&self, unreadable: &[Unreadable]) {
         let count = u64::try_from(unreadable.len()).unwrap_or(u64::MAX);
         self.metrics.entries_unreadable.inc_by(count);
         let omitted = unreadable.len().saturating_sub(MAX_UNREADABLE_LOGGED);
