--- a/src/gateway/store_watch.rs
+++ b/src/gateway/store_watch.rs
@@ -93,7 +93,7 @@
     /// stale: the watch that follows brings what has changed since.
     async fn read_all(&mut self) {
         if self.gateway.knowledge.is_empty() && self.load_from_hall().await {
-            return self.note_success();
+            return self.record_success();
         }
         let consistency = match self.gateway.knowledge.is_empty() {
             true => Consistency::Stale,
@@ -101,7 +101,7 @@
         };
         loop {
             match self.try_read_all(consistency).await {
-                Ok(()) => return self.note_success(),
+                Ok(()) => return self.record_success(),
                 Err(error) => self.note_failure(&error).await,
             }
         }
@@ -163,7 +163,7 @@
                 // A short call finds out sooner than a watch that the store
                 // is back, and renews the proof of freshness at once.
                 match revalidate(gateway).await {
-                    Ok(Revalidated::Everything) => self.note_success(),
+                    Ok(Revalidated::Everything) => self.record_success(),
                     Ok(Revalidated::ConfigurationOnly) => {
                         gateway.record_store_failure();
                         return;
@@ -184,7 +184,7 @@
                         gossip::push_changes(gateway, digest, &changes);
                     }
                     apply_changes(gateway, changes, asked_at);
-                    self.note_success();
+                    self.record_success();
                     task::sleep(watch_pause(&self.gateway)).await;
                 }
                 Ok(WatchOutcome::HistoryLost) => {
@@ -196,7 +196,7 @@
         }
     }
 
-    fn note_success(&mut self) {
+    fn record_success(&mut self) {
         self.backoff.reset();
         self.gateway.peers.set_store_failure(None);
         if std::mem::take(&mut self.is_store_lost) {
