--- a/src/gateway/store_watch.rs
+++ b/src/gateway/store_watch.rs
@@ -102,7 +102,7 @@
         loop {
             match self.try_read_all(consistency).await {
                 Ok(()) => return self.record_success(),
-                Err(error) => self.note_failure(&error).await,
+                Err(error) => self.record_failure(&error).await,
             }
         }
     }
@@ -168,7 +168,7 @@
                         gateway.record_store_failure();
                         return;
                     }
-                    Err(error) => self.note_failure(&error).await,
+                    Err(error) => self.record_failure(&error).await,
                 }
                 continue;
             }
@@ -191,7 +191,7 @@
                     gateway.record_store_failure();
                     return;
                 }
-                Err(error) => self.note_failure(&error).await,
+                Err(error) => self.record_failure(&error).await,
             }
         }
     }
@@ -204,7 +204,7 @@
         }
     }
 
-    async fn note_failure(&mut self, error: &StoreError) {
+    async fn record_failure(&mut self, error: &StoreError) {
         self.gateway.record_store_failure();
         self.gateway.peers.set_store_failure(Some(self.gateway.clock.now()));
         if !std::mem::replace(&mut self.is_store_lost, true) {
