--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -482,14 +482,14 @@
                 return Err(AttemptError::NotRun("unreachable", reason));
             }
             Err(Some(error)) => {
-                self.note_sent();
+                self.record_sent();
                 return Err(AttemptError::Unknown(
                     "broken",
                     error.to_string(),
                 ));
             }
             Err(None) => {
-                self.note_sent();
+                self.record_sent();
                 return Err(AttemptError::Unknown("silent", String::new()));
             }
         };
@@ -519,7 +519,7 @@
         Ok((exchange, head))
     }
 
-    fn note_sent(&mut self) {
+    fn record_sent(&mut self) {
         self.sent += 1;
         self.may_have_run = true;
     }
