--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -377,7 +377,7 @@
     }
 
     /// Records that an upstream ran the request to its end without a crash.
-    pub(crate) fn note_completed(&self) {
+    pub(crate) fn record_completion(&self) {
         let now = self.gateway.clock.now();
         let crashes = &self.gateway.crashes;
         let changes = crashes.record_completed(self.digest(), now);
@@ -584,7 +584,7 @@
                 return Err(AttemptError::Unknown("silent", String::new()));
             }
         };
-        self.note_completed();
+        self.record_completion();
         let status = status_of(answer.status)?;
         let body = ReplyBody::Whole(answer.body);
         let reply = Reply { status, headers, body };
--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -411,7 +411,7 @@
     fn finish(&mut self) {
         if let Some(source) = self.source.take() {
             self.job.learn_service_time(&source.attempt);
-            self.job.note_completed();
+            self.job.record_completion();
             source.exchange.finish();
         }
         if let Some(mut trace) = self.trace.take() {
