--- a/src/gateway/ingress.rs
+++ b/src/gateway/ingress.rs
@@ -260,7 +260,7 @@
         return Err(stale("no configuration has been read yet"));
     };
     let age = gateway.knowledge.proof_age(now);
-    trace.note_configuration(table.version(), age);
+    trace.record_configuration(table.version(), age);
     if !gateway.may_accept_keys(now) {
         return Err(stale("the configuration may be out of date"));
     }
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -110,7 +110,7 @@
 
     /// Records the configuration in force and the age of its proof of
     /// freshness.
-    pub(crate) fn note_configuration(
+    pub(crate) fn record_configuration(
         &mut self,
         table: TableVersion,
         proof_age: Option<Duration>,
