--- a/src/gateway/ingress.rs
+++ b/src/gateway/ingress.rs
@@ -269,7 +269,7 @@
         return Err(Error::new(ErrorKind::NotFound)
             .context("no route has this host and path"));
     };
-    trace.note_route(route.clone());
+    trace.record_route(route.clone());
     let organisation = match table.has_keys() && !route.is_public {
         false => None,
         true => Some(check_key(&table, request)?),
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -120,7 +120,7 @@
     }
 
     /// Records the route of the request.
-    pub(crate) fn note_route(&mut self, route: Arc<Route>) {
+    pub(crate) fn record_route(&mut self, route: Arc<Route>) {
         self.route = Some(route);
     }
 
