--- a/src/gateway/ingress.rs
+++ b/src/gateway/ingress.rs
@@ -195,7 +195,7 @@
         }
     };
     let mut trace = trace(&request.id);
-    trace.note_request(&request);
+    trace.record_request(&request);
     let admitted = match admit(gateway, &request, &mut trace) {
         Ok(admitted) => admitted,
         Err(error) => {
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -125,7 +125,7 @@
     }
 
     /// Records the prompt length and the session from the request head.
-    pub(crate) fn note_request(&mut self, request: &RequestHead) {
+    pub(crate) fn record_request(&mut self, request: &RequestHead) {
         self.prompt_tokens = request.prompt_tokens;
         self.session.clone_from(&request.session);
     }
