--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -713,7 +713,7 @@
                 (true, FinalFailure::NotRun(reason))
             }
             AttemptError::Unknown(label, reason) => {
-                trace.note_digest(self.digest());
+                trace.record_digest(self.digest());
                 trace.end_attempt(label, &reason);
                 (
                     self.route.repeat == Repeat::Any,
--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -530,7 +530,7 @@
 
     fn end_attempt(&mut self, label: &str, reason: &str) {
         if let Some(trace) = &mut self.trace {
-            trace.note_digest(self.job.digest());
+            trace.record_digest(self.job.digest());
             trace.end_attempt(label, reason);
         }
     }
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -131,7 +131,7 @@
     }
 
     /// Records the digest that identifies the request when it is sent again.
-    pub(crate) fn note_digest(&mut self, digest: RequestDigest) {
+    pub(crate) fn record_digest(&mut self, digest: RequestDigest) {
         self.digest = Some(digest);
     }
 
