--- a/src/gateway/ingress.rs
+++ b/src/gateway/ingress.rs
@@ -275,7 +275,7 @@
         true => Some(check_key(&table, request)?),
     };
     if let Some(organisation) = &organisation {
-        trace.note_organisation(organisation.id.clone());
+        trace.record_organisation(organisation.id.clone());
     }
     Ok(Admitted { table, route, organisation })
 }
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -136,7 +136,10 @@
     }
 
     /// Records the organisation of the caller.
-    pub(crate) fn note_organisation(&mut self, organisation: OrganisationId) {
+    pub(crate) fn record_organisation(
+        &mut self,
+        organisation: OrganisationId,
+    ) {
         self.organisation = Some(organisation);
     }
 
