--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -313,7 +313,7 @@
         })?;
         let model = self.model.clone();
         trace.begin_attempt(&member, model.clone(), now);
-        trace.note_version(&version);
+        trace.record_version(&version);
         self.tried.push(member.upstream.short_hash);
         let session = self.begin_session(&member.entry.software, now);
         let prompt_tokens = self.request.prompt_tokens.unwrap_or(0);
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -169,7 +169,7 @@
     }
 
     /// Records which version the last attempt preferred during a rollout.
-    pub(crate) fn note_version(&mut self, choice: &VersionChoice) {
+    pub(crate) fn record_version(&mut self, choice: &VersionChoice) {
         let wanted = match choice.rule {
             VersionRule::Any => return,
             VersionRule::Prefer(_) => "new",
