--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -503,7 +503,7 @@
         let now = self.gateway.clock.now();
         attempt.member.record_activity(now);
         if let Some(signals) = &head.signals {
-            trace.note_signals(signals);
+            trace.record_signals(signals);
             let gateway = &self.gateway;
             gateway.apply_signals(&attempt.member, signals, attempt.began_at);
         }
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -181,7 +181,7 @@
     }
 
     /// Records what the upstream reported about itself in its response.
-    pub(crate) fn note_signals(&mut self, signals: &UpstreamSignals) {
+    pub(crate) fn record_signals(&mut self, signals: &UpstreamSignals) {
         if let Some(last) = self.attempts.last_mut() {
             last.is_leaving = signals.is_leaving;
             last.retry_after.clone_from(&signals.retry_after);
