--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -212,7 +212,7 @@
         {
             let escalation_model =
                 self.escalation_model(&attempt, model, confidence);
-            trace.note_confidence(
+            trace.record_confidence(
                 confidence,
                 escalation_model.as_ref().err().copied(),
             );
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -191,7 +191,7 @@
 
     /// Records the confidence of the model in its answer and, unless a larger
     /// model is asked, why the answer is kept.
-    pub(crate) fn note_confidence(
+    pub(crate) fn record_confidence(
         &mut self,
         confidence: Percent,
         no_escalation: Option<NoEscalation>,
