--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -591,7 +591,7 @@
         if status.is_server_error() {
             return Err(AttemptError::Failed(Box::new(reply)));
         }
-        trace.note_body_part();
+        trace.record_body_part();
         trace.end_attempt("answered", "");
         self.record_attempt(attempt, AttemptOutcome::Success, Some(waited));
         self.learn_service_time(attempt);
--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -294,7 +294,7 @@
             AttemptOutcome::Success,
             Some(waited),
         );
-        trace.note_body_part();
+        trace.record_body_part();
         let head = Reply {
             status: hyper::StatusCode::OK,
             headers,
@@ -396,7 +396,7 @@
             match source.next(&self.job, last, limit).await {
                 Ok(StreamRead::Events(events)) => {
                     if let Some(trace) = &mut self.trace {
-                        trace.note_body_part();
+                        trace.record_body_part();
                     }
                     return Ok(Some(events));
                 }
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -216,7 +216,7 @@
     }
 
     /// Records that a part of the response is sent to the caller.
-    pub(crate) fn note_body_part(&mut self) {
+    pub(crate) fn record_body_part(&mut self) {
         let elapsed_ms = self.elapsed_ms();
         self.first_part_ms.get_or_insert(elapsed_ms);
         if let Some(last_part_ms) = self.last_part_ms {
