--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -288,7 +288,7 @@
         let now = self.gateway.clock.now();
         let waited = now.saturating_duration_since(source.attempt.began_at);
         source.attempt.prefill = None;
-        self.learn_read_time(&source.attempt, waited);
+        self.learn_prefill_time(&source.attempt, waited);
         self.record_attempt(
             &source.attempt,
             AttemptOutcome::Success,
@@ -330,7 +330,7 @@
         AttemptError::Failed(Box::new(Reply { status, headers, body }))
     }
 
-    fn learn_read_time(&self, attempt: &Attempt, waited: Duration) {
+    fn learn_prefill_time(&self, attempt: &Attempt, waited: Duration) {
         let was_idle = attempt.prefill_before < MAX_OTHER_PREFILL;
         if let (true, Some(model)) = (was_idle, &attempt.model) {
             let times = &self.gateway.prefill_times;
