--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -257,7 +257,7 @@
     }
 
     /// Builds the criteria for choosing an upstream that is not in `tried`.
-    fn want<'a>(
+    fn pick_criteria<'a>(
         &self,
         version: &'a VersionChoice,
         tried: &'a [ShortHash],
@@ -280,8 +280,8 @@
     pub(crate) fn has_upstream_for_retry(&self, now: BootInstant) -> bool {
         let tried = self.tried.split_last().map_or(&[][..], |(_, rest)| rest);
         let version = self.version_choice(now);
-        let want = self.want(&version, tried);
-        self.gateway.pool.can_pick(&self.service, &want, now)
+        let criteria = self.pick_criteria(&version, tried);
+        self.gateway.pool.can_pick(&self.service, &criteria, now)
     }
 
     /// Chooses an upstream and begins an attempt at it.
@@ -292,8 +292,8 @@
     ) -> Result<Attempt, Error> {
         self.check_not_quarantined()?;
         let version = self.version_choice(now);
-        let want = self.want(&version, &self.tried);
-        let picked = self.gateway.pool.pick(&self.service, &want, now);
+        let criteria = self.pick_criteria(&version, &self.tried);
+        let picked = self.gateway.pool.pick(&self.service, &criteria, now);
         let member = picked.map_err(|no_member| match no_member {
             PickError::NoCandidate => Error::new(ErrorKind::NoUpstream)
                 .context(format!("service {} has no upstream", self.service)),
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -180,7 +180,7 @@
         self.is_stopping.load(Ordering::Relaxed)
     }
 
-    /// Begins a graceful shutdown.
+    /// Begins a graceful shutdown; this VM is no longer ready from now on.
     pub(crate) fn begin_stop(&self) {
         self.is_stopping.store(true, Ordering::Relaxed);
     }
@@ -192,13 +192,13 @@
             && self.may_accept_keys(self.clock.now())
     }
 
-    /// Whether keys may be accepted by the configuration at hand.
+    /// Whether the present configuration may be used to accept keys.
     ///
     /// With `fail_closed` off, the newest configuration holds until a newer
     /// one arrives: a VM that has lost the store goes on serving instead of
-    /// rejecting every caller. With the store unavailable for eight seconds,
-    /// 145 requests were rejected in five of them without this, and none with
-    /// it (one simulated day).
+    /// rejecting every caller. In one simulated day with the store unavailable
+    /// for eight seconds, 145 requests were rejected within five of them
+    /// without this, and none with it.
     pub(crate) fn may_accept_keys(&self, now: BootInstant) -> bool {
         !self.settings.fail_closed || self.is_fresh(now)
     }
@@ -292,11 +292,11 @@
         })
     }
 
-    /// Applies changes of the store.
-    pub(crate) fn apply_items(&self, news: AppliedItems) {
-        self.record_unreadable(&news.unreadable);
-        for fact in news.updates {
-            self.apply_update(fact);
+    /// Updates the state of this VM by items of the store.
+    pub(crate) fn apply_items(&self, applied: AppliedItems) {
+        self.record_unreadable(&applied.unreadable);
+        for update in applied.updates {
+            self.apply_update(update);
         }
     }
 
@@ -317,9 +317,9 @@
         }
     }
 
-    fn apply_update(&self, fact: StoreUpdate) {
+    fn apply_update(&self, update: StoreUpdate) {
         let now = self.clock.now();
-        match fact {
+        match update {
             StoreUpdate::Configuration(table) => {
                 let version = table.version();
                 let routes = table.routes_len();
--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -179,8 +179,9 @@
             let now = self.gateway.clock.now();
             let left = self.time_left(now);
             if self.may_resume(now) {
-                let most = self.time_left(since).min(MAX_STALL);
-                self.wait_for_silence(member, since, Some(limit), most).await;
+                let max_wait = self.time_left(since).min(MAX_STALL);
+                self.wait_for_silence(member, since, Some(limit), max_wait)
+                    .await;
                 return;
             }
             if left.is_zero() || member.is_superseded() {
@@ -234,7 +235,7 @@
         confidence: Percent,
     ) -> Result<ModelId, NoEscalation> {
         let now = self.gateway.clock.now();
-        let doubt = EscalationInput {
+        let input = EscalationInput {
             route: &self.route,
             model,
             confidence,
@@ -244,7 +245,7 @@
         };
         let times = &self.gateway.prefill_times;
         let escalation_model =
-            escalation_target(&doubt, times, attempt.prefill_before, now)?;
+            escalation_target(&input, times, attempt.prefill_before, now)?;
         // The answer at hand is better than none: it is given up only if an
         // upstream can take the larger request.
         match self.has_upstream_for_retry(now) {
@@ -343,8 +344,8 @@
     }
 
     fn stall_timeout(&self) -> Duration {
-        let aim = self.route.event_gap_target;
-        aim.map_or(STALL_TIMEOUT, |pause| pause.mul_f64(STALL_FRACTION))
+        let target = self.route.event_gap_target;
+        target.map_or(STALL_TIMEOUT, |gap| gap.mul_f64(STALL_FRACTION))
     }
 }
 
--- a/src/gateway/store_watch.rs
+++ b/src/gateway/store_watch.rs
@@ -31,13 +31,13 @@
 const MAX_RETRY_WAIT: Duration = Duration::from_millis(600);
 
 /// Factor on that wait for a VM that is not among the first of its data hall:
-/// those tell the others when the store is back, and each call has its price.
-/// Computed from these limits, 283 such VMs make 79 calls a second to a store
-/// that does not respond with a factor of 4, and 39 with 10.
+/// the first ones notify the others when the store is back, and each call
+/// loads the store. Computed from these limits, 283 such VMs make 79 calls a
+/// second to an unresponsive store with a factor of 4, and 39 with 10.
 const RETRY_FACTOR_STANDBY: f64 = 10.0;
 
 /// Pause between two watches. Records of upstreams often change together and
-/// each call has its price, so the changes during the pause are batched.
+/// each call loads the store, so the changes during the pause are batched.
 const WATCH_PAUSE: Duration = Duration::from_millis(200);
 
 /// The same pause for a VM that watches in case the first watcher is lost.
@@ -50,7 +50,7 @@
 
 /// Age of the proof of freshness from which a VM renews it, as a fraction of
 /// the time after which a revoked key must be rejected. The first VM to renew
-/// it tells the others, so one call serves all.
+/// it notifies the others, so one call serves all.
 const REVALIDATE_FRACTION: f64 = 0.2;
 
 /// The same fraction for a VM that is not the first of its data hall: the
@@ -130,8 +130,8 @@
         let gateway = &self.gateway;
         let asked_at = gateway.clock.now();
         let all = gateway.store.read_all(ALL_KEYS, consistency).await?;
-        let news = gateway.knowledge.apply_snapshot(all);
-        gateway.apply_items(news);
+        let applied = gateway.knowledge.apply_snapshot(all);
+        gateway.apply_items(applied);
         match consistency {
             Consistency::Linearizable => {
                 gateway.knowledge.prove(asked_at);
@@ -150,7 +150,8 @@
         Ok(())
     }
 
-    /// Applies changes until the store has lost the history of some of them.
+    /// Watches the store and applies its changes, until the store no longer
+    /// has the history that the next watch needs.
     async fn watch(&mut self) {
         loop {
             let gateway = &self.gateway;
@@ -245,23 +246,23 @@
 
 /// Renews the proof of freshness for as long as it is polled.
 ///
-/// A watch renews it only when it ends; meanwhile a watch that returns at once
-/// does.
+/// The long poll of [`StoreFollower::watch`] renews it only when it ends. A
+/// watch without a wait renews it in the meantime.
 pub(crate) async fn revalidate_loop(gateway: Arc<Gateway>) {
     let mut backoff = Backoff::new(MIN_REVALIDATE_WAIT, MAX_REVALIDATE_WAIT);
     loop {
         let now = gateway.clock.now();
-        let least = match gateway.peers.is_first_of_hall(now) {
+        let base = match gateway.peers.is_first_of_hall(now) {
             true => REVALIDATE_FRACTION,
             false => REVALIDATE_FRACTION_STANDBY,
         };
-        let part = least + REVALIDATE_JITTER * rand::random::<f64>();
-        let patience = gateway.settings.key_revocation_limit.mul_f64(part);
+        let fraction = base + REVALIDATE_JITTER * rand::random::<f64>();
+        let max_age = gateway.settings.key_revocation_limit.mul_f64(fraction);
         let age = gateway.knowledge.proof_age(now);
         match age {
             // The first read of the whole store brings the first proof.
-            None => task::sleep(patience).await,
-            Some(age) if age < patience => task::sleep(patience - age).await,
+            None => task::sleep(max_age).await,
+            Some(age) if age < max_age => task::sleep(max_age - age).await,
             // The store follower already checks whether the store is back.
             Some(_) if !gateway.peers.can_watch(now) => {
                 task::sleep(ROLE_CHECK_INTERVAL).await;
@@ -287,9 +288,9 @@
 
 /// Applies all changes since the last ones, so that the state is current.
 ///
-/// The answer holds only the changes. To read a configuration of a thousand
-/// routes instead took a VM with an eighth of a core and 20 Mbit/s a quarter
-/// of a second at each renewal, and as long again at its start.
+/// The response holds only the changes. Reading a configuration of a thousand
+/// routes instead took a quarter of a second at each renewal, and as long
+/// again at the start, on a VM with an eighth of a core and 20 Mbit/s.
 async fn revalidate(gateway: &Gateway) -> Result<Revalidated, StoreError> {
     let asked_at = gateway.clock.now();
     let since = gateway.knowledge.as_of();
@@ -314,18 +315,18 @@
     changes: StoreItems,
     asked_at: BootInstant,
 ) {
-    let news = gateway.knowledge.apply_changes(changes);
-    gateway.apply_items(news);
+    let applied = gateway.knowledge.apply_changes(changes);
+    gateway.apply_items(applied);
     gateway.knowledge.prove(asked_at);
 }
 
-/// Reads the configuration, which is then current.
+/// Reads and applies the configuration, which is then current.
 async fn revalidate_by_reading(gateway: &Gateway) -> Result<(), StoreError> {
     let asked_at = gateway.clock.now();
     match gateway.store.read(document::CONFIGURATION_KEY).await? {
         Some(item) => {
-            let news = gateway.knowledge.apply_item(item);
-            gateway.apply_items(news);
+            let applied = gateway.knowledge.apply_item(item);
+            gateway.apply_items(applied);
             gateway.knowledge.prove(asked_at);
         }
         None => task::sleep(MAX_RETRY_WAIT).await,
--- a/src/gateway/suspension_tests.rs
+++ b/src/gateway/suspension_tests.rs
@@ -129,8 +129,8 @@
 fn decisions(gateway: &Gateway) -> Vec<(&'static str, bool)> {
     let now = gateway.clock.now();
     let own_proof = gateway.knowledge.proof_age(now);
-    let want = PickCriteria::default();
-    let picked = gateway.pool.pick(&service(), &want, now);
+    let criteria = PickCriteria::default();
+    let picked = gateway.pool.pick(&service(), &criteria, now);
     vec![
         ("accepts keys", gateway.may_accept_keys(now)),
         ("is ready", gateway.is_ready()),
--- a/src/store_sync/knowledge.rs
+++ b/src/store_sync/knowledge.rs
@@ -349,8 +349,8 @@
         };
         self.digest ^= digest(&item.key, item.version);
         let current = match document::decode_update(&item.key, &value) {
-            Ok(fact) => {
-                applied.updates.extend(fact);
+            Ok(update) => {
+                applied.updates.extend(update);
                 value
             }
             Err(error) => {
