--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -103,8 +103,8 @@
     pub(crate) organisation: Option<Organisation>,
     pub(crate) request: RequestHead,
     pub(crate) body: Bytes,
-    /// When the time of the caller or the limit of the route ends, whichever
-    /// is first.
+    /// The deadline of the caller or the time limit of the route, whichever
+    /// is earlier.
     pub(crate) deadline: BootInstant,
     pub(crate) started_at: BootInstant,
     /// The model to ask, if the caller leaves the choice to the router.
@@ -139,11 +139,11 @@
     pub(crate) member: Arc<Member>,
     pub(crate) model: Option<ModelId>,
     pub(crate) began_at: BootInstant,
-    /// Prefill time that was under way at the upstream when it began.
+    /// Prefill backlog of the upstream when the attempt began.
     pub(crate) prefill_before: Duration,
-    /// Upper estimate of that prefill time.
+    /// Upper estimate of that backlog.
     pub(crate) max_prefill_before: Duration,
-    /// Requests per slot at the upstream when it began.
+    /// Requests per slot at the upstream when the attempt began.
     pub(crate) utilization_before: f64,
     /// Tokens of the prompt; 0 if unknown.
     pub(crate) prompt_tokens: u64,
@@ -170,7 +170,7 @@
     }
 }
 
-/// Why an attempt brought no response to pass on.
+/// Why an attempt gave no response for the caller.
 pub(crate) enum AttemptError {
     /// The upstream did not execute the request: label and reason.
     NotRun(&'static str, String),
@@ -225,8 +225,8 @@
                     }
                 },
             };
-            if let Err(reply) = self.prepare_retry(error, &mut trace) {
-                return self.fail(reply, trace);
+            if let Err(failure) = self.prepare_retry(error, &mut trace) {
+                return self.fail(failure, trace);
             }
         }
     }
@@ -408,10 +408,14 @@
         let times = &self.gateway.prefill_times;
         let saved = times.expected(self.model.as_ref(), tokens);
         let count = u32::try_from(tokens).unwrap_or(u32::MAX);
-        let most =
+        let max_extra_wait =
             self.route.latency_target.mul_f64(CACHED_PROMPT_WAIT_FRACTION);
-        let spared = CACHED_TOKEN_WAIT.saturating_mul(count).min(most);
-        Some(PrefixAffinity { prefix_hash, cache_miss_cost: saved + spared })
+        let extra_wait =
+            CACHED_TOKEN_WAIT.saturating_mul(count).min(max_extra_wait);
+        Some(PrefixAffinity {
+            prefix_hash,
+            cache_miss_cost: saved + extra_wait,
+        })
     }
 
     fn priority(&self) -> u8 {
@@ -544,8 +548,8 @@
                 return;
             }
             let is_dead = max_silence.is_some_and(|max_silence| {
-                let patience = patience(member, max_silence, now);
-                gateway.pool.seems_dead(member, waited, patience, now)
+                let max_silence = silence_limit(member, max_silence, now);
+                gateway.pool.seems_dead(member, waited, max_silence, now)
             });
             if is_dead {
                 return;
@@ -562,9 +566,9 @@
         let service_time = self.gateway.service_times.of(&self.service);
         let queue_wait =
             admission::queue_wait(attempt.utilization_before, service_time);
-        let patience =
+        let max_wait =
             self.route.latency_target.mul_f64(RETRY_AIM_FRACTION) + queue_wait;
-        let limit = self.attempt_timeout(attempt, patience);
+        let limit = self.attempt_timeout(attempt, max_wait);
         let (mut exchange, _) = self.send(attempt, None, limit, trace).await?;
         exchange.allow_end_at_close();
         let headers = headers::response_headers(&exchange.headers);
@@ -598,8 +602,8 @@
         Ok(reply)
     }
 
-    /// Learns the service time from an attempt that has just succeeded,
-    /// unless it had to queue for a slot.
+    /// Records the service time of an attempt that has just succeeded, unless
+    /// the request may have queued for a slot.
     pub(crate) fn learn_service_time(&self, attempt: &Attempt) {
         if attempt.utilization_before < 1.0 {
             let now = self.gateway.clock.now();
@@ -619,16 +623,16 @@
         )
     }
 
-    /// Returns how long to wait for the response of an attempt: `patience` if
+    /// Returns how long to wait for the response of an attempt: `max_wait` if
     /// another attempt could replace it, else all the time left.
     fn attempt_timeout(
         &self,
         attempt: &Attempt,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Duration {
         let left = self.time_left(attempt.began_at);
         match self.can_replace_attempt() {
-            true => patience.min(left),
+            true => max_wait.min(left),
             false => left,
         }
     }
@@ -641,9 +645,9 @@
             && self.has_other_upstream()
     }
 
-    /// Whether an available upstream is left that was not tried. Without one,
-    /// giving up a silent attempt or stream makes it fail, whereas waiting may
-    /// still bring the rest.
+    /// Whether an available upstream has not been tried yet. Without one,
+    /// giving up a silent attempt or stream makes the request fail, whereas
+    /// its response may still arrive.
     fn has_other_upstream(&self) -> bool {
         let now = self.gateway.clock.now();
         self.gateway.pool.has_untried(&self.service, &self.tried, now)
@@ -686,9 +690,9 @@
         let is_isolated = outcome == AttemptOutcome::Failed
             && gateway.pool.is_isolated_failure(&attempt.member, now);
         gateway.record_outcome(&attempt.member, outcome);
-        let ended = attempt.member.is_superseded()
+        let is_superseded_failure = attempt.member.is_superseded()
             && outcome != AttemptOutcome::Success;
-        if is_isolated || ended {
+        if is_isolated || is_superseded_failure {
             return;
         }
         gateway.rollouts.record_answer(
@@ -707,7 +711,7 @@
         error: AttemptError,
         trace: &mut Trace,
     ) -> Result<(), FinalFailure> {
-        let (is_repeatable, outcome) = match error {
+        let (is_repeatable, failure) = match error {
             AttemptError::NotRun(label, reason) => {
                 trace.end_attempt(label, &reason);
                 (true, FinalFailure::NotRun(reason))
@@ -732,18 +736,18 @@
                 (self.route.repeat == Repeat::Any, FinalFailure::Failed(reply))
             }
         };
-        // Until something reached an upstream, nothing is taken from the
-        // retry budget: it bounds the load on upstreams.
-        let may_go_on = is_repeatable
+        // The retry budget bounds the load on upstreams, so nothing is taken
+        // from it before an attempt has reached one.
+        let may_retry = is_repeatable
             && self.sent < self.route.attempts
             && self.tried.len()
                 < self.route.attempts as usize + MAX_CONNECT_FAILURES
             && (self.sent == 0 || self.gateway.try_retry(&self.service));
-        if may_go_on { Ok(()) } else { Err(outcome) }
+        if may_retry { Ok(()) } else { Err(failure) }
     }
 
-    fn fail(self, outcome: FinalFailure, trace: Trace) -> Reply {
-        match outcome {
+    fn fail(self, failure: FinalFailure, trace: Trace) -> Reply {
+        match failure {
             FinalFailure::Failed(reply) => {
                 trace.end(RequestEnd::Answered(reply.status.as_u16()));
                 *reply
@@ -783,9 +787,9 @@
     }
 }
 
-/// Returns how long an upstream may stay silent: longer while it is busy with
-/// long prefills, since it sends nothing else meanwhile.
-fn patience(
+/// Returns how long an upstream may stay silent: longer while it runs long
+/// prefills, since it sends nothing until they are done.
+fn silence_limit(
     member: &Member,
     max_silence: Duration,
     now: BootInstant,
--- a/src/gateway/limit_replay.rs
+++ b/src/gateway/limit_replay.rs
@@ -235,13 +235,13 @@
                 ..UpstreamSignals::default()
             };
             let vm = self.fleet.vms[work.vm].clone();
-            let news = vm.pool.apply_signals(
+            let changes = vm.pool.apply_signals(
                 &work.member,
                 &signals,
                 now.checked_sub(WORK).unwrap(),
                 now,
             );
-            if !news.is_empty() {
+            if !changes.is_empty() {
                 self.fleet.schedule_early_heartbeat(work.vm);
             }
         }
--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -35,15 +35,15 @@
 };
 
 /// Longest silence within a stream before another upstream is asked, as a
-/// fraction of the target for the pause between two events.
+/// fraction of the target for the gap between two events.
 const STALL_FRACTION: f64 = 0.45;
 
-/// Longest silence within a stream if the route has no target for pauses.
+/// Longest silence within a stream if the route has no such target.
 const STALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Largest prefill backlog of an upstream at which the prefill time of another
-/// prompt is still learned from: with more, the time includes the wait for
-/// those prefills.
+/// Largest prefill backlog of an upstream at which the prefill time of a
+/// further prompt is recorded: with more, the time includes the wait for those
+/// prefills.
 const MAX_OTHER_PREFILL: Duration = Duration::from_millis(20);
 
 /// Silence after which the rest of a stream counts as lost even if its
@@ -69,7 +69,7 @@
     events: Splitter,
 }
 
-/// A stream whose first events have arrived.
+/// A stream from an upstream whose first events, or its end, have been read.
 pub(crate) struct OpenedStream {
     source: UpstreamStream,
     head: Reply,
@@ -226,8 +226,8 @@
         self.open(attempt, exchange, trace).await
     }
 
-    /// Returns the larger model to ask instead of the one that has answered,
-    /// or why its answer is kept.
+    /// Returns the larger model to ask instead of `model`, or why the response
+    /// of `model` is kept.
     fn escalation_model(
         &self,
         attempt: &Attempt,
