--- a/src/gateway/ingress.rs
+++ b/src/gateway/ingress.rs
@@ -55,8 +55,8 @@
 /// Timeout of a request whose caller states none.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// `Retry-After` sent while this VM has no up-to-date configuration; by then
-/// the load balancer sends the caller to another VM.
+/// `Retry-After` sent while this VM has no up-to-date configuration. By the
+/// time it ends, the load balancer sends the caller to another VM.
 const RETRY_AFTER_STALE: Duration = Duration::from_millis(500);
 
 /// Time after its start for which a VM that is not ready lets callers wait
@@ -93,7 +93,8 @@
                 task::spawn(serve_connection(gateway, stream, closing))
                     .detach();
             }
-            // For example out of file descriptors: wait until some are closed.
+            // For example, the process is out of file descriptors; waits until
+            // some are closed.
             Err(_) => task::sleep(Duration::from_millis(20)).await,
         }
     }
@@ -237,14 +238,15 @@
     Ok((job, trace))
 }
 
-/// What admission has found out about a request.
+/// The configuration, route and organisation under which a request was
+/// admitted.
 struct Admitted {
     table: Arc<RouteTable>,
     route: Arc<crate::store_sync::route::Route>,
     organisation: Option<Organisation>,
 }
 
-/// Decides by configuration, route and key whether a request may run.
+/// Checks the configuration, the route and the key of a request.
 fn admit(
     gateway: &Gateway,
     request: &RequestHead,
--- a/src/gateway/rollout_status.rs
+++ b/src/gateway/rollout_status.rs
@@ -1,9 +1,9 @@
 //! Records the status of rollouts in the store.
 //!
-//! One VM, the steward, does so: the first, in an order that all VMs compute
-//! alike, of those that reach each other and the store. Two VMs that both take
-//! themselves for the steward do no harm, since every write is conditional and
-//! a rollout that has ended stays ended.
+//! One VM, the steward, does so: the first, in an order that is the same for
+//! all VMs, of those that reach each other and the store. Two VMs that both
+//! act as the steward do no harm, since every write is conditional and a
+//! rollout that has ended stays ended.
 
 use std::{sync::Arc, time::Duration};
 
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -34,7 +34,7 @@
     version: Option<(&'static str, ChoiceReason)>,
     model: Option<ModelId>,
     requests_there: u32,
-    reading_there_ms: u64,
+    prefill_there_ms: u64,
     began_ms: u64,
     ended_ms: Option<u64>,
     end: String,
@@ -156,7 +156,7 @@
             version: None,
             model,
             requests_there: member.requests(now),
-            reading_there_ms: member.prefill_backlog(now).as_millis() as u64,
+            prefill_there_ms: member.prefill_backlog(now).as_millis() as u64,
             began_ms: self.elapsed_ms(),
             ended_ms: None,
             end: "running".to_owned(),
@@ -330,8 +330,8 @@
             fields.insert("model".into(), model.as_str().into());
         }
         fields.insert("requests_there".into(), self.requests_there.into());
-        let reading_ms = self.reading_there_ms;
-        fields.insert("reading_there_ms".into(), reading_ms.into());
+        let prefill_ms = self.prefill_there_ms;
+        fields.insert("reading_there_ms".into(), prefill_ms.into());
         fields.insert("began_ms".into(), self.began_ms.into());
         if let Some(ended_ms) = self.ended_ms {
             fields.insert("ended_ms".into(), ended_ms.into());
--- a/src/gateway/upstream_signals.rs
+++ b/src/gateway/upstream_signals.rs
@@ -54,17 +54,17 @@
         }
     }
 
-    /// Merges rate limits of upstreams, as reported by another VM. `is_near`
-    /// says that it is in the data hall of this VM.
+    /// Merges rate limits of upstreams, as reported by another VM.
+    /// `is_same_hall` says that the sender is in the data hall of this VM.
     pub(crate) fn merge_rate_limits(
         &self,
         from: &str,
         reported: &[RateLimitReport],
-        is_near: bool,
+        is_same_hall: bool,
     ) {
         let now = self.clock.now();
         for (member, change) in
-            self.pool.merge_peer_rate_limits(reported, is_near, now)
+            self.pool.merge_peer_rate_limits(reported, is_same_hall, now)
         {
             let mut details = json!({
                 "upstream": member.entry.incarnation().to_string(),
@@ -73,8 +73,8 @@
             });
             if let ReportedChange::RateLimited(rate) = change {
                 details["per_s"] = rate.per_s().into();
-                // This VM passes it on to its own data hall.
-                if !is_near {
+                // This VM relays the limit to its own data hall.
+                if !is_same_hall {
                     self.early_heartbeat.wake();
                 }
             }
@@ -84,8 +84,8 @@
 
     fn log_change(&self, member: &Member, change: &ReportedChange) {
         let incarnation = member.entry.incarnation().to_string();
-        let said = &self.metrics.upstreams_said;
-        said.with_label_values(&[change.label()]).inc();
+        let counter = &self.metrics.upstreams_said;
+        counter.with_label_values(&[change.label()]).inc();
         let mut details = json!({ "upstream": incarnation });
         match change {
             ReportedChange::Leaving => {
--- a/src/gateway/vm_registration.rs
+++ b/src/gateway/vm_registration.rs
@@ -42,7 +42,7 @@
 const SELF_REGISTRATION_JITTER: Duration = Duration::from_secs(2);
 
 /// Lifetime of the lease of the records, the longest that the store grants: it
-/// only removes stale records, and heartbeats tell which VMs are alive.
+/// only removes stale records, and heartbeats show which VMs are alive.
 const LEASE_TTL: Duration = Duration::from_secs(600);
 
 /// Interval between two renewals of that lease; one of them may fail.
@@ -118,10 +118,10 @@
         {
             return Ok(());
         }
-        let is_held = self.gateway.store.renew_lease(lease.id).await?;
+        let still_exists = self.gateway.store.renew_lease(lease.id).await?;
         // If the lease is gone, so are its records, which are due again.
         let renewed = RecordLease { renewed_at: now, ..lease };
-        self.lease = is_held.then_some(renewed);
+        self.lease = still_exists.then_some(renewed);
         Ok(())
     }
 
@@ -169,7 +169,7 @@
                 self.gateway.peers.request_poll();
                 Ok(())
             }
-            // A record in the store is newer than the copy of this VM.
+            // A record in the store is newer than in this VM's copy.
             WriteOutcome::Conflict => {
                 self.gateway.peers.request_poll();
                 Err(StoreError::NotApplied("a record has changed".to_owned()))
--- a/src/store_sync/gossip.rs
+++ b/src/store_sync/gossip.rs
@@ -36,7 +36,8 @@
 /// asks it for a snapshot.
 const PROOF_WAIT_LIMIT: Duration = Duration::from_millis(400);
 
-/// Interval at which such a VM checks whether it has a proof.
+/// Interval at which a starting VM checks whether it has a proof, while such
+/// a reply is delayed.
 const PROOF_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Longest time for which a starting VM asks others of its data hall for a
@@ -76,7 +77,7 @@
 const MIN_HEARTBEAT_GAP: Duration = Duration::from_millis(50);
 
 /// Sends a round of heartbeats at every heartbeat interval, and sooner when
-/// something has begun that other VMs should know of.
+/// something has happened that other VMs should know at once.
 pub(crate) async fn send_heartbeats(gateway: Arc<Gateway>, socket: UdpSocket) {
     loop {
         let jitter = 0.9 + 0.2 * rand::random::<f64>();
@@ -229,8 +230,8 @@
     }
 }
 
-/// Merges the state that a heartbeat reports. If its sender knows more and
-/// this VM's proof is old, fetches the sender's snapshot.
+/// Merges the state that a heartbeat reports. If its sender has a newer copy
+/// of the store and this VM's proof is old, fetches the sender's snapshot.
 pub(crate) fn receive_heartbeat(
     gateway: &Arc<Gateway>,
     heartbeat: &Heartbeat,
--- a/src/store_sync/peers.rs
+++ b/src/store_sync/peers.rs
@@ -64,8 +64,8 @@
 const STEWARD_MAX_PROOF_AGE: Duration = Duration::from_millis(2800);
 
 /// Number of VMs that watch the store, in different data halls if there are
-/// enough; these push changes to the others. Each watch costs the store
-/// something, and three tolerate the loss of two.
+/// enough; these push changes to the others. Each watch loads the store, and
+/// three tolerate the loss of two.
 const WATCHERS: usize = 3;
 
 /// Number of watchers per data hall in a fleet that is too large for each VM
@@ -147,9 +147,10 @@
     /// Returns whether the VM is alive, is not leaving and reports that the
     /// store answers it.
     fn can_watch(&self, now: BootInstant) -> bool {
-        let is_able =
+        let is_eligible =
             |last: &LastHeartbeat| last.can_watch && !last.is_leaving;
-        self.is_alive(now) && self.last_heartbeat.as_ref().is_some_and(is_able)
+        self.is_alive(now)
+            && self.last_heartbeat.as_ref().is_some_and(is_eligible)
     }
 }
 
@@ -370,7 +371,7 @@
         own_proof: Option<Duration>,
         now: BootInstant,
     ) -> bool {
-        let is_able = |proven_at: Option<BootInstant>| {
+        let is_eligible = |proven_at: Option<BootInstant>| {
             proven_at.is_some_and(|at| {
                 now.saturating_duration_since(at) <= STEWARD_MAX_PROOF_AGE
             })
@@ -379,12 +380,12 @@
             return false;
         }
         let known = self.known.lock().expect("peers lock");
-        let able = known.iter().filter(|(_, peer)| {
+        let eligible = known.iter().filter(|(_, peer)| {
             let proven_at =
                 peer.last_heartbeat.as_ref().and_then(|last| last.proven_at);
-            peer.is_alive(now) && is_able(proven_at)
+            peer.is_alive(now) && is_eligible(proven_at)
         });
-        let names = able.map(|(vm, _)| vm.as_str());
+        let names = eligible.map(|(vm, _)| vm.as_str());
         let all = names.chain([self.vm.as_str()]);
         let first = all.min_by_key(|vm| rendezvous::short_hash(vm.as_bytes()));
         first == Some(self.vm.as_str())
@@ -440,9 +441,9 @@
         }
     }
 
-    /// Returns whether this VM is one of the first of its data hall, in rank
-    /// order of all live VMs. These VMs retry more often while the store does
-    /// not answer, and tell the others when it answers.
+    /// Returns whether this VM is among the first of its data hall, in the
+    /// rank order of its live VMs. These VMs retry more often while the store does
+    /// not answer, and notify the others when it answers.
     pub(crate) fn is_outage_prober(&self, now: BootInstant) -> bool {
         self.count_ranked_before(|peer| peer.is_alive(now))
             < OUTAGE_PROBERS_PER_HALL
@@ -484,20 +485,20 @@
     fn find_watchers(&self, now: BootInstant) -> Arc<[String]> {
         let known = self.known.lock().expect("peers lock");
         let receives_all = self.receives_all(&known);
-        let able = known.iter().filter(|(_, peer)| {
+        let eligible = known.iter().filter(|(_, peer)| {
             let is_same_hall = peer.data_hall == self.data_hall;
             peer.can_watch(now) && (is_same_hall || receives_all)
         });
-        let mut able: Vec<(Rank, &str, &DataHallId)> = able
+        let mut eligible: Vec<(Rank, &str, &DataHallId)> = eligible
             .map(|(vm, peer)| (peer.rank(vm), vm.as_str(), &peer.data_hall))
             .collect();
         if self.can_watch(now) {
-            able.push((self.rank, &self.vm, &self.data_hall));
+            eligible.push((self.rank, &self.vm, &self.data_hall));
         }
-        able.sort();
+        eligible.sort();
         let mut halls = HashSet::new();
         let (firsts, others): (Vec<_>, Vec<_>) =
-            able.into_iter().partition(|(_, _, hall)| halls.insert(*hall));
+            eligible.into_iter().partition(|(_, _, hall)| halls.insert(*hall));
         let wanted = wanted_watchers(receives_all);
         let chosen = firsts.into_iter().chain(others).take(wanted);
         chosen.map(|(_, vm, _)| vm.to_owned()).collect()
@@ -517,12 +518,13 @@
 
     /// Returns how this VM learns of changes in the store.
     ///
-    /// `proof_age` is the age of the proof of the configuration, and `revoke`
-    /// the time within which a revoked key must be rejected.
+    /// `proof_age` is the age of the proof of the configuration, and
+    /// `revocation_limit` the time within which a revoked key must be
+    /// rejected.
     pub(crate) fn watch_role(
         &self,
         proof_age: Option<Duration>,
-        revoke: Duration,
+        revocation_limit: Duration,
         now: BootInstant,
     ) -> WatchRole {
         let watchers = self.watchers(now);
@@ -534,7 +536,7 @@
         if !others_watch {
             return WatchRole::Watch;
         }
-        let limit = revoke.mul_f64(IDLE_PROOF_FRACTION);
+        let limit = revocation_limit.mul_f64(IDLE_PROOF_FRACTION);
         // Without a configuration there is nothing to prove yet.
         let is_proven = proof_age.is_none_or(|age| age <= limit);
         let freshness = *self.freshness.lock().expect("freshness lock");
@@ -596,8 +598,8 @@
     }
 
     /// Returns the addresses to which this VM pushes changes; empty unless it
-    /// is a watcher. They include the other watchers, which are there for its
-    /// loss and poll less often.
+    /// is a watcher. They include the other watchers, which take over if it is
+    /// lost and until then poll less often.
     pub(crate) fn change_receivers(
         &self,
         now: BootInstant,
@@ -665,9 +667,9 @@
     /// Returns when the sender's configuration was proven current, by this
     /// VM's clock.
     ///
-    /// The heartbeat was made `elapsed_ms` after the echoed one arrived there,
-    /// which was not before this VM sent that one. The result is thus never
-    /// later than the actual time.
+    /// The sender made the heartbeat `elapsed_ms` after it received the echoed
+    /// one, which it cannot have received before this VM sent it. The result
+    /// is thus never later than the actual time.
     fn proven_at(&self, heartbeat: &Heartbeat) -> Option<BootInstant> {
         let echo = heartbeat.echo?;
         if echo.incarnation != self.incarnation {
