--- a/src/gateway/limit_replay.rs
+++ b/src/gateway/limit_replay.rs
@@ -36,7 +36,7 @@
 const LIMITED_TO_MS: u64 = 14_000;
 const DURATION_MS: u64 = 20_000;
 
-/// When VMs restart, and during which time a data hall is partitioned.
+/// When VMs restart, and when a data hall is partitioned.
 const RESTARTS_MS: [u64; 2] = [6_000, 9_000];
 const PARTITION_MS: std::ops::Range<u64> = 4_000..11_000;
 
@@ -91,8 +91,8 @@
 #[derive(Debug, Default)]
 #[expect(dead_code, reason = "printed for the design page")]
 struct Results {
-    asked: usize,
-    refused: usize,
+    requests: usize,
+    rejected: usize,
     /// The largest number of requests in one window at one upstream, from VMs
     /// that had received the limit, and from all VMs.
     max_informed: usize,
@@ -124,8 +124,8 @@
     /// The requests at each upstream: when each arrived, and whether its VM
     /// had received the limit.
     arrivals: Vec<Vec<(u64, bool)>>,
-    asked: usize,
-    refused: usize,
+    requests: usize,
+    rejected: usize,
 }
 
 impl Simulation {
@@ -136,8 +136,8 @@
             in_progress: VecDeque::new(),
             informed_at_ms: HashMap::new(),
             arrivals: vec![Vec::new(); case.upstreams],
-            asked: 0,
-            refused: 0,
+            requests: 0,
+            rejected: 0,
             case,
         };
         for number in 0..simulation.fleet.vms.len() {
@@ -146,7 +146,7 @@
         simulation
     }
 
-    /// Gives a VM all records of the store.
+    /// Applies all records of the store to a VM.
     fn learn_from_store(&self, number: usize) {
         let (fleet, pool) = (&self.fleet, &self.fleet.vms[number].pool);
         for other in 0..fleet.vms.len() {
@@ -160,15 +160,15 @@
     }
 
     fn apply_disruption(&mut self) {
-        let passed_ms = self.fleet.elapsed_ms;
+        let now_ms = self.fleet.elapsed_ms;
         match self.case.disruption {
             None => {}
             Some(Disruption::HallPartitioned) => {
-                let is_cut = PARTITION_MS.contains(&passed_ms);
-                self.fleet.partitioned_hall = is_cut.then_some(0);
+                let is_partitioned = PARTITION_MS.contains(&now_ms);
+                self.fleet.partitioned_hall = is_partitioned.then_some(0);
             }
             Some(Disruption::Restarts) => {
-                let at = RESTARTS_MS.iter().position(|at| *at == passed_ms);
+                let at = RESTARTS_MS.iter().position(|at| *at == now_ms);
                 let Some(third) = at else { return };
                 for number in (third..self.fleet.vms.len()).step_by(3) {
                     self.restart(number);
@@ -204,18 +204,20 @@
         while self.fleet.elapsed_ms < DURATION_MS {
             self.fleet.step();
             self.apply_disruption();
-            self.answer();
+            self.end_due_requests();
             let rate = RATE_PER_UPSTREAM * self.case.upstreams as f64;
             due += rate * STEP_MS as f64 / 1000.0;
             while due >= 1.0 {
                 due -= 1.0;
-                self.request();
+                self.send_request();
             }
         }
         self.into_results()
     }
 
-    fn answer(&mut self) {
+    /// Ends the requests that are due; their VMs receive the signals of the
+    /// responses.
+    fn end_due_requests(&mut self) {
         let now = self.fleet.clock.now();
         while self.in_progress.front().is_some_and(|work| work.ends_at <= now)
         {
@@ -226,9 +228,9 @@
                 false => RateLimit::Unlimited,
             };
             if limit != RateLimit::Unlimited {
-                let passed_ms = self.fleet.elapsed_ms;
+                let now_ms = self.fleet.elapsed_ms;
                 let informed = self.informed_at_ms.entry((work.vm, upstream));
-                informed.or_insert(passed_ms);
+                informed.or_insert(now_ms);
             }
             let signals = UpstreamSignals {
                 rate_limit: Some(limit),
@@ -247,23 +249,24 @@
         }
     }
 
-    fn request(&mut self) {
-        self.asked += 1;
+    /// Sends one request through a random VM.
+    fn send_request(&mut self) {
+        self.requests += 1;
         let at = self.rng.random_range(0..self.fleet.vms.len());
         let vm = self.fleet.vms[at].clone();
         let service = "writers".parse().unwrap();
         let now = self.fleet.clock.now();
         let picked = vm.pool.pick(&service, &PickCriteria::default(), now);
         let Ok(member) = picked else {
-            self.refused += 1;
+            self.rejected += 1;
             return;
         };
         let upstream = number(&member);
-        let passed_ms = self.fleet.elapsed_ms;
+        let now_ms = self.fleet.elapsed_ms;
         let informed_ms = self.informed_at_ms.get(&(at, upstream));
         let was_informed = informed_ms
-            .is_some_and(|informed| passed_ms >= informed + INFORMED_GRACE_MS);
-        self.arrivals[upstream].push((passed_ms, was_informed));
+            .is_some_and(|informed| now_ms >= informed + INFORMED_GRACE_MS);
+        self.arrivals[upstream].push((now_ms, was_informed));
         self.in_progress.push_back(Running {
             ends_at: now + WORK,
             vm: at,
@@ -308,8 +311,8 @@
             .max()
             .unwrap_or(0);
         Results {
-            asked: self.asked,
-            refused: self.refused,
+            requests: self.requests,
+            rejected: self.rejected,
             max_informed: max_informed.max().unwrap_or(0),
             max_of_all: all.max().unwrap_or(0),
             used: used / (allowed * limited.len() as f64),
@@ -370,7 +373,7 @@
     let (allowed, results) = simulate(case);
     assert!(results.max_informed as f64 <= allowed, "{case:?}: {results:?}");
     // If no request is rejected, the limits need not be used up.
-    let is_enough = results.refused == 0 || results.used >= MIN_USED_FRACTION;
+    let is_enough = results.rejected == 0 || results.used >= MIN_USED_FRACTION;
     assert!(is_enough, "{case:?}: {results:?}");
 }
 
--- a/src/gateway/suspension_tests.rs
+++ b/src/gateway/suspension_tests.rs
@@ -2,9 +2,9 @@
 //!
 //! While a VM is suspended, its timers do not run, and after it resumes, a
 //! request or a message of another VM may be handled before the first timer.
-//! So no decision may rely on a timer having removed expired state: once, a
-//! request stayed blocked until the timer that expires blocks had run, and a
-//! completed run that had expired still counted.
+//! So no decision may rely on a timer having removed expired state. Otherwise
+//! a request stays quarantined until the timer that expires quarantines has
+//! run, and a completed run that has expired still counts.
 
 use std::time::Duration;
 
@@ -134,7 +134,10 @@
     vec![
         ("accepts keys", gateway.may_accept_keys(now)),
         ("is ready", gateway.is_ready()),
-        ("blocks the request", gateway.crashes.is_quarantined(REQUEST, now)),
+        (
+            "quarantines the request",
+            gateway.crashes.is_quarantined(REQUEST, now),
+        ),
         ("may retry", gateway.can_retry(&service())),
         ("has an upstream", picked.is_ok()),
         ("is cold", picked.is_ok_and(|member| member.is_cold(now))),
@@ -184,8 +187,8 @@
         for (own, other) in resumed.iter().zip(&awake) {
             prop_assert!(!common(own.0) || own == other, "{own:?} {other:?}");
         }
-        // The first inputs after the resumption are judged by the age of the
-        // state.
+        // The first inputs after the VM resumes are handled before its timers
+        // have run as well; expired state must not affect them.
         for input in after {
             apply(&fleet, RESUMED, input);
             apply(&fleet, AWAKE, input);
@@ -196,7 +199,7 @@
         }
     }
 
-    /// A VM that was suspended for longer than its proof of freshness holds
+    /// A VM that was suspended for longer than its proof of freshness is valid
     /// accepts no keys and is not the steward before it has asked the store
     /// again.
     #[test]
--- a/src/gateway/upstream_signals/tests.rs
+++ b/src/gateway/upstream_signals/tests.rs
@@ -115,7 +115,7 @@
     assert_eq!(announced(&fleet), 0);
 }
 
-/// Returns how many VMs know of a rate limit in force.
+/// Returns the number of VMs that know of a rate limit in force.
 fn limited(fleet: &Fleet) -> usize {
     let now = fleet.clock.now();
     let id = "i-1".parse().unwrap();
@@ -136,22 +136,23 @@
         run_until(&mut fleet, 2_000);
         let first = fleet.vms[0].clone();
         let member = first.pool.member(&"i-1".parse().unwrap()).unwrap();
-        let says = |limit| UpstreamSignals {
+        let signals_with = |limit| UpstreamSignals {
             rate_limit: Some(limit),
             ..UpstreamSignals::default()
         };
-        let named = says(RateLimit::At("1.4".parse().unwrap()));
-        let unlimited = says(RateLimit::Unlimited);
+        let limited_signals =
+            signals_with(RateLimit::At("1.4".parse().unwrap()));
+        let unlimited = signals_with(RateLimit::Unlimited);
         // Repeating that there is no limit changes nothing.
         first.apply_signals(&member, &unlimited, fleet.clock.now());
-        for signals in [&named, &unlimited] {
+        for signals in [&limited_signals, &unlimited] {
             first.apply_signals(&member, signals, fleet.clock.now());
             fleet.schedule_early_heartbeat(0);
             let reported_ms = fleet.elapsed_ms;
             run_until(&mut fleet, reported_ms + FLEET_LIMIT_MS);
             let informed = limited(&fleet);
             let all = fleet.vms.len();
-            let expected = if signals == &named { all } else { 0 };
+            let expected = if signals == &limited_signals { all } else { 0 };
             assert!(
                 informed.abs_diff(expected) as f64
                     <= all as f64 * (1.0 - MIN_OTHERS_FRACTION),
--- a/src/store_sync/peers.rs
+++ b/src/store_sync/peers.rs
@@ -442,8 +442,8 @@
     }
 
     /// Returns whether this VM is among the first of its data hall, in the
-    /// rank order of its live VMs. These VMs retry more often while the store does
-    /// not answer, and notify the others when it answers.
+    /// rank order of its live VMs. These VMs retry more often while the store
+    /// does not answer, and notify the others when it answers.
     pub(crate) fn is_outage_prober(&self, now: BootInstant) -> bool {
         self.count_ranked_before(|peer| peer.is_alive(now))
             < OUTAGE_PROBERS_PER_HALL
--- a/src/store_sync/peers/tests.rs
+++ b/src/store_sync/peers/tests.rs
@@ -159,7 +159,7 @@
     assert!(!gateway.peers.is_first_watcher(now));
 }
 
-/// The watchers are lost one after the other, as when a hall loses power.
+/// The watchers that rank before this VM are lost, as when a hall loses power.
 #[test]
 fn a_vm_is_the_first_watcher_when_those_before_it_are_lost() {
     let gateway = gateway_with_peers(3, &["hall-a"]);
@@ -258,13 +258,14 @@
     assert_eq!(receivers.len(), 8);
 }
 
-const REVOKE: Duration = Duration::from_secs(5);
+const REVOCATION_LIMIT: Duration = Duration::from_secs(5);
 
-/// Returns the role of this VM with a proof of this age, `later` after now.
+/// Returns the role that this VM has `later` from now, with a proof of the
+/// given age.
 fn role(gateway: &Gateway, age_ms: u64, later: Duration) -> WatchRole {
     let age = Duration::from_millis(age_ms);
     let now = gateway.clock.now() + later;
-    gateway.peers.watch_role(Some(age), REVOKE, now)
+    gateway.peers.watch_role(Some(age), REVOCATION_LIMIT, now)
 }
 
 #[test]
@@ -317,9 +318,9 @@
     assert!(peers.is_first_of_hall(gateway.clock.now() + STARTUP_TIME));
 }
 
-/// All VMs of a site start for the first time and none is recorded, so each
-/// waited four seconds for the others to follow the store. Until then, VMs
-/// kept using an upstream that had left in the first second, for up to 3.1 s.
+/// When all VMs of a site start for the first time, none is recorded. If each
+/// waits four seconds for the others to follow the store, VMs keep using an
+/// upstream that leaves in the first second for up to 3.1 s.
 #[test]
 fn a_starting_site_follows_the_store_once_its_vms_discover_each_other() {
     let text = MINIMAL_SETTINGS
