--- a/src/gateway/test_fleet.rs
+++ b/src/gateway/test_fleet.rs
@@ -114,8 +114,9 @@
     /// Whether messages of one VM reach another.
     fn reaches(&self, from: usize, to: usize) -> bool {
         let halls = [from, to].map(|vm| vm / self.vms_per_hall);
-        let is_cut = |hall: &usize| Some(*hall) == self.partitioned_hall;
-        halls[0] == halls[1] || !halls.iter().any(is_cut)
+        let is_partitioned =
+            |hall: &usize| Some(*hall) == self.partitioned_hall;
+        halls[0] == halls[1] || !halls.iter().any(is_partitioned)
     }
 
     /// Returns the name of the data hall of a VM.
