--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -103,8 +103,8 @@
     pub(crate) organisation: Option<Organisation>,
     pub(crate) request: RequestHead,
     pub(crate) body: Bytes,
-    /// When the time of the caller or the limit of the route ends, whichever
-    /// is first.
+    /// The deadline of the caller or the time limit of the route, whichever
+    /// is earlier.
     pub(crate) deadline: BootInstant,
     pub(crate) started_at: BootInstant,
     /// The model to ask, if the caller leaves the choice to the router.
@@ -139,11 +139,11 @@
     pub(crate) member: Arc<Member>,
     pub(crate) model: Option<ModelId>,
     pub(crate) began_at: BootInstant,
-    /// Prefill time that was under way at the upstream when it began.
+    /// Prefill backlog of the upstream when the attempt began.
     pub(crate) prefill_before: Duration,
-    /// Upper estimate of that prefill time.
+    /// Upper estimate of that backlog.
     pub(crate) max_prefill_before: Duration,
-    /// Requests per slot at the upstream when it began.
+    /// Requests per slot at the upstream when the attempt began.
     pub(crate) utilization_before: f64,
     /// Tokens of the prompt; 0 if unknown.
     pub(crate) prompt_tokens: u64,
@@ -170,7 +170,7 @@
     }
 }
 
-/// Why an attempt brought no response to pass on.
+/// Why an attempt gave no response for the caller.
 pub(crate) enum AttemptError {
     /// The upstream did not execute the request: label and reason.
     NotRun(&'static str, String),
@@ -225,8 +225,8 @@
                     }
                 },
             };
-            if let Err(reply) = self.prepare_retry(error, &mut trace) {
-                return self.fail(reply, trace);
+            if let Err(failure) = self.prepare_retry(error, &mut trace) {
+                return self.fail(failure, trace);
             }
         }
     }
@@ -257,7 +257,7 @@
     }
 
     /// Builds the criteria for choosing an upstream that is not in `tried`.
-    fn want<'a>(
+    fn pick_criteria<'a>(
         &self,
         version: &'a VersionChoice,
         tried: &'a [ShortHash],
@@ -280,8 +280,8 @@
     pub(crate) fn has_upstream_for_retry(&self, now: BootInstant) -> bool {
         let tried = self.tried.split_last().map_or(&[][..], |(_, rest)| rest);
         let version = self.version_choice(now);
-        let want = self.want(&version, tried);
-        self.gateway.pool.can_pick(&self.service, &want, now)
+        let criteria = self.pick_criteria(&version, tried);
+        self.gateway.pool.can_pick(&self.service, &criteria, now)
     }
 
     /// Chooses an upstream and begins an attempt at it.
@@ -292,8 +292,8 @@
     ) -> Result<Attempt, Error> {
         self.check_not_quarantined()?;
         let version = self.version_choice(now);
-        let want = self.want(&version, &self.tried);
-        let picked = self.gateway.pool.pick(&self.service, &want, now);
+        let criteria = self.pick_criteria(&version, &self.tried);
+        let picked = self.gateway.pool.pick(&self.service, &criteria, now);
         let member = picked.map_err(|no_member| match no_member {
             PickError::NoCandidate => Error::new(ErrorKind::NoUpstream)
                 .context(format!("service {} has no upstream", self.service)),
@@ -313,7 +313,7 @@
         })?;
         let model = self.model.clone();
         trace.begin_attempt(&member, model.clone(), now);
-        trace.note_version(&version);
+        trace.record_version(&version);
         self.tried.push(member.upstream.short_hash);
         let session = self.begin_session(&member.entry.software, now);
         let prompt_tokens = self.request.prompt_tokens.unwrap_or(0);
@@ -377,7 +377,7 @@
     }
 
     /// Records that an upstream ran the request to its end without a crash.
-    pub(crate) fn note_completed(&self) {
+    pub(crate) fn record_completion(&self) {
         let now = self.gateway.clock.now();
         let crashes = &self.gateway.crashes;
         let changes = crashes.record_completed(self.digest(), now);
@@ -408,10 +408,14 @@
         let times = &self.gateway.prefill_times;
         let saved = times.expected(self.model.as_ref(), tokens);
         let count = u32::try_from(tokens).unwrap_or(u32::MAX);
-        let most =
+        let max_extra_wait =
             self.route.latency_target.mul_f64(CACHED_PROMPT_WAIT_FRACTION);
-        let spared = CACHED_TOKEN_WAIT.saturating_mul(count).min(most);
-        Some(PrefixAffinity { prefix_hash, cache_miss_cost: saved + spared })
+        let extra_wait =
+            CACHED_TOKEN_WAIT.saturating_mul(count).min(max_extra_wait);
+        Some(PrefixAffinity {
+            prefix_hash,
+            cache_miss_cost: saved + extra_wait,
+        })
     }
 
     fn priority(&self) -> u8 {
@@ -482,14 +486,14 @@
                 return Err(AttemptError::NotRun("unreachable", reason));
             }
             Err(Some(error)) => {
-                self.note_sent();
+                self.record_sent();
                 return Err(AttemptError::Unknown(
                     "broken",
                     error.to_string(),
                 ));
             }
             Err(None) => {
-                self.note_sent();
+                self.record_sent();
                 return Err(AttemptError::Unknown("silent", String::new()));
             }
         };
@@ -503,7 +507,7 @@
         let now = self.gateway.clock.now();
         attempt.member.record_activity(now);
         if let Some(signals) = &head.signals {
-            trace.note_signals(signals);
+            trace.record_signals(signals);
             let gateway = &self.gateway;
             gateway.apply_signals(&attempt.member, signals, attempt.began_at);
         }
@@ -519,7 +523,7 @@
         Ok((exchange, head))
     }
 
-    fn note_sent(&mut self) {
+    fn record_sent(&mut self) {
         self.sent += 1;
         self.may_have_run = true;
     }
@@ -544,8 +548,8 @@
                 return;
             }
             let is_dead = max_silence.is_some_and(|max_silence| {
-                let patience = patience(member, max_silence, now);
-                gateway.pool.seems_dead(member, waited, patience, now)
+                let max_silence = silence_limit(member, max_silence, now);
+                gateway.pool.seems_dead(member, waited, max_silence, now)
             });
             if is_dead {
                 return;
@@ -562,9 +566,9 @@
         let service_time = self.gateway.service_times.of(&self.service);
         let queue_wait =
             admission::queue_wait(attempt.utilization_before, service_time);
-        let patience =
+        let max_wait =
             self.route.latency_target.mul_f64(RETRY_AIM_FRACTION) + queue_wait;
-        let limit = self.attempt_timeout(attempt, patience);
+        let limit = self.attempt_timeout(attempt, max_wait);
         let (mut exchange, _) = self.send(attempt, None, limit, trace).await?;
         exchange.allow_end_at_close();
         let headers = headers::response_headers(&exchange.headers);
@@ -584,22 +588,22 @@
                 return Err(AttemptError::Unknown("silent", String::new()));
             }
         };
-        self.note_completed();
+        self.record_completion();
         let status = status_of(answer.status)?;
         let body = ReplyBody::Whole(answer.body);
         let reply = Reply { status, headers, body };
         if status.is_server_error() {
             return Err(AttemptError::Failed(Box::new(reply)));
         }
-        trace.note_body_part();
+        trace.record_body_part();
         trace.end_attempt("answered", "");
         self.record_attempt(attempt, AttemptOutcome::Success, Some(waited));
         self.learn_service_time(attempt);
         Ok(reply)
     }
 
-    /// Learns the service time from an attempt that has just succeeded,
-    /// unless it had to queue for a slot.
+    /// Records the service time of an attempt that has just succeeded, unless
+    /// the request may have queued for a slot.
     pub(crate) fn learn_service_time(&self, attempt: &Attempt) {
         if attempt.utilization_before < 1.0 {
             let now = self.gateway.clock.now();
@@ -619,16 +623,16 @@
         )
     }
 
-    /// Returns how long to wait for the response of an attempt: `patience` if
+    /// Returns how long to wait for the response of an attempt: `max_wait` if
     /// another attempt could replace it, else all the time left.
     fn attempt_timeout(
         &self,
         attempt: &Attempt,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Duration {
         let left = self.time_left(attempt.began_at);
         match self.can_replace_attempt() {
-            true => patience.min(left),
+            true => max_wait.min(left),
             false => left,
         }
     }
@@ -641,9 +645,9 @@
             && self.has_other_upstream()
     }
 
-    /// Whether an available upstream is left that was not tried. Without one,
-    /// giving up a silent attempt or stream makes it fail, whereas waiting may
-    /// still bring the rest.
+    /// Whether an available upstream has not been tried yet. Without one,
+    /// giving up a silent attempt or stream makes the request fail, whereas
+    /// its response may still arrive.
     fn has_other_upstream(&self) -> bool {
         let now = self.gateway.clock.now();
         self.gateway.pool.has_untried(&self.service, &self.tried, now)
@@ -686,9 +690,9 @@
         let is_isolated = outcome == AttemptOutcome::Failed
             && gateway.pool.is_isolated_failure(&attempt.member, now);
         gateway.record_outcome(&attempt.member, outcome);
-        let ended = attempt.member.is_superseded()
+        let is_superseded_failure = attempt.member.is_superseded()
             && outcome != AttemptOutcome::Success;
-        if is_isolated || ended {
+        if is_isolated || is_superseded_failure {
             return;
         }
         gateway.rollouts.record_answer(
@@ -707,13 +711,13 @@
         error: AttemptError,
         trace: &mut Trace,
     ) -> Result<(), FinalFailure> {
-        let (is_repeatable, outcome) = match error {
+        let (is_repeatable, failure) = match error {
             AttemptError::NotRun(label, reason) => {
                 trace.end_attempt(label, &reason);
                 (true, FinalFailure::NotRun(reason))
             }
             AttemptError::Unknown(label, reason) => {
-                trace.note_digest(self.digest());
+                trace.record_digest(self.digest());
                 trace.end_attempt(label, &reason);
                 (
                     self.route.repeat == Repeat::Any,
@@ -732,18 +736,18 @@
                 (self.route.repeat == Repeat::Any, FinalFailure::Failed(reply))
             }
         };
-        // Until something reached an upstream, nothing is taken from the
-        // retry budget: it bounds the load on upstreams.
-        let may_go_on = is_repeatable
+        // The retry budget bounds the load on upstreams, so nothing is taken
+        // from it before an attempt has reached one.
+        let may_retry = is_repeatable
             && self.sent < self.route.attempts
             && self.tried.len()
                 < self.route.attempts as usize + MAX_CONNECT_FAILURES
             && (self.sent == 0 || self.gateway.try_retry(&self.service));
-        if may_go_on { Ok(()) } else { Err(outcome) }
+        if may_retry { Ok(()) } else { Err(failure) }
     }
 
-    fn fail(self, outcome: FinalFailure, trace: Trace) -> Reply {
-        match outcome {
+    fn fail(self, failure: FinalFailure, trace: Trace) -> Reply {
+        match failure {
             FinalFailure::Failed(reply) => {
                 trace.end(RequestEnd::Answered(reply.status.as_u16()));
                 *reply
@@ -783,9 +787,9 @@
     }
 }
 
-/// Returns how long an upstream may stay silent: longer while it is busy with
-/// long prefills, since it sends nothing else meanwhile.
-fn patience(
+/// Returns how long an upstream may stay silent: longer while it runs long
+/// prefills, since it sends nothing until they are done.
+fn silence_limit(
     member: &Member,
     max_silence: Duration,
     now: BootInstant,
--- a/src/gateway/ingress.rs
+++ b/src/gateway/ingress.rs
@@ -55,8 +55,8 @@
 /// Timeout of a request whose caller states none.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// `Retry-After` sent while this VM has no up-to-date configuration; by then
-/// the load balancer sends the caller to another VM.
+/// `Retry-After` sent while this VM has no up-to-date configuration. By the
+/// time it ends, the load balancer sends the caller to another VM.
 const RETRY_AFTER_STALE: Duration = Duration::from_millis(500);
 
 /// Time after its start for which a VM that is not ready lets callers wait
@@ -93,7 +93,8 @@
                 task::spawn(serve_connection(gateway, stream, closing))
                     .detach();
             }
-            // For example out of file descriptors: wait until some are closed.
+            // For example, the process is out of file descriptors; waits until
+            // some are closed.
             Err(_) => task::sleep(Duration::from_millis(20)).await,
         }
     }
@@ -195,7 +196,7 @@
         }
     };
     let mut trace = trace(&request.id);
-    trace.note_request(&request);
+    trace.record_request(&request);
     let admitted = match admit(gateway, &request, &mut trace) {
         Ok(admitted) => admitted,
         Err(error) => {
@@ -237,14 +238,15 @@
     Ok((job, trace))
 }
 
-/// What admission has found out about a request.
+/// The configuration, route and organisation under which a request was
+/// admitted.
 struct Admitted {
     table: Arc<RouteTable>,
     route: Arc<crate::store_sync::route::Route>,
     organisation: Option<Organisation>,
 }
 
-/// Decides by configuration, route and key whether a request may run.
+/// Checks the configuration, the route and the key of a request.
 fn admit(
     gateway: &Gateway,
     request: &RequestHead,
@@ -260,7 +262,7 @@
         return Err(stale("no configuration has been read yet"));
     };
     let age = gateway.knowledge.proof_age(now);
-    trace.note_configuration(table.version(), age);
+    trace.record_configuration(table.version(), age);
     if !gateway.may_accept_keys(now) {
         return Err(stale("the configuration may be out of date"));
     }
@@ -269,13 +271,13 @@
         return Err(Error::new(ErrorKind::NotFound)
             .context("no route has this host and path"));
     };
-    trace.note_route(route.clone());
+    trace.record_route(route.clone());
     let organisation = match table.has_keys() && !route.is_public {
         false => None,
         true => Some(check_key(&table, request)?),
     };
     if let Some(organisation) = &organisation {
-        trace.note_organisation(organisation.id.clone());
+        trace.record_organisation(organisation.id.clone());
     }
     Ok(Admitted { table, route, organisation })
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -180,7 +180,7 @@
         self.is_stopping.load(Ordering::Relaxed)
     }
 
-    /// Begins a graceful shutdown.
+    /// Begins a graceful shutdown; this VM is no longer ready from now on.
     pub(crate) fn begin_stop(&self) {
         self.is_stopping.store(true, Ordering::Relaxed);
     }
@@ -192,13 +192,13 @@
             && self.may_accept_keys(self.clock.now())
     }
 
-    /// Whether keys may be accepted by the configuration at hand.
+    /// Whether the present configuration may be used to accept keys.
     ///
     /// With `fail_closed` off, the newest configuration holds until a newer
     /// one arrives: a VM that has lost the store goes on serving instead of
-    /// rejecting every caller. With the store unavailable for eight seconds,
-    /// 145 requests were rejected in five of them without this, and none with
-    /// it (one simulated day).
+    /// rejecting every caller. In one simulated day with the store unavailable
+    /// for eight seconds, 145 requests were rejected within five of them
+    /// without this, and none with it.
     pub(crate) fn may_accept_keys(&self, now: BootInstant) -> bool {
         !self.settings.fail_closed || self.is_fresh(now)
     }
@@ -227,7 +227,7 @@
 
     /// Logs when the proof of freshness becomes too old, or recent enough
     /// again.
-    pub(crate) fn note_freshness(&self) {
+    pub(crate) fn log_freshness(&self) {
         let now = self.clock.now();
         let is_fresh = self.is_fresh(now);
         if self.was_fresh.swap(is_fresh, Ordering::Relaxed) == is_fresh {
@@ -275,7 +275,7 @@
     }
 
     /// Records that a call to the store failed.
-    pub(crate) fn note_store_failure(&self) {
+    pub(crate) fn record_store_failure(&self) {
         let now = self.clock.now();
         *self.store_failed_at.lock().expect("store lock") = Some(now);
     }
@@ -292,16 +292,16 @@
         })
     }
 
-    /// Applies changes of the store.
-    pub(crate) fn apply_news(&self, news: AppliedItems) {
-        self.note_unreadable(&news.unreadable);
-        for fact in news.updates {
-            self.apply_fact(fact);
+    /// Updates the state of this VM by items of the store.
+    pub(crate) fn apply_items(&self, applied: AppliedItems) {
+        self.record_unreadable(&applied.unreadable);
+        for update in applied.updates {
+            self.apply_update(update);
         }
     }
 
     /// Counts values that cannot be read, and logs the first few of them.
-    fn note_unreadable(&self, unreadable: &[Unreadable]) {
+    fn record_unreadable(&self, unreadable: &[Unreadable]) {
         let count = u64::try_from(unreadable.len()).unwrap_or(u64::MAX);
         self.metrics.entries_unreadable.inc_by(count);
         let omitted = unreadable.len().saturating_sub(MAX_UNREADABLE_LOGGED);
@@ -317,9 +317,9 @@
         }
     }
 
-    fn apply_fact(&self, fact: StoreUpdate) {
+    fn apply_update(&self, update: StoreUpdate) {
         let now = self.clock.now();
-        match fact {
+        match update {
             StoreUpdate::Configuration(table) => {
                 let version = table.version();
                 let routes = table.routes_len();
--- a/src/gateway/relay_events.rs
+++ b/src/gateway/relay_events.rs
@@ -35,15 +35,15 @@
 };
 
 /// Longest silence within a stream before another upstream is asked, as a
-/// fraction of the target for the pause between two events.
+/// fraction of the target for the gap between two events.
 const STALL_FRACTION: f64 = 0.45;
 
-/// Longest silence within a stream if the route has no target for pauses.
+/// Longest silence within a stream if the route has no such target.
 const STALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Largest prefill backlog of an upstream at which the prefill time of another
-/// prompt is still learned from: with more, the time includes the wait for
-/// those prefills.
+/// Largest prefill backlog of an upstream at which the prefill time of a
+/// further prompt is recorded: with more, the time includes the wait for those
+/// prefills.
 const MAX_OTHER_PREFILL: Duration = Duration::from_millis(20);
 
 /// Silence after which the rest of a stream counts as lost even if its
@@ -69,7 +69,7 @@
     events: Splitter,
 }
 
-/// A stream whose first events have arrived.
+/// A stream from an upstream whose first events, or its end, have been read.
 pub(crate) struct OpenedStream {
     source: UpstreamStream,
     head: Reply,
@@ -179,8 +179,9 @@
             let now = self.gateway.clock.now();
             let left = self.time_left(now);
             if self.may_resume(now) {
-                let most = self.time_left(since).min(MAX_STALL);
-                self.wait_for_silence(member, since, Some(limit), most).await;
+                let max_wait = self.time_left(since).min(MAX_STALL);
+                self.wait_for_silence(member, since, Some(limit), max_wait)
+                    .await;
                 return;
             }
             if left.is_zero() || member.is_superseded() {
@@ -212,7 +213,7 @@
         {
             let escalation_model =
                 self.escalation_model(&attempt, model, confidence);
-            trace.note_confidence(
+            trace.record_confidence(
                 confidence,
                 escalation_model.as_ref().err().copied(),
             );
@@ -225,8 +226,8 @@
         self.open(attempt, exchange, trace).await
     }
 
-    /// Returns the larger model to ask instead of the one that has answered,
-    /// or why its answer is kept.
+    /// Returns the larger model to ask instead of `model`, or why the response
+    /// of `model` is kept.
     fn escalation_model(
         &self,
         attempt: &Attempt,
@@ -234,7 +235,7 @@
         confidence: Percent,
     ) -> Result<ModelId, NoEscalation> {
         let now = self.gateway.clock.now();
-        let doubt = EscalationInput {
+        let input = EscalationInput {
             route: &self.route,
             model,
             confidence,
@@ -244,7 +245,7 @@
         };
         let times = &self.gateway.prefill_times;
         let escalation_model =
-            escalation_target(&doubt, times, attempt.prefill_before, now)?;
+            escalation_target(&input, times, attempt.prefill_before, now)?;
         // The answer at hand is better than none: it is given up only if an
         // upstream can take the larger request.
         match self.has_upstream_for_retry(now) {
@@ -288,13 +289,13 @@
         let now = self.gateway.clock.now();
         let waited = now.saturating_duration_since(source.attempt.began_at);
         source.attempt.prefill = None;
-        self.learn_read_time(&source.attempt, waited);
+        self.learn_prefill_time(&source.attempt, waited);
         self.record_attempt(
             &source.attempt,
             AttemptOutcome::Success,
             Some(waited),
         );
-        trace.note_body_part();
+        trace.record_body_part();
         let head = Reply {
             status: hyper::StatusCode::OK,
             headers,
@@ -330,7 +331,7 @@
         AttemptError::Failed(Box::new(Reply { status, headers, body }))
     }
 
-    fn learn_read_time(&self, attempt: &Attempt, waited: Duration) {
+    fn learn_prefill_time(&self, attempt: &Attempt, waited: Duration) {
         let was_idle = attempt.prefill_before < MAX_OTHER_PREFILL;
         if let (true, Some(model)) = (was_idle, &attempt.model) {
             let times = &self.gateway.prefill_times;
@@ -343,8 +344,8 @@
     }
 
     fn stall_timeout(&self) -> Duration {
-        let aim = self.route.event_gap_target;
-        aim.map_or(STALL_TIMEOUT, |pause| pause.mul_f64(STALL_FRACTION))
+        let target = self.route.event_gap_target;
+        target.map_or(STALL_TIMEOUT, |gap| gap.mul_f64(STALL_FRACTION))
     }
 }
 
@@ -396,7 +397,7 @@
             match source.next(&self.job, last, limit).await {
                 Ok(StreamRead::Events(events)) => {
                     if let Some(trace) = &mut self.trace {
-                        trace.note_body_part();
+                        trace.record_body_part();
                     }
                     return Ok(Some(events));
                 }
@@ -411,7 +412,7 @@
     fn finish(&mut self) {
         if let Some(source) = self.source.take() {
             self.job.learn_service_time(&source.attempt);
-            self.job.note_completed();
+            self.job.record_completion();
             source.exchange.finish();
         }
         if let Some(mut trace) = self.trace.take() {
@@ -530,7 +531,7 @@
 
     fn end_attempt(&mut self, label: &str, reason: &str) {
         if let Some(trace) = &mut self.trace {
-            trace.note_digest(self.job.digest());
+            trace.record_digest(self.job.digest());
             trace.end_attempt(label, reason);
         }
     }
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -34,7 +34,7 @@
     version: Option<(&'static str, ChoiceReason)>,
     model: Option<ModelId>,
     requests_there: u32,
-    reading_there_ms: u64,
+    prefill_there_ms: u64,
     began_ms: u64,
     ended_ms: Option<u64>,
     end: String,
@@ -110,7 +110,7 @@
 
     /// Records the configuration in force and the age of its proof of
     /// freshness.
-    pub(crate) fn note_configuration(
+    pub(crate) fn record_configuration(
         &mut self,
         table: TableVersion,
         proof_age: Option<Duration>,
@@ -120,23 +120,26 @@
     }
 
     /// Records the route of the request.
-    pub(crate) fn note_route(&mut self, route: Arc<Route>) {
+    pub(crate) fn record_route(&mut self, route: Arc<Route>) {
         self.route = Some(route);
     }
 
     /// Records the prompt length and the session from the request head.
-    pub(crate) fn note_request(&mut self, request: &RequestHead) {
+    pub(crate) fn record_request(&mut self, request: &RequestHead) {
         self.prompt_tokens = request.prompt_tokens;
         self.session.clone_from(&request.session);
     }
 
     /// Records the digest that identifies the request when it is sent again.
-    pub(crate) fn note_digest(&mut self, digest: RequestDigest) {
+    pub(crate) fn record_digest(&mut self, digest: RequestDigest) {
         self.digest = Some(digest);
     }
 
     /// Records the organisation of the caller.
-    pub(crate) fn note_organisation(&mut self, organisation: OrganisationId) {
+    pub(crate) fn record_organisation(
+        &mut self,
+        organisation: OrganisationId,
+    ) {
         self.organisation = Some(organisation);
     }
 
@@ -153,7 +156,7 @@
             version: None,
             model,
             requests_there: member.requests(now),
-            reading_there_ms: member.prefill_backlog(now).as_millis() as u64,
+            prefill_there_ms: member.prefill_backlog(now).as_millis() as u64,
             began_ms: self.elapsed_ms(),
             ended_ms: None,
             end: "running".to_owned(),
@@ -166,7 +169,7 @@
     }
 
     /// Records which version the last attempt preferred during a rollout.
-    pub(crate) fn note_version(&mut self, choice: &VersionChoice) {
+    pub(crate) fn record_version(&mut self, choice: &VersionChoice) {
         let wanted = match choice.rule {
             VersionRule::Any => return,
             VersionRule::Prefer(_) => "new",
@@ -178,7 +181,7 @@
     }
 
     /// Records what the upstream reported about itself in its response.
-    pub(crate) fn note_signals(&mut self, signals: &UpstreamSignals) {
+    pub(crate) fn record_signals(&mut self, signals: &UpstreamSignals) {
         if let Some(last) = self.attempts.last_mut() {
             last.is_leaving = signals.is_leaving;
             last.retry_after.clone_from(&signals.retry_after);
@@ -188,7 +191,7 @@
 
     /// Records the confidence of the model in its answer and, unless a larger
     /// model is asked, why the answer is kept.
-    pub(crate) fn note_confidence(
+    pub(crate) fn record_confidence(
         &mut self,
         confidence: Percent,
         no_escalation: Option<NoEscalation>,
@@ -213,7 +216,7 @@
     }
 
     /// Records that a part of the response is sent to the caller.
-    pub(crate) fn note_body_part(&mut self) {
+    pub(crate) fn record_body_part(&mut self) {
         let elapsed_ms = self.elapsed_ms();
         self.first_part_ms.get_or_insert(elapsed_ms);
         if let Some(last_part_ms) = self.last_part_ms {
@@ -327,8 +330,8 @@
             fields.insert("model".into(), model.as_str().into());
         }
         fields.insert("requests_there".into(), self.requests_there.into());
-        let reading_ms = self.reading_there_ms;
-        fields.insert("reading_there_ms".into(), reading_ms.into());
+        let prefill_ms = self.prefill_there_ms;
+        fields.insert("reading_there_ms".into(), prefill_ms.into());
         fields.insert("began_ms".into(), self.began_ms.into());
         if let Some(ended_ms) = self.ended_ms {
             fields.insert("ended_ms".into(), ended_ms.into());
--- a/src/store_sync/knowledge.rs
+++ b/src/store_sync/knowledge.rs
@@ -343,18 +343,18 @@
         }
         let Some(value) = item.value else {
             if self.items.remove(&item.key).is_some() {
-                applied.updates.extend(document::removal_fact(&item.key));
+                applied.updates.extend(document::removal_update(&item.key));
             }
             return;
         };
         self.digest ^= digest(&item.key, item.version);
-        let current = match document::decode_fact(&item.key, &value) {
-            Ok(fact) => {
-                applied.updates.extend(fact);
+        let current = match document::decode_update(&item.key, &value) {
+            Ok(update) => {
+                applied.updates.extend(update);
                 value
             }
             Err(error) => {
-                applied.updates.extend(document::unreadable_fact(&item.key));
+                applied.updates.extend(document::unreadable_update(&item.key));
                 applied.unreadable.push(Unreadable {
                     key: item.key.clone(),
                     reason: error.to_string(),
