--- a/src/cli.rs
+++ b/src/cli.rs
@@ -22,8 +22,8 @@
     gateway::{self, settings::GatewaySettings},
     http_client::{Call, FullResponse, HttpClient},
     logging,
+    request_timeline::RequestTimeline,
     settings::Settings,
-    story::RequestTimeline,
     task,
 };
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -63,13 +63,13 @@
 #[path = "../platform/mod.rs"]
 pub mod platform;
 mod rendezvous;
+mod request_timeline;
 mod retry;
 pub mod rollouts;
 pub mod secret;
 pub mod settings;
 mod sse;
 pub mod store_sync;
-mod story;
 mod task;
 mod token_bucket;
 pub mod unit;
