--- a/src/api/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -85,7 +85,7 @@
 pub(crate) struct SelectedUpstream {
     pub(crate) upstream: Arc<Upstream>,
     pub(crate) choice: UpstreamChoice,
-    pub(super) chosen_at: BootInstant,
+    pub(super) selected_at: BootInstant,
     _in_flight: InFlightGuard,
 }
 
@@ -692,7 +692,7 @@
         Ok(SelectedUpstream {
             upstream,
             choice,
-            chosen_at: now,
+            selected_at: now,
             _in_flight: in_flight,
         })
     }
--- a/src/api/signals.rs
+++ b/src/api/signals.rs
@@ -38,7 +38,7 @@
         let signals = parse_signals(status, headers);
         let (draw, now) = (rand::random(), self.vm.clock.now());
         let state = &upstream.reported_state;
-        for change in state.apply(&signals, draw, chosen.chosen_at, now) {
+        for change in state.apply(&signals, draw, chosen.selected_at, now) {
             match &change {
                 ReportedChange::Leaving => {
                     log_leaving(upstream, "reported by its response")
