--- a/src/api/decision.rs
+++ b/src/api/decision.rs
@@ -176,7 +176,7 @@
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum AttemptOutcome {
+pub enum AttemptStatus {
     /// The attempt is still running.
     Running,
     /// The upstream sent a complete answer.
@@ -209,7 +209,7 @@
     /// How the upstream was selected.
     pub choice: UpstreamChoice,
     /// How the attempt ended.
-    pub end: AttemptOutcome,
+    pub end: AttemptStatus,
     /// Input tokens used.
     pub input_tokens: u64,
     /// Output tokens generated.
@@ -393,20 +393,20 @@
         let place = if choice.local { "" } else { ", in another data hall" };
         let load = age_text("load reported", choice.load_age_ms);
         let end = match &self.end {
-            AttemptOutcome::Running => "it is still running".to_owned(),
-            AttemptOutcome::Answered { status } => {
+            AttemptStatus::Running => "it is still running".to_owned(),
+            AttemptStatus::Answered { status } => {
                 format!("answered {status}")
             }
-            AttemptOutcome::RatedPoor { score_milli } => format!(
+            AttemptStatus::RatedPoor { score_milli } => format!(
                 "answered, but was rated {:.2}",
                 f64::from(*score_milli) / 1000.0
             ),
-            AttemptOutcome::Unreachable => {
+            AttemptStatus::Unreachable => {
                 "connecting failed, nothing was sent".to_owned()
             }
-            AttemptOutcome::Broken => "the connection failed".to_owned(),
-            AttemptOutcome::TimedOut => "did not answer in time".to_owned(),
-            AttemptOutcome::Cancelled => "the caller disconnected".to_owned(),
+            AttemptStatus::Broken => "the connection failed".to_owned(),
+            AttemptStatus::TimedOut => "did not answer in time".to_owned(),
+            AttemptStatus::Cancelled => "the caller disconnected".to_owned(),
         };
         format!(
             "It was sent to {what}{}{place}: {why} among {} usable (excluded: \
--- a/src/api/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -15,7 +15,7 @@
     answer::{Answer, Header},
     api::{
         chat::{TokenUsage, answer_text},
-        decision::{Attempt, AttemptOutcome, RequestStatus, UpstreamChoice},
+        decision::{Attempt, AttemptStatus, RequestStatus, UpstreamChoice},
         estimate::{evidence_key, version_hash},
         rating::{self, RatingRequest},
         relay,
@@ -105,14 +105,14 @@
 
 impl AttemptFault {
     /// Returns how the failed attempt is recorded in the decision.
-    pub(crate) fn end(self) -> AttemptOutcome {
+    pub(crate) fn end(self) -> AttemptStatus {
         match self {
-            AttemptFault::Unreachable => AttemptOutcome::Unreachable,
+            AttemptFault::Unreachable => AttemptStatus::Unreachable,
             AttemptFault::Broken | AttemptFault::TooLarge => {
-                AttemptOutcome::Broken
+                AttemptStatus::Broken
             }
-            AttemptFault::TimedOut => AttemptOutcome::TimedOut,
-            AttemptFault::Cancelled => AttemptOutcome::Cancelled,
+            AttemptFault::TimedOut => AttemptStatus::TimedOut,
+            AttemptFault::Cancelled => AttemptStatus::Cancelled,
         }
     }
 }
@@ -173,7 +173,7 @@
                 Ok(answer) => {
                     let status = answer.status;
                     self.context
-                        .end_attempt(AttemptOutcome::Answered { status });
+                        .end_attempt(AttemptStatus::Answered { status });
                     let is_retryable =
                         status == STATUS_UNAVAILABLE && repeatable;
                     if is_retryable && self.context.may_retry(tried.len()) {
@@ -367,7 +367,7 @@
     /// Records the status, token usage and evidence of an answer.
     fn record_answer(&mut self, entry: &VersionEntry, answer: &FullResponse) {
         let status = answer.status;
-        self.context.end_attempt(AttemptOutcome::Answered { status });
+        self.context.end_attempt(AttemptStatus::Answered { status });
         let used = serde_json::from_slice::<Value>(&answer.body)
             .ok()
             .and_then(|value| TokenUsage::from_json(&value));
@@ -464,7 +464,7 @@
         self.context.vm.metrics.escalations.inc();
         if let Some(last) = self.context.decision.attempts.last_mut() {
             let score_milli = (score.value() * 1000.0) as u16;
-            last.end = AttemptOutcome::RatedPoor { score_milli };
+            last.end = AttemptStatus::RatedPoor { score_milli };
         }
     }
 
@@ -708,7 +708,7 @@
             model: entry.map(|entry| entry.model.clone()),
             version: entry.map(|entry| entry.version.clone()),
             choice: selected.choice.clone(),
-            end: AttemptOutcome::Running,
+            end: AttemptStatus::Running,
             input_tokens: 0,
             output_tokens: 0,
             cost_micro: price,
--- a/src/api/relay.rs
+++ b/src/api/relay.rs
@@ -18,7 +18,7 @@
     },
     api::{
         chat::TokenUsage,
-        decision::AttemptOutcome,
+        decision::AttemptStatus,
         dispatch::{AttemptFault, SelectedUpstream, attempt_fault},
         queue::DispatchPermit,
         request::{Planned, Request},
@@ -204,7 +204,7 @@
     let limit = request.context.vm.settings.requests.answer_limit_bytes;
     let answer = exchange.read_to_end(limit).await.ok()?;
     let status = answer.status;
-    request.context.end_attempt(AttemptOutcome::Answered { status });
+    request.context.end_attempt(AttemptStatus::Answered { status });
     let content_type = answer.header("content-type").unwrap_or("text/plain");
     let headers = vec![Header::new("content-type", content_type)];
     Some(Answer::Whole { status, headers, body: answer.body })
@@ -241,9 +241,7 @@
                 RelayEnd::CallerGone => {
                     // Closing the connection cancels the work at the upstream.
                     drop(stream);
-                    self.request
-                        .context
-                        .end_attempt(AttemptOutcome::Cancelled);
+                    self.request.context.end_attempt(AttemptStatus::Cancelled);
                     let gone = Error::new(ErrorKind::UpstreamFailed)
                         .context("the caller disconnected");
                     return self.request.context.settle_stream(Some(&gone));
@@ -295,7 +293,7 @@
     /// Forwards the last event and settles the request.
     async fn finish(mut self, last: sse::Event, progress: Progress) {
         let context = &mut self.request.context;
-        context.end_attempt(AttemptOutcome::Answered { status: 200 });
+        context.end_attempt(AttemptStatus::Answered { status: 200 });
         context.set_claim_outcome(ClaimOutcome::Ran {
             status: 200,
             content_type: "text/event-stream".to_owned(),
--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -13,7 +13,7 @@
     api::{
         chat::ChatRequest,
         decision::{
-            Attempt, AttemptOutcome, Decision, RequestStatus, RequestTarget,
+            Attempt, AttemptStatus, Decision, RequestStatus, RequestTarget,
             SessionUse,
         },
         estimate::version_hash,
@@ -375,7 +375,7 @@
     }
 
     /// Records how the last attempt ended.
-    pub(crate) fn end_attempt(&mut self, end: AttemptOutcome) {
+    pub(crate) fn end_attempt(&mut self, end: AttemptStatus) {
         let label = attempt_outcome_label(&end);
         self.vm.metrics.attempts.with_label_values(&[label]).inc();
         if let Some(last) = self.decision.attempts.last_mut() {
@@ -388,7 +388,7 @@
         self.decision
             .attempts
             .iter()
-            .any(|attempt| attempt.end != AttemptOutcome::Unreachable)
+            .any(|attempt| attempt.end != AttemptStatus::Unreachable)
     }
 
     /// Ends the request: stores its decision, closes its bill and claim, and
@@ -466,7 +466,7 @@
             .decision
             .attempts
             .iter()
-            .filter(|attempt| attempt.end != AttemptOutcome::Unreachable);
+            .filter(|attempt| attempt.end != AttemptStatus::Unreachable);
         ran.map(|attempt| BillPart {
             upstream: attempt.choice.upstream.clone(),
             model: attempt.model.clone(),
@@ -671,15 +671,15 @@
 }
 
 /// Returns the metric label for the end of an attempt.
-fn attempt_outcome_label(end: &AttemptOutcome) -> &'static str {
+fn attempt_outcome_label(end: &AttemptStatus) -> &'static str {
     match end {
-        AttemptOutcome::Running => "running",
-        AttemptOutcome::Answered { .. } => "answered",
-        AttemptOutcome::RatedPoor { .. } => "rated_poor",
-        AttemptOutcome::Unreachable => "unreachable",
-        AttemptOutcome::Broken => "broken",
-        AttemptOutcome::TimedOut => "timed_out",
-        AttemptOutcome::Cancelled => "cancelled",
+        AttemptStatus::Running => "running",
+        AttemptStatus::Answered { .. } => "answered",
+        AttemptStatus::RatedPoor { .. } => "rated_poor",
+        AttemptStatus::Unreachable => "unreachable",
+        AttemptStatus::Broken => "broken",
+        AttemptStatus::TimedOut => "timed_out",
+        AttemptStatus::Cancelled => "cancelled",
     }
 }
 
