--- a/src/api/gossip.rs
+++ b/src/api/gossip.rs
@@ -265,7 +265,7 @@
     {
         let age = Duration::from_millis(age_ms.into());
         if let Some(at) = now.checked_sub(age) {
-            vm.configuration.prove(at);
+            vm.configuration.record_proof(at);
         }
     }
 }
--- a/src/chains/configuration.rs
+++ b/src/chains/configuration.rs
@@ -324,7 +324,7 @@
 
     /// Records a proof of freshness: the configuration in force was current at
     /// `when`.
-    pub fn prove(&self, when: BootInstant) {
+    pub fn record_proof(&self, when: BootInstant) {
         let mut proven_at = self.proven_at.lock().expect("proof lock");
         *proven_at = (*proven_at).max(Some(when));
     }
--- a/src/chains/configuration_sync.rs
+++ b/src/chains/configuration_sync.rs
@@ -103,11 +103,11 @@
         Some(stored) => {
             let batch: Batch<Change> = chain::decode(&stored.value)?;
             apply(vm, &[batch.content]);
-            vm.configuration.prove(sent_at);
+            vm.configuration.record_proof(sent_at);
         }
         // The service has confirmed that the key did not exist until the limit
         // passed.
-        None => vm.configuration.prove(sent_at + limit),
+        None => vm.configuration.record_proof(sent_at + limit),
     }
     Ok(())
 }
@@ -125,7 +125,7 @@
         changes = read_changes(vm, snapshot_revision).await?;
     }
     apply(vm, &changes);
-    vm.configuration.prove(sent_at);
+    vm.configuration.record_proof(sent_at);
     vm.mark_ready();
     Ok(())
 }
