--- a/src/api/decision.rs
+++ b/src/api/decision.rs
@@ -173,7 +173,7 @@
     pub load_age_ms: Option<u64>,
 }
 
-/// How an attempt ended.
+/// Whether an attempt is still running, or how it ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttemptStatus {
@@ -208,7 +208,7 @@
     pub version: Option<VersionId>,
     /// How the upstream was selected.
     pub choice: UpstreamChoice,
-    /// How the attempt ended.
+    /// Whether the attempt is still running, or how it ended.
     pub end: AttemptStatus,
     /// Input tokens used.
     pub input_tokens: u64,
--- a/src/api/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -104,8 +104,8 @@
 }
 
 impl AttemptFault {
-    /// Returns how the failed attempt is recorded in the decision.
-    pub(crate) fn end(self) -> AttemptStatus {
+    /// Returns the status that the decision records for the attempt.
+    pub(crate) fn attempt_status(self) -> AttemptStatus {
         match self {
             AttemptFault::Unreachable => AttemptStatus::Unreachable,
             AttemptFault::Broken | AttemptFault::TooLarge => {
@@ -182,7 +182,7 @@
                     return Ok(forwarded_answer(answer));
                 }
                 Err(fault) => {
-                    self.context.end_attempt(fault.end());
+                    self.context.end_attempt(fault.attempt_status());
                     self.context.check_retry(
                         fault,
                         repeatable,
@@ -304,7 +304,7 @@
                     return Ok(answer);
                 }
                 Err(fault) => {
-                    self.context.end_attempt(fault.end());
+                    self.context.end_attempt(fault.attempt_status());
                     self.record_fault(&step.entry, fault);
                     self.context.check_retry(
                         fault,
--- a/src/api/relay.rs
+++ b/src/api/relay.rs
@@ -187,7 +187,7 @@
                 }
             }
         };
-        request.context.end_attempt(fault.end());
+        request.context.end_attempt(fault.attempt_status());
         request.record_fault(entry, fault);
         request
             .context
@@ -247,7 +247,7 @@
                     return self.request.context.settle_stream(Some(&gone));
                 }
                 RelayEnd::Broken(fault) => {
-                    self.request.context.end_attempt(fault.end());
+                    self.request.context.end_attempt(fault.attempt_status());
                     self.request.record_fault(&self.entry, fault);
                     drop(stream);
                 }
@@ -350,7 +350,9 @@
                     ));
                     return Ok(resumed);
                 }
-                Err(fault) => self.request.context.end_attempt(fault.end()),
+                Err(fault) => {
+                    self.request.context.end_attempt(fault.attempt_status())
+                }
             }
         }
     }
--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -376,7 +376,7 @@
 
     /// Records how the last attempt ended.
     pub(crate) fn end_attempt(&mut self, end: AttemptStatus) {
-        let label = attempt_outcome_label(&end);
+        let label = attempt_status_label(&end);
         self.vm.metrics.attempts.with_label_values(&[label]).inc();
         if let Some(last) = self.decision.attempts.last_mut() {
             last.end = end;
@@ -671,7 +671,7 @@
 }
 
 /// Returns the metric label for the end of an attempt.
-fn attempt_outcome_label(end: &AttemptStatus) -> &'static str {
+fn attempt_status_label(end: &AttemptStatus) -> &'static str {
     match end {
         AttemptStatus::Running => "running",
         AttemptStatus::Answered { .. } => "answered",
