--- a/src/api/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -667,9 +667,9 @@
     ) -> Result<SelectedUpstream, Error> {
         let vm = &self.vm;
         let now = vm.clock.now();
-        let facts: Vec<_> =
+        let snapshots: Vec<_> =
             upstreams.iter().map(|u| vm.view.snapshot(u, now)).collect();
-        let picked = pick_upstream(&facts, criteria, rand::random());
+        let picked = pick_upstream(&snapshots, criteria, rand::random());
         let choice = match picked {
             Ok(choice) => choice,
             Err(error) if self.may_have_run() => {
--- a/src/api/queue.rs
+++ b/src/api/queue.rs
@@ -87,12 +87,12 @@
         Some(item)
     }
 
-    /// Removes the items for which `gone` returns true.
-    pub fn remove(&mut self, gone: impl Fn(&T) -> bool) {
+    /// Removes the items for which `is_gone` returns true.
+    pub fn remove(&mut self, is_gone: impl Fn(&T) -> bool) {
         for queue in self.queues.values_mut() {
-            queue.waiting.retain(|item| !gone(item));
+            queue.waiting.retain(|item| !is_gone(item));
         }
-        self.len = self.queues.values().map(|l| l.waiting.len()).sum();
+        self.len = self.queues.values().map(|q| q.waiting.len()).sum();
     }
 
     /// Returns the number of waiting items.
@@ -391,7 +391,7 @@
     }
 }
 
-/// What became of a request that entered.
+/// Whether an entering request was admitted at once or has to wait.
 enum Entry {
     Now,
     Queued(QueuePlace),
--- a/src/api/selection.rs
+++ b/src/api/selection.rs
@@ -512,14 +512,14 @@
 /// [`ErrorKind::NoUpstream`] with the numbers of excluded upstreams, and with
 /// a `Retry-After` if some of them are only in backoff.
 pub fn pick_upstream(
-    facts: &[UpstreamSnapshot],
+    snapshots: &[UpstreamSnapshot],
     criteria: UpstreamCriteria<'_>,
     seed: u64,
 ) -> Result<UpstreamChoice, Error> {
-    let partition = UpstreamPartition::new(facts, criteria);
+    let partition = UpstreamPartition::new(snapshots, criteria);
     let pool = partition.pool();
     if pool.is_empty() {
-        return Err(partition.no_upstream_error(facts.len(), seed));
+        return Err(partition.no_upstream_error(snapshots.len(), seed));
     }
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let (selected, preferred) =
@@ -551,7 +551,7 @@
 
 impl<'a> UpstreamPartition<'a> {
     fn new(
-        facts: &'a [UpstreamSnapshot],
+        snapshots: &'a [UpstreamSnapshot],
         criteria: UpstreamCriteria<'_>,
     ) -> UpstreamPartition<'a> {
         let mut partition = UpstreamPartition {
@@ -563,7 +563,7 @@
             shortest_backoff: Duration::MAX,
             not_loaded: 0,
         };
-        for upstream in facts {
+        for upstream in snapshots {
             if upstream.leaving {
                 partition.leaving += 1;
             } else if upstream.breaker_open
@@ -690,9 +690,10 @@
 }
 
 impl ModelLoad {
-    /// Sums over the usable replicas in `facts`.
-    pub fn of(facts: &[UpstreamSnapshot]) -> ModelLoad {
-        let usable = facts.iter().filter(|upstream| upstream.is_available());
+    /// Sums over the usable replicas in `snapshots`.
+    pub fn of(snapshots: &[UpstreamSnapshot]) -> ModelLoad {
+        let usable =
+            snapshots.iter().filter(|upstream| upstream.is_available());
         usable.fold(ModelLoad::default(), |load, upstream| ModelLoad {
             requests: load.requests + upstream.requests,
             slots: load.slots + upstream.slots,
@@ -701,8 +702,8 @@
 }
 
 /// Returns whether any replica that has loaded a version is usable.
-pub fn any_usable(facts: &[UpstreamSnapshot], version: ShortHash) -> bool {
-    facts.iter().any(|u| u.is_available() && has_loaded(u, Some(version)))
+pub fn any_usable(snapshots: &[UpstreamSnapshot], version: ShortHash) -> bool {
+    snapshots.iter().any(|u| u.is_available() && has_loaded(u, Some(version)))
 }
 
 /// Converts an age to whole milliseconds.
--- a/src/chains/claim.rs
+++ b/src/chains/claim.rs
@@ -92,7 +92,7 @@
 pub struct VmIncarnation {
     /// The name of the VM.
     pub vm: VmId,
-    /// Which start of the VM; a restart increases it.
+    /// Identifies one start of the VM; grows with each restart.
     pub incarnation: Incarnation,
 }
 
@@ -382,7 +382,7 @@
         }
     }
 
-    /// Whether a key is known.
+    /// Returns whether a key is known.
     pub fn contains(&self, key: ClaimKey) -> bool {
         self.entries.contains_key(&key)
     }
--- a/src/chains/configuration.rs
+++ b/src/chains/configuration.rs
@@ -145,7 +145,7 @@
         self.versions.get(model)?.get(version)
     }
 
-    /// Whether a model has any version.
+    /// Returns whether a model has any version.
     pub fn has_model(&self, model: &ModelId) -> bool {
         self.versions.contains_key(model)
     }
--- a/src/chains/lease.rs
+++ b/src/chains/lease.rs
@@ -148,8 +148,8 @@
         })
     }
 
-    /// Whether to call the store: to renew the lease, to see whether its
-    /// holder still renews it, or to take it if it is free.
+    /// Returns whether to call the store: to renew the lease, to see whether
+    /// its holder still renews it, or to take it if it is free.
     ///
     /// A VM that doesn't want the lease makes no calls, since each call counts
     /// towards the fleet's budget of store calls.
--- a/src/chains/ledger.rs
+++ b/src/chains/ledger.rs
@@ -76,7 +76,7 @@
         OwnBill { bill, sent_at: None, is_copied: false, waiter }
     }
 
-    /// Whether to send the bill, for the first time or again.
+    /// Returns whether to send the bill, for the first time or again.
     ///
     /// An open bill is sent until a second VM has a copy, a closed one until
     /// the store has it.
@@ -530,7 +530,7 @@
     targets
 }
 
-/// Whether the incarnation of the VM that admitted a request is over.
+/// Returns whether the incarnation of the VM that admitted a request is over.
 fn is_incarnation_over(vm: &Vm, request: &RequestId) -> bool {
     match vm.view.liveness(&request.vm) {
         Some((incarnation, liveness)) => {
--- a/src/chains/mod.rs
+++ b/src/chains/mod.rs
@@ -1,7 +1,7 @@
 //! Agreement between VMs and durable state, built on chains of keys in a
 //! key-value store.
 //!
-//! * [`store`], [`memory_store`]: the client of the store, and an in-memory
+//! * [`store`], `memory_store`: the client of the store, and an in-memory
 //!   store for tests.
 //! * [`chain`], [`lease`]: append-only logs and leases, on which the other
 //!   modules are built.
--- a/src/chains/slot.rs
+++ b/src/chains/slot.rs
@@ -64,8 +64,8 @@
 /// What a slot needs to know about other VMs, and its connection to the
 /// deputy.
 pub(crate) trait SlotPeers: Send + Sync {
-    /// Whether an incarnation of a VM has ended or can't be reached, as far as
-    /// this VM knows.
+    /// Returns whether an incarnation of a VM has ended or can't be reached,
+    /// as far as this VM knows.
     fn is_gone(
         &self,
         incarnation: &VmIncarnation,
@@ -209,18 +209,18 @@
         }
     }
 
-    /// Whether this VM owns the slot, by the part of the chain that it has
-    /// read.
+    /// Returns whether this VM owns the slot, by the part of the chain that it
+    /// has read.
     pub(crate) fn is_owner(&self) -> bool {
         self.role() == Role::Owner
     }
 
-    /// Whether this VM grants claims while the store is unavailable.
+    /// Returns whether this VM grants claims while the store is unavailable.
     pub(crate) fn is_offline(&self) -> bool {
         self.is_offline
     }
 
-    /// Whether records are still to be written to the chain.
+    /// Returns whether records are still to be written to the chain.
     pub(crate) fn has_backlog(&self) -> bool {
         !self.backlog.is_empty() || self.in_doubt.is_some()
     }
@@ -912,8 +912,9 @@
         }
     }
 
-    /// Whether to reject copies of claims, because the sender is not an owner
-    /// with this VM as its deputy, or because this VM has tried to take over.
+    /// Returns whether to reject copies of claims, because the sender is not
+    /// an owner with this VM as its deputy, or because this VM has tried to
+    /// take over.
     async fn rejects_copies(&mut self, request: &HoldRequest) -> bool {
         let must_read = self.end_read_at.is_none()
             || self.state.index() < request.index
