--- a/src/api/vm.rs
+++ b/src/api/vm.rs
@@ -33,7 +33,7 @@
         configuration::{Change, ConfigurationCell},
         configuration_sync::{RECENT_LIMIT, changes_after},
         ledger::Ledger,
-        slot::HoldRequest,
+        slot::CopyRequest,
         store::{HttpStore, SharedStore, StoreCounts},
     },
     clock::{BootInstant, SharedClock},
@@ -423,8 +423,8 @@
                 let owner = VmIncarnation { vm: owner, incarnation };
                 let first = first as usize;
                 let request =
-                    HoldRequest { slot, index, owner, first, claims };
-                match self.claims.hold_here(&self, request).await {
+                    CopyRequest { slot, index, owner, first, claims };
+                match self.claims.store_copies(&self, request).await {
                     true => PeerReply::Done,
                     false => refusal("this VM must not hold these claims"),
                 }
--- a/src/chains/claims.rs
+++ b/src/chains/claims.rs
@@ -19,7 +19,7 @@
     },
     chains::{
         claim::{ClaimOutcome, ClaimRequest, ClaimVerdict, VmIncarnation},
-        slot::{HoldRequest, Slot, SlotPeers, redirect_target},
+        slot::{CopyRequest, Slot, SlotPeers, redirect_target},
     },
     id::{DataHallId, VmId},
     message::{PeerReply, PeerRequest},
@@ -32,7 +32,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// Timeout of a call to a deputy to store copies of claims.
-const HOLD_TIMEOUT: Duration = Duration::from_millis(500);
+const COPY_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Timeout of the call that checks whether a VM can be reached.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
@@ -55,7 +55,7 @@
 enum SlotMessage {
     Claim { request: ClaimRequest, reply: Sender<ClaimVerdict> },
     Settle { claim: ClaimRequest, outcome: ClaimOutcome },
-    Hold { request: HoldRequest, reply: Sender<bool> },
+    StoreCopies { request: CopyRequest, reply: Sender<bool> },
     HandOver { reply: Sender<()> },
 }
 
@@ -182,14 +182,14 @@
 
     /// Stores copies of claims for the owner of a slot, as its deputy. Returns
     /// whether they are stored.
-    pub(crate) async fn hold_here(
+    pub(crate) async fn store_copies(
         &self,
         vm: &Arc<Vm>,
-        request: HoldRequest,
+        request: CopyRequest,
     ) -> bool {
         let handle = self.handle(vm, request.slot);
         let (reply, stored) = bounded(1);
-        let message = SlotMessage::Hold { request, reply };
+        let message = SlotMessage::StoreCopies { request, reply };
         if handle.mailbox.send(message).await.is_err() {
             return false;
         }
@@ -425,8 +425,8 @@
                 SlotMessage::Settle { claim, outcome } => {
                     self.slot.settle(&claim, outcome);
                 }
-                SlotMessage::Hold { request, reply } => {
-                    let is_stored = self.slot.hold(request).await;
+                SlotMessage::StoreCopies { request, reply } => {
+                    let is_stored = self.slot.store_copies(request).await;
                     let _ = reply.try_send(is_stored);
                 }
                 SlotMessage::HandOver { reply } => {
@@ -504,10 +504,10 @@
         Some(VmIncarnation { vm: deputy.vm.clone(), incarnation })
     }
 
-    async fn hold(
+    async fn send_copies(
         &self,
         deputy: &VmIncarnation,
-        request: HoldRequest,
+        request: CopyRequest,
     ) -> bool {
         let Some(vm) = self.0.upgrade() else { return false };
         let message = PeerRequest::HoldClaims {
@@ -518,7 +518,7 @@
             first: request.first as u64,
             claims: request.claims,
         };
-        let reply = vm.call_peer(&deputy.vm, message, HOLD_TIMEOUT).await;
+        let reply = vm.call_peer(&deputy.vm, message, COPY_TIMEOUT).await;
         matches!(reply, Ok(PeerReply::Done))
     }
 }
--- a/src/chains/slot.rs
+++ b/src/chains/slot.rs
@@ -76,17 +76,17 @@
 
     /// Sends copies of claims to the deputy. Returns whether it has stored
     /// them.
-    fn hold(
+    fn send_copies(
         &self,
         deputy: &VmIncarnation,
-        request: HoldRequest,
+        request: CopyRequest,
     ) -> impl Future<Output = bool> + Send;
 }
 
 /// A request from the owner of a slot to its deputy to store copies of claims
 /// that are granted while the store is unavailable.
 #[derive(Clone, Debug)]
-pub(crate) struct HoldRequest {
+pub(crate) struct CopyRequest {
     pub(crate) slot: u32,
     /// The index of the last batch that the owner has read.
     pub(crate) index: u64,
@@ -289,7 +289,7 @@
     /// Stores copies of claims for the slot's owner. Returns false if this VM
     /// is not the owner's deputy, or if it lacks the claims before `first`;
     /// the owner then sends all of them.
-    pub(crate) async fn hold(&mut self, request: HoldRequest) -> bool {
+    pub(crate) async fn store_copies(&mut self, request: CopyRequest) -> bool {
         if self.rejects_copies(&request).await {
             return false;
         }
@@ -590,14 +590,14 @@
             log.sent = 0;
         }
         for first in [log.sent, 0] {
-            let request = HoldRequest {
+            let request = CopyRequest {
                 slot: self.number,
                 index: self.state.index(),
                 owner: self.me.clone(),
                 first,
                 claims: log.claims[first..].to_vec(),
             };
-            if self.peers.hold(deputy, request).await {
+            if self.peers.send_copies(deputy, request).await {
                 log.sent = log.claims.len();
                 return true;
             }
@@ -915,7 +915,7 @@
     /// Returns whether to reject copies of claims, because the sender is not
     /// an owner with this VM as its deputy, or because this VM has tried to
     /// take over.
-    async fn rejects_copies(&mut self, request: &HoldRequest) -> bool {
+    async fn rejects_copies(&mut self, request: &CopyRequest) -> bool {
         let must_read = self.end_read_at.is_none()
             || self.state.index() < request.index
             || self.has_tried_takeover;
@@ -1011,15 +1011,15 @@
 
 fn to_records(claims: &[OfflineClaim]) -> Vec<ClaimRecord> {
     let mut records = Vec::new();
-    for held in claims {
+    for offline in claims {
         records.push(ClaimRecord::Claimed {
-            claim: held.claim.clone(),
-            at_unix_ms: held.at_unix_ms,
+            claim: offline.claim.clone(),
+            at_unix_ms: offline.at_unix_ms,
         });
-        if let Some(outcome) = &held.outcome {
+        if let Some(outcome) = &offline.outcome {
             records.push(ClaimRecord::Settled {
-                key: held.claim.key,
-                request: held.claim.request.clone(),
+                key: offline.claim.key,
+                request: offline.claim.request.clone(),
                 outcome: outcome.clone(),
             });
         }
--- a/src/chains/slot/tests.rs
+++ b/src/chains/slot/tests.rs
@@ -152,10 +152,10 @@
         next.into_iter().find(|n| !gone[*n]).map(incarnation)
     }
 
-    async fn hold(
+    async fn send_copies(
         &self,
         deputy: &VmIncarnation,
-        request: HoldRequest,
+        request: CopyRequest,
     ) -> bool {
         let other = number(deputy);
         let is_partitioned = {
@@ -166,7 +166,7 @@
             return false;
         }
         let slot = self.network.slots.lock().unwrap()[other].clone();
-        slot.lock().await.hold(request).await
+        slot.lock().await.store_copies(request).await
     }
 }
 
