--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -20,7 +20,7 @@
         organisation_limits::ConcurrencyPermit,
         queue::{DispatchPermit, QueuedRequest},
         selection::{
-            self, ModelLoad, Plan, PlanError, PlanInput, RequestFacts,
+            self, ModelLoad, Plan, PlanError, PlanInput, RequestProperties,
             any_usable,
         },
         session::Session,
@@ -539,7 +539,7 @@
         let now = vm.clock.now();
         let configuration = vm.configuration.current();
         let template = &self.state.template;
-        let facts = self.request_facts();
+        let properties = self.request_properties();
         let stopped = vm.rollout_guard.stopped();
         let has_upstream = |entry: &VersionEntry| {
             let upstreams = vm.upstream_snapshots(&entry.model, now);
@@ -555,7 +555,7 @@
             has_upstream: &has_upstream,
             now,
         };
-        let plan = selection::plan(&facts, &input, rand::random())?;
+        let plan = selection::plan(&properties, &input, rand::random())?;
         let repeatable = plan.steps.iter().all(|step| {
             let rule = template.model_rule(&step.entry.model);
             rule.is_some_and(|rule| rule.repeatable)
@@ -563,13 +563,13 @@
         Ok((truncate_to_one_step(plan, repeatable), repeatable))
     }
 
-    fn request_facts(&self) -> RequestFacts {
+    fn request_properties(&self) -> RequestProperties {
         let call = &self.state.call;
         let has_ratings =
             self.context.vm.settings.platform.rating_url.is_some();
         let session = self.context.decision.session.clone();
         let has_no_session = session == SessionUse::None;
-        RequestFacts {
+        RequestProperties {
             model: call.chat.model.clone(),
             task: ShortHash::of(&call.task),
             can_escalate: has_ratings && has_no_session && !call.chat.stream,
--- a/src/api/selection.rs
+++ b/src/api/selection.rs
@@ -48,7 +48,7 @@
 
 /// The properties of a request that determine its plan.
 #[derive(Clone, Debug)]
-pub struct RequestFacts {
+pub struct RequestProperties {
     /// The model that the caller requests; `None` for any allowed model.
     pub model: Option<ModelId>,
     /// The hash of the task name.
@@ -123,7 +123,7 @@
 /// [`ErrorKind::NotAllowed`], [`ErrorKind::VersionWithdrawn`] or
 /// [`ErrorKind::NoUpstream`]; the request has not run.
 pub fn plan(
-    request: &RequestFacts,
+    request: &RequestProperties,
     input: &PlanInput<'_>,
     seed: u64,
 ) -> Result<Plan, PlanError> {
@@ -152,7 +152,7 @@
 /// Returns why a request is rejected because of its model or session, before
 /// any version is considered.
 fn request_rejection(
-    request: &RequestFacts,
+    request: &RequestProperties,
     input: &PlanInput<'_>,
 ) -> Option<(ErrorKind, String)> {
     let asked = match &request.session {
@@ -206,7 +206,7 @@
 
 /// The versions considered for one request, with why each was excluded.
 struct CandidateList<'a> {
-    request: &'a RequestFacts,
+    request: &'a RequestProperties,
     input: &'a PlanInput<'a>,
     organisation: ShortHash,
     candidates: Vec<Candidate>,
@@ -214,7 +214,7 @@
 
 impl<'a> CandidateList<'a> {
     fn new(
-        request: &'a RequestFacts,
+        request: &'a RequestProperties,
         input: &'a PlanInput<'a>,
     ) -> CandidateList<'a> {
         let name = input.template.organisation.as_str();
@@ -399,7 +399,7 @@
 ///
 /// A share [`EXPLORATION_SHARE`] of the plans starts at a random version.
 fn rank<'a>(
-    request: &RequestFacts,
+    request: &RequestProperties,
     mut eligible: Vec<EstimatedVersion<'a>>,
     rng: &mut ChaCha8Rng,
 ) -> Ranking<'a> {
@@ -468,7 +468,7 @@
 
 /// Splits the versions into the cascade from `start` and the rejected ones.
 fn split_into_steps<'a>(
-    request: &RequestFacts,
+    request: &RequestProperties,
     by_cost: Vec<EstimatedVersion<'a>>,
     start: usize,
 ) -> Ranking<'a> {
