--- a/src/api/operators.rs
+++ b/src/api/operators.rs
@@ -298,8 +298,8 @@
                 false => Reply::json(&decision),
             };
         }
-        // The VM that made the decision may be gone; the bill has the main
-        // facts.
+        // The VM that made the decision may have stopped; the bill has the
+        // main information.
         let bill = self.vm.find_bill(&id).await.ok_or_else(|| {
             not_found(format!(
                 "no VM has a decision for {id}, and the latest hours of the \
--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -352,9 +352,9 @@
             parts: Vec::new(),
             ended: String::new(),
         };
-        let holding = self.vm.ledger.open(bill.clone());
+        let replica = self.vm.ledger.open(bill.clone());
         self.bill = Some(bill);
-        if !holding.wait_for_replica().await {
+        if !replica.wait_for_replica().await {
             self.vm.metrics.bills_single_holder.inc();
         }
     }
