--- a/src/api/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -550,7 +550,7 @@
     /// Records the answer that later requests with the same key will get.
     fn record_claim_outcome(&mut self, outcome: &Outcome) {
         if let Ok(Answer::Whole { status, headers, body }) = outcome {
-            let recorded = self.recorded(*status, headers, body);
+            let recorded = self.to_claim_outcome(*status, headers, body);
             self.set_claim_outcome(recorded);
         }
     }
@@ -588,7 +588,7 @@
                 Err(claim_unavailable("the grant arrived after it expired"))
             }
             ClaimVerdict::Settled { by, outcome } => {
-                self.repeat(by, outcome).map(Some)
+                self.recorded_answer(by, outcome).map(Some)
             }
             ClaimVerdict::InProgress { by } => {
                 Err(Error::new(ErrorKind::KeyInProgress)
@@ -611,8 +611,8 @@
         }
     }
 
-    /// Returns the recorded outcome of an earlier request with the key.
-    fn repeat(
+    /// Returns the recorded answer of an earlier request with the key.
+    fn recorded_answer(
         &mut self,
         by: crate::id::RequestId,
         outcome: ClaimOutcome,
@@ -641,7 +641,7 @@
     /// Builds the claim outcome that later requests with the key will get.
     ///
     /// The body is left out if it is not UTF-8 or over the size limit.
-    fn recorded(
+    fn to_claim_outcome(
         &self,
         status: u16,
         headers: &[Header],
--- a/src/api/organisation_limits.rs
+++ b/src/api/organisation_limits.rs
@@ -83,19 +83,19 @@
     ) -> Result<ConcurrencyPermit, Error> {
         let mut usages = self.usages.lock().expect("limits lock");
         let organisation = &template.organisation;
-        let used = usages
+        let usage = usages
             .entry(organisation.clone())
             .or_insert_with(|| OrganisationUsage::new(template, now));
-        used.requests_since_update += 1;
+        usage.requests_since_update += 1;
         let key = usage_key(organisation);
         let total = tallies.total(&key, now);
         let own = tallies.own(&key);
-        check_cost(template, used, total, own)?;
-        check_concurrency(template, used, total, own)?;
-        if let Err(wait) = used.bucket.take(1.0, now) {
+        check_cost(template, usage, total, own)?;
+        check_concurrency(template, usage, total, own)?;
+        if let Err(wait) = usage.bucket.take(1.0, now) {
             return Err(limit_reached("the rate limit").with_retry_after(wait));
         }
-        Ok(ConcurrencyPermit::new(used.in_flight.clone()))
+        Ok(ConcurrencyPermit::new(usage.in_flight.clone()))
     }
 
     /// Adds `cost` to the cost of the current hour.
@@ -106,9 +106,9 @@
         unix_ms: u64,
     ) {
         let mut usages = self.usages.lock().expect("limits lock");
-        if let Some(used) = usages.get_mut(organisation) {
-            used.start_hour(unix_ms);
-            used.hour_cost = used.hour_cost + cost;
+        if let Some(usage) = usages.get_mut(organisation) {
+            usage.start_hour(unix_ms);
+            usage.hour_cost = usage.hour_cost + cost;
         }
     }
 
@@ -129,15 +129,15 @@
         let mut usages = self.usages.lock().expect("limits lock");
         for template in templates {
             let organisation = &template.organisation;
-            let Some(used) = usages.get_mut(organisation) else { continue };
-            used.start_hour(unix_ms);
-            used.update_demand(passed);
+            let Some(usage) = usages.get_mut(organisation) else { continue };
+            usage.start_hour(unix_ms);
+            usage.update_demand(passed);
             let key = usage_key(organisation);
-            tallies.set(key, used.tally());
-            let share = demand_share(used, tallies.total(&key, now));
+            tallies.set(key, usage.tally());
+            let share = demand_share(usage, tallies.total(&key, now));
             let rate = template.rate_per_s * share;
             let burst = (rate * BURST_S).max(1.0);
-            used.bucket.set_rate(rate, burst, now);
+            usage.bucket.set_rate(rate, burst, now);
         }
     }
 }
@@ -191,23 +191,23 @@
 }
 
 /// Returns this VM's share of the total demand, at least [`MIN_SHARE`].
-fn demand_share(used: &OrganisationUsage, total: Tally) -> f64 {
+fn demand_share(usage: &OrganisationUsage, total: Tally) -> f64 {
     let all = f64::from(total.0[usage::DEMAND_PER_S]);
     if all <= 0.0 {
         return 1.0;
     }
-    (used.demand_per_s / all).clamp(MIN_SHARE, 1.0)
+    (usage.demand_per_s / all).clamp(MIN_SHARE, 1.0)
 }
 
 /// Checks the cost of this hour at all VMs against the limit.
 fn check_cost(
     template: &Template,
-    used: &OrganisationUsage,
+    usage: &OrganisationUsage,
     total: Tally,
     own: Tally,
 ) -> Result<(), Error> {
     let others = (total - own).0[usage::HOUR_COST].max(0.0);
-    let spent = used.hour_cost.0 as f64 + f64::from(others) * MICRO_PER_UNIT;
+    let spent = usage.hour_cost.0 as f64 + f64::from(others) * MICRO_PER_UNIT;
     if spent >= template.hour_price_limit_micro.0 as f64 {
         return Err(limit_reached("the hourly cost limit"));
     }
@@ -217,12 +217,12 @@
 /// Checks the requests in flight at all VMs against the limit.
 fn check_concurrency(
     template: &Template,
-    used: &OrganisationUsage,
+    usage: &OrganisationUsage,
     total: Tally,
     own: Tally,
 ) -> Result<(), Error> {
     let others = (total - own).0[usage::IN_FLIGHT].max(0.0);
-    let own_now = used.in_flight.load(Ordering::Relaxed);
+    let own_now = usage.in_flight.load(Ordering::Relaxed);
     if f64::from(own_now) + f64::from(others)
         >= f64::from(template.concurrency)
     {
--- a/src/api/relay.rs
+++ b/src/api/relay.rs
@@ -85,7 +85,7 @@
     /// The upstream's stream failed.
     Broken(AttemptFault),
     /// The caller disconnected.
-    CallerGone,
+    CallerDisconnected,
 }
 
 /// Why no stream was opened.
@@ -238,13 +238,13 @@
                     drop(stream);
                     return self.finish(last, progress).await;
                 }
-                RelayEnd::CallerGone => {
+                RelayEnd::CallerDisconnected => {
                     // Closing the connection cancels the work at the upstream.
                     drop(stream);
                     self.request.context.end_attempt(AttemptStatus::Cancelled);
-                    let gone = Error::new(ErrorKind::UpstreamFailed)
+                    let error = Error::new(ErrorKind::UpstreamFailed)
                         .context("the caller disconnected");
-                    return self.request.context.settle_stream(Some(&gone));
+                    return self.request.context.settle_stream(Some(&error));
                 }
                 RelayEnd::Broken(fault) => {
                     self.request.context.end_attempt(fault.attempt_status());
@@ -285,7 +285,7 @@
                 continue;
             }
             if self.sender.send(Ok(event.raw)).await.is_err() {
-                return RelayEnd::CallerGone;
+                return RelayEnd::CallerDisconnected;
             }
         }
     }
--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -375,11 +375,11 @@
     }
 
     /// Records how the last attempt ended.
-    pub(crate) fn end_attempt(&mut self, end: AttemptStatus) {
-        let label = attempt_status_label(&end);
+    pub(crate) fn end_attempt(&mut self, status: AttemptStatus) {
+        let label = attempt_status_label(&status);
         self.vm.metrics.attempts.with_label_values(&[label]).inc();
         if let Some(last) = self.decision.attempts.last_mut() {
-            last.end = end;
+            last.end = status;
         }
     }
 
@@ -670,9 +670,9 @@
     }
 }
 
-/// Returns the metric label for the end of an attempt.
-fn attempt_status_label(end: &AttemptStatus) -> &'static str {
-    match end {
+/// Returns the metric label of an attempt's status.
+fn attempt_status_label(status: &AttemptStatus) -> &'static str {
+    match status {
         AttemptStatus::Running => "running",
         AttemptStatus::Answered { .. } => "answered",
         AttemptStatus::RatedPoor { .. } => "rated_poor",
--- a/src/api/selection.rs
+++ b/src/api/selection.rs
@@ -289,8 +289,8 @@
         if self.input.stopped.contains(&version_hash(entry)) {
             return Some(Exclusion::StoppedHere);
         }
-        if let Some(dropped) = self.exclusion_by_state(entry, draw) {
-            return Some(dropped);
+        if let Some(exclusion) = self.exclusion_by_state(entry, draw) {
+            return Some(exclusion);
         }
         if estimated.cost > template.request_price_limit_micro {
             return Some(Exclusion::TooExpensive);
@@ -322,10 +322,11 @@
         entry: &VersionEntry,
         draw: f64,
     ) -> Option<Exclusion> {
-        let bound = matches!(self.request.session, SessionUse::Bound { .. });
+        let is_bound =
+            matches!(self.request.session, SessionUse::Bound { .. });
         match entry.state {
             VersionState::Withdrawn => Some(Exclusion::Withdrawn),
-            _ if bound => None,
+            _ if is_bound => None,
             VersionState::Draining => Some(Exclusion::Draining),
             VersionState::Serving => None,
             VersionState::RollingOut { .. } if !self.input.is_fresh => {
--- a/src/chains/slot/tests.rs
+++ b/src/chains/slot/tests.rs
@@ -111,7 +111,7 @@
     }
 }
 
-type SharedSlot = Arc<Mutex<Slot<FakePeers>>>;
+type SharedSlot = Arc<Mutex<Slot<SimulatedPeers>>>;
 
 /// Which VMs the others believe to be gone, and which are partitioned.
 struct Network {
@@ -121,7 +121,7 @@
 }
 
 #[derive(Clone)]
-struct FakePeers {
+struct SimulatedPeers {
     me: usize,
     network: Arc<Network>,
 }
@@ -137,7 +137,7 @@
     incarnation.vm.as_str()[3..].parse().unwrap()
 }
 
-impl SlotPeers for FakePeers {
+impl SlotPeers for SimulatedPeers {
     async fn is_gone(&self, incarnation: &VmIncarnation) -> bool {
         let other = number(incarnation);
         let gone = self.network.gone.lock().unwrap();
@@ -170,7 +170,8 @@
     }
 }
 
-struct World {
+/// The simulated VMs, their store and network, and the claims granted so far.
+struct Simulation {
     clock: Arc<ManualClock>,
     store: Arc<MemoryStore>,
     store_links: Vec<Arc<StoreLink>>,
@@ -182,8 +183,8 @@
     granted: HashMap<u8, Vec<(ClaimRequest, Duration)>>,
 }
 
-impl World {
-    fn new() -> World {
+impl Simulation {
+    fn new() -> Simulation {
         let clock = Arc::new(ManualClock {
             start: BootInstant::now(),
             elapsed: StdMutex::default(),
@@ -194,7 +195,7 @@
             gone: StdMutex::default(),
             partitioned: StdMutex::default(),
         });
-        let mut world = World {
+        let mut simulation = Simulation {
             clock,
             store,
             store_links: Vec::new(),
@@ -204,10 +205,10 @@
             granted: HashMap::new(),
         };
         for me in 0..VMS {
-            world.add_vm(me);
+            simulation.add_vm(me);
         }
-        *world.network.slots.lock().unwrap() = world.slots.clone();
-        world
+        *simulation.network.slots.lock().unwrap() = simulation.slots.clone();
+        simulation
     }
 
     fn add_vm(&mut self, me: usize) {
@@ -223,7 +224,7 @@
             Duration::from_secs(1_000_000),
             link.clone(),
             self.clock.clone(),
-            FakePeers { me, network: self.network.clone() },
+            SimulatedPeers { me, network: self.network.clone() },
         );
         self.store_links.push(link);
         self.slots.push(Arc::new(Mutex::new(slot)));
@@ -325,81 +326,81 @@
 
 #[test]
 fn an_owner_grants_offline_while_its_deputy_stores_copies() {
-    let mut world = World::new();
-    assert!(world.claim(0, 1));
+    let mut simulation = Simulation::new();
+    assert!(simulation.claim(0, 1));
     for vm in 0..VMS {
-        world.cut_store(vm, true);
+        simulation.cut_store(vm, true);
     }
-    assert!(world.claim(0, 2));
-    assert!(!world.claim(0, 2), "a repeated request is not granted");
-    assert!(!world.claim(1, 3), "no other VM grants claims");
-    world.network.partitioned.lock().unwrap()[1] = true;
-    assert!(!world.claim(0, 4), "no grants without the deputy");
-    world.network.partitioned.lock().unwrap()[1] = false;
-    assert!(world.claim(0, 5));
-    world.wait(OFFLINE_MAX.as_secs());
-    assert!(!world.claim(0, 6), "no grants after offline_max");
+    assert!(simulation.claim(0, 2));
+    assert!(!simulation.claim(0, 2), "a repeated request is not granted");
+    assert!(!simulation.claim(1, 3), "no other VM grants claims");
+    simulation.network.partitioned.lock().unwrap()[1] = true;
+    assert!(!simulation.claim(0, 4), "no grants without the deputy");
+    simulation.network.partitioned.lock().unwrap()[1] = false;
+    assert!(simulation.claim(0, 5));
+    simulation.wait(OFFLINE_MAX.as_secs());
+    assert!(!simulation.claim(0, 6), "no grants after offline_max");
 }
 
 #[test]
 fn a_deputy_takes_over_with_its_copies_of_claims() {
-    let mut world = World::new();
-    assert!(world.claim(0, 1));
-    world.cut_store(0, true);
-    assert!(world.claim(0, 2));
-    world.set_gone(0, true);
-    assert!(!world.claim(1, 2), "the deputy has a copy of the claim");
-    assert!(world.claim(1, 3));
-    assert!(!world.claim(0, 4), "the deputy accepts no more copies");
-    world.cut_store(0, false);
-    world.set_gone(0, false);
-    assert!(!world.claim(0, 3));
-    world.assert_no_duplicate_grants();
+    let mut simulation = Simulation::new();
+    assert!(simulation.claim(0, 1));
+    simulation.cut_store(0, true);
+    assert!(simulation.claim(0, 2));
+    simulation.set_gone(0, true);
+    assert!(!simulation.claim(1, 2), "the deputy has a copy of the claim");
+    assert!(simulation.claim(1, 3));
+    assert!(!simulation.claim(0, 4), "the deputy accepts no more copies");
+    simulation.cut_store(0, false);
+    simulation.set_gone(0, false);
+    assert!(!simulation.claim(0, 3));
+    simulation.assert_no_duplicate_grants();
 }
 
 #[test]
 fn a_third_vm_takes_over_after_offline_max() {
-    let mut world = World::new();
-    assert!(world.claim(0, 1));
-    world.set_gone(0, true);
-    world.set_gone(1, true);
-    assert!(!world.claim(2, 2), "the takeover is only announced");
-    world.wait(OFFLINE_MAX.as_secs() / 2);
-    assert!(!world.claim(2, 2), "offline_max has not elapsed");
-    world.wait(OFFLINE_MAX.as_secs());
-    assert!(!world.claim(2, 2), "unknown keys are answered with Gap");
-    world.wait(GAP_HOLD.as_secs());
-    assert!(world.claim(2, 2));
-    assert!(!world.claim(2, 1), "known keys stay known");
+    let mut simulation = Simulation::new();
+    assert!(simulation.claim(0, 1));
+    simulation.set_gone(0, true);
+    simulation.set_gone(1, true);
+    assert!(!simulation.claim(2, 2), "the takeover is only announced");
+    simulation.wait(OFFLINE_MAX.as_secs() / 2);
+    assert!(!simulation.claim(2, 2), "offline_max has not elapsed");
+    simulation.wait(OFFLINE_MAX.as_secs());
+    assert!(!simulation.claim(2, 2), "unknown keys are answered with Gap");
+    simulation.wait(GAP_HOLD.as_secs());
+    assert!(simulation.claim(2, 2));
+    assert!(!simulation.claim(2, 1), "known keys stay known");
 }
 
 #[test]
 fn a_live_owner_objects_to_a_takeover() {
-    let mut world = World::new();
-    assert!(world.claim(0, 1));
-    world.set_gone(0, true);
-    world.set_gone(1, true);
-    assert!(!world.claim(2, 2));
-    world.wait(OFFLINE_MAX.as_secs() / 2);
+    let mut simulation = Simulation::new();
+    assert!(simulation.claim(0, 1));
+    simulation.set_gone(0, true);
+    simulation.set_gone(1, true);
+    assert!(!simulation.claim(2, 2));
+    simulation.wait(OFFLINE_MAX.as_secs() / 2);
     // Otherwise VM 2 would be named the deputy, which may take over at once.
-    world.set_gone(2, true);
-    world.tick(0);
-    world.set_gone(2, false);
-    world.wait(OFFLINE_MAX.as_secs());
-    assert!(!world.claim(2, 2), "the takeover must be announced again");
-    assert!(world.claim(0, 2));
-    world.assert_no_duplicate_grants();
+    simulation.set_gone(2, true);
+    simulation.tick(0);
+    simulation.set_gone(2, false);
+    simulation.wait(OFFLINE_MAX.as_secs());
+    assert!(!simulation.claim(2, 2), "the takeover must be announced again");
+    assert!(simulation.claim(0, 2));
+    simulation.assert_no_duplicate_grants();
 }
 
 #[test]
 fn a_handover_makes_the_deputy_the_owner_at_once() {
-    let mut world = World::new();
-    assert!(world.claim(0, 1));
-    let slot = world.slots[0].clone();
+    let mut simulation = Simulation::new();
+    assert!(simulation.claim(0, 1));
+    let slot = simulation.slots[0].clone();
     block_on(async { slot.lock().await.hand_over().await });
-    assert!(!world.claim(0, 2));
-    assert!(world.claim(1, 2));
-    assert!(!world.claim(1, 1));
+    assert!(!simulation.claim(0, 2));
+    assert!(simulation.claim(1, 2));
+    assert!(!simulation.claim(1, 1));
 }
 
 #[derive(Clone, Debug)]
@@ -441,43 +442,43 @@
     ]
 }
 
-fn act(world: &mut World, action: &Action) {
+fn act(simulation: &mut Simulation, action: &Action) {
     match action {
         Action::Claim { vm, key } => {
-            world.claim(*vm, *key);
+            simulation.claim(*vm, *key);
         }
         Action::SettleNotRun { key } => {
-            let last = world.granted.get_mut(key).and_then(Vec::pop);
+            let last = simulation.granted.get_mut(key).and_then(Vec::pop);
             let Some((request, at)) = last else { return };
             // Only an owner accepts the outcome; without one, the key stays
             // claimed.
             let has_owner = (0..VMS).any(|vm| {
-                let slot = world.slots[vm].clone();
+                let slot = simulation.slots[vm].clone();
                 block_on(async { slot.lock().await.is_owner() })
             });
             if !has_owner {
-                let granted = world.granted.entry(*key).or_default();
+                let granted = simulation.granted.entry(*key).or_default();
                 granted.push((request, at));
                 return;
             }
             for vm in 0..VMS {
-                world.settle(vm, &request, ClaimOutcome::NotRun);
+                simulation.settle(vm, &request, ClaimOutcome::NotRun);
             }
         }
-        Action::Tick { vm } => world.tick(*vm),
-        Action::Wait { seconds } => world.wait(*seconds),
-        Action::CutStore { vm, is_cut } => world.cut_store(*vm, *is_cut),
+        Action::Tick { vm } => simulation.tick(*vm),
+        Action::Wait { seconds } => simulation.wait(*seconds),
+        Action::CutStore { vm, is_cut } => simulation.cut_store(*vm, *is_cut),
         Action::CutStoreAfter { vm, calls } => {
-            let link = &world.store_links[*vm];
+            let link = &simulation.store_links[*vm];
             link.cut_after.store(*calls, Ordering::Relaxed);
         }
-        Action::Gone { vm, is_gone } => world.set_gone(*vm, *is_gone),
+        Action::Gone { vm, is_gone } => simulation.set_gone(*vm, *is_gone),
         Action::Partition { vm, is_on } => {
-            world.network.partitioned.lock().unwrap()[*vm] = *is_on;
+            simulation.network.partitioned.lock().unwrap()[*vm] = *is_on;
         }
-        Action::Fault(fault) => world.store.inject([*fault]),
+        Action::Fault(fault) => simulation.store.inject([*fault]),
         Action::HandOver { vm } => {
-            let slot = world.slots[*vm].clone();
+            let slot = simulation.slots[*vm].clone();
             block_on(async { slot.lock().await.hand_over().await });
         }
     }
@@ -496,10 +497,10 @@
     fn no_key_is_granted_twice(
         actions in prop::collection::vec(action(), 1..120),
     ) {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for action in &actions {
-            act(&mut world, action);
-            world.assert_no_duplicate_grants();
+            act(&mut simulation, action);
+            simulation.assert_no_duplicate_grants();
         }
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -334,7 +334,7 @@
     pub session_lifetime: Duration,
     /// Decision records that this VM keeps in memory.
     pub decisions_kept: usize,
-    /// Longest time that a planned stop waits for requests in flight.
+    /// Longest time that a graceful shutdown waits for requests in flight.
     pub stop_grace: Duration,
     /// Destination, level and format of the log.
     pub log: LogSettings,
