--- a/src/api/dispatch.rs
+++ b/src/api/dispatch.rs
@@ -15,7 +15,7 @@
     answer::{Answer, Header},
     api::{
         chat::{TokenUsage, answer_text},
-        decision::{Attempt, AttemptOutcome, RequestStatus, UpstreamChoice},
+        decision::{Attempt, AttemptStatus, RequestStatus, UpstreamChoice},
         estimate::{evidence_key, version_hash},
         rating::{self, RatingRequest},
         relay,
@@ -85,7 +85,7 @@
 pub(crate) struct SelectedUpstream {
     pub(crate) upstream: Arc<Upstream>,
     pub(crate) choice: UpstreamChoice,
-    pub(super) chosen_at: BootInstant,
+    pub(super) selected_at: BootInstant,
     _in_flight: InFlightGuard,
 }
 
@@ -104,15 +104,15 @@
 }
 
 impl AttemptFault {
-    /// Returns how the failed attempt is recorded in the decision.
-    pub(crate) fn end(self) -> AttemptOutcome {
+    /// Returns the status that the decision records for the attempt.
+    pub(crate) fn attempt_status(self) -> AttemptStatus {
         match self {
-            AttemptFault::Unreachable => AttemptOutcome::Unreachable,
+            AttemptFault::Unreachable => AttemptStatus::Unreachable,
             AttemptFault::Broken | AttemptFault::TooLarge => {
-                AttemptOutcome::Broken
+                AttemptStatus::Broken
             }
-            AttemptFault::TimedOut => AttemptOutcome::TimedOut,
-            AttemptFault::Cancelled => AttemptOutcome::Cancelled,
+            AttemptFault::TimedOut => AttemptStatus::TimedOut,
+            AttemptFault::Cancelled => AttemptStatus::Cancelled,
         }
     }
 }
@@ -173,7 +173,7 @@
                 Ok(answer) => {
                     let status = answer.status;
                     self.context
-                        .end_attempt(AttemptOutcome::Answered { status });
+                        .end_attempt(AttemptStatus::Answered { status });
                     let is_retryable =
                         status == STATUS_UNAVAILABLE && repeatable;
                     if is_retryable && self.context.may_retry(tried.len()) {
@@ -182,7 +182,7 @@
                     return Ok(forwarded_answer(answer));
                 }
                 Err(fault) => {
-                    self.context.end_attempt(fault.end());
+                    self.context.end_attempt(fault.attempt_status());
                     self.context.check_retry(
                         fault,
                         repeatable,
@@ -304,7 +304,7 @@
                     return Ok(answer);
                 }
                 Err(fault) => {
-                    self.context.end_attempt(fault.end());
+                    self.context.end_attempt(fault.attempt_status());
                     self.record_fault(&step.entry, fault);
                     self.context.check_retry(
                         fault,
@@ -367,7 +367,7 @@
     /// Records the status, token usage and evidence of an answer.
     fn record_answer(&mut self, entry: &VersionEntry, answer: &FullResponse) {
         let status = answer.status;
-        self.context.end_attempt(AttemptOutcome::Answered { status });
+        self.context.end_attempt(AttemptStatus::Answered { status });
         let used = serde_json::from_slice::<Value>(&answer.body)
             .ok()
             .and_then(|value| TokenUsage::from_json(&value));
@@ -464,7 +464,7 @@
         self.context.vm.metrics.escalations.inc();
         if let Some(last) = self.context.decision.attempts.last_mut() {
             let score_milli = (score.value() * 1000.0) as u16;
-            last.end = AttemptOutcome::RatedPoor { score_milli };
+            last.end = AttemptStatus::RatedPoor { score_milli };
         }
     }
 
@@ -550,7 +550,7 @@
     /// Records the answer that later requests with the same key will get.
     fn record_claim_outcome(&mut self, outcome: &Outcome) {
         if let Ok(Answer::Whole { status, headers, body }) = outcome {
-            let recorded = self.recorded(*status, headers, body);
+            let recorded = self.to_claim_outcome(*status, headers, body);
             self.set_claim_outcome(recorded);
         }
     }
@@ -588,7 +588,7 @@
                 Err(claim_unavailable("the grant arrived after it expired"))
             }
             ClaimVerdict::Settled { by, outcome } => {
-                self.repeat(by, outcome).map(Some)
+                self.recorded_answer(by, outcome).map(Some)
             }
             ClaimVerdict::InProgress { by } => {
                 Err(Error::new(ErrorKind::KeyInProgress)
@@ -611,8 +611,8 @@
         }
     }
 
-    /// Returns the recorded outcome of an earlier request with the key.
-    fn repeat(
+    /// Returns the recorded answer of an earlier request with the key.
+    fn recorded_answer(
         &mut self,
         by: crate::id::RequestId,
         outcome: ClaimOutcome,
@@ -641,7 +641,7 @@
     /// Builds the claim outcome that later requests with the key will get.
     ///
     /// The body is left out if it is not UTF-8 or over the size limit.
-    fn recorded(
+    fn to_claim_outcome(
         &self,
         status: u16,
         headers: &[Header],
@@ -667,9 +667,9 @@
     ) -> Result<SelectedUpstream, Error> {
         let vm = &self.vm;
         let now = vm.clock.now();
-        let facts: Vec<_> =
+        let snapshots: Vec<_> =
             upstreams.iter().map(|u| vm.view.snapshot(u, now)).collect();
-        let picked = pick_upstream(&facts, criteria, rand::random());
+        let picked = pick_upstream(&snapshots, criteria, rand::random());
         let choice = match picked {
             Ok(choice) => choice,
             Err(error) if self.may_have_run() => {
@@ -692,7 +692,7 @@
         Ok(SelectedUpstream {
             upstream,
             choice,
-            chosen_at: now,
+            selected_at: now,
             _in_flight: in_flight,
         })
     }
@@ -708,7 +708,7 @@
             model: entry.map(|entry| entry.model.clone()),
             version: entry.map(|entry| entry.version.clone()),
             choice: selected.choice.clone(),
-            end: AttemptOutcome::Running,
+            end: AttemptStatus::Running,
             input_tokens: 0,
             output_tokens: 0,
             cost_micro: price,
--- a/src/api/relay.rs
+++ b/src/api/relay.rs
@@ -18,7 +18,7 @@
     },
     api::{
         chat::TokenUsage,
-        decision::AttemptOutcome,
+        decision::AttemptStatus,
         dispatch::{AttemptFault, SelectedUpstream, attempt_fault},
         queue::DispatchPermit,
         request::{Planned, Request},
@@ -85,7 +85,7 @@
     /// The upstream's stream failed.
     Broken(AttemptFault),
     /// The caller disconnected.
-    CallerGone,
+    CallerDisconnected,
 }
 
 /// Why no stream was opened.
@@ -187,7 +187,7 @@
                 }
             }
         };
-        request.context.end_attempt(fault.end());
+        request.context.end_attempt(fault.attempt_status());
         request.record_fault(entry, fault);
         request
             .context
@@ -204,7 +204,7 @@
     let limit = request.context.vm.settings.requests.answer_limit_bytes;
     let answer = exchange.read_to_end(limit).await.ok()?;
     let status = answer.status;
-    request.context.end_attempt(AttemptOutcome::Answered { status });
+    request.context.end_attempt(AttemptStatus::Answered { status });
     let content_type = answer.header("content-type").unwrap_or("text/plain");
     let headers = vec![Header::new("content-type", content_type)];
     Some(Answer::Whole { status, headers, body: answer.body })
@@ -238,18 +238,16 @@
                     drop(stream);
                     return self.finish(last, progress).await;
                 }
-                RelayEnd::CallerGone => {
+                RelayEnd::CallerDisconnected => {
                     // Closing the connection cancels the work at the upstream.
                     drop(stream);
-                    self.request
-                        .context
-                        .end_attempt(AttemptOutcome::Cancelled);
-                    let gone = Error::new(ErrorKind::UpstreamFailed)
+                    self.request.context.end_attempt(AttemptStatus::Cancelled);
+                    let error = Error::new(ErrorKind::UpstreamFailed)
                         .context("the caller disconnected");
-                    return self.request.context.settle_stream(Some(&gone));
+                    return self.request.context.settle_stream(Some(&error));
                 }
                 RelayEnd::Broken(fault) => {
-                    self.request.context.end_attempt(fault.end());
+                    self.request.context.end_attempt(fault.attempt_status());
                     self.request.record_fault(&self.entry, fault);
                     drop(stream);
                 }
@@ -287,7 +285,7 @@
                 continue;
             }
             if self.sender.send(Ok(event.raw)).await.is_err() {
-                return RelayEnd::CallerGone;
+                return RelayEnd::CallerDisconnected;
             }
         }
     }
@@ -295,7 +293,7 @@
     /// Forwards the last event and settles the request.
     async fn finish(mut self, last: sse::Event, progress: Progress) {
         let context = &mut self.request.context;
-        context.end_attempt(AttemptOutcome::Answered { status: 200 });
+        context.end_attempt(AttemptStatus::Answered { status: 200 });
         context.set_claim_outcome(ClaimOutcome::Ran {
             status: 200,
             content_type: "text/event-stream".to_owned(),
@@ -352,7 +350,9 @@
                     ));
                     return Ok(resumed);
                 }
-                Err(fault) => self.request.context.end_attempt(fault.end()),
+                Err(fault) => {
+                    self.request.context.end_attempt(fault.attempt_status())
+                }
             }
         }
     }
--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -13,14 +13,14 @@
     api::{
         chat::ChatRequest,
         decision::{
-            Attempt, AttemptOutcome, Decision, RequestStatus, RequestTarget,
+            Attempt, AttemptStatus, Decision, RequestStatus, RequestTarget,
             SessionUse,
         },
         estimate::version_hash,
         organisation_limits::ConcurrencyPermit,
         queue::{DispatchPermit, QueuedRequest},
         selection::{
-            self, ModelLoad, Plan, PlanError, PlanInput, RequestFacts,
+            self, ModelLoad, Plan, PlanError, PlanInput, RequestProperties,
             any_usable,
         },
         session::Session,
@@ -352,9 +352,9 @@
             parts: Vec::new(),
             ended: String::new(),
         };
-        let holding = self.vm.ledger.open(bill.clone());
+        let replica = self.vm.ledger.open(bill.clone());
         self.bill = Some(bill);
-        if !holding.wait_for_replica().await {
+        if !replica.wait_for_replica().await {
             self.vm.metrics.bills_single_holder.inc();
         }
     }
@@ -375,11 +375,11 @@
     }
 
     /// Records how the last attempt ended.
-    pub(crate) fn end_attempt(&mut self, end: AttemptOutcome) {
-        let label = attempt_outcome_label(&end);
+    pub(crate) fn end_attempt(&mut self, status: AttemptStatus) {
+        let label = attempt_status_label(&status);
         self.vm.metrics.attempts.with_label_values(&[label]).inc();
         if let Some(last) = self.decision.attempts.last_mut() {
-            last.end = end;
+            last.end = status;
         }
     }
 
@@ -388,7 +388,7 @@
         self.decision
             .attempts
             .iter()
-            .any(|attempt| attempt.end != AttemptOutcome::Unreachable)
+            .any(|attempt| attempt.end != AttemptStatus::Unreachable)
     }
 
     /// Ends the request: stores its decision, closes its bill and claim, and
@@ -466,7 +466,7 @@
             .decision
             .attempts
             .iter()
-            .filter(|attempt| attempt.end != AttemptOutcome::Unreachable);
+            .filter(|attempt| attempt.end != AttemptStatus::Unreachable);
         ran.map(|attempt| BillPart {
             upstream: attempt.choice.upstream.clone(),
             model: attempt.model.clone(),
@@ -539,7 +539,7 @@
         let now = vm.clock.now();
         let configuration = vm.configuration.current();
         let template = &self.state.template;
-        let facts = self.request_facts();
+        let properties = self.request_properties();
         let stopped = vm.rollout_guard.stopped();
         let has_upstream = |entry: &VersionEntry| {
             let upstreams = vm.upstream_snapshots(&entry.model, now);
@@ -555,7 +555,7 @@
             has_upstream: &has_upstream,
             now,
         };
-        let plan = selection::plan(&facts, &input, rand::random())?;
+        let plan = selection::plan(&properties, &input, rand::random())?;
         let repeatable = plan.steps.iter().all(|step| {
             let rule = template.model_rule(&step.entry.model);
             rule.is_some_and(|rule| rule.repeatable)
@@ -563,13 +563,13 @@
         Ok((truncate_to_one_step(plan, repeatable), repeatable))
     }
 
-    fn request_facts(&self) -> RequestFacts {
+    fn request_properties(&self) -> RequestProperties {
         let call = &self.state.call;
         let has_ratings =
             self.context.vm.settings.platform.rating_url.is_some();
         let session = self.context.decision.session.clone();
         let has_no_session = session == SessionUse::None;
-        RequestFacts {
+        RequestProperties {
             model: call.chat.model.clone(),
             task: ShortHash::of(&call.task),
             can_escalate: has_ratings && has_no_session && !call.chat.stream,
@@ -670,16 +670,16 @@
     }
 }
 
-/// Returns the metric label for the end of an attempt.
-fn attempt_outcome_label(end: &AttemptOutcome) -> &'static str {
-    match end {
-        AttemptOutcome::Running => "running",
-        AttemptOutcome::Answered { .. } => "answered",
-        AttemptOutcome::RatedPoor { .. } => "rated_poor",
-        AttemptOutcome::Unreachable => "unreachable",
-        AttemptOutcome::Broken => "broken",
-        AttemptOutcome::TimedOut => "timed_out",
-        AttemptOutcome::Cancelled => "cancelled",
+/// Returns the metric label of an attempt's status.
+fn attempt_status_label(status: &AttemptStatus) -> &'static str {
+    match status {
+        AttemptStatus::Running => "running",
+        AttemptStatus::Answered { .. } => "answered",
+        AttemptStatus::RatedPoor { .. } => "rated_poor",
+        AttemptStatus::Unreachable => "unreachable",
+        AttemptStatus::Broken => "broken",
+        AttemptStatus::TimedOut => "timed_out",
+        AttemptStatus::Cancelled => "cancelled",
     }
 }
 
--- a/src/api/selection.rs
+++ b/src/api/selection.rs
@@ -48,7 +48,7 @@
 
 /// The properties of a request that determine its plan.
 #[derive(Clone, Debug)]
-pub struct RequestFacts {
+pub struct RequestProperties {
     /// The model that the caller requests; `None` for any allowed model.
     pub model: Option<ModelId>,
     /// The hash of the task name.
@@ -123,7 +123,7 @@
 /// [`ErrorKind::NotAllowed`], [`ErrorKind::VersionWithdrawn`] or
 /// [`ErrorKind::NoUpstream`]; the request has not run.
 pub fn plan(
-    request: &RequestFacts,
+    request: &RequestProperties,
     input: &PlanInput<'_>,
     seed: u64,
 ) -> Result<Plan, PlanError> {
@@ -152,7 +152,7 @@
 /// Returns why a request is rejected because of its model or session, before
 /// any version is considered.
 fn request_rejection(
-    request: &RequestFacts,
+    request: &RequestProperties,
     input: &PlanInput<'_>,
 ) -> Option<(ErrorKind, String)> {
     let asked = match &request.session {
@@ -206,7 +206,7 @@
 
 /// The versions considered for one request, with why each was excluded.
 struct CandidateList<'a> {
-    request: &'a RequestFacts,
+    request: &'a RequestProperties,
     input: &'a PlanInput<'a>,
     organisation: ShortHash,
     candidates: Vec<Candidate>,
@@ -214,7 +214,7 @@
 
 impl<'a> CandidateList<'a> {
     fn new(
-        request: &'a RequestFacts,
+        request: &'a RequestProperties,
         input: &'a PlanInput<'a>,
     ) -> CandidateList<'a> {
         let name = input.template.organisation.as_str();
@@ -289,8 +289,8 @@
         if self.input.stopped.contains(&version_hash(entry)) {
             return Some(Exclusion::StoppedHere);
         }
-        if let Some(dropped) = self.exclusion_by_state(entry, draw) {
-            return Some(dropped);
+        if let Some(exclusion) = self.exclusion_by_state(entry, draw) {
+            return Some(exclusion);
         }
         if estimated.cost > template.request_price_limit_micro {
             return Some(Exclusion::TooExpensive);
@@ -322,10 +322,11 @@
         entry: &VersionEntry,
         draw: f64,
     ) -> Option<Exclusion> {
-        let bound = matches!(self.request.session, SessionUse::Bound { .. });
+        let is_bound =
+            matches!(self.request.session, SessionUse::Bound { .. });
         match entry.state {
             VersionState::Withdrawn => Some(Exclusion::Withdrawn),
-            _ if bound => None,
+            _ if is_bound => None,
             VersionState::Draining => Some(Exclusion::Draining),
             VersionState::Serving => None,
             VersionState::RollingOut { .. } if !self.input.is_fresh => {
@@ -399,7 +400,7 @@
 ///
 /// A share [`EXPLORATION_SHARE`] of the plans starts at a random version.
 fn rank<'a>(
-    request: &RequestFacts,
+    request: &RequestProperties,
     mut eligible: Vec<EstimatedVersion<'a>>,
     rng: &mut ChaCha8Rng,
 ) -> Ranking<'a> {
@@ -468,7 +469,7 @@
 
 /// Splits the versions into the cascade from `start` and the rejected ones.
 fn split_into_steps<'a>(
-    request: &RequestFacts,
+    request: &RequestProperties,
     by_cost: Vec<EstimatedVersion<'a>>,
     start: usize,
 ) -> Ranking<'a> {
@@ -512,14 +513,14 @@
 /// [`ErrorKind::NoUpstream`] with the numbers of excluded upstreams, and with
 /// a `Retry-After` if some of them are only in backoff.
 pub fn pick_upstream(
-    facts: &[UpstreamSnapshot],
+    snapshots: &[UpstreamSnapshot],
     criteria: UpstreamCriteria<'_>,
     seed: u64,
 ) -> Result<UpstreamChoice, Error> {
-    let partition = UpstreamPartition::new(facts, criteria);
+    let partition = UpstreamPartition::new(snapshots, criteria);
     let pool = partition.pool();
     if pool.is_empty() {
-        return Err(partition.no_upstream_error(facts.len(), seed));
+        return Err(partition.no_upstream_error(snapshots.len(), seed));
     }
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let (selected, preferred) =
@@ -551,7 +552,7 @@
 
 impl<'a> UpstreamPartition<'a> {
     fn new(
-        facts: &'a [UpstreamSnapshot],
+        snapshots: &'a [UpstreamSnapshot],
         criteria: UpstreamCriteria<'_>,
     ) -> UpstreamPartition<'a> {
         let mut partition = UpstreamPartition {
@@ -563,7 +564,7 @@
             shortest_backoff: Duration::MAX,
             not_loaded: 0,
         };
-        for upstream in facts {
+        for upstream in snapshots {
             if upstream.leaving {
                 partition.leaving += 1;
             } else if upstream.breaker_open
@@ -690,9 +691,10 @@
 }
 
 impl ModelLoad {
-    /// Sums over the usable replicas in `facts`.
-    pub fn of(facts: &[UpstreamSnapshot]) -> ModelLoad {
-        let usable = facts.iter().filter(|upstream| upstream.is_available());
+    /// Sums over the usable replicas in `snapshots`.
+    pub fn of(snapshots: &[UpstreamSnapshot]) -> ModelLoad {
+        let usable =
+            snapshots.iter().filter(|upstream| upstream.is_available());
         usable.fold(ModelLoad::default(), |load, upstream| ModelLoad {
             requests: load.requests + upstream.requests,
             slots: load.slots + upstream.slots,
@@ -701,8 +703,8 @@
 }
 
 /// Returns whether any replica that has loaded a version is usable.
-pub fn any_usable(facts: &[UpstreamSnapshot], version: ShortHash) -> bool {
-    facts.iter().any(|u| u.is_available() && has_loaded(u, Some(version)))
+pub fn any_usable(snapshots: &[UpstreamSnapshot], version: ShortHash) -> bool {
+    snapshots.iter().any(|u| u.is_available() && has_loaded(u, Some(version)))
 }
 
 /// Converts an age to whole milliseconds.
--- a/src/chains/configuration.rs
+++ b/src/chains/configuration.rs
@@ -145,7 +145,7 @@
         self.versions.get(model)?.get(version)
     }
 
-    /// Whether a model has any version.
+    /// Returns whether a model has any version.
     pub fn has_model(&self, model: &ModelId) -> bool {
         self.versions.contains_key(model)
     }
@@ -324,7 +324,7 @@
 
     /// Records a proof of freshness: the configuration in force was current at
     /// `when`.
-    pub fn prove(&self, when: BootInstant) {
+    pub fn record_proof(&self, when: BootInstant) {
         let mut proven_at = self.proven_at.lock().expect("proof lock");
         *proven_at = (*proven_at).max(Some(when));
     }
--- a/src/chains/slot.rs
+++ b/src/chains/slot.rs
@@ -64,8 +64,8 @@
 /// What a slot needs to know about other VMs, and its connection to the
 /// deputy.
 pub(crate) trait SlotPeers: Send + Sync {
-    /// Whether an incarnation of a VM has ended or can't be reached, as far as
-    /// this VM knows.
+    /// Returns whether an incarnation of a VM has ended or can't be reached,
+    /// as far as this VM knows.
     fn is_gone(
         &self,
         incarnation: &VmIncarnation,
@@ -76,17 +76,17 @@
 
     /// Sends copies of claims to the deputy. Returns whether it has stored
     /// them.
-    fn hold(
+    fn send_copies(
         &self,
         deputy: &VmIncarnation,
-        request: HoldRequest,
+        request: CopyRequest,
     ) -> impl Future<Output = bool> + Send;
 }
 
 /// A request from the owner of a slot to its deputy to store copies of claims
 /// that are granted while the store is unavailable.
 #[derive(Clone, Debug)]
-pub(crate) struct HoldRequest {
+pub(crate) struct CopyRequest {
     pub(crate) slot: u32,
     /// The index of the last batch that the owner has read.
     pub(crate) index: u64,
@@ -209,18 +209,18 @@
         }
     }
 
-    /// Whether this VM owns the slot, by the part of the chain that it has
-    /// read.
+    /// Returns whether this VM owns the slot, by the part of the chain that it
+    /// has read.
     pub(crate) fn is_owner(&self) -> bool {
         self.role() == Role::Owner
     }
 
-    /// Whether this VM grants claims while the store is unavailable.
+    /// Returns whether this VM grants claims while the store is unavailable.
     pub(crate) fn is_offline(&self) -> bool {
         self.is_offline
     }
 
-    /// Whether records are still to be written to the chain.
+    /// Returns whether records are still to be written to the chain.
     pub(crate) fn has_backlog(&self) -> bool {
         !self.backlog.is_empty() || self.in_doubt.is_some()
     }
@@ -289,7 +289,7 @@
     /// Stores copies of claims for the slot's owner. Returns false if this VM
     /// is not the owner's deputy, or if it lacks the claims before `first`;
     /// the owner then sends all of them.
-    pub(crate) async fn hold(&mut self, request: HoldRequest) -> bool {
+    pub(crate) async fn store_copies(&mut self, request: CopyRequest) -> bool {
         if self.rejects_copies(&request).await {
             return false;
         }
@@ -590,14 +590,14 @@
             log.sent = 0;
         }
         for first in [log.sent, 0] {
-            let request = HoldRequest {
+            let request = CopyRequest {
                 slot: self.number,
                 index: self.state.index(),
                 owner: self.me.clone(),
                 first,
                 claims: log.claims[first..].to_vec(),
             };
-            if self.peers.hold(deputy, request).await {
+            if self.peers.send_copies(deputy, request).await {
                 log.sent = log.claims.len();
                 return true;
             }
@@ -912,9 +912,10 @@
         }
     }
 
-    /// Whether to reject copies of claims, because the sender is not an owner
-    /// with this VM as its deputy, or because this VM has tried to take over.
-    async fn rejects_copies(&mut self, request: &HoldRequest) -> bool {
+    /// Returns whether to reject copies of claims, because the sender is not
+    /// an owner with this VM as its deputy, or because this VM has tried to
+    /// take over.
+    async fn rejects_copies(&mut self, request: &CopyRequest) -> bool {
         let must_read = self.end_read_at.is_none()
             || self.state.index() < request.index
             || self.has_tried_takeover;
@@ -1010,15 +1011,15 @@
 
 fn to_records(claims: &[OfflineClaim]) -> Vec<ClaimRecord> {
     let mut records = Vec::new();
-    for held in claims {
+    for offline in claims {
         records.push(ClaimRecord::Claimed {
-            claim: held.claim.clone(),
-            at_unix_ms: held.at_unix_ms,
+            claim: offline.claim.clone(),
+            at_unix_ms: offline.at_unix_ms,
         });
-        if let Some(outcome) = &held.outcome {
+        if let Some(outcome) = &offline.outcome {
             records.push(ClaimRecord::Settled {
-                key: held.claim.key,
-                request: held.claim.request.clone(),
+                key: offline.claim.key,
+                request: offline.claim.request.clone(),
                 outcome: outcome.clone(),
             });
         }
