--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -297,15 +297,14 @@
         let member = picked.map_err(|no_member| match no_member {
             PickError::NoCandidate => Error::new(ErrorKind::NoUpstream)
                 .context(format!("service {} has no upstream", self.service)),
-            PickError::Evacuated => Error::new(ErrorKind::NoUpstream).context(
-                format!("all upstreams of {} are evacuated", self.service),
-            ),
+            PickError::Evacuated => Error::new(ErrorKind::NoUpstream)
+                .context(format!("all of {} is evacuated", self.service)),
             PickError::BackingOff(left) => self.all_backing_off(left),
             PickError::Cold => Error::new(ErrorKind::Overloaded)
-                .context(format!("all upstreams of {} are cold", self.service))
+                .context(format!("all of {} is cold", self.service))
                 .with_retry_after(RETRY_AFTER_COLD),
             PickError::Full => Error::new(ErrorKind::Overloaded)
-                .context(format!("all upstreams of {} are full", self.service))
+                .context(format!("{} is full", self.service))
                 .with_retry_after(admission::retry_after(
                     self.gateway.service_times.of(&self.service),
                     rand::random(),
@@ -350,7 +349,7 @@
     fn all_backing_off(&self, left: Duration) -> Error {
         Error::new(ErrorKind::Overloaded)
             .context(format!(
-                "all upstreams of {} have asked for fewer requests",
+                "all of {} have asked for fewer requests",
                 self.service
             ))
             .with_retry_after(admission::retry_after_backoff(
